--- a/bench/lang_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <string>
 
-#include "lang/differ.h"
-#include "lang/format.h"
-#include "lang/parser.h"
+#include "config_language/differ.h"
+#include "config_language/format.h"
+#include "config_language/parser.h"
 #include "limits/limits.h"
 #include "routing/table.h"
 
@@ -15,7 +15,7 @@
 
 using namespace alderspur;
 
-class Memory : public lang::Loader {
+class Memory : public config_language::Loader {
  public:
   std::optional<std::string> read(const std::string& path, std::string& error) override {
     const auto it = files.find(path);
@@ -45,40 +45,40 @@
 void LoadAndCheck(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
-    form::Findings f;
-    const auto p = lang::load("main.alder", m, f);
-    benchmark::DoNotOptimize(lang::check(p, f));
-    if (!f.good()) state.SkipWithError(form::to_string(f.list()[0]).c_str());
+    diagnostics::Findings f;
+    const auto p = config_language::load("main.alder", m, f);
+    benchmark::DoNotOptimize(config_language::check(p, f));
+    if (!f.good()) state.SkipWithError(diagnostics::to_string(f.list()[0]).c_str());
   }
 }
 void Format(benchmark::State& state) {
   const auto m = program(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state)
     for (const auto& [path, text] : m.files) {
-      form::Findings f;
-      lang::Sources sources;
-      benchmark::DoNotOptimize(lang::format(lang::parse(sources, sources.add(path, text), f)));
+      diagnostics::Findings f;
+      config_language::Sources sources;
+      benchmark::DoNotOptimize(config_language::format(config_language::parse(sources, sources.add(path, text), f)));
     }
 }
 void Compile(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
-  form::Findings f;
-  const auto p = lang::load("main.alder", m, f);
-  const auto meaning = lang::check(p, f);
+  diagnostics::Findings f;
+  const auto p = config_language::load("main.alder", m, f);
+  const auto meaning = config_language::check(p, f);
   for (auto _ : state) benchmark::DoNotOptimize(std::make_unique<routing::Table>(meaning, p.sources));
 }
 void Differ(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
-  form::Findings f;
-  const auto p = lang::load("main.alder", m, f);
-  const auto meaning = lang::check(p, f);
-  for (auto _ : state) benchmark::DoNotOptimize(lang::differ(meaning, meaning));
+  diagnostics::Findings f;
+  const auto p = config_language::load("main.alder", m, f);
+  const auto meaning = config_language::check(p, f);
+  for (auto _ : state) benchmark::DoNotOptimize(config_language::differ(meaning, meaning));
 }
 void Match(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
-  form::Findings f;
-  const auto p = lang::load("main.alder", m, f);
-  const auto meaning = lang::check(p, f);
+  diagnostics::Findings f;
+  const auto p = config_language::load("main.alder", m, f);
+  const auto meaning = config_language::check(p, f);
   const routing::Table table(meaning, p.sources);
   std::vector<std::string> paths;
   for (std::size_t i = 0; i < 1000; ++i)
--- a/bench/agree/agreement_sim.cpp
+++ b/bench/consensus/consensus_sim.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "agree/world.h"
+#include "consensus/world.h"
 #include "times.h"
 
 namespace {
--- a/bench/agree/processes.cpp
+++ b/bench/consensus/processes.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "agree/fleet.h"
+#include "consensus/fleet.h"
 #include "times.h"
 
 namespace {
@@ -28,7 +28,7 @@
   }
   Time change(std::size_t at, const std::string& which, Time* everywhere = nullptr,
               const std::vector<std::size_t>& of = {}) {
-    const auto body = agree::encode({{"servers", servers(which)}});
+    const auto body = consensus::encode({{"servers", servers(which)}});
     const Time from = net::unix_now();
     const auto nonce = r->put(at, "/control/versions", body);
     std::string word;
--- a/bench/membership_bench.cpp
+++ b/bench/endpoints_bench.cpp
@@ -7,9 +7,9 @@
 #include <new>
 #include <string>
 
-#include "membership/check.h"
-#include "membership/list.h"
-#include "store/membership_state.h"
+#include "endpoints/check.h"
+#include "endpoints/list.h"
+#include "store/endpoint_state.h"
 
 namespace {
 
@@ -42,7 +42,7 @@
 namespace {
 
 using namespace alderspur;
-using namespace alderspur::membership;
+using namespace alderspur::endpoints;
 
 std::string text_of(std::size_t servers, std::uint64_t generation, std::size_t changed) {
   std::string t = "format = 1\ngeneration = " + std::to_string(generation) +
@@ -58,7 +58,7 @@
   return t;
 }
 SnapshotPtr list_of(const std::string& text, unsigned threads = 1) {
-  form::Findings f;
+  diagnostics::Findings f;
   Limits limits;
   limits.threads = threads;
   return read_list(text, "servers.toml", 0, limits, f).list;
@@ -84,7 +84,7 @@
   const auto n = static_cast<std::size_t>(state.range(0));
   const auto a = list_of(text_of(n, 1, 0)), b = list_of(text_of(n, 2, n / 100));
   for (auto _ : state) {
-    form::Findings f;
+    diagnostics::Findings f;
     check_alone(*b, f);
     check_change(a.get(), *b, {}, f);
     if (!f.good()) state.SkipWithError("refused");
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -19,7 +19,7 @@
 #include <thread>
 
 #include "../tests/loopback.h"
-#include "signed/token.h"
+#include "signed_url/token.h"
 
 namespace {
 
@@ -179,7 +179,7 @@
   explicit HttpClient(const sockaddr_in& at, std::uint64_t first)
       : socket_(loopback::dial(at)), object_(first) {
     const std::string text = "pfx=/asset/&exp=4000000000&kid=k";
-    query_ = text + "&sig=" + signed_urls::signature({"k", kSecret, 0}, text);
+    query_ = text + "&sig=" + signed_url::signature({"k", kSecret, 0}, text);
   }
   // True when an answer has come; its time is then in `took`.
   bool poll(bool ask) {
--- a/bench/start_known.py
+++ b/bench/start_known.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Times the start of alderspur_edge to its first `status` true, by the number of purges in `known`.
+"""Times the start of edge_router to its first `status` true, by the number of purges in `known`.
 
   start_known.py PROGRAM CONFIG [PURGES ...]   CONFIG gives the settings, as example/config.json; 200 caches are listed
 
--- a/src/operator/front.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,10 +1,10 @@
-#include "operator/front.h"
+#include "admin/admin_server.h"
 
 #include <algorithm>
 
 #include "net/lingering.h"
 
-namespace alderspur::operators {
+namespace alderspur::admin {
 namespace {
 
 constexpr std::size_t kHeadMost = 2 << 10;
@@ -144,4 +144,4 @@
   listener_.keep_spare();
 }
 
-}  // namespace alderspur::operators
+}  // namespace alderspur::admin
--- a/src/operator/front.h
+++ b/src/admin/admin_server.h
@@ -17,7 +17,7 @@
 #include "http/message.h"
 #include "net/connection.h"
 
-namespace alderspur::operators {
+namespace alderspur::admin {
 
 constexpr std::size_t kCallersMost = 16;
 constexpr core::Time kCallTime = 3'000'000, kDiskTime = 700'000;  // a caller waits 1 s
@@ -67,4 +67,4 @@
   net::Listener listener_;
 };
 
-}  // namespace alderspur::operators
+}  // namespace alderspur::admin
--- a/src/operator/figures.cpp
+++ b/src/admin/metrics.cpp
@@ -1,6 +1,6 @@
-#include "operator/figures.h"
+#include "admin/metrics.h"
 
-namespace alderspur::operators {
+namespace alderspur::admin {
 namespace {
 
 void head(std::string& out, const char* name, const char* type, const char* help) {
@@ -35,4 +35,4 @@
   return out;
 }
 
-}  // namespace alderspur::operators
+}  // namespace alderspur::admin
--- a/src/operator/figures.h
+++ b/src/admin/metrics.h
@@ -9,9 +9,9 @@
 
 #include "core/engine.h"
 
-namespace alderspur::operators {
+namespace alderspur::admin {
 
 // `classes`: the classes' names, in the order of the settings.
 std::string figures(core::Engine& engine, const std::vector<std::string>& classes);
 
-}  // namespace alderspur::operators
+}  // namespace alderspur::admin
--- a/src/operator/router_desk.cpp
+++ b/src/admin/router_admin_handler.cpp
@@ -1,12 +1,12 @@
-#include "operator/router_desk.h"
+#include "admin/router_admin_handler.h"
 
 #include <memory>
 #include <utility>
 
-#include "core/text.h"
-#include "operator/figures.h"
+#include "core/parsing.h"
+#include "admin/metrics.h"
 
-namespace alderspur::operators {
+namespace alderspur::admin {
 namespace {
 
 // How long the yes to a ready process waits for the shared folder to say so to the others.
@@ -15,7 +15,7 @@
 }  // namespace
 
 RouterDesk::RouterDesk(core::Deadlines& deadlines, core::Engine& engine, const platform::Caches& caches,
-                       handover::Twin& twin, const std::vector<std::string>& classes,
+                       hot_restart::Twin& twin, const std::vector<std::string>& classes,
                        std::function<bool()> leaving)
     : deadlines_(deadlines),
       engine_(engine),
@@ -30,7 +30,7 @@
   return !leaving_() && (twin_.said() || engine_.now() > since_ + kSayTime);
 }
 
-std::string RouterDesk::figures() { return operators::figures(engine_, classes_); }
+std::string RouterDesk::figures() { return admin::figures(engine_, classes_); }
 
 void RouterDesk::ban(std::string_view id, bool out, Done done) {
   const std::string name(id);
@@ -56,4 +56,4 @@
   twin_.change({name, out}, end);
 }
 
-}  // namespace alderspur::operators
+}  // namespace alderspur::admin
--- a/src/operator/router_desk.h
+++ b/src/admin/router_admin_handler.h
@@ -6,16 +6,16 @@
 #include <vector>
 
 #include "core/engine.h"
-#include "handover/twin.h"
-#include "operator/front.h"
-#include "platform/caches.h"
+#include "hot_restart/coordinator.h"
+#include "admin/admin_server.h"
+#include "platform/upstream_pool.h"
 
-namespace alderspur::operators {
+namespace alderspur::admin {
 
 class RouterDesk : public Desk {
  public:
   RouterDesk(core::Deadlines& deadlines, core::Engine& engine, const platform::Caches& caches,
-             handover::Twin& twin, const std::vector<std::string>& classes, std::function<bool()> leaving);
+             hot_restart::Twin& twin, const std::vector<std::string>& classes, std::function<bool()> leaving);
 
   bool takes_clients() override;
   std::string figures() override;
@@ -40,7 +40,7 @@
   core::Deadlines& deadlines_;
   core::Engine& engine_;
   const platform::Caches& caches_;
-  handover::Twin& twin_;
+  hot_restart::Twin& twin_;
   const std::vector<std::string>& classes_;
   std::function<bool()> leaving_;
   std::function<std::string()> view_;
@@ -50,4 +50,4 @@
   core::Time since_;
 };
 
-}  // namespace alderspur::operators
+}  // namespace alderspur::admin
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -1,4 +1,4 @@
-#include "membership/check.h"
+#include "endpoints/check.h"
 
 #include <chrono>
 #include <cstdio>
@@ -13,10 +13,10 @@
 #include "app/language.h"
 #include "app/routes.h"
 #include "config/config.h"
-#include "membership/list.h"
+#include "endpoints/list.h"
 #include "settings/settings.h"
-#include "store/membership_state.h"
-#include "watch/source.h"
+#include "store/endpoint_state.h"
+#include "file_watch/source.h"
 
 namespace alderspur::app {
 namespace {
@@ -27,21 +27,21 @@
 }
 
 // A list from a file or a directory, as the running router would read it.
-membership::SnapshotPtr read_list(const std::string& path, form::Findings& findings) {
-  const membership::Limits limits;
+endpoints::SnapshotPtr read_list(const std::string& path, diagnostics::Findings& findings) {
+  const endpoints::Limits limits;
   const bool directory = std::filesystem::is_directory(path);
   const std::string file = directory ? path + "/manifest.toml" : path;
-  const auto read = membership::read_list(config::read_text(file), file, now(), limits, findings);
+  const auto read = endpoints::read_list(config::read_text(file), file, now(), limits, findings);
   if (!read.list || read.pieces.empty()) return read.list;
   std::vector<std::string> texts;
   const auto folder = std::filesystem::path(file).parent_path();
   for (const auto& p : read.pieces) texts.push_back(config::read_text((folder / p.file).string()));
-  return membership::read_pieces(read, texts, limits, findings);
+  return endpoints::read_pieces(read, texts, limits, findings);
 }
 
 bool is_settings(const std::string& text) { return text.find("[router]") != std::string::npos; }
 
-void check_settings(const std::string& file, const std::string& content, form::Findings& findings) {
+void check_settings(const std::string& file, const std::string& content, diagnostics::Findings& findings) {
   auto s = settings::read(content, file, std::filesystem::path(file).parent_path().string(), findings);
   if (s.config.empty()) return;
   try {
@@ -69,14 +69,14 @@
 }
 
 // `render` shows a finding, with its line where the file is one of the language.
-form::Findings check_one(const std::string& path, const membership::Snapshot* against, std::string& said,
-                         std::function<std::string(const form::Finding&)>& render) {
-  form::Findings findings;
-  render = form::to_string;
+diagnostics::Findings check_one(const std::string& path, const endpoints::Snapshot* against, std::string& said,
+                         std::function<std::string(const diagnostics::Finding&)>& render) {
+  diagnostics::Findings findings;
+  render = diagnostics::to_string;
   try {
     if (is_language(path)) {
       const auto checked = std::make_shared<Checked>(check_language(path, findings));
-      render = [checked](const form::Finding& f) { return checked->program.sources.render(f); };
+      render = [checked](const diagnostics::Finding& f) { return checked->program.sources.render(f); };
       said = std::to_string(checked->meaning.declarations.size()) + " declarations in " +
              std::to_string(checked->program.trees.size()) + " files";
       return findings;
@@ -98,14 +98,14 @@
   return findings;
 }
 
-void write_json(Writer& w, const std::string& path, const form::Findings& findings) {
+void write_json(Writer& w, const std::string& path, const diagnostics::Findings& findings) {
   w.StartObject();
   text(w, "file", path);
   w.Key("good"), w.Bool(findings.good());
   w.Key("findings"), w.StartArray();
   for (const auto& f : findings.list()) {
     w.StartObject();
-    text(w, "severity", f.severity == form::Severity::error ? "error" : "warning");
+    text(w, "severity", f.severity == diagnostics::Severity::error ? "error" : "warning");
     text(w, "code", f.code), text(w, "file", f.place.file);
     w.Key("line"), w.Uint(f.place.line);
     w.Key("column"), w.Uint(f.place.column);
@@ -117,8 +117,8 @@
   w.EndObject();
 }
 
-void names(Writer& w, const char* key, const std::vector<ServerId>& ids, const membership::Snapshot& from,
-           const membership::Snapshot& to) {
+void names(Writer& w, const char* key, const std::vector<ServerId>& ids, const endpoints::Snapshot& from,
+           const endpoints::Snapshot& to) {
   w.Key(key), w.StartArray();
   for (const ServerId id : ids) {
     const auto* s = to.find(id) ? to.find(id) : from.find(id);
@@ -148,7 +148,7 @@
 
 // The digest of each piece goes into the line after its `file = "..."`.
 std::string sealed_manifest(const std::string& folder, const std::string& manifest) {
-  form::Findings findings;
+  diagnostics::Findings findings;
   std::string out, line, piece;
   for (std::size_t at = 0; at < manifest.size();) {
     const auto end = std::min(manifest.find('\n', at), manifest.size() - 1);
@@ -159,7 +159,7 @@
       piece = line.substr(quote + 1, line.find('"', quote + 1) - quote - 1);
     if (line.starts_with("digest") && !piece.empty()) {
       const auto content = config::read_text(folder + "/" + piece);
-      line = "digest = \"" + membership::digest_text(membership::digest_of(content)) + "\"\n";
+      line = "digest = \"" + endpoints::digest_text(endpoints::digest_of(content)) + "\"\n";
       piece.clear();
     }
     out += line;
@@ -171,9 +171,9 @@
 
 int check(const CheckOptions& options) {
   return guarded([&] {
-    membership::SnapshotPtr against;
+    endpoints::SnapshotPtr against;
     if (!options.against.empty()) {
-      form::Findings findings;
+      diagnostics::Findings findings;
       against = read_list(options.against, findings);
       if (!against)
         throw config::Error(options.against + " is no good list: " + to_string(findings.list().at(0)));
@@ -184,7 +184,7 @@
     bool good = true;
     for (const auto& path : options.files) {
       std::string said;
-      std::function<std::string(const form::Finding&)> render;
+      std::function<std::string(const diagnostics::Finding&)> render;
       const auto findings = check_one(path, against.get(), said, render);
       good &= findings.good();
       write_json(w, path, findings);
@@ -202,10 +202,10 @@
 int diff(const std::string& from, const std::string& to, bool json, bool by_risk) {
   return guarded([&] {
     if (is_language(from) && is_language(to)) return diff_language(from, to, json, by_risk);
-    form::Findings findings;
+    diagnostics::Findings findings;
     const auto a = read_list(from, findings), b = read_list(to, findings);
     if (!a || !b) {
-      for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", form::to_string(f).c_str());
+      for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
       return kUsage;
     }
     const auto d = difference(a.get(), *b);
@@ -233,10 +233,10 @@
     const std::string file = directory ? path + "/manifest.toml" : path;
     auto content = config::read_text(file);
     if (directory) content = sealed_manifest(path, content);
-    replace_text(file, membership::with_digest(content));
-    form::Findings findings;
+    replace_text(file, endpoints::with_digest(content));
+    diagnostics::Findings findings;
     if (!read_list(path, findings)) {
-      for (const auto& f : findings.list()) std::printf("%s\n", form::to_string(f).c_str());
+      for (const auto& f : findings.list()) std::printf("%s\n", diagnostics::to_string(f).c_str());
       return kFinding;
     }
     return kYes;
--- a/src/app/cluster_part.cpp
+++ b/src/app/cluster_service.cpp
@@ -1,4 +1,4 @@
-#include "app/cluster_part.h"
+#include "app/cluster_service.h"
 
 #include <rapidjson/document.h>
 #include <sys/socket.h>
--- a/src/app/cluster_part.h
+++ b/src/app/cluster_service.h
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "app/json.h"
-#include "cluster/link.h"
+#include "cluster_transport/transport.h"
 #include "log/log.h"
-#include "platform/node.h"
+#include "platform/edge_router.h"
 #include "settings/settings.h"
 
 namespace alderspur::app {
--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -28,7 +28,7 @@
 
 // Proposes a version to a running router (NAME=FILE each), or other voters, and follows it to its end; the
 // versions that it knows; what differs between two of them.
-struct TrialOptions {  // of a version that holds for some routers first; see agree::Trial
+struct TrialOptions {  // of a version that holds for some routers first; see consensus::Trial
   std::string first, hold = "60", harm = "0.05";
   bool go_on = false;
 };
--- a/src/app/agree_part.cpp
+++ b/src/app/consensus_service.cpp
@@ -1,19 +1,19 @@
-#include "app/agree_part.h"
+#include "app/consensus_service.h"
 
 #include <filesystem>
 #include <fstream>
 #include <sstream>
 
-#include "agree/careful.h"
-#include "agree/messages.h"
+#include "consensus/conservative_merge.h"
+#include "consensus/messages.h"
 #include "app/routes.h"
-#include "membership/check.h"
+#include "endpoints/check.h"
 #include "store/state_file.h"
 
 namespace alderspur::app {
 namespace {
 
-using namespace alderspur::agree;
+using namespace alderspur::consensus;
 constexpr const char* kName = "agreement";
 constexpr Time kMeasure = 500'000;
 constexpr std::size_t kLoadedMost = 2 * kContentsMost, kSettledKept = 16, kBodyMost = 4 << 20;
@@ -99,8 +99,8 @@
 
 // ---- Events and actions
 
-void AgreePart::handle(const agree::Event& event) {
-  std::vector<agree::Action> actions;
+void AgreePart::handle(const consensus::Event& event) {
+  std::vector<consensus::Action> actions;
   agreement_->handle(net::steady_now(), event, actions);
   for (auto& a : actions) carry_out(a);
   arm();
@@ -117,22 +117,22 @@
   });
 }
 
-void AgreePart::carry_out(agree::Action& action) {
+void AgreePart::carry_out(consensus::Action& action) {
   if (auto* s = std::get_if<SendFrame>(&action)) return cluster_.send_frame(s->to, s->bytes);
   if (auto* p = std::get_if<Put>(&action)) return put(std::move(*p));
   if (auto* w = std::get_if<Write>(&action)) return write(std::move(*w));
   if (auto* c = std::get_if<Check>(&action)) return check(*c);
   if (auto* k = std::get_if<Keep>(&action)) return keep(*k);
   if (auto* a = std::get_if<Act>(&action)) return act(a->acting);
-  if (auto* d = std::get_if<agree::Discard>(&action)) {
+  if (auto* d = std::get_if<consensus::Discard>(&action)) {
     writer_.submit([folder = folder_, digest = d->digest] {
       std::error_code ignored;
       std::filesystem::remove(content_path(folder, digest), ignored);
     });
-  } else if (auto* y = std::get_if<agree::Reply>(&action)) {
+  } else if (auto* y = std::get_if<consensus::Reply>(&action)) {
     settled_.push_back(y->settled);
     if (settled_.size() > kSettledKept) settled_.pop_front();
-  } else if (auto* r = std::get_if<agree::Report>(&action)) {
+  } else if (auto* r = std::get_if<consensus::Report>(&action)) {
     log_.record(kName, log::Level::info, r->event, {{"text", r->text}});
   }
 }
@@ -175,13 +175,13 @@
     std::string reason;
     for (const auto& [name, text] : *c.content) {
       if (name == "servers") {
-        form::Findings findings;
-        const auto read = membership::read_list(text, name, 0, {}, findings);
-        if (read.list && findings.good()) membership::check_alone(*read.list, findings);
+        diagnostics::Findings findings;
+        const auto read = endpoints::read_list(text, name, 0, {}, findings);
+        if (read.list && findings.good()) endpoints::check_alone(*read.list, findings);
         std::vector<std::uint32_t> points, hubs;
         if (read.list && findings.good())
-          membership::zones_of(*read.list, config.names.zones, points, hubs, findings);
-        if (!findings.good()) reason = form::to_string(findings.list()[0]);
+          endpoints::zones_of(*read.list, config.names.zones, points, hubs, findings);
+        if (!findings.good()) reason = diagnostics::to_string(findings.list()[0]);
       } else if (name == "routes") {
         const auto file = folder + "/checked.alder";
         std::ofstream(file) << text;
@@ -258,7 +258,7 @@
 
 // ---- Operators
 
-operators::Desk::Told AgreePart::told(std::string_view what, std::string_view query, std::string body) {
+admin::Desk::Told AgreePart::told(std::string_view what, std::string_view query, std::string body) {
   if (body.empty() && what.empty()) return {200, view()};
   if (body.empty() && what.starts_with("/proposals/")) {
     const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
@@ -277,7 +277,7 @@
   return {404, "no such call\n"};
 }
 
-operators::Desk::Told AgreePart::propose(std::string_view what, std::string_view query,
+admin::Desk::Told AgreePart::propose(std::string_view what, std::string_view query,
                                          const std::string& body) {
   Proposal p;
   p.nonce = random_() >> 1 | 1;
--- a/src/app/agree_part.h
+++ b/src/app/consensus_service.h
@@ -12,16 +12,16 @@
 #include <optional>
 #include <string>
 
-#include "agree/agreement.h"
-#include "agree/disk.h"
-#include "app/cluster_part.h"
+#include "consensus/consensus_node.h"
+#include "consensus/log_store.h"
+#include "app/cluster_service.h"
 #include "net/wakeup.h"
-#include "watch/worker.h"
+#include "file_watch/worker.h"
 
 namespace alderspur::app {
 
 // As GET /control/versions gives it; docs/versions.md explains its fields.
-std::string versions_view(const agree::View& view, const agree::Book& book, core::Time now);
+std::string versions_view(const consensus::View& view, const consensus::Book& book, core::Time now);
 
 class AgreePart {
  public:
@@ -38,19 +38,19 @@
 
  private:
   void begin();
-  void handle(const agree::Event& event);
-  void carry_out(agree::Action& action);
+  void handle(const consensus::Event& event);
+  void carry_out(consensus::Action& action);
   void arm();
-  void put(agree::Put put);
-  void write(agree::Write write);
-  void keep(const agree::Keep& keep);
-  void check(const agree::Check& check);
-  void act(const agree::Acting& acting);
+  void put(consensus::Put put);
+  void write(consensus::Write write);
+  void keep(const consensus::Keep& keep);
+  void check(const consensus::Check& check);
+  void act(const consensus::Acting& acting);
   void write_files();
   void measure();
-  operators::Desk::Told told(std::string_view what, std::string_view query, std::string body);
+  admin::Desk::Told told(std::string_view what, std::string_view query, std::string body);
   std::string view() const;
-  operators::Desk::Told propose(std::string_view what, std::string_view query, const std::string& body);
+  admin::Desk::Told propose(std::string_view what, std::string_view query, const std::string& body);
 
   platform::Node& node_;
   ClusterPart& cluster_;
@@ -58,11 +58,11 @@
   log::Log& log_;
   const double unleased_;  // the part of a router without a lease, of 1
   const std::string folder_;
-  std::shared_ptr<agree::Disk> disk_;  // on its worker's thread only
-  std::unique_ptr<agree::Agreement> agreement_;
-  agree::Acting acting_;
+  std::shared_ptr<consensus::Disk> disk_;  // on its worker's thread only
+  std::unique_ptr<consensus::Agreement> agreement_;
+  consensus::Acting acting_;
   bool writing_ = false, again_ = false;
-  std::deque<agree::Settled> settled_;  // what became of this router's proposals, the last few
+  std::deque<consensus::Settled> settled_;  // what became of this router's proposals, the last few
   std::optional<core::Deadlines::Key> due_, measure_;
   std::uint64_t taken_ = 0, ended_ = 0, bad_ = 0;
   double rate_ = 0, bad_part_ = 0;
@@ -70,7 +70,7 @@
   std::mt19937_64 random_;
   // Last, so that they end first: their jobs use what stands above.
   net::Wakeup wakeup_;
-  watch::Worker log_writer_, writer_, checker_;
+  file_watch::Worker log_writer_, writer_, checker_;
 };
 
 }  // namespace alderspur::app
--- a/src/app/keeper.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -1,4 +1,4 @@
-#include "app/keeper.h"
+#include "app/endpoint_controller.h"
 
 #include <algorithm>
 #include <filesystem>
@@ -6,9 +6,9 @@
 #include <mutex>
 #include <utility>
 
-#include "membership/check.h"
-#include "membership/list.h"
-#include "store/membership_state.h"
+#include "endpoints/check.h"
+#include "endpoints/list.h"
+#include "store/endpoint_state.h"
 
 namespace alderspur::app {
 namespace {
@@ -18,10 +18,10 @@
 
 std::string state_path(const std::string& folder) { return folder + "/membership.state"; }
 
-std::vector<std::string> piece_names(const std::string& manifest, const membership::Limits& limits) {
-  form::Findings ignored;  // judged with the rest, once all has settled
+std::vector<std::string> piece_names(const std::string& manifest, const endpoints::Limits& limits) {
+  diagnostics::Findings ignored;  // judged with the rest, once all has settled
   std::vector<std::string> out;
-  for (const auto& p : membership::read_list(manifest, "manifest.toml", 0, limits, ignored).pieces)
+  for (const auto& p : endpoints::read_list(manifest, "manifest.toml", 0, limits, ignored).pieces)
     out.push_back(p.file);
   return out;
 }
@@ -32,19 +32,19 @@
 struct Keeper::Shared {
   settings::Membership settings;
   std::vector<std::string> zones;
-  membership::SnapshotPtr in_force() const {
+  endpoints::SnapshotPtr in_force() const {
     const std::lock_guard lock(mutex);
     return list;
   }
-  void bring(membership::SnapshotPtr next) {
+  void bring(endpoints::SnapshotPtr next) {
     const std::lock_guard lock(mutex);
     list = std::move(next);
   }
   mutable std::mutex mutex;
-  membership::SnapshotPtr list;  // guarded by mutex
+  endpoints::SnapshotPtr list;  // guarded by mutex
 };
 struct Keeper::Judged {
-  std::optional<membership::Offer> offer;
+  std::optional<endpoints::Offer> offer;
   bool unchanged = false;
   std::string refusal;  // the first finding
   std::size_t findings = 0;
@@ -59,15 +59,15 @@
       shared_(std::make_shared<Shared>()),
       wakeup_(node.loop()) {
   shared_->settings = settings;
-  shared_->settings.limits.threads = membership::spare_threads();
+  shared_->settings.limits.threads = endpoints::spare_threads();
   shared_->zones = node.config().names.zones;
   const core::Time now = node_.engine().now();
   if (!settings_.list.empty()) {
-    watch::WatchSettings w{settings_.list, settings_.settle, settings_.poll, settings_.limits.bytes};
-    watcher_ = std::make_unique<watch::Watcher>(
+    file_watch::WatchSettings w{settings_.list, settings_.settle, settings_.poll, settings_.limits.bytes};
+    watcher_ = std::make_unique<file_watch::Watcher>(
         node_.loop(), node_.deadlines(), wakeup_, reader_, w,
         [limits = settings_.limits](const std::string& text) { return piece_names(text, limits); },
-        [this, shared = shared_](watch::Look&& look) -> watch::Apply {
+        [this, shared = shared_](file_watch::Look&& look) -> file_watch::Apply {
           return
               [this, judged = std::make_shared<Judged>(judge(*shared, std::move(look)))] { take(*judged); };
         });
@@ -81,7 +81,7 @@
 
 // What an earlier process had in force counts as in force: a list may not go back behind it, and whoever is
 // new against it is cold.
-std::optional<membership::Offer> Keeper::begin_with_state(core::Time now) {
+std::optional<endpoints::Offer> Keeper::begin_with_state(core::Time now) {
   if (settings_.state.empty()) return {};
   std::error_code ignored;
   std::filesystem::create_directories(settings_.state, ignored);
@@ -91,13 +91,13 @@
       log_.record(kName, log::Level::warning, "state_unusable", {{"reason", restored.error}});
     return {};
   }
-  membership::Offer offer{restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}, {}};
-  form::Findings findings;
+  endpoints::Offer offer{restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}, {}};
+  diagnostics::Findings findings;
   zones_of(*offer.list, shared_->zones, offer.point_zones, offer.hub_zones, findings);
   check_alone(*offer.list, findings);
   if (!findings.good()) {
     log_.record(kName, log::Level::warning, "state_unusable",
-                {{"reason", form::to_string(findings.list()[0])}});
+                {{"reason", diagnostics::to_string(findings.list()[0])}});
     return {};
   }
   fleet_.restore(restored.state->remembered);
@@ -111,7 +111,7 @@
   shared_->bring(fleet_.in_force());
   const auto look = watcher_->first(kFirst);
   Judged judged;
-  if (look) judged = judge(*shared_, watch::Look(*look));
+  if (look) judged = judge(*shared_, file_watch::Look(*look));
   else judged.refusal = settings_.list + " has not settled";
   if (judged.offer || judged.unchanged) {
     take(judged);
@@ -125,7 +125,7 @@
     log_.record(kName, log::Level::warning, "started_from_state",
                 {{"generation", kept->list->generation}, {"age_s", age / 1'000'000}});
     push();
-  } else if (settings_.fleet.authority == membership::Authority::files) {
+  } else if (settings_.fleet.authority == endpoints::Authority::files) {
     throw config::Error("no usable list of servers: " + judged.refusal);
   } else {
     take(judged);
@@ -133,19 +133,19 @@
   serving_ = true;
 }
 
-Keeper::Judged Keeper::judge(const Shared& shared, watch::Look&& look) {
+Keeper::Judged Keeper::judge(const Shared& shared, file_watch::Look&& look) {
   Judged out;
   const core::Time begun = net::unix_now();
-  if (look.sight == watch::Sight::unreadable) {
+  if (look.sight == file_watch::Sight::unreadable) {
     out.refusal = look.error;
     return out;
   }
-  form::Findings findings;
+  diagnostics::Findings findings;
   const auto& s = shared.settings;
-  auto read = membership::read_list(look.texts.text, look.texts.file, begun, s.limits, findings);
-  membership::SnapshotPtr list = read.list;
+  auto read = endpoints::read_list(look.texts.text, look.texts.file, begun, s.limits, findings);
+  endpoints::SnapshotPtr list = read.list;
   if (list && look.texts.directory)
-    list = membership::read_pieces(read, look.texts.pieces, s.limits, findings);
+    list = endpoints::read_pieces(read, look.texts.pieces, s.limits, findings);
   else if (list && !read.pieces.empty())
     findings.error("L004", {look.texts.file, 0, 0}, "a manifest is given by its directory",
                    "name the directory");
@@ -155,14 +155,14 @@
     check_change(in_force.get(), *list, s.bounds, findings);
   }
   if (list && findings.good()) {
-    membership::Offer offer{list, in_force, difference(in_force.get(), *list), {}, {}};
+    endpoints::Offer offer{list, in_force, difference(in_force.get(), *list), {}, {}};
     zones_of(*list, shared.zones, offer.point_zones, offer.hub_zones, findings);
     out.unchanged = in_force && in_force->generation == list->generation;
     if (findings.good() && !out.unchanged) out.offer = std::move(offer);
   }
   if (!findings.good()) {
     out.unchanged = false;
-    out.refusal = form::to_string(findings.list()[0]);
+    out.refusal = diagnostics::to_string(findings.list()[0]);
     out.findings = findings.errors();
   }
   out.took = net::unix_now() - begun;
@@ -201,14 +201,14 @@
   log_.record(kName, log::Level::info, "list_taken",
               {{"generation", list.generation},
                {"servers", list.servers.size()},
-               {"change", membership::summary(before.get(), list, judged.offer->change)},
+               {"change", endpoints::summary(before.get(), list, judged.offer->change)},
                {"judged_us", judged.took},
                {"held_us", held}});
   save_soon();
 }
 
 void Keeper::pool(bool complete, const std::vector<config::Member>& members) {
-  if (settings_.fleet.authority == membership::Authority::files) return;
+  if (settings_.fleet.authority == endpoints::Authority::files) return;
   fleet_.board(complete, members, node_.engine().now());
   push();
 }
@@ -223,9 +223,9 @@
     node_.caches().update(c.member);
     update.servers.push_back(c.member.server);
     if (serving_ &&
-        (c.reason == membership::Reason::flapping || c.reason == membership::Reason::places_differ))
+        (c.reason == endpoints::Reason::flapping || c.reason == endpoints::Reason::places_differ))
       log_.record(kName, log::Level::warning, "held_out",
-                  {{"id", c.member.name}, {"why", membership::word(c.reason)}});
+                  {{"id", c.member.name}, {"why", endpoints::word(c.reason)}});
     if (!serving_ || !log_.enabled(kName, log::Level::debug)) continue;
     log_.record(kName, log::Level::debug, "server",
                 {{"id", c.member.name},
@@ -233,7 +233,7 @@
                             : c.member.server.status == Status::draining ? "draining"
                                                                          : "gone"},
                  {"weight", c.member.server.weight},
-                 {"why", membership::word(c.reason)}});
+                 {"why", endpoints::word(c.reason)}});
   }
   if (!update.servers.empty()) {
     node_.engine().fleet(std::move(update));
--- a/src/app/keeper.h
+++ b/src/app/endpoint_controller.h
@@ -13,12 +13,12 @@
 #include <vector>
 
 #include "log/log.h"
-#include "membership/fleet.h"
+#include "endpoints/endpoint_set.h"
 #include "net/wakeup.h"
-#include "platform/node.h"
+#include "platform/edge_router.h"
 #include "settings/settings.h"
-#include "watch/watcher.h"
-#include "watch/worker.h"
+#include "file_watch/watcher.h"
+#include "file_watch/worker.h"
 
 namespace alderspur::app {
 
@@ -40,14 +40,14 @@
   void finish();  // writes the state, waits for it
   std::string summary() const;
   const KeeperCounters& counters() const { return counters_; }
-  const membership::Fleet& fleet() const { return fleet_; }
+  const endpoints::Fleet& fleet() const { return fleet_; }
 
  private:
   struct Judged;
   struct Shared;
-  std::optional<membership::Offer> begin_with_state(core::Time now);
+  std::optional<endpoints::Offer> begin_with_state(core::Time now);
   void begin(core::Time now);
-  static Judged judge(const Shared& shared, watch::Look&& look);
+  static Judged judge(const Shared& shared, file_watch::Look&& look);
   void take(const Judged& judged);
   void push();
   bool concerns(const Server& server);
@@ -59,7 +59,7 @@
   platform::Node& node_;
   const settings::Membership settings_;
   log::Log& log_;
-  membership::Fleet fleet_;
+  endpoints::Fleet fleet_;
   std::shared_ptr<Shared> shared_;
   std::optional<core::Deadlines::Key> step_, save_;
   core::Time step_at_ = 0;
@@ -69,8 +69,8 @@
   KeeperCounters counters_;
   // Last, so that they end first: their jobs use what stands above.
   net::Wakeup wakeup_;
-  watch::Worker reader_, writer_;
-  std::unique_ptr<watch::Watcher> watcher_;
+  file_watch::Worker reader_, writer_;
+  std::unique_ptr<file_watch::Watcher> watcher_;
 };
 
 }  // namespace alderspur::app
--- a/src/app/language.cpp
+++ b/src/app/language.cpp
@@ -9,16 +9,16 @@
 #include <fstream>
 
 #include "app/commands.h"
-#include "lang/differ.h"
-#include "lang/files.h"
-#include "lang/format.h"
-#include "lang/parser.h"
+#include "config_language/differ.h"
+#include "config_language/files.h"
+#include "config_language/format.h"
+#include "config_language/parser.h"
 #include "routing/table.h"
 
 namespace alderspur::app {
 namespace {
 
-void tell(const lang::Sources& sources, const form::Findings& findings) {
+void tell(const config_language::Sources& sources, const diagnostics::Findings& findings) {
   for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", sources.render(f).c_str());
   if (findings.left_out()) std::fprintf(stderr, "and %zu more\n", findings.left_out());
 }
@@ -40,17 +40,17 @@
 
 bool is_language(const std::string& path) { return path.ends_with(".alder"); }
 
-Checked check_language(const std::string& path, form::Findings& findings) {
-  lang::FileLoader loader;
+Checked check_language(const std::string& path, diagnostics::Findings& findings) {
+  config_language::FileLoader loader;
   Checked out;
-  out.program = lang::load(path, loader, findings);
-  out.meaning = lang::check(out.program, findings);
+  out.program = config_language::load(path, loader, findings);
+  out.meaning = config_language::check(out.program, findings);
   return out;
 }
 
 int format_files(const FormatOptions& options) {
   int code = kYes;
-  lang::FileLoader loader;
+  config_language::FileLoader loader;
   for (const auto& path : options.files) {
     std::string error;
     const auto text = loader.read(path, error);
@@ -59,16 +59,16 @@
       code = kFinding;
       continue;
     }
-    lang::Sources sources;
-    form::Findings findings;
-    const auto tree = lang::parse(sources, sources.add(path, *text), findings);
+    config_language::Sources sources;
+    diagnostics::Findings findings;
+    const auto tree = config_language::parse(sources, sources.add(path, *text), findings);
     // Danger: what did not parse is not in the tree, and would be gone from the file.
     if (!findings.good()) {
       tell(sources, findings);
       code = kFinding;
       continue;
     }
-    const auto formatted = lang::format(tree);
+    const auto formatted = config_language::format(tree);
     const bool same = formatted == *text;
     if (!options.write && !options.check) std::fputs(formatted.c_str(), stdout);
     if (options.check && !same) {
@@ -84,7 +84,7 @@
 }
 
 int explain(const ExplainOptions& options) {
-  form::Findings findings;
+  diagnostics::Findings findings;
   const auto checked = check_language(options.file, findings);
   tell(checked.program.sources, findings);
   if (!findings.good()) return kUsage;
@@ -138,17 +138,17 @@
 }
 
 int diff_language(const std::string& from, const std::string& to, bool json, bool by_risk) {
-  form::Findings a_found, b_found;
+  diagnostics::Findings a_found, b_found;
   const auto a = check_language(from, a_found), b = check_language(to, b_found);
   if (!a_found.good() || !b_found.good()) {
     tell(a.program.sources, a_found), tell(b.program.sources, b_found);
     return kUsage;
   }
-  auto changes = lang::differ(a.meaning, b.meaning);
+  auto changes = config_language::differ(a.meaning, b.meaning);
   if (by_risk)
     std::stable_sort(changes.begin(), changes.end(), [](auto& x, auto& y) { return x.risk > y.risk; });
   if (!json) {
-    for (const auto& c : changes) std::printf("%-4s  %s\n", lang::word(c.risk), c.text.c_str());
+    for (const auto& c : changes) std::printf("%-4s  %s\n", config_language::word(c.risk), c.text.c_str());
     return changes.empty() ? kYes : kFinding;
   }
   rapidjson::StringBuffer buffer;
@@ -160,7 +160,7 @@
   w.StartArray();
   for (const auto& c : changes) {
     w.StartObject();
-    text("risk", lang::word(c.risk)), text("what", c.what), text("name", c.name);
+    text("risk", config_language::word(c.risk)), text("what", c.what), text("name", c.name);
     text("field", c.field), text("text", c.text);
     w.EndObject();
   }
--- a/src/app/language.h
+++ b/src/app/language.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "lang/check.h"
+#include "config_language/check.h"
 
 namespace alderspur::app {
 
@@ -12,10 +12,10 @@
 
 // The program of a file and what it means, findings told by their place.
 struct Checked {
-  lang::Program program;
-  lang::Meaning meaning;
+  config_language::Program program;
+  config_language::Meaning meaning;
 };
-Checked check_language(const std::string& path, form::Findings& findings);
+Checked check_language(const std::string& path, diagnostics::Findings& findings);
 
 struct FormatOptions {
   std::vector<std::string> files;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <string>
 
-#include "app/cluster_part.h"
+#include "app/cluster_service.h"
 #include "app/commands.h"
 #include "app/language.h"
 
--- a/src/app/replica_part.cpp
+++ b/src/app/replication_service.cpp
@@ -1,4 +1,4 @@
-#include "app/replica_part.h"
+#include "app/replication_service.h"
 
 #include <chrono>
 
@@ -7,7 +7,7 @@
 namespace alderspur::app {
 namespace {
 
-using namespace alderspur::replica;
+using namespace alderspur::replication;
 constexpr const char* kName = "replica";
 constexpr std::size_t kFileMost = 1 << 20;
 constexpr core::Time kOld = 10'000'000;  // beyond the time in which caches drop what was purged by themselves
@@ -28,7 +28,7 @@
   settings.self = {self.name, self.epoch};
   std::random_device random;
   replica_ = std::make_unique<Replica>(settings, (static_cast<std::uint64_t>(random()) << 32) ^ random());
-  node_.on_ban([this](const handover::BanChange& change) { called(change); });
+  node_.on_ban([this](const hot_restart::BanChange& change) { called(change); });
   node_.on_ready([this] { return begun_ && replica_->caught_up(); });
   node_.engine().on_purge([this](std::optional<std::uint64_t> object, std::uint32_t group, core::Time at) {
     handle(Purged{{object.has_value(), object.value_or(group), at}});
@@ -78,15 +78,15 @@
 }
 
 // By hand, here; what was made elsewhere comes in by Bind and is no call.
-void ReplicaPart::called(const handover::BanChange& change) {
+void ReplicaPart::called(const hot_restart::BanChange& change) {
   if (binding_) return;
   if (!begun_) return early_.push_back(change);
   if (change.out) handle(CallBan{change.name, "by hand", node_.engine().now()});
   else handle(CallLift{change.name});
 }
 
-void ReplicaPart::handle(const replica::Event& event) {
-  std::vector<replica::Action> actions;
+void ReplicaPart::handle(const replication::Event& event) {
+  std::vector<replication::Action> actions;
   replica_->handle(net::steady_now(), event, actions);
   for (const auto& a : actions) carry_out(a);
   if (!std::holds_alternative<Purged>(event)) save();  // a purge changes no ban, and there may be many
@@ -102,8 +102,8 @@
   });
 }
 
-void ReplicaPart::carry_out(const replica::Action& action) {
-  if (const auto* s = std::get_if<replica::SendFrame>(&action)) return cluster_.send_replica(s->to, s->bytes);
+void ReplicaPart::carry_out(const replication::Action& action) {
+  if (const auto* s = std::get_if<replication::SendFrame>(&action)) return cluster_.send_replica(s->to, s->bytes);
   if (const auto* b = std::get_if<Bind>(&action)) {
     log_.record(kName, log::Level::info, b->out ? "banned" : "lifted", {{"server", b->server}});
     binding_ = true;
--- a/src/app/replica_part.h
+++ b/src/app/replication_service.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "app/cluster_part.h"
+#include "app/cluster_service.h"
 #include "net/wakeup.h"
-#include "replica/replica.h"
-#include "watch/worker.h"
+#include "replication/replica.h"
+#include "file_watch/worker.h"
 
 namespace alderspur::app {
 
@@ -27,9 +27,9 @@
 
  private:
   void begin(std::optional<std::string> kept, const std::string& error);
-  void called(const handover::BanChange& change);
-  void handle(const replica::Event& event);
-  void carry_out(const replica::Action& action);
+  void called(const hot_restart::BanChange& change);
+  void handle(const replication::Event& event);
+  void carry_out(const replication::Action& action);
   void arm();
   void save();
   void view(Writer& w) const;
@@ -39,14 +39,14 @@
   log::Log& log_;
   const std::string path_;  // empty: nothing is kept
   const core::Time settles_;
-  std::unique_ptr<replica::Replica> replica_;
+  std::unique_ptr<replication::Replica> replica_;
   std::vector<std::string> others_;
-  std::vector<handover::BanChange> early_;  // called before the file was read
+  std::vector<hot_restart::BanChange> early_;  // called before the file was read
   bool begun_ = false, binding_ = false, saving_ = false;
   std::uint64_t saved_ = 0;  // the digest of what the file holds
   std::optional<core::Deadlines::Key> due_;
   net::Wakeup wakeup_;
-  watch::Worker writer_;  // last: its jobs use what stands above
+  file_watch::Worker writer_;  // last: its jobs use what stands above
 };
 
 }  // namespace alderspur::app
--- a/src/app/routes.cpp
+++ b/src/app/routes.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "app/language.h"
-#include "core/text.h"
+#include "core/parsing.h"
 
 namespace alderspur::app {
 namespace {
@@ -16,7 +16,7 @@
 }  // namespace
 
 TablePtr compile(const std::string& file, const config::Config& config, std::vector<std::string>& findings) {
-  form::Findings found;
+  diagnostics::Findings found;
   const auto checked = check_language(file, found);
   auto out = std::make_shared<TableInForce>();
   if (found.good()) {
@@ -31,7 +31,7 @@
         found.error("S002", r.place, "class " + r.cls + " runs at the origin and cannot be fetched by links");
       const auto named = [&](const char* capture) {
         return std::any_of(r.path.begin(), r.path.end(), [&](auto& s) {
-          return s.kind == lang::Segment::Kind::capture && s.text == capture;
+          return s.kind == config_language::Segment::Kind::capture && s.text == capture;
         });
       };
       if (!named("object"))
@@ -40,13 +40,13 @@
     }
   }
   for (const auto& f : found.list())
-    if (f.severity == form::Severity::error && findings.size() < kTold)
-      findings.push_back(form::to_string(f));
+    if (f.severity == diagnostics::Severity::error && findings.size() < kTold)
+      findings.push_back(diagnostics::to_string(f));
   return found.good() ? out : nullptr;
 }
 
 // What a request holds: the table it began under, its match, and later its room.
-class Routes::Held : public signed_urls::Hold {
+class Routes::Held : public signed_url::Hold {
  public:
   void end(core::Time now) override { permit.release(now); }
   TablePtr table;
@@ -94,7 +94,7 @@
   if (std::exchange(again_, false)) reload();
 }
 
-std::optional<signed_urls::Found> Routes::find(const http::Request& request, std::string_view path,
+std::optional<signed_url::Found> Routes::find(const http::Request& request, std::string_view path,
                                                std::string_view query) {
   routing::Question q;
   q.host = request.host;
@@ -108,7 +108,7 @@
   q.hash = core::stable_hash(path);
   const auto m = table_->table->match(q);
   if (!m) return {};
-  signed_urls::Found found;
+  signed_url::Found found;
   const auto at = static_cast<std::size_t>(m->route - table_->table->routes().data());
   found.cls = table_->classes[at];
   found.part = "0";
@@ -129,7 +129,7 @@
   return found;
 }
 
-core::Time Routes::admit(signed_urls::Found& found, core::Time now) {
+core::Time Routes::admit(signed_url::Found& found, core::Time now) {
   auto& held = static_cast<Held&>(*found.hold);
   const auto& t = *held.table->table;
   std::vector<limits::Limits::Ask> asked{{"route " + held.route->name, rule(held.route->limits)}};
--- a/src/app/routes.h
+++ b/src/app/routes.h
@@ -13,10 +13,10 @@
 #include "limits/limits.h"
 #include "log/log.h"
 #include "net/wakeup.h"
-#include "platform/node.h"
+#include "platform/edge_router.h"
 #include "routing/table.h"
-#include "signed/guide.h"
-#include "watch/worker.h"
+#include "signed_url/route_selector.h"
+#include "file_watch/worker.h"
 
 namespace alderspur::app {
 
@@ -30,16 +30,16 @@
 // Null with findings (rendered, the first few) where the program does not check or names unknown classes.
 TablePtr compile(const std::string& file, const config::Config& config, std::vector<std::string>& findings);
 
-class Routes : public signed_urls::Guide {
+class Routes : public signed_url::Guide {
  public:
   // Throws config::Error where the file does not check: there is nothing to go on from.
   Routes(platform::Node& node, std::string file, log::Log& log);
   ~Routes() override;
   void reload();  // SIGHUP
 
-  std::optional<signed_urls::Found> find(const http::Request& request, std::string_view path,
+  std::optional<signed_url::Found> find(const http::Request& request, std::string_view path,
                                          std::string_view query) override;
-  core::Time admit(signed_urls::Found& found, core::Time now) override;
+  core::Time admit(signed_url::Found& found, core::Time now) override;
   const limits::Limits& limits() const { return limits_; }
   const TablePtr& in_force() const { return table_; }
 
@@ -54,7 +54,7 @@
   TablePtr table_;
   bool reading_ = false, again_ = false;
   net::Wakeup wakeup_;
-  watch::Worker worker_;
+  file_watch::Worker worker_;
 };
 
 }  // namespace alderspur::app
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -6,15 +6,15 @@
 #include <filesystem>
 #include <memory>
 
-#include "app/agree_part.h"
-#include "app/cluster_part.h"
+#include "app/consensus_service.h"
+#include "app/cluster_service.h"
 #include "app/commands.h"
-#include "app/keeper.h"
-#include "app/replica_part.h"
+#include "app/endpoint_controller.h"
+#include "app/replication_service.h"
 #include "app/routes.h"
-#include "platform/node.h"
+#include "platform/edge_router.h"
 #include "settings/settings.h"
-#include "signed/http_front.h"
+#include "signed_url/http_front.h"
 #include "xds/server.h"
 
 namespace alderspur::app {
@@ -22,8 +22,8 @@
 
 constexpr std::size_t kProxiesMost = 32;
 
-int refuse(const form::Findings& findings) {
-  for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", form::to_string(f).c_str());
+int refuse(const diagnostics::Findings& findings) {
+  for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
   return kFinding;
 }
 
@@ -48,10 +48,10 @@
   });
   std::unique_ptr<Routes> routes;
   if (!settings.routes_file.empty()) routes = std::make_unique<Routes>(node, settings.routes_file, log);
-  std::unique_ptr<signed_urls::HttpFront> links;
+  std::unique_ptr<signed_url::HttpFront> links;
   if (settings.links) {
     links =
-        std::make_unique<signed_urls::HttpFront>(node.loop(), node.deadlines(), node.engine(), node.config(),
+        std::make_unique<signed_url::HttpFront>(node.loop(), node.deadlines(), node.engine(), node.config(),
                                                  *settings.links, net::unix_now, routes.get());
     node.add({[&] { links->end_turn(); }, [&] { links->leave(); }, [&] { return links->idle(); }});
     log.record("signed", log::Level::info, "listening", {{"address", net::to_string(links->address())}});
@@ -110,7 +110,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   net::hold_signals();
   try {
-    form::Findings findings;
+    diagnostics::Findings findings;
     const auto folder = std::filesystem::path(file).parent_path().string();
     auto settings = settings::read(config::read_text(file), file, folder, findings);
     if (!findings.good()) return refuse(findings);
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -4,14 +4,14 @@
 
 #include <cstdio>
 
-#include "app/agree_part.h"
+#include "app/consensus_service.h"
 #include "app/commands.h"
 #include "app/json.h"
 
 namespace alderspur::app {
 namespace {
 
-using namespace alderspur::agree;
+using namespace alderspur::consensus;
 
 void version(Writer& w, const char* key, const Version& v, const char* state) {
   if (key) w.Key(key);
@@ -100,7 +100,7 @@
       return say("cannot read '" + d + "'; write NAME=FILE, such as servers=servers.toml", kUsage);
     }
   }
-  std::string target = "/control/versions?author=" + agree::plain(author, 40);
+  std::string target = "/control/versions?author=" + consensus::plain(author, 40);
   std::replace(target.begin(), target.end(), ' ', '_');
   if (!base.empty()) target += "&base=" + base;
   if (!trial.first.empty())
--- a/src/cluster/epoch.cpp
+++ b/src/cluster/epoch.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <string_view>
 
-#include "core/text.h"
+#include "core/parsing.h"
 #include "store/state_file.h"
 
 namespace alderspur::cluster {
--- a/src/cluster/packing.h
+++ b/src/cluster/packing.h
@@ -12,7 +12,7 @@
 #include <string_view>
 
 #include "cluster/membership.h"
-#include "platform/rpc.h"
+#include "platform/rpc_codec.h"
 
 namespace alderspur::cluster {
 
--- a/src/cluster/seal.cpp
+++ b/src/cluster/seal.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
 namespace alderspur::cluster {
 namespace {
--- a/src/cluster/channels.cpp
+++ b/src/cluster_transport/channels.cpp
@@ -3,7 +3,7 @@
 
 #include <cstring>
 
-#include "cluster/peer.h"
+#include "cluster_transport/peer.h"
 
 namespace alderspur::cluster {
 
--- a/src/cluster/peer.h
+++ b/src/cluster_transport/peer.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <deque>
 
-#include "cluster/link.h"
+#include "cluster_transport/transport.h"
 
 namespace alderspur::cluster {
 
--- a/src/cluster/link.cpp
+++ b/src/cluster_transport/transport.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "cluster/peer.h"
+#include "cluster_transport/peer.h"
 
 namespace alderspur::cluster {
 namespace {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "alderspur/router.h"
-#include "membership/member.h"
+#include "endpoints/member.h"
 
 namespace alderspur::config {
 
@@ -25,7 +25,7 @@
   std::vector<std::string> report_fields;
   int parent_kind = -1, origin_kind = -1;
 };
-using membership::Member;
+using endpoints::Member;
 struct Notice {
   struct Flush {
     std::optional<std::uint64_t> object;
@@ -83,6 +83,6 @@
 Config read_file(const std::string& path);
 // Empty if the line is no notice that this version understands.
 std::optional<Notice> read_notice(std::string_view line, const Names& names);
-using membership::server_id;
+using endpoints::server_id;
 
 }  // namespace alderspur::config
--- a/src/lang/check.cpp
+++ b/src/config_language/check.cpp
@@ -1,12 +1,12 @@
-#include "lang/check.h"
+#include "config_language/check.h"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 
-#include "lang/format.h"
+#include "config_language/format.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 namespace {
 
 using Kind = Value::Kind;
@@ -29,7 +29,7 @@
 
 class Checker {
  public:
-  Checker(const Program& program, form::Findings& findings) : program_(program), findings_(findings) {}
+  Checker(const Program& program, diagnostics::Findings& findings) : program_(program), findings_(findings) {}
 
   Meaning run() {
     for (const auto& t : program_.trees) faulty_ |= t.faulty;
@@ -49,7 +49,7 @@
   }
 
  private:
-  form::Place at(const Span& span) const { return program_.sources.place(span); }
+  diagnostics::Place at(const Span& span) const { return program_.sources.place(span); }
   void error(const char* code, const Span& span, std::string text, std::string mend = {}) {
     findings_.error(code, at(span), std::move(text), std::move(mend));
   }
@@ -57,7 +57,7 @@
     findings_.warn(code, at(span), std::move(text), std::move(mend));
   }
   static std::string near(std::string_view word, const std::vector<std::string_view>& all) {
-    const auto n = form::nearest(word, all);
+    const auto n = diagnostics::nearest(word, all);
     return n.empty() ? "" : "did you mean " + n + "?";
   }
 
@@ -442,7 +442,7 @@
   }
 
   const Program& program_;
-  form::Findings& findings_;
+  diagnostics::Findings& findings_;
   bool faulty_ = false;
   Meaning out_;
   std::map<std::string, const Statement*> constants_;
@@ -457,7 +457,7 @@
   return it == index.end() ? nullptr : &declarations[it->second];
 }
 
-Meaning check(const Program& program, form::Findings& findings) { return Checker(program, findings).run(); }
+Meaning check(const Program& program, diagnostics::Findings& findings) { return Checker(program, findings).run(); }
 
 std::optional<std::vector<Segment>> segments(std::string_view path, std::string& error) {
   std::vector<Segment> out;
@@ -490,4 +490,4 @@
   return out;
 }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/check.h
+++ b/src/config_language/check.h
@@ -15,10 +15,10 @@
 #include <string>
 #include <vector>
 
-#include "lang/load.h"
-#include "lang/schema.h"
+#include "config_language/load.h"
+#include "config_language/schema.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 struct Setting {
   Span span;
@@ -57,7 +57,7 @@
   std::map<std::pair<std::string, std::string>, std::size_t> index;  // the first of each kind and name
 };
 
-Meaning check(const Program& program, form::Findings& findings);
+Meaning check(const Program& program, diagnostics::Findings& findings);
 
 // A route's path by its segments: literal, capture ({name}) or, last, the rest (*).
 struct Segment {
@@ -68,4 +68,4 @@
 };
 std::optional<std::vector<Segment>> segments(std::string_view path, std::string& error);
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/differ.cpp
+++ b/src/config_language/differ.cpp
@@ -1,8 +1,8 @@
-#include "lang/differ.h"
+#include "config_language/differ.h"
 
 #include <algorithm>
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 namespace {
 
 using Key = std::pair<std::string, std::string>;  // kind; name and points
@@ -120,4 +120,4 @@
 
 std::vector<Change> differ(const Meaning& from, const Meaning& to) { return Differ().run(from, to); }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/differ.h
+++ b/src/config_language/differ.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lang/check.h"
+#include "config_language/check.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 enum class Risk { low, some, high };  // how much a mistake in it could hurt
 struct Change {
@@ -22,4 +22,4 @@
 std::vector<Change> differ(const Meaning& from, const Meaning& to);
 const char* word(Risk risk);
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/files.cpp
+++ b/src/config_language/files.cpp
@@ -1,13 +1,13 @@
-#include "lang/files.h"
+#include "config_language/files.h"
 
 #include <glob.h>
 
 #include <filesystem>
 #include <fstream>
 
-#include "lang/parser.h"
+#include "config_language/parser.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 std::optional<std::string> FileLoader::read(const std::string& path, std::string& error) {
   std::error_code code;
@@ -32,4 +32,4 @@
   return out;
 }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/files.h
+++ b/src/config_language/files.h
@@ -1,9 +1,9 @@
 // The Loader for files on disk: regular files only, at most a text's bound, patterns by glob(3).
 #pragma once
 
-#include "lang/load.h"
+#include "config_language/load.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 class FileLoader : public Loader {
  public:
@@ -11,4 +11,4 @@
   std::vector<std::string> match(const std::string& pattern) override;
 };
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/format.cpp
+++ b/src/config_language/format.cpp
@@ -1,8 +1,8 @@
-#include "lang/format.h"
+#include "config_language/format.h"
 
 #include <algorithm>
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 namespace {
 
 constexpr std::size_t kWidth = 100;
@@ -124,4 +124,4 @@
                     [](const Statement& x, const Statement& y) { return same(x, y); });
 }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/format.h
+++ b/src/config_language/format.h
@@ -6,9 +6,9 @@
 
 #include <string>
 
-#include "lang/syntax.h"
+#include "config_language/syntax.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 std::string format(const Tree& tree);
 std::string text_of(const Value& value);  // on one line, without comments
@@ -16,4 +16,4 @@
 // The trees mean the same, letter for letter, places and comments aside.
 bool same(const Tree& a, const Tree& b);
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/load.cpp
+++ b/src/config_language/load.cpp
@@ -1,12 +1,12 @@
-#include "lang/load.h"
+#include "config_language/load.h"
 
 #include <filesystem>
 #include <set>
 #include <utility>
 
-#include "lang/parser.h"
+#include "config_language/parser.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 namespace {
 
 std::string normal(const std::string& path) {
@@ -15,7 +15,7 @@
 
 class Reader {
  public:
-  Reader(Program& program, Loader& loader, form::Findings& findings)
+  Reader(Program& program, Loader& loader, diagnostics::Findings& findings)
       : program_(program), loader_(loader), findings_(findings) {
     // Statements point into the trees: those must never move.
     program_.trees.reserve(kFilesMost);
@@ -90,7 +90,7 @@
 
   Program& program_;
   Loader& loader_;
-  form::Findings& findings_;
+  diagnostics::Findings& findings_;
   std::vector<Step> chain_;
   std::set<std::string> read_;
   std::size_t all_ = 0;
@@ -99,7 +99,7 @@
 
 }  // namespace
 
-Program load(const std::string& root, Loader& loader, form::Findings& findings) {
+Program load(const std::string& root, Loader& loader, diagnostics::Findings& findings) {
   Program out;
   std::string error;
   if (!Reader(out, loader, findings).file(normal(root), error))
@@ -107,4 +107,4 @@
   return out;
 }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/load.h
+++ b/src/config_language/load.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "form/finding.h"
-#include "lang/syntax.h"
+#include "diagnostics/diagnostics.h"
+#include "config_language/syntax.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 constexpr std::size_t kFilesMost = 1000, kAllMost = 16 << 20, kIncludesMost = 32;
 
@@ -32,6 +32,6 @@
   std::vector<const Statement*> statements;
 };
 
-Program load(const std::string& root, Loader& loader, form::Findings& findings);
+Program load(const std::string& root, Loader& loader, diagnostics::Findings& findings);
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -1,11 +1,11 @@
-#include "lang/parser.h"
+#include "config_language/parser.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 namespace {
 
 constexpr Unit kUnits[] = {
@@ -46,7 +46,7 @@
 
 class Lexer {
  public:
-  Lexer(const Sources& sources, std::uint32_t file, form::Findings& findings)
+  Lexer(const Sources& sources, std::uint32_t file, diagnostics::Findings& findings)
       : sources_(sources), text_(sources.text(file)), file_(file), findings_(findings) {}
 
   std::vector<Token> all() {
@@ -178,11 +178,11 @@
       at_ = end;
       t = make(Kind::number, begin);
     } else {
-      const Unit* u = lang::unit(name);
+      const Unit* u = config_language::unit(name);
       if (!u) {
         std::vector<std::string_view> all;
         for (const auto& k : kUnits) all.push_back(k.name);
-        const auto near = form::nearest(name, all);
+        const auto near = diagnostics::nearest(name, all);
         return fault("A005", begin, "'" + std::string(name) + "' is no unit",
                      near.empty() ? "one entry stands on a line; units are ms, s, MB, /s, %"
                                   : "did you mean " + near + "?");
@@ -198,13 +198,13 @@
   const Sources& sources_;
   const std::string_view text_;
   const std::uint32_t file_;
-  form::Findings& findings_;
+  diagnostics::Findings& findings_;
   std::size_t at_ = 0;
 };
 
 class Parser {
  public:
-  Parser(const Sources& sources, std::uint32_t file, form::Findings& findings)
+  Parser(const Sources& sources, std::uint32_t file, diagnostics::Findings& findings)
       : sources_(sources), findings_(findings), tokens_(Lexer(sources, file, findings).all()) {}
 
   Tree tree(std::uint32_t file) {
@@ -388,7 +388,7 @@
   }
 
   const Sources& sources_;
-  form::Findings& findings_;
+  diagnostics::Findings& findings_;
   const std::vector<Token> tokens_;
   std::size_t at_ = 0;
 };
@@ -418,7 +418,7 @@
   return "";
 }
 
-Tree parse(const Sources& sources, std::uint32_t file, form::Findings& findings) {
+Tree parse(const Sources& sources, std::uint32_t file, diagnostics::Findings& findings) {
   if (sources.text(file).size() > kTextMost) {
     findings.error("A008", {sources.name(file), 0, 0}, "the file is over 1 MiB",
                    "split it and include the parts");
@@ -427,4 +427,4 @@
   return Parser(sources, file, findings).tree(file);
 }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/parser.h
+++ b/src/config_language/parser.h
@@ -6,14 +6,14 @@
 // expected, A007 too deep, A008 too large, A009 no UTF-8 or a control character.
 #pragma once
 
-#include "form/finding.h"
-#include "lang/syntax.h"
+#include "diagnostics/diagnostics.h"
+#include "config_language/syntax.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 constexpr std::size_t kDepthMost = 16, kTextMost = 1 << 20;
 
-Tree parse(const Sources& sources, std::uint32_t file, form::Findings& findings);
+Tree parse(const Sources& sources, std::uint32_t file, diagnostics::Findings& findings);
 
 // The units that may stand behind a number, by what they measure.
 enum class Measure { none, duration, size, rate, bandwidth, percent };
@@ -25,4 +25,4 @@
 const Unit* unit(std::string_view name);
 const char* word(Measure measure);
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/schema.cpp
+++ b/src/config_language/schema.cpp
@@ -1,6 +1,6 @@
-#include "lang/schema.h"
+#include "config_language/schema.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 namespace {
 
 using Type = Field::Type;
@@ -87,4 +87,4 @@
   return nullptr;
 }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/schema.h
+++ b/src/config_language/schema.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "lang/parser.h"
+#include "config_language/parser.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 struct Field {
   enum class Type { quantity, count, word, string, flag, reference };
@@ -32,4 +32,4 @@
 const DeclarationKind* declaration_kind(std::string_view name);
 const Field* field(const DeclarationKind& kind, std::string_view key);
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/source.cpp
+++ b/src/config_language/source.cpp
@@ -1,8 +1,8 @@
-#include "lang/source.h"
+#include "config_language/source.h"
 
 #include <algorithm>
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 std::uint32_t Sources::add(std::string name, std::string text) {
   File f{std::move(name), std::move(text), {0}};
@@ -12,7 +12,7 @@
   return static_cast<std::uint32_t>(files_.size() - 1);
 }
 
-form::Place Sources::place(const Span& span) const {
+diagnostics::Place Sources::place(const Span& span) const {
   const File& f = files_[span.file];
   const auto next = std::upper_bound(f.lines.begin(), f.lines.end(), span.begin);
   const auto line = static_cast<std::uint32_t>(next - f.lines.begin());
@@ -27,8 +27,8 @@
   return std::string_view(f.text).substr(begin, end - begin);
 }
 
-std::string Sources::render(const form::Finding& finding) const {
-  std::string out = form::to_string(finding);
+std::string Sources::render(const diagnostics::Finding& finding) const {
+  std::string out = diagnostics::to_string(finding);
   const auto it =
       std::find_if(files_.begin(), files_.end(), [&](const File& f) { return f.name == finding.place.file; });
   if (it == files_.end() || !finding.place.line) return out;
@@ -42,4 +42,4 @@
   return out + "\n    " + shown + "\n    " + caret + "^";
 }
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/source.h
+++ b/src/config_language/source.h
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <vector>
 
-#include "form/finding.h"
+#include "diagnostics/diagnostics.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 struct Span {
   std::uint32_t file = 0, begin = 0, end = 0;
@@ -23,10 +23,10 @@
   const std::string& name(std::uint32_t file) const { return files_[file].name; }
   const std::string& text(std::uint32_t file) const { return files_[file].text; }
   std::size_t size() const { return files_.size(); }
-  form::Place place(const Span& span) const;
+  diagnostics::Place place(const Span& span) const;
   std::string_view line(std::uint32_t file, std::uint32_t line) const;
   // "a.alder:3:9: error A012: ..." with the line itself and a caret under the place.
-  std::string render(const form::Finding& finding) const;
+  std::string render(const diagnostics::Finding& finding) const;
 
  private:
   struct File {
@@ -36,4 +36,4 @@
   std::vector<File> files_;
 };
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/lang/syntax.h
+++ b/src/config_language/syntax.h
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "lang/source.h"
+#include "config_language/source.h"
 
-namespace alderspur::lang {
+namespace alderspur::config_language {
 
 struct Value {
   enum class Kind { string, word, number, list, constant };
@@ -51,4 +51,4 @@
   bool faulty = false;            // a statement did not parse and is left out
 };
 
-}  // namespace alderspur::lang
+}  // namespace alderspur::config_language
--- a/src/agree/ledger.cpp
+++ b/src/consensus/applied_state.cpp
@@ -1,11 +1,11 @@
-#include "agree/ledger.h"
+#include "consensus/applied_state.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "agree/records.h"
+#include "consensus/codec.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 enum class Kind : std::uint64_t { offer = 1, agree, force, withdraw, voters, release, back };
@@ -217,4 +217,4 @@
   return true;
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/ledger.h
+++ b/src/consensus/applied_state.h
@@ -21,9 +21,9 @@
 #include <variant>
 #include <vector>
 
-#include "agree/version.h"
+#include "consensus/version.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 constexpr std::size_t kSettledMost = 128, kHistoryMost = 64, kVotersMost = 7;
 
@@ -111,4 +111,4 @@
   std::deque<Past> history_;
 };
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/records.h
+++ b/src/consensus/codec.h
@@ -2,11 +2,11 @@
 // codecs of this folder.
 #pragma once
 
-#include "agree/ledger.h"
-#include "agree/raft.h"
+#include "consensus/applied_state.h"
+#include "consensus/raft.h"
 #include "cluster/packing.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 constexpr std::size_t kSettledText = 600, kServersMost = 64;
 
@@ -85,4 +85,4 @@
   return v;
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/agreement.cpp
+++ b/src/consensus/consensus_node.cpp
@@ -1,12 +1,12 @@
 // The router's part; voter.cpp has the voter's.
-#include "agree/agreement.h"
+#include "consensus/consensus_node.h"
 
 #include <algorithm>
 #include <limits>
 
-#include "agree/records.h"
+#include "consensus/codec.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 constexpr Time kFetchTime = 400'000, kMineAgain = 150'000, kMineMost = 20'000'000, kSoon = 20'000,
@@ -458,4 +458,4 @@
   mine_.erase(it);
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/agreement.h
+++ b/src/consensus/consensus_node.h
@@ -30,12 +30,12 @@
 #include <variant>
 #include <vector>
 
-#include "agree/book.h"
-#include "agree/ledger.h"
-#include "agree/messages.h"
-#include "agree/raft.h"
+#include "consensus/lease_table.h"
+#include "consensus/applied_state.h"
+#include "consensus/messages.h"
+#include "consensus/raft.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 constexpr Time kHoldBack = 10'000'000, kOfferMost = 15'000'000;
 constexpr std::size_t kContentsMost = 6, kProposalsMost = 8;
@@ -328,4 +328,4 @@
   std::string trouble_;
 };
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/careful.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -1,16 +1,16 @@
-#include "agree/careful.h"
+#include "consensus/conservative_merge.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <map>
 #include <set>
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
-using membership::Listed;
-using membership::Snapshot;
-using membership::State;
+using endpoints::Listed;
+using endpoints::Snapshot;
+using endpoints::State;
 
 using Place = std::pair<Role, std::string>;
 Place place_of(const Snapshot& s, const Listed& l) { return {l.role, s.place_name(l)}; }
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Snapshot unite(const std::vector<membership::SnapshotPtr>& lists) {
+Snapshot unite(const std::vector<endpoints::SnapshotPtr>& lists) {
   const Snapshot& newest = *lists.back();
   Snapshot out = newest;
   out.servers.clear();
@@ -67,9 +67,9 @@
     std::snprintf(weight, sizeof weight, "%.9g", s.weight);
     if (std::string_view(weight).find_first_of(".e") == std::string_view::npos)
       std::snprintf(weight, sizeof weight, "%.1f", s.weight);
-    out += "[[server]]\nid = \"" + s.name + "\"\nrole = \"" + membership::word(s.role) + "\"\n" +
+    out += "[[server]]\nid = \"" + s.name + "\"\nrole = \"" + endpoints::word(s.role) + "\"\n" +
            (s.role == Role::cache ? "point" : "hub") + " = \"" + list.place_name(s) + "\"\naddress = \"" +
-           s.address + "\"\nweight = " + weight + "\nstate = \"" + membership::word(s.state) +
+           s.address + "\"\nweight = " + weight + "\nstate = \"" + endpoints::word(s.state) +
            "\"\ncell = " + std::to_string(s.cell) + "\n";
   }
   return out;
@@ -77,12 +77,12 @@
 
 std::string list_to_act_on(const std::vector<std::string>& texts, std::uint64_t generation,
                            std::string& error) {
-  std::vector<membership::SnapshotPtr> lists;
+  std::vector<endpoints::SnapshotPtr> lists;
   for (const auto& text : texts) {
-    form::Findings findings;
-    const auto read = membership::read_list(text, "servers", 0, {}, findings);
+    diagnostics::Findings findings;
+    const auto read = endpoints::read_list(text, "servers", 0, {}, findings);
     if (!findings.good() || !read.list) {
-      error = findings.list().empty() ? "no list of servers" : form::to_string(findings.list()[0]);
+      error = findings.list().empty() ? "no list of servers" : diagnostics::to_string(findings.list()[0]);
       return {};
     }
     lists.push_back(read.list);
@@ -90,4 +90,4 @@
   return lists.empty() ? std::string() : written(unite(lists), generation);
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/careful.h
+++ b/src/consensus/conservative_merge.h
@@ -9,17 +9,17 @@
 #include <string>
 #include <vector>
 
-#include "membership/list.h"
+#include "endpoints/list.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 // `lists` in the order of their numbers, at least one.
-membership::Snapshot unite(const std::vector<membership::SnapshotPtr>& lists);
+endpoints::Snapshot unite(const std::vector<endpoints::SnapshotPtr>& lists);
 // As a text that reads as that list, with this generation, meant as it stands.
-std::string written(const membership::Snapshot& list, std::uint64_t generation);
+std::string written(const endpoints::Snapshot& list, std::uint64_t generation);
 
 // What a router with these documents acts on, newest last; empty with `error` where one does not read.
 std::string list_to_act_on(const std::vector<std::string>& texts, std::uint64_t generation,
                            std::string& error);
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/book.cpp
+++ b/src/consensus/lease_table.cpp
@@ -1,10 +1,10 @@
-#include "agree/book.h"
+#include "consensus/lease_table.h"
 
 #include <algorithm>
 
-#include "agree/raft.h"
+#include "consensus/raft.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 constexpr std::size_t kGivenMost = 8, kHoldersMost = 4096;
@@ -128,4 +128,4 @@
   return it == holders_.end() ? nullptr : &it->second;
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/book.h
+++ b/src/consensus/lease_table.h
@@ -21,9 +21,9 @@
 #include <string>
 #include <vector>
 
-#include "agree/messages.h"
+#include "consensus/messages.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 constexpr double kUsable = 0.85;
 
@@ -87,4 +87,4 @@
   std::map<std::string, Point, std::less<>> points_;
 };
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/disk.cpp
+++ b/src/consensus/log_store.cpp
@@ -1,4 +1,4 @@
-#include "agree/disk.h"
+#include "consensus/log_store.h"
 
 #include <sqlite3.h>
 #include <xxhash.h>
@@ -6,10 +6,10 @@
 #include <cstdio>
 #include <filesystem>
 
-#include "agree/records.h"
+#include "consensus/codec.h"
 #include "store/state_file.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 constexpr const char* kSchema =
@@ -274,4 +274,4 @@
   return error;
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/disk.h
+++ b/src/consensus/log_store.h
@@ -12,11 +12,11 @@
 #include <memory>
 #include <string>
 
-#include "agree/raft.h"
+#include "consensus/raft.h"
 
 struct sqlite3;
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 class Disk {
  public:
@@ -56,4 +56,4 @@
   bool bad_ = false;
 };
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -1,10 +1,10 @@
-#include "agree/messages.h"
+#include "consensus/messages.h"
 
 #include <type_traits>
 
-#include "agree/records.h"
+#include "consensus/codec.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 using cluster::Packer;
@@ -159,4 +159,4 @@
   return out;
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/messages.h
+++ b/src/consensus/messages.h
@@ -9,10 +9,10 @@
 #include <variant>
 #include <vector>
 
-#include "agree/ledger.h"
-#include "agree/version.h"
+#include "consensus/applied_state.h"
+#include "consensus/version.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 // What a program knows beyond the first form: 1, trials. A form is used only where all that must know it do.
 constexpr std::uint64_t kForms = 1;
@@ -98,4 +98,4 @@
 // Printable, without quotes, and short: what may stand in records and logs.
 std::string plain(std::string_view text, std::size_t most);
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -1,13 +1,13 @@
-#include "agree/raft.h"
+#include "consensus/raft.h"
 
 #include <algorithm>
 #include <cstring>
 #include <stdexcept>
 
-#include "agree/records.h"
-#include "core/text.h"
+#include "consensus/codec.h"
+#include "core/parsing.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 constexpr std::size_t kEntriesMost = 4096, kEntryMost = 64 << 10, kSnapshotMost = 1 << 20;
@@ -416,7 +416,7 @@
   } else if (m.type == RAFT_IO_INSTALL_SNAPSHOT) {
     const auto& s = m.install_snapshot;
     p.array(5).number(s.term).number(s.last_index).number(s.last_term);
-    agree::pack(p, voters_of(s.conf, s.conf_index));
+    consensus::pack(p, voters_of(s.conf, s.conf_index));
     p.bytes(bytes_of(s.data));
   }
   return p.take();
@@ -512,4 +512,4 @@
   release();
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/raft.h
+++ b/src/consensus/raft.h
@@ -30,9 +30,9 @@
 #include <string_view>
 #include <vector>
 
-#include "agree/version.h"
+#include "consensus/version.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 constexpr double kDrift = 0.01;
 
@@ -173,4 +173,4 @@
 // The library's id of a name; never 0.
 std::uint64_t raft_id_of(std::string_view name);
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/version.cpp
+++ b/src/consensus/version.cpp
@@ -1,4 +1,4 @@
-#include "agree/version.h"
+#include "consensus/version.h"
 
 #include <openssl/sha.h>
 
@@ -6,7 +6,7 @@
 
 #include "cluster/packing.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 std::vector<std::string_view> lines(std::string_view text) {
@@ -82,4 +82,4 @@
   return out;
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/version.h
+++ b/src/consensus/version.h
@@ -15,7 +15,7 @@
 
 #include "core/deadlines.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 
 using core::Time;
 
@@ -54,4 +54,4 @@
 // What one content has otherwise than another, a line a document: "servers: 3 lines added, 1 removed".
 std::vector<std::string> difference(const Content& from, const Content& to);
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/agree/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -1,9 +1,9 @@
 // The voter's part of Agreement: its disk, its vote, and what it decides while it leads.
 #include <algorithm>
 
-#include "agree/agreement.h"
+#include "consensus/consensus_node.h"
 
-namespace alderspur::agree {
+namespace alderspur::consensus {
 namespace {
 
 constexpr Time kInquireEvery = 300'000, kInquireMost = 3'000'000, kResetEvery = 5'000'000;
@@ -379,4 +379,4 @@
   return v;
 }
 
-}  // namespace alderspur::agree
+}  // namespace alderspur::consensus
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "alderspur/router.h"
-#include "core/complaints.h"
+#include "core/rate_limited_log.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
 
--- a/src/core/complaints.cpp
+++ b/src/core/rate_limited_log.cpp
@@ -1,4 +1,4 @@
-#include "core/complaints.h"
+#include "core/rate_limited_log.h"
 
 #include <algorithm>
 
--- a/src/form/finding.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -1,4 +1,4 @@
-#include "form/finding.h"
+#include "diagnostics/diagnostics.h"
 
 #include <strings.h>
 
@@ -6,7 +6,7 @@
 #include <numeric>
 #include <utility>
 
-namespace alderspur::form {
+namespace alderspur::diagnostics {
 namespace {
 
 constexpr std::size_t kMost = 100, kTextMost = 400;
@@ -72,4 +72,4 @@
   return std::string(best);
 }
 
-}  // namespace alderspur::form
+}  // namespace alderspur::diagnostics
--- a/src/form/finding.h
+++ b/src/diagnostics/diagnostics.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace alderspur::form {
+namespace alderspur::diagnostics {
 
 enum class Severity { error, warning };
 
@@ -48,4 +48,4 @@
 // The candidate closest to a misspelt word (edit distance), empty if none is near.
 std::string nearest(std::string_view word, const std::vector<std::string_view>& candidates);
 
-}  // namespace alderspur::form
+}  // namespace alderspur::diagnostics
--- a/src/main.cpp
+++ b/src/edge_router/main.cpp
@@ -1,4 +1,4 @@
-// alderspur_edge, the platform's program: the router with the platform's front, and nothing else in it.
+// edge_router, the platform's program: the router with the platform's front, and nothing else in it.
 #include <unistd.h>
 
 #include <csignal>
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "platform/node.h"
+#include "platform/edge_router.h"
 
 namespace {
 
--- a/src/membership/check.cpp
+++ b/src/endpoints/check.cpp
@@ -1,10 +1,10 @@
-#include "membership/check.h"
+#include "endpoints/check.h"
 
 #include <algorithm>
 #include <map>
 #include <unordered_map>
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 namespace {
 
 struct Tally {
@@ -15,7 +15,7 @@
 bool serves(const Listed* s) { return s && s->state == State::in_service; }
 
 void too_much(const Snapshot& next, const std::string& what, const Tally& t, const Bounds& bounds,
-              form::Findings& findings) {
+              diagnostics::Findings& findings) {
   if (t.before == 0 || static_cast<double>(t.out) <= bounds.most_out * static_cast<double>(t.before)) return;
   if (next.confirm == next.generation) return;
   findings.error("L023", {next.source, 0, 0},
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-void check_alone(const Snapshot& list, form::Findings& findings) {
+void check_alone(const Snapshot& list, diagnostics::Findings& findings) {
   std::vector<std::size_t> by_point(list.points.size());
   std::map<Role, std::pair<std::size_t, std::size_t>> by_role;  // listed, in service
   for (const auto& s : list.servers) {
@@ -47,7 +47,7 @@
 }
 
 void check_change(const Snapshot* in_force, const Snapshot& next, const Bounds& bounds,
-                  form::Findings& findings) {
+                  diagnostics::Findings& findings) {
   if (!in_force) return;
   const Snapshot& old = *in_force;
   if (next.generation < old.generation) {
@@ -87,14 +87,14 @@
 }
 
 void zones_of(const Snapshot& list, const std::vector<std::string>& zones, std::vector<std::uint32_t>& points,
-              std::vector<std::uint32_t>& hubs, form::Findings& findings) {
+              std::vector<std::uint32_t>& hubs, diagnostics::Findings& findings) {
   std::unordered_map<std::string, std::uint32_t> numbers;
   for (std::uint32_t i = 0; i < zones.size(); ++i) numbers.emplace(zones[i], i);
   const std::vector<std::string_view> known(zones.begin(), zones.end());
   const auto number = [&](const char* what, const std::string& name) -> std::uint32_t {
     const auto it = numbers.find(name);
     if (it != numbers.end()) return it->second;
-    const auto near = form::nearest(name, known);
+    const auto near = diagnostics::nearest(name, known);
     findings.error("L024", {list.source, 0, 0},
                    std::string(what) + " " + name + " is not in this router's settings",
                    near.empty() ? "their zones (azs) name all places" : "did you mean '" + near + "'?");
@@ -120,7 +120,7 @@
 }
 
 std::vector<Member> members(const Snapshot& list, const std::vector<std::string>& zones,
-                            form::Findings& findings) {
+                            diagnostics::Findings& findings) {
   std::vector<std::uint32_t> points, hubs;
   std::vector<Member> out;
   zones_of(list, zones, points, hubs, findings);
@@ -129,4 +129,4 @@
   return out;
 }
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/check.h
+++ b/src/endpoints/check.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "form/finding.h"
-#include "membership/snapshot.h"
+#include "diagnostics/diagnostics.h"
+#include "endpoints/snapshot.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 struct Bounds {
   // Of a point's caches in service (and of all parents): a larger part may leave service in one change only
@@ -19,18 +19,18 @@
 };
 
 // The list by itself: every point has a cache in service, every role that is listed has one.
-void check_alone(const Snapshot& list, form::Findings& findings);
+void check_alone(const Snapshot& list, diagnostics::Findings& findings);
 // Against the one in force; null: there is none.
 void check_change(const Snapshot* in_force, const Snapshot& next, const Bounds& bounds,
-                  form::Findings& findings);
+                  diagnostics::Findings& findings);
 
 // Members by the numbers that the router's settings give places. A place that they do not name is an error.
 std::vector<Member> members(const Snapshot& list, const std::vector<std::string>& zones,
-                            form::Findings& findings);
+                            diagnostics::Findings& findings);
 Member member_of(const Snapshot& list, const Listed& server, const std::vector<std::uint32_t>& point_zones,
                  const std::vector<std::uint32_t>& hub_zones);
 // Zones by point and by hub of the list; findings L024 where the settings have none of that name.
 void zones_of(const Snapshot& list, const std::vector<std::string>& zones, std::vector<std::uint32_t>& points,
-              std::vector<std::uint32_t>& hubs, form::Findings& findings);
+              std::vector<std::uint32_t>& hubs, diagnostics::Findings& findings);
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/damping.cpp
+++ b/src/endpoints/damping.cpp
@@ -1,9 +1,9 @@
-#include "membership/damping.h"
+#include "endpoints/damping.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 double Flaps::penalty(Time now, const DampingSettings& s) const {
   // A clock that stepped back must not let a penalty grow.
@@ -33,4 +33,4 @@
   return at_ + static_cast<Time>(std::ceil(halves * static_cast<double>(s.half_life)));
 }
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/damping.h
+++ b/src/endpoints/damping.h
@@ -10,7 +10,7 @@
 
 #include "core/deadlines.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 using core::Time;
 
@@ -44,4 +44,4 @@
   bool held_ = false;
 };
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/fleet.cpp
+++ b/src/endpoints/endpoint_set.cpp
@@ -1,11 +1,11 @@
-#include "membership/fleet.h"
+#include "endpoints/endpoint_set.h"
 
 #include <algorithm>
 #include <limits>
 
-#include "membership/check.h"
+#include "endpoints/check.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
@@ -267,4 +267,4 @@
   return n;
 }
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/fleet.h
+++ b/src/endpoints/endpoint_set.h
@@ -21,11 +21,11 @@
 #include <unordered_set>
 #include <vector>
 
-#include "membership/damping.h"
-#include "membership/merge.h"
-#include "membership/snapshot.h"
+#include "endpoints/damping.h"
+#include "endpoints/merge.h"
+#include "endpoints/snapshot.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 struct FleetSettings {
   Authority authority = Authority::files;
@@ -120,4 +120,4 @@
   FleetCounters counters_;
 };
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/list.cpp
+++ b/src/endpoints/list.cpp
@@ -1,4 +1,4 @@
-#include "membership/list.h"
+#include "endpoints/list.h"
 
 #include <arpa/inet.h>
 #include <xxhash.h>
@@ -10,10 +10,10 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "core/text.h"
-#include "form/document.h"
+#include "core/parsing.h"
+#include "toml/document.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 namespace {
 
 constexpr std::string_view kDigestKey = "digest = \"";
@@ -41,7 +41,7 @@
 }
 
 // One text through the checks that need no tree. False: nothing more can be said of it.
-bool whole(std::string_view text, const std::string& file, std::size_t most, form::Findings& findings) {
+bool whole(std::string_view text, const std::string& file, std::size_t most, diagnostics::Findings& findings) {
   if (text.size() > most) {
     findings.error("L002", {file, 0, 0}, "the file has " + std::to_string(text.size()) + " bytes",
                    "at most " + std::to_string(most) + " are read; split the list into pieces");
@@ -59,7 +59,7 @@
 }
 
 // A digest in the first line covers what follows it.
-bool digest_holds(std::string_view text, const std::string& file, form::Findings& findings) {
+bool digest_holds(std::string_view text, const std::string& file, diagnostics::Findings& findings) {
   if (!text.starts_with(kDigestKey)) return true;
   const auto end = text.find('\n');
   const auto quote = text.find('"', kDigestKey.size());
@@ -81,7 +81,7 @@
 // A server as it was read, with the places that a later finding may have to name.
 struct Entry {
   Listed server;
-  form::Place id, address;
+  diagnostics::Place id, address;
 };
 
 // Reads places and servers. read() only looks at what is declared already: several threads may call it.
@@ -92,7 +92,7 @@
     for (std::uint32_t i = 0; i < list.points.size(); ++i) points_[list.points[i].name] = i;
   }
 
-  void places(form::Table& root, form::Findings& findings) {
+  void places(toml::Table& root, diagnostics::Findings& findings) {
     for (auto& t : root.tables("hub")) {
       const auto name = t.text("name", true);
       t.finish();
@@ -111,7 +111,7 @@
     }
   }
 
-  std::vector<Entry> read(form::Table& root, std::uint32_t piece, form::Findings& findings) const {
+  std::vector<Entry> read(toml::Table& root, std::uint32_t piece, diagnostics::Findings& findings) const {
     std::vector<Entry> out;
     auto tables = root.tables("server");
     if (tables.size() > limits_.servers) {
@@ -124,7 +124,7 @@
     return out;
   }
 
-  void add(std::vector<Entry>&& entries, form::Findings& findings) {
+  void add(std::vector<Entry>&& entries, diagnostics::Findings& findings) {
     if (list_.servers.size() + entries.size() > limits_.servers)
       return too_many(list_.servers.size() + entries.size(), {list_.source, 0, 0}, findings);
     list_.servers.reserve(list_.servers.size() + entries.size());
@@ -132,7 +132,7 @@
   }
 
  private:
-  std::optional<Entry> server(form::Table& t, std::uint32_t piece, form::Findings& findings) const {
+  std::optional<Entry> server(toml::Table& t, std::uint32_t piece, diagnostics::Findings& findings) const {
     const auto id = t.text("id", true);
     const auto role = t.word("role", {"cache", "parent", "origin"}, true);
     const auto address = t.text("address", true);
@@ -168,7 +168,7 @@
     return e;
   }
 
-  void add(Entry&& e, form::Findings& findings) {
+  void add(Entry&& e, diagnostics::Findings& findings) {
     Listed& s = e.server;
     if (const auto [it, first] = ids_.emplace(s.id.value, s.line); !first)
       return findings.error(
@@ -182,29 +182,29 @@
     list_.servers.push_back(std::move(s));
   }
 
-  void too_many(std::size_t n, const form::Place& place, form::Findings& findings) const {
+  void too_many(std::size_t n, const diagnostics::Place& place, diagnostics::Findings& findings) const {
     findings.error("L013", place, std::to_string(n) + " servers are too many",
                    "a list may have " + std::to_string(limits_.servers));
   }
-  static bool named(const form::Table& t, const std::string& name, form::Findings& findings) {
+  static bool named(const toml::Table& t, const std::string& name, diagnostics::Findings& findings) {
     if (good_name(name)) return true;
     findings.error("L012", t.place(), "'" + name + "' cannot be a name",
                    "use 1 to 64 letters, digits, '-' and '_'");
     return false;
   }
-  static void twice(const form::Table& t, const char* what, const std::string& name,
-                    form::Findings& findings) {
+  static void twice(const toml::Table& t, const char* what, const std::string& name,
+                    diagnostics::Findings& findings) {
     findings.error("L007", t.place(), std::string(what) + " " + name + " is declared twice", "keep one");
   }
-  static std::optional<std::uint32_t> known(const form::Table& t, std::string_view key, const Names& names,
-                                            const std::string& name, form::Findings& findings) {
+  static std::optional<std::uint32_t> known(const toml::Table& t, std::string_view key, const Names& names,
+                                            const std::string& name, diagnostics::Findings& findings) {
     const auto it = names.find(name);
     if (it != names.end()) return it->second;
     std::vector<std::string_view> all;
     if (names.size() <= 1000)
       for (const auto& [n, i] : names) all.push_back(n);
     std::sort(all.begin(), all.end());
-    const auto near = form::nearest(name, all);
+    const auto near = diagnostics::nearest(name, all);
     findings.error(
         "L010", t.place(key), "no " + std::string(key) + " is called '" + name + "'",
         near.empty() ? "declare it with [[" + std::string(key) + "]]" : "did you mean '" + near + "'?");
@@ -227,14 +227,14 @@
 
 // Reads the parts, several at once where that pays, and adds what they hold in their order.
 void read_parts(const std::vector<Part>& parts, Builder& builder, unsigned threads,
-                form::Findings& findings) {
+                diagnostics::Findings& findings) {
   std::vector<std::vector<Entry>> entries(parts.size());
-  std::vector<form::Findings> found(parts.size());
+  std::vector<diagnostics::Findings> found(parts.size());
   std::atomic<std::size_t> next = 0;
   const auto work = [&] {
     for (std::size_t i; (i = next++) < parts.size();) {
       if (parts[i].text.empty()) continue;
-      form::Document document(parts[i].text, parts[i].file, found[i], "L001", parts[i].before);
+      toml::Document document(parts[i].text, parts[i].file, found[i], "L001", parts[i].before);
       if (!document.read()) continue;
       auto root = document.root();
       entries[i] = builder.read(root, parts[i].piece, found[i]);
@@ -282,7 +282,7 @@
   return std::pair(text.substr(0, head), std::move(parts));
 }
 
-void count(const Snapshot& list, std::uint64_t announced, form::Findings& findings) {
+void count(const Snapshot& list, std::uint64_t announced, diagnostics::Findings& findings) {
   if (!findings.good() || list.servers.size() == announced) return;
   findings.error("L005", {list.source, 0, 0},
                  "servers = " + std::to_string(announced) + " but " + std::to_string(list.servers.size()) +
@@ -290,7 +290,7 @@
                  "the file was cut off, or the count was not changed with the list");
 }
 
-std::vector<Piece> read_manifest_pieces(form::Table& root, form::Findings& findings) {
+std::vector<Piece> read_manifest_pieces(toml::Table& root, diagnostics::Findings& findings) {
   std::vector<Piece> out;
   std::unordered_set<std::string> seen;
   for (auto& t : root.tables("piece")) {
@@ -337,12 +337,12 @@
 }
 
 Read read_list(std::string_view text, const std::string& file, core::Time taken, const Limits& limits,
-               form::Findings& findings) {
+               diagnostics::Findings& findings) {
   Read out;
   if (!whole(text, file, limits.bytes, findings) || !digest_holds(text, file, findings)) return out;
   const std::size_t errors = findings.errors();
   const auto parts = cut(text, file, limits);
-  form::Document document(parts ? parts->first : text, file, findings, "L001");
+  toml::Document document(parts ? parts->first : text, file, findings, "L001");
   if (!document.read()) return out;
   auto root = document.root();
   (void)root.text("digest");
@@ -374,7 +374,7 @@
 }
 
 SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts, const Limits& limits,
-                        form::Findings& findings) {
+                        diagnostics::Findings& findings) {
   if (!manifest.list || texts.size() != manifest.pieces.size()) return nullptr;
   auto list = std::make_shared<Snapshot>(*manifest.list);
   std::size_t bytes = 0;
@@ -407,4 +407,4 @@
   return list;
 }
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/list.h
+++ b/src/endpoints/list.h
@@ -26,10 +26,10 @@
 #include <string_view>
 #include <vector>
 
-#include "form/finding.h"
-#include "membership/snapshot.h"
+#include "diagnostics/diagnostics.h"
+#include "endpoints/snapshot.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 struct Limits {
   std::size_t bytes = 16 << 20;  // of one text, and of all pieces together
@@ -58,14 +58,14 @@
 unsigned spare_threads();
 // Reads one text. `taken` is the time at which it was read.
 Read read_list(std::string_view text, const std::string& file, core::Time taken, const Limits& limits,
-               form::Findings& findings);
+               diagnostics::Findings& findings);
 // Reads the pieces of a manifest, in its order, and completes its list. Null with findings if any is wrong.
 SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts, const Limits& limits,
-                        form::Findings& findings);
+                        diagnostics::Findings& findings);
 
 std::uint64_t digest_of(std::string_view bytes);
 std::string digest_text(std::uint64_t digest);  // "xxh3:0123456789abcdef"
 // The text with a right first line `digest = ...`, whatever it had there before.
 std::string with_digest(std::string_view text);
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/member.h
+++ b/src/endpoints/member.h
@@ -7,9 +7,9 @@
 #include <string_view>
 
 #include "alderspur/router.h"
-#include "core/text.h"
+#include "core/parsing.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 struct Member {
   Server server;
@@ -19,4 +19,4 @@
 // The same id gives the same number at every router: rendezvous hashes must agree.
 inline ServerId server_id(std::string_view name) { return {core::stable_hash(name)}; }
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/merge.cpp
+++ b/src/endpoints/merge.cpp
@@ -1,8 +1,8 @@
-#include "membership/merge.h"
+#include "endpoints/merge.h"
 
 #include <algorithm>
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 namespace {
 
 int care(Status s) { return s == Status::ready ? 0 : s == Status::draining ? 1 : 2; }
@@ -76,4 +76,4 @@
   return out;
 }
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/merge.h
+++ b/src/endpoints/merge.h
@@ -8,9 +8,9 @@
 
 #include <optional>
 
-#include "membership/member.h"
+#include "endpoints/member.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 enum class Authority { board, files, both };
 const char* word(Authority authority);
@@ -41,4 +41,4 @@
 // Nothing if neither that counts lists it.
 std::optional<Merged> merge(Authority authority, const Voices& voices);
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/snapshot.cpp
+++ b/src/endpoints/snapshot.cpp
@@ -1,10 +1,10 @@
-#include "membership/snapshot.h"
+#include "endpoints/snapshot.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 namespace {
 
 // Lengths go in front, so that no two different lists give the same bytes.
@@ -110,4 +110,4 @@
 }
 const char* word(State state) { return state == State::in_service ? "in_service" : "draining"; }
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/membership/snapshot.h
+++ b/src/endpoints/snapshot.h
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "core/deadlines.h"
-#include "membership/member.h"
+#include "endpoints/member.h"
 
-namespace alderspur::membership {
+namespace alderspur::endpoints {
 
 enum class State : std::uint8_t { in_service, draining };
 
@@ -84,4 +84,4 @@
 const char* word(Role role);
 const char* word(State state);
 
-}  // namespace alderspur::membership
+}  // namespace alderspur::endpoints
--- a/src/watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -1,4 +1,4 @@
-#include "watch/source.h"
+#include "file_watch/source.h"
 
 #include <fcntl.h>
 #include <limits.h>
@@ -12,7 +12,7 @@
 #include <ctime>
 #include <utility>
 
-namespace alderspur::watch {
+namespace alderspur::file_watch {
 namespace {
 
 constexpr int kLinksMost = 16;
@@ -160,4 +160,4 @@
   return out;
 }
 
-}  // namespace alderspur::watch
+}  // namespace alderspur::file_watch
--- a/src/watch/source.h
+++ b/src/file_watch/source.h
@@ -15,7 +15,7 @@
 
 #include "core/deadlines.h"
 
-namespace alderspur::watch {
+namespace alderspur::file_watch {
 
 struct Texts {
   bool directory = false;
@@ -56,4 +56,4 @@
   std::uint64_t taken_digest_ = 0;
 };
 
-}  // namespace alderspur::watch
+}  // namespace alderspur::file_watch
--- a/src/watch/watcher.cpp
+++ b/src/file_watch/watcher.cpp
@@ -1,4 +1,4 @@
-#include "watch/watcher.h"
+#include "file_watch/watcher.h"
 
 #include <sys/inotify.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <thread>
 #include <utility>
 
-namespace alderspur::watch {
+namespace alderspur::file_watch {
 namespace {
 
 constexpr std::uint32_t kMask = IN_CREATE | IN_MOVED_TO | IN_MOVED_FROM | IN_DELETE | IN_MODIFY |
@@ -143,4 +143,4 @@
   if (ours) look_now();
 }
 
-}  // namespace alderspur::watch
+}  // namespace alderspur::file_watch
--- a/src/watch/watcher.h
+++ b/src/file_watch/watcher.h
@@ -20,10 +20,10 @@
 #include "net/connection.h"
 #include "net/loop.h"
 #include "net/wakeup.h"
-#include "watch/source.h"
-#include "watch/worker.h"
+#include "file_watch/source.h"
+#include "file_watch/worker.h"
 
-namespace alderspur::watch {
+namespace alderspur::file_watch {
 
 struct WatchSettings {
   std::string path;
@@ -75,4 +75,4 @@
   WatchCounters counters_;
 };
 
-}  // namespace alderspur::watch
+}  // namespace alderspur::file_watch
--- a/src/watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -1,4 +1,4 @@
-#include "watch/worker.h"
+#include "file_watch/worker.h"
 
 #include <pthread.h>
 #include <signal.h>
@@ -9,7 +9,7 @@
 #include <exception>
 #include <utility>
 
-namespace alderspur::watch {
+namespace alderspur::file_watch {
 namespace {
 
 constexpr int kNice = 5;
@@ -81,4 +81,4 @@
   }
 }
 
-}  // namespace alderspur::watch
+}  // namespace alderspur::file_watch
--- a/src/watch/worker.h
+++ b/src/file_watch/worker.h
@@ -13,7 +13,7 @@
 #include <mutex>
 #include <thread>
 
-namespace alderspur::watch {
+namespace alderspur::file_watch {
 
 class Worker {
  public:
@@ -37,4 +37,4 @@
   std::thread thread_;
 };
 
-}  // namespace alderspur::watch
+}  // namespace alderspur::file_watch
--- a/src/handover/ban_book.cpp
+++ b/src/hot_restart/ban_store.cpp
@@ -1,11 +1,11 @@
-#include "handover/ban_book.h"
+#include "hot_restart/ban_store.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
-namespace alderspur::handover {
+namespace alderspur::hot_restart {
 namespace {
 
 constexpr std::string_view kForm = "bans 1 ";
@@ -103,4 +103,4 @@
   return out;
 }
 
-}  // namespace alderspur::handover
+}  // namespace alderspur::hot_restart
--- a/src/handover/ban_book.h
+++ b/src/hot_restart/ban_store.h
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace alderspur::handover {
+namespace alderspur::hot_restart {
 
 constexpr std::size_t kBansMost = 4096, kBanFileMost = 1 << 20;
 constexpr std::size_t kUnderWayMost = 24;  // changes that wait for the disk
@@ -60,4 +60,4 @@
   std::set<std::string> told_;
 };
 
-}  // namespace alderspur::handover
+}  // namespace alderspur::hot_restart
--- a/src/handover/twin.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "handover/twin.h"
+#include "hot_restart/coordinator.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 #include <thread>
 #include <utility>
 
-namespace alderspur::handover {
+namespace alderspur::hot_restart {
 namespace {
 
 constexpr double kLeast = 0.05;                    // of the router, for a process that takes nothing yet
@@ -23,7 +23,7 @@
   word_.share = 0;
   folder_ = std::make_shared<Folder>(folder, key);
   wakeup_ = std::make_unique<net::Wakeup>(loop);
-  worker_ = std::make_unique<watch::Worker>();
+  worker_ = std::make_unique<file_watch::Worker>();
   begin();
 }
 Twin::~Twin() {
@@ -170,4 +170,4 @@
   if (!submitted) end({{}, "too many changes wait for the disk"});
 }
 
-}  // namespace alderspur::handover
+}  // namespace alderspur::hot_restart
--- a/src/handover/twin.h
+++ b/src/hot_restart/coordinator.h
@@ -16,12 +16,12 @@
 #include <string>
 
 #include "core/deadlines.h"
-#include "handover/ban_book.h"
-#include "handover/folder.h"
+#include "hot_restart/ban_store.h"
+#include "hot_restart/shared_directory.h"
 #include "net/wakeup.h"
-#include "watch/worker.h"
+#include "file_watch/worker.h"
 
-namespace alderspur::handover {
+namespace alderspur::hot_restart {
 
 constexpr core::Time kLook = 150'000, kKnown = 700'000, kBegin = 1'500'000;
 
@@ -90,7 +90,7 @@
   std::string last_error_;
   core::Deadlines::Key next_{};
   std::unique_ptr<net::Wakeup> wakeup_;
-  std::unique_ptr<watch::Worker> worker_;  // last: its jobs use what stands above
+  std::unique_ptr<file_watch::Worker> worker_;  // last: its jobs use what stands above
 };
 
-}  // namespace alderspur::handover
+}  // namespace alderspur::hot_restart
--- a/src/handover/folder.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -1,4 +1,4 @@
-#include "handover/folder.h"
+#include "hot_restart/shared_directory.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -12,7 +12,7 @@
 
 #include "store/state_file.h"
 
-namespace alderspur::handover {
+namespace alderspur::hot_restart {
 namespace {
 
 constexpr int kPlaces = 4;
@@ -147,4 +147,4 @@
   return write(mine);
 }
 
-}  // namespace alderspur::handover
+}  // namespace alderspur::hot_restart
--- a/src/handover/folder.h
+++ b/src/hot_restart/shared_directory.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <string_view>
 
-#include "handover/ban_book.h"
+#include "hot_restart/ban_store.h"
 #include "net/connection.h"
 
-namespace alderspur::handover {
+namespace alderspur::hot_restart {
 
 enum class Phase { starting, serving, leaving };
 
@@ -71,4 +71,4 @@
   int number_ = -1;
 };
 
-}  // namespace alderspur::handover
+}  // namespace alderspur::hot_restart
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -3,7 +3,7 @@
 #include <http_parser.h>
 #include <strings.h>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
 namespace alderspur::http {
 namespace {
--- a/src/platform/lines.cpp
+++ b/src/platform/cache_protocol.cpp
@@ -1,6 +1,6 @@
-#include "platform/lines.h"
+#include "platform/cache_protocol.h"
 
-#include "core/text.h"
+#include "core/parsing.h"
 
 namespace alderspur::platform {
 namespace {
--- a/src/platform/board.cpp
+++ b/src/platform/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/board.h"
+#include "platform/discovery_client.h"
 
 namespace alderspur::platform {
 namespace al = ::alderspur;
--- a/src/platform/board.h
+++ b/src/platform/discovery_client.h
@@ -13,7 +13,7 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/connection.h"
-#include "platform/caches.h"
+#include "platform/upstream_pool.h"
 
 namespace alderspur::platform {
 
--- a/src/platform/node.cpp
+++ b/src/platform/edge_router.cpp
@@ -1,4 +1,4 @@
-#include "platform/node.h"
+#include "platform/edge_router.h"
 
 #include <algorithm>
 #include <csignal>
@@ -29,20 +29,20 @@
       board_(loop_, deadlines_, engine_, *sink_, config_),
       twin_(config_.operator_listen.empty()
                 ? nullptr
-                : std::make_unique<handover::Twin>(
+                : std::make_unique<hot_restart::Twin>(
                       loop_, deadlines_, [this] { return engine_.now(); }, config_.state_folder,
                       config_.listen, say_,
-                      handover::Twin::Hooks{
+                      hot_restart::Twin::Hooks{
                           [this] {
-                            return handover::Twin::Load{engine_.counters().taken, engine_.door()};
+                            return hot_restart::Twin::Load{engine_.counters().taken, engine_.door()};
                           },
-                          [this](const handover::BanChange& change) {
+                          [this](const hot_restart::BanChange& change) {
                             const auto id = config::server_id(change.name);
                             engine_.ban(id, change.out);
                             if (change.out) caches_.give_back(id);
                             if (banned_) banned_(change);
                           },
-                          [this](const handover::Others& o, double share) { others(o, share); }})),
+                          [this](const hot_restart::Others& o, double share) { others(o, share); }})),
       // What is known comes before the first status.
       front_(loop_, deadlines_, (engine_.attach(caches_), engine_.run(), engine_),
              listen_address(config_.listen), config_) {
@@ -52,9 +52,9 @@
 }
 
 void Node::begin_operation() {
-  desk_ = std::make_unique<operators::RouterDesk>(deadlines_, engine_, caches_, *twin_, config_.names.classes,
+  desk_ = std::make_unique<admin::RouterDesk>(deadlines_, engine_, caches_, *twin_, config_.names.classes,
                                                   [this] { return leave_at_ > 0; });
-  operators_ = std::make_unique<operators::Front>(loop_, deadlines_, listen_address(config_.operator_listen),
+  operators_ = std::make_unique<admin::Front>(loop_, deadlines_, listen_address(config_.operator_listen),
                                                   *desk_, [this] { return engine_.now(); });
   complete_ = true;
   say_("operator_front", "operators on " + net::to_string(operators_->address()));
@@ -64,7 +64,7 @@
 
 // Who else acts as this router: budgets and limits are shared, and whoever comes after us takes our clients
 // once our end is planned.
-void Node::others(const handover::Others& others, double share) {
+void Node::others(const hot_restart::Others& others, double share) {
   engine_.twins(share, others.door, all_, here_);
   caches_.share(others.count + 1);
   if (!complete_) return;  // still in the constructor: the front is not there yet
@@ -74,7 +74,7 @@
   else front_.take_back();
 }
 
-void Node::ban(const handover::BanChange& change) {
+void Node::ban(const hot_restart::BanChange& change) {
   if (twin_) twin_->change(change, [](const std::string&) {});
   else engine_.ban(config::server_id(change.name), change.out);
 }
--- a/src/platform/node.h
+++ b/src/platform/edge_router.h
@@ -1,6 +1,6 @@
 // One running router: loop, core, connections to servers, board and the platform's front, wired together.
 //
-// Both programs are built round it: alderspur_edge as it is, `alderspur run` with further fronts and with
+// Both programs are built round it: edge_router as it is, `alderspur run` with further fronts and with
 // membership between board and core. One thread; run() returns when a planned leave is over. Throws
 // std::runtime_error from its constructor where an address is not to be had.
 #pragma once
@@ -12,11 +12,11 @@
 
 #include "config/config.h"
 #include "core/engine.h"
-#include "handover/twin.h"
+#include "hot_restart/coordinator.h"
 #include "net/loop.h"
-#include "operator/router_desk.h"
-#include "platform/board.h"
-#include "platform/caches.h"
+#include "admin/router_admin_handler.h"
+#include "platform/discovery_client.h"
+#include "platform/upstream_pool.h"
 #include "platform/rpc_front.h"
 
 namespace alderspur::platform {
@@ -43,12 +43,12 @@
   // This router's part of what all routers, and those of its location, may do together; 0: by told numbers.
   void cluster_share(double all, double here);
   // What operators are told of versions, and what they propose.
-  void on_versions(operators::RouterDesk::Versions versions, std::size_t body_most) {
+  void on_versions(admin::RouterDesk::Versions versions, std::size_t body_most) {
     if (desk_) desk_->on_versions(std::move(versions), body_most);
   }
   // Of bans by hand, whoever makes them; and one that others made. Unlisted servers as well.
-  void on_ban(std::function<void(const handover::BanChange&)> then) { banned_ = std::move(then); }
-  void ban(const handover::BanChange& change);
+  void on_ban(std::function<void(const hot_restart::BanChange&)> then) { banned_ = std::move(then); }
+  void ban(const hot_restart::BanChange& change);
   std::vector<std::string> bans() const;
   // The yes to `ready` waits for it.
   void on_ready(std::function<bool()> may) {
@@ -77,7 +77,7 @@
   void leave();
   void end_when_idle();
   core::Time killed_after() const;
-  void others(const handover::Others& others, double share);
+  void others(const hot_restart::Others& others, double share);
 
   const config::Config config_;
   Say say_;
@@ -90,11 +90,11 @@
   // Before what tells us of others: its first word comes while the members below are not there yet.
   bool complete_ = false;
   double all_ = 0, here_ = 0;  // see cluster_share
-  std::function<void(const handover::BanChange&)> banned_;
-  std::unique_ptr<handover::Twin> twin_;  // where operators call, as are the next two
+  std::function<void(const hot_restart::BanChange&)> banned_;
+  std::unique_ptr<hot_restart::Twin> twin_;  // where operators call, as are the next two
   RpcFront front_;
-  std::unique_ptr<operators::RouterDesk> desk_;
-  std::unique_ptr<operators::Front> operators_;
+  std::unique_ptr<admin::RouterDesk> desk_;
+  std::unique_ptr<admin::Front> operators_;
   std::vector<Part> parts_;
   std::function<void()> reloaded_, counted_;
   core::Time leave_at_ = 0;
--- a/src/platform/rpc.cpp
+++ b/src/platform/rpc_codec.cpp
@@ -1,10 +1,10 @@
-#include "platform/rpc.h"
+#include "platform/rpc_codec.h"
 
 #include <msgpack.h>
 
 #include <memory>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
 namespace alderspur::platform {
 namespace {
--- a/src/platform/rpc.h
+++ b/src/platform/rpc_codec.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "core/engine.h"
-#include "platform/lines.h"
+#include "platform/cache_protocol.h"
 
 namespace alderspur::platform {
 
--- a/src/platform/rpc_front.cpp
+++ b/src/platform/rpc_front.cpp
@@ -4,7 +4,7 @@
 #include <tuple>
 
 #include "net/lingering.h"
-#include "platform/rpc.h"
+#include "platform/rpc_codec.h"
 
 namespace alderspur::platform {
 namespace {
--- a/src/platform/rpc_front.h
+++ b/src/platform/rpc_front.h
@@ -10,7 +10,7 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/connection.h"
-#include "platform/rpc.h"
+#include "platform/rpc_codec.h"
 
 namespace alderspur::platform {
 
--- a/src/platform/caches.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -1,9 +1,9 @@
-#include "platform/caches.h"
+#include "platform/upstream_pool.h"
 
 #include <algorithm>
 #include <deque>
 
-#include "platform/lines.h"
+#include "platform/cache_protocol.h"
 
 namespace alderspur::platform {
 namespace al = ::alderspur;
--- a/src/platform/caches.h
+++ b/src/platform/upstream_pool.h
@@ -10,7 +10,7 @@
 
 #include "config/config.h"
 #include "core/engine.h"
-#include "estimates.h"
+#include "routing_policy/estimates.h"
 #include "net/connection.h"
 
 namespace alderspur::platform {
--- a/src/replica/bans.cpp
+++ b/src/replication/bans.cpp
@@ -1,9 +1,9 @@
-#include "replica/bans.h"
+#include "replication/bans.h"
 
 #include "cluster/packing.h"
-#include "replica/mix.h"
+#include "replication/hash.h"
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 namespace {
 
 constexpr std::size_t kEncodedMost = 1 << 20;
@@ -135,4 +135,4 @@
   return true;
 }
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/replica/bans.h
+++ b/src/replication/bans.h
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "core/deadlines.h"
-#include "replica/causal.h"
+#include "replication/causal.h"
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 
 using core::Time;
 constexpr std::size_t kBansMost = 1024, kWordMost = 64, kCauseMost = 120;
@@ -56,4 +56,4 @@
   Context context_;
 };
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/replica/causal.h
+++ b/src/replication/causal.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <utility>
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 
 constexpr std::size_t kAuthorsMost = 4096, kCloudMost = 4096;
 
@@ -81,4 +81,4 @@
   std::set<Dot> cloud_;                   // those beyond a gap
 };
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/replica/mix.h
+++ b/src/replication/hash.h
@@ -4,9 +4,9 @@
 #include <cstdint>
 #include <string_view>
 
-#include "estimates.h"
+#include "routing_policy/estimates.h"
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 
 inline std::uint64_t mixed(std::string_view text, std::uint64_t a, std::uint64_t b) {
   std::uint64_t h = 0x9e3779b97f4a7c15ULL;
@@ -14,4 +14,4 @@
   return mix(mix(h ^ a) + b);
 }
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/replica/floors.cpp
+++ b/src/replication/purge_floors.cpp
@@ -1,10 +1,10 @@
-#include "replica/floors.h"
+#include "replication/purge_floors.h"
 
 #include <algorithm>
 
-#include "estimates.h"
+#include "routing_policy/estimates.h"
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 namespace {
 
 constexpr int kLeafBits = 12;  // of 64
@@ -78,4 +78,4 @@
     into.push_back({it->first.object, it->first.id, it->second});
 }
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/replica/floors.h
+++ b/src/replication/purge_floors.h
@@ -13,7 +13,7 @@
 
 #include "core/deadlines.h"
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 
 using core::Time;
 constexpr std::size_t kRanges = 64, kLeaves = kRanges * kRanges;
@@ -54,4 +54,4 @@
   std::array<std::uint64_t, kLeaves> sums_{};
 };
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/replica/replica.cpp
+++ b/src/replication/replica.cpp
@@ -1,10 +1,10 @@
-#include "replica/replica.h"
+#include "replication/replica.h"
 
 #include <algorithm>
 
 #include "cluster/packing.h"
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 namespace {
 
 // Frames: [kind, fields...]. A later kind reads as nothing.
@@ -252,4 +252,4 @@
   refuse();
 }
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/replica/replica.h
+++ b/src/replication/replica.h
@@ -21,10 +21,10 @@
 #include <variant>
 #include <vector>
 
-#include "replica/bans.h"
-#include "replica/floors.h"
+#include "replication/bans.h"
+#include "replication/purge_floors.h"
 
-namespace alderspur::replica {
+namespace alderspur::replication {
 
 constexpr std::size_t kNewsMost = 512, kLeavesMost = 32, kEntriesMost = 4096;
 
@@ -114,4 +114,4 @@
   ReplicaCounts counts_;
 };
 
-}  // namespace alderspur::replica
+}  // namespace alderspur::replication
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
 namespace alderspur::routing {
 namespace {
@@ -20,26 +20,26 @@
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
-std::vector<std::string> texts(const lang::Settings& s, const std::string& key) {
+std::vector<std::string> texts(const config_language::Settings& s, const std::string& key) {
   const auto it = s.find(key);
   return it == s.end() ? std::vector<std::string>{} : it->second.texts;
 }
 template <class T>
-std::optional<T> number(const lang::Settings& s, const std::string& key) {
+std::optional<T> number(const config_language::Settings& s, const std::string& key) {
   const auto it = s.find(key);
   if (it == s.end() || !it->second.number) return {};
   return static_cast<T>(*it->second.number);
 }
-bool flag(const lang::Settings& s, const std::string& key, bool absent) {
+bool flag(const config_language::Settings& s, const std::string& key, bool absent) {
   const auto t = texts(s, key);
   return t.empty() ? absent : t[0] == "yes";
 }
-Limits limits_of(const lang::Settings& s) {
+Limits limits_of(const config_language::Settings& s) {
   return {number<std::uint32_t>(s, "max-in-flight"), number<std::uint32_t>(s, "burst"),
           number<double>(s, "max-rate"), number<std::int64_t>(s, "queue")};
 }
 
-Pool pool_of(const lang::Declaration& d) {
+Pool pool_of(const config_language::Declaration& d) {
   Pool p;
   p.name = d.name;
   const auto role = texts(d.settings, "role");
@@ -55,7 +55,7 @@
   p.limits = limits_of(d.settings);
   return p;
 }
-Policy policy_of(const lang::Declaration& d) {
+Policy policy_of(const config_language::Declaration& d) {
   const auto& s = d.settings;
   Policy p;
   p.name = d.name;
@@ -91,7 +91,7 @@
   const Route* found = nullptr;
 };
 
-Table::Table(const lang::Meaning& meaning, const lang::Sources& sources) : any_(std::make_unique<Node>()) {
+Table::Table(const config_language::Meaning& meaning, const config_language::Sources& sources) : any_(std::make_unique<Node>()) {
   std::map<std::string, std::uint32_t> pools, policies;
   for (const auto& d : meaning.declarations) {
     if (d.kind->name == "pool" && pools.emplace(d.name, pools_.size()).second) {
@@ -101,7 +101,7 @@
     if (d.kind->name == "policy" && policies.emplace(d.name, policies_.size()).second)
       policies_.push_back(policy_of(d));
   }
-  const auto target = [&](const lang::Settings& s) {
+  const auto target = [&](const config_language::Settings& s) {
     Target t;
     if (const auto p = texts(s, "pool"); !p.empty() && pools.contains(p[0])) t.pool = pools.at(p[0]);
     if (const auto p = texts(s, "policy"); !p.empty() && policies.contains(p[0]))
@@ -114,7 +114,7 @@
         if (pools.contains(name)) pools_[pools.at(d.name)].fallback.push_back(pools.at(name));
     if (d.kind->name != "route") continue;
     std::string error;
-    auto path = lang::segments(texts(d.settings, "path").empty() ? "" : texts(d.settings, "path")[0], error);
+    auto path = config_language::segments(texts(d.settings, "path").empty() ? "" : texts(d.settings, "path")[0], error);
     const auto cls = texts(d.settings, "class");
     if (!path || cls.empty()) continue;  // a program that does not check
     Route r;
@@ -157,11 +157,11 @@
   Node* node = &root;
   std::vector<std::uint32_t>* end = nullptr;
   for (const auto& s : routes_[route].path) {
-    if (s.kind == lang::Segment::Kind::rest) {
+    if (s.kind == config_language::Segment::Kind::rest) {
       end = &node->rests;
       break;
     }
-    auto& next = s.kind == lang::Segment::Kind::capture ? node->capture : node->literal[s.text];
+    auto& next = s.kind == config_language::Segment::Kind::capture ? node->capture : node->literal[s.text];
     if (!next) next = std::make_unique<Node>();
     node = next.get();
   }
@@ -229,21 +229,21 @@
   m.target = split ? m.route->splits[*split].second : m.route->target;
   for (std::size_t i = 0; i < m.route->path.size(); ++i) {
     const auto& s = m.route->path[i];
-    if (s.kind == lang::Segment::Kind::capture) m.captures.emplace_back(s.text, walk.segments[i]);
-    if (s.kind == lang::Segment::Kind::rest)
+    if (s.kind == config_language::Segment::Kind::capture) m.captures.emplace_back(s.text, walk.segments[i]);
+    if (s.kind == config_language::Segment::Kind::rest)
       m.captures.emplace_back(
           "*", q.path.substr(static_cast<std::size_t>(walk.segments[i].data() - q.path.data())));
   }
   return m;
 }
 
-std::vector<ServerId> Table::servers(const Pool& p, const membership::Snapshot& list) const {
+std::vector<ServerId> Table::servers(const Pool& p, const endpoints::Snapshot& list) const {
   std::vector<ServerId> out;
   const auto among = [](const auto& all, const auto& one) {
     return all.empty() || std::find(all.begin(), all.end(), one) != all.end();
   };
   for (const auto& s : list.servers) {
-    if (s.role != p.role || s.state != membership::State::in_service || s.weight < p.weight_least) continue;
+    if (s.role != p.role || s.state != endpoints::State::in_service || s.weight < p.weight_least) continue;
     const auto& place = list.place_name(s);
     const auto& hub = s.role == Role::cache ? list.hubs[list.points[s.place].hub] : place;
     if (s.role == Role::cache && !among(p.points, place)) continue;
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -20,8 +20,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lang/check.h"
-#include "membership/snapshot.h"
+#include "config_language/check.h"
+#include "endpoints/snapshot.h"
 
 namespace alderspur::routing {
 
@@ -38,7 +38,7 @@
   double weight_least = 0;
   std::vector<std::uint32_t> fallback;  // places in Table::pools
   Limits limits;
-  form::Place place;
+  diagnostics::Place place;
 };
 struct Policy {
   std::string name;
@@ -60,12 +60,12 @@
 struct Route {
   std::string name, cls;
   std::vector<std::string> hosts, methods, points;  // empty: any
-  std::vector<lang::Segment> path;
+  std::vector<config_language::Segment> path;
   std::vector<Condition> conditions;
   Target target;
   std::vector<std::pair<double, Target>> splits;  // parts of one, in order; the rest goes to target
   Limits limits;
-  form::Place place;
+  diagnostics::Place place;
 };
 
 struct Question {
@@ -82,7 +82,7 @@
 class Table {
  public:
   // From a program that checks without an error.
-  Table(const lang::Meaning& meaning, const lang::Sources& sources);
+  Table(const config_language::Meaning& meaning, const config_language::Sources& sources);
   ~Table();
   Table(const Table&) = delete;
   Table& operator=(const Table&) = delete;
@@ -92,7 +92,7 @@
   const std::vector<Pool>& pools() const { return pools_; }
   const std::vector<Policy>& policies() const { return policies_; }
   // The servers of a pool among those listed, in the list's order. Draining ones are left out.
-  std::vector<ServerId> servers(const Pool& pool, const membership::Snapshot& list) const;
+  std::vector<ServerId> servers(const Pool& pool, const endpoints::Snapshot& list) const;
 
  private:
   struct Node;
--- a/src/choice.cpp
+++ b/src/routing_policy/router.cpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 
 #include "alderspur/router.h"
-#include "state.h"
+#include "routing_policy/state.h"
 
 namespace alderspur {
 namespace {
--- a/src/state.h
+++ b/src/routing_policy/state.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "alderspur/router.h"
-#include "estimates.h"
+#include "routing_policy/estimates.h"
 
 namespace alderspur {
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -4,8 +4,8 @@
 #include <filesystem>
 #include <set>
 
-#include "agree/ledger.h"
-#include "form/document.h"
+#include "consensus/applied_state.h"
+#include "toml/document.h"
 #include "net/connection.h"
 
 namespace alderspur::settings {
@@ -22,13 +22,13 @@
          : word == "error"   ? log::Level::error
                              : log::Level::info;
 }
-void listens(form::Table& t, const std::string& address, form::Findings& findings) {
+void listens(toml::Table& t, const std::string& address, diagnostics::Findings& findings) {
   if (!net::parse_address(address))
     findings.error("S002", t.place("listen"), "'" + address + "' is no address to listen on",
                    "write numbers and a port, such as 127.0.0.1:8480");
 }
 
-void read_log(form::Table t, log::Settings& out, form::Findings& findings) {
+void read_log(toml::Table t, log::Settings& out, diagnostics::Findings& findings) {
   const std::vector<std::string_view> levels = {"debug", "info", "warning", "error"};
   if (const auto form = t.word("form", {"logfmt", "json"}))
     out.form = *form == "json" ? log::Form::json : log::Form::logfmt;
@@ -40,7 +40,7 @@
     if (std::find(levels.begin(), levels.end(), level) == levels.end())
       findings.error("F003", by_subsystem.place(name), name + ": '" + level + "' is no level");
     if (std::find(known.begin(), known.end(), name) == known.end()) {
-      const auto near = form::nearest(name, known);
+      const auto near = diagnostics::nearest(name, known);
       findings.error(
           "F004", by_subsystem.place(name), "no subsystem is called " + name,
           near.empty() ? "router, membership, signed, xds, routes, cluster" : "did you mean " + near + "?");
@@ -50,7 +50,7 @@
   t.finish();
 }
 
-void read_damping(form::Table t, membership::DampingSettings& d, form::Findings& findings) {
+void read_damping(toml::Table t, endpoints::DampingSettings& d, diagnostics::Findings& findings) {
   if (const auto v = t.flag("on")) d.on = *v;
   if (const auto v = t.real("departure", 1, 1e6)) d.departure = *v;
   if (const auto v = t.real("suppress", 1, 1e6)) d.suppress = *v;
@@ -66,14 +66,14 @@
   t.finish();
 }
 
-Membership read_membership(form::Table t, const std::string& folder, form::Findings& findings) {
+Membership read_membership(toml::Table t, const std::string& folder, diagnostics::Findings& findings) {
   Membership m;
   const auto authority = t.word("authority", {"board", "files", "both"}, true);
   if (authority)
-    m.fleet.authority = *authority == "board"   ? membership::Authority::board
-                        : *authority == "files" ? membership::Authority::files
-                                                : membership::Authority::both;
-  const bool files = m.fleet.authority != membership::Authority::board;
+    m.fleet.authority = *authority == "board"   ? endpoints::Authority::board
+                        : *authority == "files" ? endpoints::Authority::files
+                                                : endpoints::Authority::both;
+  const bool files = m.fleet.authority != endpoints::Authority::board;
   if (const auto v = t.text("list", files)) m.list = path_in(folder, *v);
   if (const auto v = t.text("state")) m.state = path_in(folder, *v);
   if (const auto v = t.duration("oldest", kSecond, 365 * 24 * kHour)) m.oldest = *v;
@@ -91,11 +91,11 @@
   return m;
 }
 
-void read_agreement(form::Table t, Cluster& c, form::Findings& findings) {
+void read_agreement(toml::Table t, Cluster& c, diagnostics::Findings& findings) {
   c.agreement = t.flag("enabled").value_or(true);
   c.voters = t.words("voters");
   const std::set<std::string> names(c.voters.begin(), c.voters.end());
-  if (c.voters.size() % 2 == 0 || c.voters.size() > agree::kVotersMost || names.size() != c.voters.size())
+  if (c.voters.size() % 2 == 0 || c.voters.size() > consensus::kVotersMost || names.size() != c.voters.size())
     findings.error("S002", t.place("voters"), "voters are 1, 3, 5 or 7 different members",
                    "name the same ones in the settings of every router");
   if (c.agreement && c.state.empty())
@@ -104,7 +104,7 @@
   t.finish();
 }
 
-Cluster read_cluster(form::Table t, const std::string& folder, form::Findings& findings, bool& enabled) {
+Cluster read_cluster(toml::Table t, const std::string& folder, diagnostics::Findings& findings, bool& enabled) {
   Cluster c;
   auto& m = c.membership;
   enabled = t.flag("enabled").value_or(true);
@@ -152,7 +152,7 @@
   return c;
 }
 
-void read_signed(form::Table t, Settings& out, form::Findings& findings) {
+void read_signed(toml::Table t, Settings& out, diagnostics::Findings& findings) {
   config::Signed s;
   s.enabled = t.flag("enabled").value_or(true);
   if (const auto v = t.text("listen", true)) s.listen = *v, listens(t, *v, findings);
@@ -194,9 +194,9 @@
 }  // namespace
 
 Settings read(std::string_view text, const std::string& file, const std::string& folder,
-              form::Findings& findings) {
+              diagnostics::Findings& findings) {
   Settings out;
-  form::Document document(text, file, findings, "S001");
+  toml::Document document(text, file, findings, "S001");
   if (!document.read()) return out;
   auto root = document.root();
   auto router = root.table("router");
@@ -242,14 +242,14 @@
   return out;
 }
 
-void resolve(Settings& s, const config::Config& config, form::Findings& findings) {
+void resolve(Settings& s, const config::Config& config, diagnostics::Findings& findings) {
   if (!s.links) return;
   const auto& classes = config.names.classes;
   const std::vector<std::string_view> known(classes.begin(), classes.end());
   for (const auto& r : s.routes) {
     const auto it = std::find(classes.begin(), classes.end(), r.cls);
     if (it == classes.end()) {
-      const auto near = form::nearest(r.cls, known);
+      const auto near = diagnostics::nearest(r.cls, known);
       findings.error("S002", r.place, "no class is called " + r.cls,
                      near.empty() ? "the platform's JSON names the classes" : "did you mean " + near + "?");
       continue;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -13,18 +13,18 @@
 
 #include "cluster/membership.h"
 #include "config/config.h"
-#include "form/finding.h"
+#include "diagnostics/diagnostics.h"
 #include "log/log.h"
-#include "membership/check.h"
-#include "membership/fleet.h"
-#include "membership/list.h"
+#include "endpoints/check.h"
+#include "endpoints/endpoint_set.h"
+#include "endpoints/list.h"
 
 namespace alderspur::settings {
 
 struct Membership {
-  membership::FleetSettings fleet;
-  membership::Bounds bounds;
-  membership::Limits limits;
+  endpoints::FleetSettings fleet;
+  endpoints::Bounds bounds;
+  endpoints::Limits limits;
   std::string list;                    // a file, or a directory with a manifest
   std::string state;                   // a directory; empty: nothing is kept through a restart
   core::Time oldest = 86'400'000'000;  // a kept list older than this is not started from
@@ -46,7 +46,7 @@
 struct SignedRoute {
   std::string prefix, cls;
   core::Time limit = 0;  // 0: as the class has it
-  form::Place place;
+  diagnostics::Place place;
 };
 struct Settings {
   std::string config, listen;  // the platform's JSON; an address in place of its `listen`
@@ -63,8 +63,8 @@
 
 // `folder` is that of the file, for the paths in it.
 Settings read(std::string_view text, const std::string& file, const std::string& folder,
-              form::Findings& findings);
+              diagnostics::Findings& findings);
 // The signed front's routes by the classes that the platform's JSON has.
-void resolve(Settings& settings, const config::Config& config, form::Findings& findings);
+void resolve(Settings& settings, const config::Config& config, diagnostics::Findings& findings);
 
 }  // namespace alderspur::settings
--- a/src/signed/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -1,13 +1,13 @@
-#include "signed/http_front.h"
+#include "signed_url/http_front.h"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "core/text.h"
+#include "core/parsing.h"
 #include "http/message.h"
 #include "net/lingering.h"
 
-namespace alderspur::signed_urls {
+namespace alderspur::signed_url {
 namespace {
 
 constexpr core::Time kNew = 150'000;  // what a client that has just come asks may still be on its way
@@ -273,4 +273,4 @@
          });
 }
 
-}  // namespace alderspur::signed_urls
+}  // namespace alderspur::signed_url
--- a/src/signed/http_front.h
+++ b/src/signed_url/http_front.h
@@ -10,10 +10,10 @@
 #include "core/engine.h"
 #include "http/message.h"
 #include "net/connection.h"
-#include "signed/guide.h"
-#include "signed/token.h"
+#include "signed_url/route_selector.h"
+#include "signed_url/token.h"
 
-namespace alderspur::signed_urls {
+namespace alderspur::signed_url {
 
 class HttpFront : public core::Front {
  public:
@@ -62,4 +62,4 @@
   net::Listener listener_;
 };
 
-}  // namespace alderspur::signed_urls
+}  // namespace alderspur::signed_url
--- a/src/signed/guide.h
+++ b/src/signed_url/route_selector.h
@@ -12,7 +12,7 @@
 #include "core/engine.h"
 #include "http/message.h"
 
-namespace alderspur::signed_urls {
+namespace alderspur::signed_url {
 
 class Hold {
  public:
@@ -34,4 +34,4 @@
   virtual core::Time admit(Found& found, core::Time now) = 0;
 };
 
-}  // namespace alderspur::signed_urls
+}  // namespace alderspur::signed_url
--- a/src/signed/token.cpp
+++ b/src/signed_url/token.cpp
@@ -1,4 +1,4 @@
-#include "signed/token.h"
+#include "signed_url/token.h"
 
 #include <openssl/crypto.h>
 #include <openssl/evp.h>
@@ -6,9 +6,9 @@
 
 #include <algorithm>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
-namespace alderspur::signed_urls {
+namespace alderspur::signed_url {
 namespace {
 
 bool seconds(std::string_view text, std::int64_t& out) {
@@ -112,4 +112,4 @@
   return Check::good;
 }
 
-}  // namespace alderspur::signed_urls
+}  // namespace alderspur::signed_url
--- a/src/signed/token.h
+++ b/src/signed_url/token.h
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace alderspur::signed_urls {
+namespace alderspur::signed_url {
 
 struct Key {
   std::string id, secret;
@@ -40,4 +40,4 @@
   std::int64_t skew_;
 };
 
-}  // namespace alderspur::signed_urls
+}  // namespace alderspur::signed_url
--- a/src/simhost/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -1,4 +1,4 @@
-#include "simhost/codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <algorithm>
 #include <bit>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <set>
 
-namespace alderspur::simhost {
+namespace alderspur::simulator_adapter {
 namespace al = ::alderspur;
 
 namespace {
@@ -321,4 +321,4 @@
   return reply.out + orders;
 }
 
-}  // namespace alderspur::simhost
+}  // namespace alderspur::simulator_adapter
--- a/src/simhost/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -11,7 +11,7 @@
 #include "alderspur/router.h"
 #include "config/config.h"
 
-namespace alderspur::simhost {
+namespace alderspur::simulator_adapter {
 
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -50,4 +50,4 @@
   std::map<std::uint32_t, std::vector<Listed>> lists_;
 };
 
-}  // namespace alderspur::simhost
+}  // namespace alderspur::simulator_adapter
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,9 +1,9 @@
-// alderspur_simhost: batches on standard input, one reply each on standard output.
+// simulator_adapter: batches on standard input, one reply each on standard output.
 #include <cstdio>
 #include <exception>
 #include <string>
 
-#include "simhost/codec.h"
+#include "simulator_adapter/codec.h"
 
 using namespace alderspur;
 
@@ -24,18 +24,18 @@
 }
 
 int serve() {
-  simhost::Host host;
+  simulator_adapter::Host host;
   std::string head, body;
   for (;;) {
-    if (!read_exactly(head, simhost::kBatchHeader)) {
+    if (!read_exactly(head, simulator_adapter::kBatchHeader)) {
       if (head.empty() && !std::ferror(stdin)) return 0;
-      throw simhost::WireError("input ends inside a batch header");
+      throw simulator_adapter::WireError("input ends inside a batch header");
     }
-    const auto header = simhost::read_header(head);
-    if (!read_exactly(body, header.length)) throw simhost::WireError("input ends inside a batch");
+    const auto header = simulator_adapter::read_header(head);
+    if (!read_exactly(body, header.length)) throw simulator_adapter::WireError("input ends inside a batch");
     const std::string reply = host.answer(header, body);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
-      throw simhost::WireError("cannot write the reply");
+      throw simulator_adapter::WireError("cannot write the reply");
   }
 }
 
@@ -45,7 +45,7 @@
   try {
     return serve();
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "alderspur_simhost: %s\n", e.what());
+    std::fprintf(stderr, "simulator_adapter: %s\n", e.what());
     return 1;
   }
 }
--- a/src/store/membership_state.cpp
+++ b/src/store/endpoint_state.cpp
@@ -1,8 +1,8 @@
-#include "store/membership_state.h"
+#include "store/endpoint_state.h"
 
 #include <cmath>
 
-#include "core/text.h"
+#include "core/parsing.h"
 #include "state_generated.h"
 
 namespace alderspur::store {
@@ -21,14 +21,14 @@
 }
 std::string text(const flatbuffers::String* s) { return s ? s->str() : std::string(); }
 
-bool usable(const membership::Listed& s, const membership::Snapshot& list) {
+bool usable(const endpoints::Listed& s, const endpoints::Snapshot& list) {
   const auto places = s.role == Role::cache ? list.points.size() : list.hubs.size();
   return !s.name.empty() && core::plain_word(s.name) && s.place < places && std::isfinite(s.weight) &&
          s.weight > 0;
 }
 
-std::shared_ptr<membership::Snapshot> list_of(const fb::State& state) {
-  auto list = std::make_shared<membership::Snapshot>();
+std::shared_ptr<endpoints::Snapshot> list_of(const fb::State& state) {
+  auto list = std::make_shared<endpoints::Snapshot>();
   list->generation = state.generation();
   list->source = text(state.source());
   list->taken = state.taken();
@@ -38,14 +38,14 @@
     list->points.push_back({text(p->name()), p->hub()});
   }
   for (const auto* s : *state.servers()) {
-    membership::Listed out;
+    endpoints::Listed out;
     out.name = text(s->name());
-    out.id = membership::server_id(out.name);
+    out.id = endpoints::server_id(out.name);
     out.address = text(s->address());
     if (s->role() > 2 || s->state() > 1) return nullptr;
     out.role = static_cast<Role>(s->role());
     out.place = s->place();
-    out.state = static_cast<membership::State>(s->state());
+    out.state = static_cast<endpoints::State>(s->state());
     out.cell = s->cell();
     out.weight = s->weight();
     if (!usable(out, *list)) return nullptr;
@@ -63,13 +63,13 @@
   const auto hubs = vector_of<flatbuffers::String>(b, list.hubs, [&](auto& h) { return b.CreateString(h); });
   const auto points = vector_of<fb::Point>(
       b, list.points, [&](auto& p) { return fb::CreatePoint(b, b.CreateString(p.name), p.hub); });
-  const auto servers = vector_of<fb::Server>(b, list.servers, [&](const membership::Listed& s) {
+  const auto servers = vector_of<fb::Server>(b, list.servers, [&](const endpoints::Listed& s) {
     const auto name = b.CreateString(s.name), address = b.CreateString(s.address);
     return fb::CreateServer(b, name, address, static_cast<std::uint8_t>(s.role), s.place,
                             static_cast<std::uint8_t>(s.state), s.cell, s.weight);
   });
   const auto remembered =
-      vector_of<fb::Remembered>(b, state.remembered, [&](const membership::Remembered& r) {
+      vector_of<fb::Remembered>(b, state.remembered, [&](const endpoints::Remembered& r) {
         return fb::CreateRemembered(b, r.id.value, r.born, r.weight, r.penalty, r.penalty_at, r.held);
       });
   const auto source = b.CreateString(list.source);
--- a/src/store/membership_state.h
+++ b/src/store/endpoint_state.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/fleet.h"
+#include "endpoints/endpoint_set.h"
 #include "store/state_file.h"
 
 namespace alderspur::store {
@@ -17,8 +17,8 @@
 constexpr std::size_t kStateMost = 64 << 20;
 
 struct MembershipState {
-  membership::SnapshotPtr list;
-  std::vector<membership::Remembered> remembered;
+  endpoints::SnapshotPtr list;
+  std::vector<endpoints::Remembered> remembered;
   core::Time saved = 0;  // Unix microseconds
 };
 std::string encode(const MembershipState& state);
--- a/src/form/document.cpp
+++ b/src/toml/document.cpp
@@ -1,4 +1,4 @@
-#include "form/document.h"
+#include "toml/document.h"
 
 #include <stdexcept>
 
@@ -6,10 +6,10 @@
 // takes the same condition for granted, which is undefined. Both become an exception here. Guarded by the
 // properties of tests/membership_test.cpp, which found it.
 #undef NDEBUG
-namespace alderspur::form {
+namespace alderspur::toml {
 [[noreturn]] void malformed() { throw std::logic_error("malformed key or value"); }
-}  // namespace alderspur::form
-#define TOML_ASSERT(expr) (static_cast<bool>(expr) ? void() : ::alderspur::form::malformed())
+}  // namespace alderspur::toml
+#define TOML_ASSERT(expr) (static_cast<bool>(expr) ? void() : ::alderspur::toml::malformed())
 #define TOML_IMPLEMENTATION
 #define TOML_HEADER_ONLY 0
 #define TOML_ENABLE_FORMATTERS 0
@@ -19,13 +19,13 @@
 #include <cmath>
 #include <cstdio>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
-namespace alderspur::form {
+namespace alderspur::toml {
 namespace {
 
-const toml::table& tree(const void* node) { return *static_cast<const toml::table*>(node); }
-Place place_of(const toml::source_region& at, const Place& origin) {
+const ::toml::table& tree(const void* node) { return *static_cast<const ::toml::table*>(node); }
+Place place_of(const ::toml::source_region& at, const Place& origin) {
   return {origin.file, at.begin.line + origin.line, at.begin.column};
 }
 std::string number_text(double v) {
@@ -84,7 +84,7 @@
 }
 
 std::optional<std::string> Table::text(std::string_view key, bool required) {
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) {
     if (required && findings_)
       findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
@@ -96,7 +96,7 @@
 }
 std::vector<std::string> Table::words(std::string_view key) {
   std::vector<std::string> out;
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return out;
   const auto* list = n->as_array();
   if (!list) return wrong(key, "a list of texts in quotes is wanted here"), out;
@@ -108,7 +108,7 @@
 }
 std::optional<std::int64_t> Table::integer(std::string_view key, std::int64_t least, std::int64_t most,
                                            bool required) {
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) {
     if (required && findings_)
       findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
@@ -124,7 +124,7 @@
   return i->get();
 }
 std::optional<double> Table::real(std::string_view key, double least, double most, bool required) {
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) {
     if (required && findings_)
       findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
@@ -141,7 +141,7 @@
   return v;
 }
 std::optional<bool> Table::flag(std::string_view key) {
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return {};
   if (const auto* b = n->as_boolean()) return b->get();
   wrong(key, "true or false is wanted here");
@@ -149,7 +149,7 @@
 }
 std::optional<std::int64_t> Table::measured(std::string_view key, std::int64_t least, std::int64_t most,
                                             const Measure& measure) {
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return {};
   const auto* s = n->as_string();
   const auto v = s ? measure.parse(s->get()) : std::nullopt;
@@ -178,14 +178,14 @@
   if (!given || std::find(allowed.begin(), allowed.end(), *given) != allowed.end()) return given;
   std::string all;
   for (const auto a : allowed) ((all += all.empty() ? "" : ", ") += a);
-  const auto near = nearest(*given, allowed);
+  const auto near = diagnostics::nearest(*given, allowed);
   wrong(key, "'" + *given + "' is none of " + all, near.empty() ? "" : "did you mean '" + near + "'?");
   return {};
 }
 
 Table Table::table(std::string_view key) {
   Table out;
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return out;
   if (!n->is_table()) return wrong(key, "a table is wanted here", "[" + std::string(key) + "]"), out;
   out.node_ = n->as_table();
@@ -195,7 +195,7 @@
 }
 std::vector<Table> Table::tables(std::string_view key) {
   std::vector<Table> out;
-  const auto* n = static_cast<const toml::node*>(find(key));
+  const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return out;
   const auto* a = n->as_array();
   if (!a) return wrong(key, "a list of tables is wanted here", "[[" + std::string(key) + "]]"), out;
@@ -229,7 +229,7 @@
   if (!node_ || !findings_) return;
   for (const auto& [k, v] : tree(node_)) {
     if (std::find(asked_.begin(), asked_.end(), k.str()) != asked_.end()) continue;
-    const auto near = nearest(k.str(), asked_);
+    const auto near = diagnostics::nearest(k.str(), asked_);
     findings_->error("F004", place_of(k.source(), *origin_),
                      "the key " + std::string(k.str()) + " is not known",
                      near.empty() ? "remove it" : "did you mean " + near + "?");
@@ -237,7 +237,7 @@
 }
 
 struct Document::Tree {
-  toml::table root;
+  ::toml::table root;
 };
 
 Document::Document(std::string_view text, std::string file, Findings& findings, std::string_view code,
@@ -250,9 +250,9 @@
     return;
   }
   try {
-    tree_->root = toml::parse(text, std::string_view(origin_.file));
+    tree_->root = ::toml::parse(text, std::string_view(origin_.file));
     read_ = true;
-  } catch (const toml::parse_error& e) {
+  } catch (const ::toml::parse_error& e) {
     findings_.error(std::string(code), place_of(e.source(), origin_), std::string(e.description()),
                     "the file is not whole TOML: write it anew and rename it into place");
   } catch (const std::exception& e) {
@@ -271,4 +271,4 @@
   return out;
 }
 
-}  // namespace alderspur::form
+}  // namespace alderspur::toml
--- a/src/form/document.h
+++ b/src/toml/document.h
@@ -13,9 +13,12 @@
 #include <string_view>
 #include <vector>
 
-#include "form/finding.h"
+#include "diagnostics/diagnostics.h"
 
-namespace alderspur::form {
+namespace alderspur::toml {
+
+using diagnostics::Findings;
+using diagnostics::Place;
 
 class Table {
  public:
@@ -54,7 +57,7 @@
   };
   std::optional<std::int64_t> measured(std::string_view key, std::int64_t least, std::int64_t most,
                                        const Measure& measure);
-  const void* node_ = nullptr;     // a toml::table
+  const void* node_ = nullptr;     // a ::toml::table
   const Place* origin_ = nullptr;  // the file, and how many lines of it stand before this text
   Findings* findings_ = nullptr;
   std::vector<std::string_view> asked_;  // string literals of the callers
@@ -86,4 +89,4 @@
 std::string duration_text(std::int64_t microseconds);
 [[noreturn]] void malformed();  // what the reader does where toml++ would end the program
 
-}  // namespace alderspur::form
+}  // namespace alderspur::toml
--- a/src/xds/eds.cpp
+++ b/src/xds/eds.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/text.h"
+#include "core/parsing.h"
 
 namespace alderspur::xds {
 namespace al = ::alderspur;
--- a/tests/operation_test.cpp
+++ b/tests/admin_test.cpp
@@ -9,19 +9,19 @@
 #include <memory>
 #include <random>
 
-#include "handover/folder.h"
+#include "hot_restart/shared_directory.h"
 #include "loopback.h"
-#include "operator/figures.h"
-#include "operator/front.h"
-#include "platform/node.h"
+#include "admin/metrics.h"
+#include "admin/admin_server.h"
+#include "platform/edge_router.h"
 
 namespace {
 
 using namespace alderspur;
-using handover::BanBook;
-using handover::BanChange;
-using handover::Bans;
-using handover::Folder;
+using hot_restart::BanBook;
+using hot_restart::BanChange;
+using hot_restart::Bans;
+using hot_restart::Folder;
 
 class Shared : public ::testing::Test {
  protected:
@@ -81,7 +81,7 @@
             book.not_saved();
           } else {
             auto& c = jobs.front();
-            handover::carry_out(c, disk.names);
+            hot_restart::carry_out(c, disk.names);
             ++disk.serial;
             book.saved(disk);
           }
@@ -145,10 +145,10 @@
     ASSERT_EQ(next.enter(), "");
     EXPECT_EQ(next.others().count, 1u);
     EXPECT_FALSE(next.others().all_know_us);
-    ASSERT_EQ(old.say({handover::Phase::serving, 1, 0.9, 0, 0}), "");
+    ASSERT_EQ(old.say({hot_restart::Phase::serving, 1, 0.9, 0, 0}), "");
     EXPECT_TRUE(next.others().all_know_us);
     EXPECT_FALSE(old.others().successor);
-    ASSERT_EQ(next.say({handover::Phase::serving, 1, 0.1, 0, 0}), "");
+    ASSERT_EQ(next.say({hot_restart::Phase::serving, 1, 0.1, 0, 0}), "");
     EXPECT_TRUE(old.others().successor);
     EXPECT_FALSE(next.others().successor) << "the older one is nobody's successor";
   }
@@ -165,7 +165,7 @@
   for (unsigned seed = 1; seed <= 60; ++seed) {
     std::mt19937 random(seed);
     std::vector<std::unique_ptr<Folder>> all;
-    std::vector<handover::Word> words(3);
+    std::vector<hot_restart::Word> words(3);
     for (int i = 0; i < 3; ++i) {
       all.push_back(std::make_unique<Folder>(folder, "k" + std::to_string(seed)));
       ASSERT_EQ(all.back()->enter(), "");
@@ -282,14 +282,14 @@
   engine.ban({2}, true);
   engine.turned_away(0, core::Verdict::refused);
   engine.run();
-  const auto text = operators::figures(engine, {"asset"});
+  const auto text = admin::figures(engine, {"asset"});
   for (const char* line : {"\n# TYPE edge_relay_busy counter\nedge_relay_busy{tier=\"asset\"} 1\n",
                            "\nedge_relay_inflight 0\n", "\nedge_relay_hosts_listed 2\n",
                            "\nedge_relay_hosts_down 1\n", "\nedge_relay_backend_calls{tier=\"asset\"} 0\n"})
     EXPECT_NE(text.find(line), std::string::npos) << line << "in\n" << text;
 }
 
-struct Plain : operators::Desk {
+struct Plain : admin::Desk {
   bool takes_clients() override { return true; }
   std::string figures() override { return "f 1\n"; }
   void ban(std::string_view id, bool, Done done) override {
@@ -329,7 +329,7 @@
   core::Deadlines deadlines;
   net::Loop loop{deadlines};
   Plain desk;
-  operators::Front front{loop, deadlines, *net::parse_address("127.0.0.1:0"), desk, net::unix_now};
+  admin::Front front{loop, deadlines, *net::parse_address("127.0.0.1:0"), desk, net::unix_now};
 };
 
 TEST_F(Calls, AreAnsweredWithAClearYesOrNo) {
@@ -356,12 +356,12 @@
   net::Loop loop(deadlines);
   std::vector<std::string> told;
   const auto twin = [&](const std::string& where) {
-    return std::make_unique<handover::Twin>(
+    return std::make_unique<hot_restart::Twin>(
         loop, deadlines, net::unix_now, where, "127.0.0.1:4100",
         [](const std::string&, const std::string&) {},
-        handover::Twin::Hooks{[] { return handover::Twin::Load{}; },
+        hot_restart::Twin::Hooks{[] { return hot_restart::Twin::Load{}; },
                               [&](const BanChange& c) { told.push_back(c.name); },
-                              [](const handover::Others&, double) {}});
+                              [](const hot_restart::Others&, double) {}});
   };
   EXPECT_TRUE(twin(folder)->banned("s-1"));
   EXPECT_EQ(told, std::vector<std::string>{"s-1"});
--- a/tests/cluster/rig.h
+++ b/tests/cluster/rig.h
@@ -133,8 +133,8 @@
     const int log = ::open(file(i, "log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0640);
     ::dup2(log, 2);
     ::unsetenv("TMPDIR");
-#ifdef ALDERSPUR_LIAR
-    ::setenv("LD_PRELOAD", ALDERSPUR_LIAR, 1);
+#ifdef ALDERSPUR_FAULTY_DISK
+    ::setenv("LD_PRELOAD", ALDERSPUR_FAULTY_DISK, 1);
     ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
     ::setenv("LIAR_FOLDER", file(i, "state").c_str(), 1);
     ::setenv("LIAR_SHADOW", file(i, "shadow").c_str(), 1);
--- a/tests/lang_test.cpp
+++ b/tests/config_language_test.cpp
@@ -12,11 +12,11 @@
 #include <random>
 #include <sstream>
 
-#include "lang/check.h"
-#include "lang/differ.h"
-#include "lang/files.h"
-#include "lang/format.h"
-#include "lang/parser.h"
+#include "config_language/check.h"
+#include "config_language/differ.h"
+#include "config_language/files.h"
+#include "config_language/format.h"
+#include "config_language/parser.h"
 
 namespace {
 
@@ -38,13 +38,13 @@
   std::sort(out.begin(), out.end());
   return out;
 }
-std::string formatted(const std::string& text, form::Findings& findings) {
-  lang::Sources sources;
-  return lang::format(lang::parse(sources, sources.add("x.alder", text), findings));
+std::string formatted(const std::string& text, diagnostics::Findings& findings) {
+  config_language::Sources sources;
+  return config_language::format(config_language::parse(sources, sources.add("x.alder", text), findings));
 }
-lang::Tree tree(lang::Sources& sources, const std::string& text) {
-  form::Findings ignored;
-  return lang::parse(sources, sources.add("x.alder", text), ignored);
+config_language::Tree tree(config_language::Sources& sources, const std::string& text) {
+  diagnostics::Findings ignored;
+  return config_language::parse(sources, sources.add("x.alder", text), ignored);
 }
 
 struct Expected {
@@ -69,15 +69,15 @@
   const auto all = files("broken");
   EXPECT_GE(all.size(), 60u);
   for (const auto& path : all) {
-    form::Findings f;
-    lang::FileLoader loader;
-    const auto program = lang::load(path.string(), loader, f);
-    (void)lang::check(program, f);
+    diagnostics::Findings f;
+    config_language::FileLoader loader;
+    const auto program = config_language::load(path.string(), loader, f);
+    (void)config_language::check(program, f);
     auto expected = expectations(text_of(path));
     EXPECT_FALSE(expected.empty()) << path;
     std::string said;
     for (const auto& x : f.list()) {
-      const auto line = form::to_string(x);
+      const auto line = diagnostics::to_string(x);
       said += line + "\n";
       EXPECT_NE(program.sources.render(x).find('^'), std::string::npos) << line;
       const auto it = std::find_if(expected.begin(), expected.end(), [&](auto& e) {
@@ -97,12 +97,12 @@
   const auto all = files("good");
   EXPECT_GE(all.size(), 10u);
   for (const auto& path : all) {
-    form::Findings f;
-    lang::FileLoader loader;
-    const auto program = lang::load(path.string(), loader, f);
-    (void)lang::check(program, f);
+    diagnostics::Findings f;
+    config_language::FileLoader loader;
+    const auto program = config_language::load(path.string(), loader, f);
+    (void)config_language::check(program, f);
     for (const auto& x : f.list())
-      if (x.severity == form::Severity::error) ADD_FAILURE() << form::to_string(x);
+      if (x.severity == diagnostics::Severity::error) ADD_FAILURE() << diagnostics::to_string(x);
     const auto text = text_of(path), once = formatted(text, f), twice = formatted(once, f);
     const auto beside = path.string() + ".formatted";
     EXPECT_EQ(once, fs::exists(beside) ? text_of(beside) : text) << path;
@@ -117,24 +117,24 @@
     if (!name.ends_with(".old.alder")) continue;
     ++pairs;
     const auto stem = name.substr(0, name.size() - 10);
-    form::Findings f;
-    lang::FileLoader loader;
-    const auto a = lang::check(lang::load(name, loader, f), f);
-    const auto b = lang::check(lang::load(stem + ".new.alder", loader, f), f);
+    diagnostics::Findings f;
+    config_language::FileLoader loader;
+    const auto a = config_language::check(config_language::load(name, loader, f), f);
+    const auto b = config_language::check(config_language::load(stem + ".new.alder", loader, f), f);
     EXPECT_TRUE(f.good()) << stem;
     std::string said;
-    for (const auto& c : lang::differ(a, b)) {
-      std::string risk = lang::word(c.risk);
+    for (const auto& c : config_language::differ(a, b)) {
+      std::string risk = config_language::word(c.risk);
       risk.resize(6, ' ');
       said += risk + c.text + "\n";
     }
     EXPECT_EQ(said, text_of(stem + ".txt")) << stem;
-    EXPECT_TRUE(lang::differ(a, a).empty()) << stem;
+    EXPECT_TRUE(config_language::differ(a, a).empty()) << stem;
   }
   EXPECT_GE(pairs, 20u);
 }
 
-class Memory : public lang::Loader {
+class Memory : public config_language::Loader {
  public:
   std::optional<std::string> read(const std::string& path, std::string& error) override {
     ++reads[path];
@@ -158,8 +158,8 @@
   m.files = {{"d/a.alder", "\ninclude \"b.alder\"\n"},
              {"d/b.alder", "include \"sub/c.alder\"\n"},
              {"d/sub/c.alder", "let x = 1\n\ninclude \"../a.alder\"\n"}};
-  form::Findings f;
-  (void)lang::load("d/a.alder", m, f);
+  diagnostics::Findings f;
+  (void)config_language::load("d/a.alder", m, f);
   ASSERT_EQ(f.list().size(), 1u);
   EXPECT_EQ(f.list()[0].code, "A011");
   EXPECT_NE(f.list()[0].text.find("d/a.alder:2 -> d/b.alder:1 -> d/sub/c.alder:3 -> d/a.alder"),
@@ -175,15 +175,15 @@
       {"r/1.alder", "include \"../shared.alder\"\nlet one = 1\n"},
       {"r/2.alder", "let two = 2\n"},
       {"shared.alder", "let all = 3\n"}};
-  form::Findings f;
-  const auto program = lang::load("main.alder", m, f);
+  diagnostics::Findings f;
+  const auto program = config_language::load("main.alder", m, f);
   EXPECT_TRUE(f.list().empty());
   EXPECT_EQ(program.statements.size(), 3u);
   for (const auto& [path, n] : m.reads) EXPECT_EQ(n, 1) << path;
   EXPECT_EQ(program.statements[0]->arguments[0].text, "all") << "in the include's place";
   m.files["main.alder"] = "include \"absent.alder\"\n";
-  form::Findings g;
-  (void)lang::load("main.alder", m, g);
+  diagnostics::Findings g;
+  (void)config_language::load("main.alder", m, g);
   EXPECT_EQ(g.list()[0].code, "A010");
   EXPECT_EQ(g.list()[0].place.line, 1u);
 }
@@ -192,16 +192,16 @@
   Memory m;
   for (int i = 0; i < 60; ++i)
     m.files["f" + std::to_string(i)] = "include \"f" + std::to_string(i + 1) + "\"\n";
-  form::Findings f;
-  (void)lang::load("f0", m, f);
+  diagnostics::Findings f;
+  (void)config_language::load("f0", m, f);
   EXPECT_EQ(f.list().at(0).code, "A007");
   Memory many;
   for (int i = 0; i < 1100; ++i) many.files["r/" + std::to_string(i)] = "";
   many.files["all"] = "include \"r/*\"\n";
-  form::Findings g;
-  (void)lang::load("all", many, g);
+  diagnostics::Findings g;
+  (void)config_language::load("all", many, g);
   EXPECT_EQ(g.list().at(0).code, "A008");
-  form::Findings h;
+  diagnostics::Findings h;
   (void)formatted(std::string(100'000, '['), h);
   (void)formatted("a = " + std::string(100'000, '['), h);
   std::string deep;
@@ -225,13 +225,13 @@
       if (random() % 3 == 0) text.erase(at, 1 + below(20));
       else text.insert(at, kBits[below(std::size(kBits))]);
     }
-    form::Findings f;
-    lang::Sources sources;
+    diagnostics::Findings f;
+    config_language::Sources sources;
     const auto before = tree(sources, text);
-    const auto once = lang::format(before);
+    const auto once = config_language::format(before);
     const auto after = tree(sources, once);
-    RC_ASSERT(lang::same(before, after));
-    RC_ASSERT(lang::format(after) == once);
+    RC_ASSERT(config_language::same(before, after));
+    RC_ASSERT(config_language::format(after) == once);
   }
 }
 
--- a/tests/agree/fleet.h
+++ b/tests/consensus/fleet.h
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "agree/version.h"
+#include "consensus/version.h"
 #include "cluster/rig.h"
 #include "loopback.h"
 
@@ -84,7 +84,7 @@
   }
   // Number of what came in force, 0 where it was refused; `said`: the last word.
   std::uint64_t propose(std::size_t at, const std::string& which, const std::string& query = "") {
-    const auto body = agree::encode({{"servers", servers(which)}});
+    const auto body = consensus::encode({{"servers", servers(which)}});
     const auto nonce = r->put(at, "/control/versions" + query, body);
     said.clear();
     r->until([&] {
--- a/tests/agree/disk_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -1,5 +1,5 @@
 // A voter's disk, spoilt in every way that a file can be: it is believed as it was written, or not at all.
-#include "agree/disk.h"
+#include "consensus/log_store.h"
 
 #include <gtest/gtest.h>
 
@@ -7,12 +7,12 @@
 #include <fstream>
 #include <sstream>
 
-#include "agree/careful.h"
+#include "consensus/conservative_merge.h"
 
 namespace {
 
 using namespace alderspur;
-using namespace alderspur::agree;
+using namespace alderspur::consensus;
 namespace fs = std::filesystem;
 
 class DiskTest : public ::testing::Test {
@@ -129,7 +129,7 @@
 
 // ---- The careful union of lists
 
-membership::SnapshotPtr list(const std::string& servers) {  // "a" in service, "A" draining, weights by digits
+endpoints::SnapshotPtr list(const std::string& servers) {  // "a" in service, "A" draining, weights by digits
   std::string text = "format = 1\ngeneration = 3\nservers = " + std::to_string(servers.size() / 2) +
                      "\n[[hub]]\nname = \"h\"\n[[point]]\nname = \"p\"\nhub = \"h\"\n";
   for (std::size_t i = 0; i + 1 < servers.size(); i += 2) {
@@ -140,17 +140,17 @@
             "\"\nweight = " + servers[i + 1] + ".0\nstate = \"" + (draining ? "draining" : "in_service") +
             "\"\ncell = 0\n";
   }
-  form::Findings findings;
-  auto read = membership::read_list(text, "list", 0, {}, findings);
+  diagnostics::Findings findings;
+  auto read = endpoints::read_list(text, "list", 0, {}, findings);
   EXPECT_TRUE(findings.good());
   return read.list;
 }
-std::string shown(const membership::Snapshot& s) {
+std::string shown(const endpoints::Snapshot& s) {
   std::string out;
   for (const char id : std::string("abcdef"))
     for (const auto& x : s.servers)
       if (x.name[0] == id)
-        out += std::string(1, x.state == membership::State::draining ? static_cast<char>(id - 32) : id) +
+        out += std::string(1, x.state == endpoints::State::draining ? static_cast<char>(id - 32) : id) +
                std::to_string(static_cast<int>(x.weight));
   return out;
 }
@@ -162,8 +162,8 @@
   EXPECT_EQ(shown(unite({list("a4b4"), list("a4B4"), list("a4b4")})), "a4B4");
   EXPECT_EQ(shown(unite({list("a4b4"), list("c4d4")})), "c4d4") << "a place is not left without any";
   const auto text = written(unite({list("a4b4c4"), list("a2b4")}), 41);
-  form::Findings findings;
-  const auto again = membership::read_list(text, "list", 0, {}, findings);
+  diagnostics::Findings findings;
+  const auto again = endpoints::read_list(text, "list", 0, {}, findings);
   ASSERT_TRUE(findings.good() && again.list);
   EXPECT_EQ(again.list->generation, 41u);
   EXPECT_EQ(shown(*again.list), "a2b4");
--- a/tests/agree/versions_test.cpp
+++ b/tests/consensus/versions_test.cpp
@@ -7,7 +7,7 @@
 using fleet::kBound, fleet::kFull, fleet::kHangs, fleet::kHonest, fleet::kSyncFails, fleet::kUnsynced;
 using rig::kSecond;
 using rig::Time;
-namespace agree = alderspur::agree;
+namespace consensus = alderspur::consensus;
 namespace net = alderspur::net;
 constexpr Time kMachine = 2 * kSecond;  // for one that is busy with other tests
 
@@ -46,7 +46,7 @@
   for (int round = 0; round < 4; ++round) {
     const auto old = leader();
     ASSERT_LT(old, 5u);
-    const auto nonce = r->put(4, "/control/versions", agree::encode({{"servers", servers(lists[round])}}));
+    const auto nonce = r->put(4, "/control/versions", consensus::encode({{"servers", servers(lists[round])}}));
     r->run(round * 15'000);  // offered, agreed, in force: whatever it has come to
     r->kill(old);
     std::string word;
--- a/tests/agree/world.h
+++ b/tests/consensus/world.h
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-#include "agree/agreement.h"
+#include "consensus/consensus_node.h"
 
 namespace world {
 
 using namespace alderspur;
-using namespace alderspur::agree;
+using namespace alderspur::consensus;
 constexpr Time kSecond = 1'000'000, kBound = 2 * kSecond;  // T
 
 struct Way {
@@ -290,7 +290,7 @@
         return Stored{put.number, good};
       });
     }
-    if (auto* w = std::get_if<agree::Write>(&a)) {
+    if (auto* w = std::get_if<consensus::Write>(&a)) {
       ++writes;
       return to_disk(r, 0, [&r, w = std::move(*w)](bool good) -> Event {
         if (good) r.disk.contents[w.digest] = w.bytes;
--- a/tests/membership_test.cpp
+++ b/tests/endpoints_test.cpp
@@ -6,15 +6,15 @@
 #include <limits>
 #include <random>
 
-#include "form/document.h"
-#include "membership/check.h"
-#include "membership/fleet.h"
-#include "membership/list.h"
+#include "toml/document.h"
+#include "endpoints/check.h"
+#include "endpoints/endpoint_set.h"
+#include "endpoints/list.h"
 
 namespace {
 
 using namespace alderspur;
-using namespace alderspur::membership;
+using namespace alderspur::endpoints;
 
 constexpr Time kSecond = 1'000'000, kStart = 1'000'000 * kSecond;
 
@@ -40,7 +40,7 @@
           {"c", "127.0.0.1:3", "in_service", "4.0", "edge-2"},
           {"o", "127.0.0.1:9", "in_service", "10", "hub", "origin"}};
 }
-SnapshotPtr read(const std::string& text, form::Findings& f, const Snapshot* in_force = nullptr) {
+SnapshotPtr read(const std::string& text, diagnostics::Findings& f, const Snapshot* in_force = nullptr) {
   auto r = read_list(text, "servers.toml", kStart, {}, f);
   if (!r.list) return nullptr;
   check_alone(*r.list, f);
@@ -48,9 +48,9 @@
   return f.good() ? r.list : nullptr;
 }
 SnapshotPtr good(const std::string& text) {
-  form::Findings f;
+  diagnostics::Findings f;
   auto list = read(text, f);
-  for (const auto& x : f.list()) ADD_FAILURE() << form::to_string(x);
+  for (const auto& x : f.list()) ADD_FAILURE() << diagnostics::to_string(x);
   return list;
 }
 std::string replaced(std::string text, const std::string& what, const std::string& with) {
@@ -110,18 +110,18 @@
       {"bad digest", "digest = \"xxh3:0123456789abcdef\"\n" + fine, "L006", 1, "seal"},
   };
   for (const auto& c : cases) {
-    form::Findings f;
+    diagnostics::Findings f;
     EXPECT_EQ(read(c.text, f, in_force.get()), nullptr) << c.name;
     ASSERT_FALSE(f.list().empty()) << c.name;
     const auto of_code =
         std::find_if(f.list().begin(), f.list().end(), [&](auto& x) { return x.code == c.code; });
-    ASSERT_NE(of_code, f.list().end()) << c.name << ": " << form::to_string(f.list()[0]);
+    ASSERT_NE(of_code, f.list().end()) << c.name << ": " << diagnostics::to_string(f.list()[0]);
     const auto& first = *of_code;
-    EXPECT_EQ(first.place.line, c.line) << c.name << ": " << form::to_string(first);
-    EXPECT_NE(form::to_string(first).find(c.says), std::string::npos) << form::to_string(first);
+    EXPECT_EQ(first.place.line, c.line) << c.name << ": " << diagnostics::to_string(first);
+    EXPECT_NE(diagnostics::to_string(first).find(c.says), std::string::npos) << diagnostics::to_string(first);
     EXPECT_EQ(first.place.file, "servers.toml") << c.name;
   }
-  form::Findings f;
+  diagnostics::Findings f;
   EXPECT_TRUE(read(fine, f, in_force.get())) << "the same again is no change";
   EXPECT_TRUE(read(six(half, "confirm = 6\n"), f, in_force.get())) << "confirmed";
   EXPECT_TRUE(read(with_digest(fine), f, in_force.get()));
@@ -134,12 +134,12 @@
   const std::string fine = text_of(5, usual());
   const auto whole = good(fine);
   for (std::size_t n = 0; n < fine.size(); ++n) {
-    form::Findings f;
+    diagnostics::Findings f;
     const auto cut = read(fine.substr(0, n), f);
     EXPECT_FALSE(cut) << "cut at byte " << n;
   }
   // With comments and empty lines behind the last server, cutting those is harmless.
-  form::Findings f;
+  diagnostics::Findings f;
   const auto cut = read(fine + "# that was all\n", f);
   ASSERT_TRUE(cut);
   EXPECT_EQ(cut->digest, whole->digest);
@@ -157,7 +157,7 @@
   twice = replaced(twice, "\"n299\"", "\"n7\"");
   wrong = replaced(wrong, "\"127.2.0.2:90\"", "\"nowhere\"");
   for (const auto& text : {fine, with_point_last, twice, wrong, fine.substr(0, fine.size() - 7)}) {
-    form::Findings one, four;
+    diagnostics::Findings one, four;
     Limits limits;
     const auto a = read_list(text, "s", kStart, limits, one);
     limits.part_bytes = 2000, limits.threads = 4;
@@ -167,7 +167,7 @@
     if (a.list) { EXPECT_EQ(a.list->digest, b.list->digest); }
     ASSERT_EQ(one.list().size(), four.list().size());
     for (std::size_t i = 0; i < one.list().size(); ++i)
-      EXPECT_EQ(form::to_string(one.list()[i]), form::to_string(four.list()[i]));
+      EXPECT_EQ(diagnostics::to_string(one.list()[i]), diagnostics::to_string(four.list()[i]));
     if (a.list) { EXPECT_EQ(a.list->servers[100].line, b.list->servers[100].line); }
   }
 }
@@ -184,7 +184,7 @@
   for (std::size_t i = 0; i < 2; ++i)
     head += "[[piece]]\nfile = \"p" + std::to_string(i) + ".toml\"\ndigest = \"" +
             digest_text(digest_of(texts[i])) + "\"\n";
-  form::Findings f;
+  diagnostics::Findings f;
   const auto manifest = read_list(head, "manifest.toml", kStart, {}, f);
   ASSERT_TRUE(manifest.list);
   const auto list = read_pieces(manifest, texts, {}, f);
@@ -195,12 +195,12 @@
 
   auto spoilt = texts;
   spoilt[1].pop_back();
-  form::Findings g;
+  diagnostics::Findings g;
   EXPECT_FALSE(read_pieces(manifest, spoilt, {}, g));
   EXPECT_EQ(g.list()[0].code, "L006");
   EXPECT_EQ(g.list()[0].place.line, 15u) << "the manifest's line";
   for (const std::string bad : {"../p0.toml", "/etc/passwd", ".hidden", "a/b"}) {
-    form::Findings h;
+    diagnostics::Findings h;
     EXPECT_FALSE(read_list(replaced(head, "p0.toml", bad), "m", kStart, {}, h).list) << bad;
     EXPECT_EQ(h.list()[0].code, "L012");
   }
@@ -292,11 +292,11 @@
 struct Fed {
   explicit Fed(FleetSettings s = {}) : fleet(s) {}
   SnapshotPtr list(const std::vector<Spec>& servers, Time now) {
-    form::Findings f;
+    diagnostics::Findings f;
     ++generation;
     auto next = read_list(text_of(generation, servers, "confirm = " + std::to_string(generation) + "\n"),
                           "servers.toml", now, {}, f);
-    EXPECT_TRUE(next.list) << (f.list().empty() ? "" : form::to_string(f.list()[0]));
+    EXPECT_TRUE(next.list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
     Offer o{next.list, fleet.in_force(), difference(fleet.in_force().get(), *next.list), {}, {}};
     zones_of(*next.list, {"hub", "edge-1", "edge-2"}, o.point_zones, o.hub_zones, f);
     EXPECT_TRUE(fleet.files(o, now));
@@ -513,32 +513,32 @@
           text.resize(at);
       }
     }
-    form::Findings f;
+    diagnostics::Findings f;
     const auto list = read(text, f, in_force.get());
     if (!list) {
       RC_ASSERT(!f.good());
       continue;
     }
-    form::Findings again;
+    diagnostics::Findings again;
     check_alone(*list, again);
     check_change(in_force.get(), *list, {}, again);
     RC_ASSERT(again.good());
     RC_ASSERT(list->generation > 5 || list->digest == in_force->digest);
-    form::Findings g;
+    diagnostics::Findings g;
     const auto twice = read(text, g, list.get());
     RC_ASSERT(twice && twice->digest == list->digest && difference(list.get(), *twice).empty());
   }
 }
 
 TEST(Form, QuantitiesNeedTheirUnits) {
-  EXPECT_EQ(form::parse_duration("250 ms"), 250'000);
-  EXPECT_EQ(form::parse_duration("2.5s"), 2'500'000);
-  EXPECT_EQ(form::parse_size("64 MB"), 64e6);
-  EXPECT_EQ(form::parse_size("1 KiB"), 1024);
+  EXPECT_EQ(toml::parse_duration("250 ms"), 250'000);
+  EXPECT_EQ(toml::parse_duration("2.5s"), 2'500'000);
+  EXPECT_EQ(toml::parse_size("64 MB"), 64e6);
+  EXPECT_EQ(toml::parse_size("1 KiB"), 1024);
   for (const char* bad : {"250", "", "ms", "1 S", "-1 s", "1e3 s", "1 s s", "1.2.3 s"})
-    EXPECT_FALSE(form::parse_duration(bad)) << bad;
-  EXPECT_EQ(form::nearest("wieght", {"weight", "state"}), "weight");
-  EXPECT_EQ(form::nearest("quite another", {"weight", "state"}), "");
+    EXPECT_FALSE(toml::parse_duration(bad)) << bad;
+  EXPECT_EQ(diagnostics::nearest("wieght", {"weight", "state"}), "weight");
+  EXPECT_EQ(diagnostics::nearest("quite another", {"weight", "state"}), "");
 }
 
 }  // namespace
--- a/tests/mangled_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -10,9 +10,9 @@
 #include "config/config.h"
 #include "http/message.h"
 #include "loopback.h"
-#include "platform/lines.h"
-#include "platform/rpc.h"
-#include "signed/token.h"
+#include "platform/cache_protocol.h"
+#include "platform/rpc_codec.h"
+#include "signed_url/token.h"
 #include "xds/eds.h"
 
 namespace {
@@ -78,17 +78,17 @@
 }
 
 TEST(Mangled, HttpHeadsAndTokens) {
-  const signed_urls::Key key{"k", "a secret of the tests", 0};
+  const signed_url::Key key{"k", "a secret of the tests", 0};
   const std::string text = "/asset/7f3a9c21e0b4d655/0?set=17&nbf=1&exp=99999999999&kid=k";
-  const std::string link = text + "&sig=" + signed_urls::signature(key, text);
-  const signed_urls::Checker checker({key}, 5);
-  signed_urls::Claims claims;
-  ASSERT_EQ(checker.check("/asset/7f3a9c21e0b4d655/0", link, 100, claims), signed_urls::Check::good);
+  const std::string link = text + "&sig=" + signed_url::signature(key, text);
+  const signed_url::Checker checker({key}, 5);
+  signed_url::Claims claims;
+  ASSERT_EQ(checker.check("/asset/7f3a9c21e0b4d655/0", link, 100, claims), signed_url::Check::good);
   mangle(link, [&](std::string_view bytes) {
     if (bytes == link) return;
-    EXPECT_NE(checker.check("/asset/7f3a9c21e0b4d655/0", bytes, 100, claims), signed_urls::Check::good)
+    EXPECT_NE(checker.check("/asset/7f3a9c21e0b4d655/0", bytes, 100, claims), signed_url::Check::good)
         << bytes;
-    signed_urls::from_base64url(bytes);
+    signed_url::from_base64url(bytes);
   });
   mangle("GET " + link + " HTTP/1.1\r\nHost: x\r\nCookie: a=b; alderspur=c\r\nIf-None-Match: \"t\"\r\n\r\n",
          [](std::string_view bytes) {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -19,10 +19,10 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/loop.h"
-#include "platform/board.h"
-#include "platform/caches.h"
+#include "platform/discovery_client.h"
+#include "platform/upstream_pool.h"
 #include "platform/rpc_front.h"
-#include "signed/http_front.h"
+#include "signed_url/http_front.h"
 
 namespace loopback {
 
@@ -264,7 +264,7 @@
     engine->run();
     front = std::make_unique<platform::RpcFront>(loop, deadlines, *engine, *net::parse_address("127.0.0.1:0"),
                                                  config);
-    http = std::make_unique<signed_urls::HttpFront>(loop, deadlines, *engine, config, links,
+    http = std::make_unique<signed_url::HttpFront>(loop, deadlines, *engine, config, links,
                                                     [this] { return net::unix_now() + skew * 1'000'000; });
     loop.on_turn([this] {
       deadlines.sweep(engine->now());
@@ -324,7 +324,7 @@
   std::unique_ptr<platform::DirectPool> pool;
   std::unique_ptr<platform::Board> board;
   std::unique_ptr<platform::RpcFront> front;
-  std::unique_ptr<signed_urls::HttpFront> http;
+  std::unique_ptr<signed_url::HttpFront> http;
   std::vector<Socket*> watched;
 };
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -5,8 +5,8 @@
 #include <sstream>
 
 #include "loopback.h"
-#include "platform/lines.h"
-#include "platform/rpc.h"
+#include "platform/cache_protocol.h"
+#include "platform/rpc_codec.h"
 
 namespace {
 
--- a/tests/process.h
+++ b/tests/process.h
@@ -34,7 +34,7 @@
       ::unsetenv("RELAY_OPERATOR");
       if (!shared.empty()) ::setenv("TMPDIR", shared.c_str(), 1);
       if (!operators.empty()) ::setenv("RELAY_OPERATOR", operators.c_str(), 1);
-      ::execl(ALDERSPUR_EDGE_PROGRAM, ALDERSPUR_EDGE_PROGRAM, nullptr);
+      ::execl(ALDERSPUR_EDGE_ROUTER, ALDERSPUR_EDGE_ROUTER, nullptr);
       ::_exit(99);
     }
     ::close(ends[1]);
--- a/tests/replica/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -1,6 +1,6 @@
 // Bans by hand and purge floors that routers keep alike: what merging guarantees, and copies on a simulated
 // network. A check that fails prints its seed, which replays it.
-#include "replica/replica.h"
+#include "replication/replica.h"
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 namespace {
 
 using namespace alderspur;
-using namespace alderspur::replica;
+using namespace alderspur::replication;
 constexpr Time kSecond = 1'000'000;
 
 std::size_t more() {  // ALDERSPUR_EXPLORE widens
--- a/tests/replica/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -1,6 +1,6 @@
 // Bans by hand kept alike by several processes of the program, with faults between them, judged by what the
 // stand-in boxes receive and by each process's own view.
-#include "agree/fleet.h"
+#include "consensus/fleet.h"
 
 namespace {
 
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -7,8 +7,8 @@
 #include <fstream>
 
 #include "loopback.h"
-#include "signed/http_front.h"
-#include "signed/token.h"
+#include "signed_url/http_front.h"
+#include "signed_url/token.h"
 
 namespace {
 
@@ -58,7 +58,7 @@
     log = std::make_unique<log::Log>(log::Settings{}, [this](const std::string& l) { lines.push_back(l); });
     node = std::make_unique<platform::Node>(std::move(config), [](auto&, auto&) {});
     routes = std::make_unique<app::Routes>(*node, file, *log);
-    front = std::make_unique<signed_urls::HttpFront>(node->loop(), node->deadlines(), node->engine(),
+    front = std::make_unique<signed_url::HttpFront>(node->loop(), node->deadlines(), node->engine(),
                                                      node->config(), links, net::unix_now, routes.get());
     node->add({[this] { front->end_turn(); }, {}, {}});
     node->loop().on_turn([this] { node->turn(); });
@@ -76,7 +76,7 @@
   // Asks on a connection of its own.
   loopback::Socket& ask(const std::string& path, bool forged = false, const std::string& headers = "") {
     const auto text = path + "?exp=" + std::to_string(net::unix_now() / 1'000'000 + 60) + "&kid=k";
-    auto sig = signed_urls::signature({"k", "a secret of the tests", 0}, text);
+    auto sig = signed_url::signature({"k", "a secret of the tests", 0}, text);
     if (forged) sig[3] = sig[3] == 'A' ? 'B' : 'A';
     clients.push_back(loopback::dial(front->address()));
     clients.back()->write("GET " + text + "&sig=" + sig + " HTTP/1.1\r\nHost: h.example\r\n" + headers +
@@ -105,7 +105,7 @@
   std::unique_ptr<log::Log> log;
   std::unique_ptr<platform::Node> node;
   std::unique_ptr<app::Routes> routes;
-  std::unique_ptr<signed_urls::HttpFront> front;
+  std::unique_ptr<signed_url::HttpFront> front;
   std::vector<std::unique_ptr<loopback::Socket>> clients;
   std::size_t served = 0;
   const std::string object = "7f3a9c21e0b4d655";
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <random>
 
-#include "lang/parser.h"
-#include "membership/list.h"
+#include "config_language/parser.h"
+#include "endpoints/list.h"
 #include "routing/table.h"
 
 namespace {
@@ -14,7 +14,7 @@
 using namespace alderspur;
 using routing::Question;
 
-class One : public lang::Loader {
+class One : public config_language::Loader {
  public:
   explicit One(std::string text) : text_(std::move(text)) {}
   std::optional<std::string> read(const std::string&, std::string&) override { return text_; }
@@ -25,11 +25,11 @@
 };
 std::unique_ptr<routing::Table> table(const std::string& routes) {
   One loader("class a {\n  repeat = safe\n  deadline = 1 s\n}\n" + routes);
-  form::Findings f;
-  const auto program = lang::load("main.alder", loader, f);
-  const auto meaning = lang::check(program, f);
+  diagnostics::Findings f;
+  const auto program = config_language::load("main.alder", loader, f);
+  const auto meaning = config_language::check(program, f);
   for (const auto& x : f.list())
-    if (x.severity == form::Severity::error) ADD_FAILURE() << program.sources.render(x);
+    if (x.severity == diagnostics::Severity::error) ADD_FAILURE() << program.sources.render(x);
   return std::make_unique<routing::Table>(meaning, program.sources);
 }
 std::string route(const std::string& name, const std::string& path, const std::string& more = "") {
@@ -130,9 +130,9 @@
   server("c", "cache", "e3", "4", "in_service", 2);
   server("m", "parent", "n", "4", "in_service", 0);
   server("other", "parent", "s", "4", "in_service", 0);
-  form::Findings f;
-  const auto list = membership::read_list(text, "l", 0, {}, f).list;
-  ASSERT_TRUE(list) << (f.list().empty() ? "" : form::to_string(f.list()[0]));
+  diagnostics::Findings f;
+  const auto list = endpoints::read_list(text, "l", 0, {}, f).list;
+  ASSERT_TRUE(list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
   const auto ids = [&](std::size_t pool) {
     std::vector<std::string> out;
     for (const auto id : t->servers(t->pools()[pool], *list)) out.push_back(list->find(id)->name);
@@ -165,13 +165,13 @@
     std::size_t i = 0;
     bool rest = false;
     for (const auto& s : r.path) {
-      if (s.kind == lang::Segment::Kind::rest) {
+      if (s.kind == config_language::Segment::Kind::rest) {
         rest = true;
         fits &= i < parts.size();
         rank.push_back(0);
         break;
       }
-      const bool literal = s.kind == lang::Segment::Kind::literal;
+      const bool literal = s.kind == config_language::Segment::Kind::literal;
       fits &= i < parts.size() && (literal ? parts[i] == s.text : !parts[i].empty());
       rank.push_back(literal ? 2 : 1);
       ++i;
@@ -214,9 +214,9 @@
     text += route("r" + std::to_string(i), path(true), more);
   }
   One loader(text);
-  form::Findings f;
-  const auto program = lang::load("main.alder", loader, f);
-  const auto meaning = lang::check(program, f);  // routes that hide others are part of it
+  diagnostics::Findings f;
+  const auto program = config_language::load("main.alder", loader, f);
+  const auto meaning = config_language::check(program, f);  // routes that hide others are part of it
   const routing::Table t(meaning, program.sources);
   for (int i = 0; i < 60; ++i) {
     const auto host = pick({"h.x", "z.y", "g.h.x", "other"}), p = path(false),
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -49,21 +49,21 @@
 }
 
 TEST(Settings, EverySectionIsReadWithItsUnits) {
-  form::Findings f;
+  diagnostics::Findings f;
   auto s = settings::read(kGood, "a.toml", "/etc/a", f);
   settings::resolve(s, with_classes(), f);
-  for (const auto& x : f.list()) ADD_FAILURE() << form::to_string(x);
+  for (const auto& x : f.list()) ADD_FAILURE() << diagnostics::to_string(x);
   EXPECT_EQ(s.config, "/etc/a/config.json");
   EXPECT_EQ(s.membership->list, "/etc/a/servers.toml");
   EXPECT_EQ(s.membership->state, "/var/lib/x") << "absolute";
   EXPECT_EQ(s.membership->settle, 50'000);
   EXPECT_EQ(s.membership->fleet.damping.half_life, 20'000'000);
-  EXPECT_EQ(s.membership->fleet.authority, membership::Authority::both);
+  EXPECT_EQ(s.membership->fleet.authority, endpoints::Authority::both);
   EXPECT_EQ(s.links->skew_s, 2);
   EXPECT_EQ(s.links->routes.at(0).limit, 1'500'000);
   EXPECT_EQ(s.xds->cluster, "boxes");
   EXPECT_EQ(s.log.form, log::Form::json);
-  form::Findings g;
+  diagnostics::Findings g;
   const auto least = settings::read("[router]\nconfig = \"c.json\"\n", "a.toml", "", g);
   EXPECT_TRUE(g.good());
   EXPECT_FALSE(least.membership || least.links || least.xds) << "absent sections are off";
@@ -97,12 +97,12 @@
     const auto at = text.find(c.what);
     ASSERT_NE(at, std::string::npos) << c.what;
     text.replace(at, c.what.size(), c.with);
-    form::Findings f;
+    diagnostics::Findings f;
     auto s = settings::read(text, "a.toml", "", f);
     settings::resolve(s, with_classes(), f);
     const auto it = std::find_if(f.list().begin(), f.list().end(), [&](auto& x) { return x.code == c.code; });
-    ASSERT_NE(it, f.list().end()) << c.with << (f.list().empty() ? "" : form::to_string(f.list()[0]));
-    const auto said = form::to_string(*it);
+    ASSERT_NE(it, f.list().end()) << c.with << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
+    const auto said = diagnostics::to_string(*it);
     EXPECT_NE(said.find(c.says), std::string::npos) << said;
     EXPECT_EQ(it->place.line, c.line) << said;
     EXPECT_EQ(said.find("of some length"), std::string::npos) << "a message holds no secret";
--- a/tests/signed_test.cpp
+++ b/tests/signed_test.cpp
@@ -4,7 +4,7 @@
 
 #include "http/message.h"
 #include "loopback.h"
-#include "signed/token.h"
+#include "signed_url/token.h"
 
 namespace {
 
@@ -17,7 +17,7 @@
   static constexpr const char* kPath = "/asset/7f3a9c21e0b4d655/0";
   std::int64_t now() const { return net::unix_now() / 1'000'000; }
   std::string sign(const std::string& text, std::size_t key = 1) {
-    return text + "&sig=" + signed_urls::signature({links.keys[key].id, links.keys[key].secret, 0}, text);
+    return text + "&sig=" + signed_url::signature({links.keys[key].id, links.keys[key].secret, 0}, text);
   }
   std::string link(std::int64_t exp, std::int64_t nbf = 0, std::size_t key = 1) {
     return sign(std::string(kPath) + "?set=17&ram=80&nbf=" + std::to_string(nbf) +
@@ -84,8 +84,8 @@
   };
   const auto good = token("/asset/7f3a9c21e0b4d655");
   EXPECT_EQ(status(get(std::string(kPath) + "?" + good)), 200);
-  EXPECT_EQ(status(get(kPath, "Authorization: Bearer " + signed_urls::base64url(good) + "\r\n")), 200);
-  EXPECT_EQ(status(get(kPath, "Cookie: a=b; alderspur=" + signed_urls::base64url(good) + "\r\n")), 200);
+  EXPECT_EQ(status(get(kPath, "Authorization: Bearer " + signed_url::base64url(good) + "\r\n")), 200);
+  EXPECT_EQ(status(get(kPath, "Cookie: a=b; alderspur=" + signed_url::base64url(good) + "\r\n")), 200);
   EXPECT_EQ(status(get(kPath, "Cookie: alderspur=nonsense!\r\n")), 403);
   EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/asset/7f3a"))), 403) << "prefixes end at a slash";
   EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/video/"))), 403);
