--- a/tests/codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -1,5 +1,5 @@
 // The wire: hand-made frames both ways.
-#include "simhost/codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <gtest/gtest.h>
 
@@ -30,10 +30,10 @@
   "points":2,"new-key":[1]}],"domain":{"upper-kind":1,"source-kind":2,"merges-fills":true},
   "ceilings":{"max-attempts":3},"unknown":{"x":null}})";
 
-simhost::BatchHeader header(std::uint32_t records, std::size_t length) {
+simulator_adapter::BatchHeader header(std::uint32_t records, std::size_t length) {
   return {static_cast<std::uint32_t>(length), 1000000, records, 5};
 }
-std::string answer(simhost::Host& host, std::uint32_t records, const std::string& body) {
+std::string answer(simulator_adapter::Host& host, std::uint32_t records, const std::string& body) {
   return host.answer(header(records, body.size()), body);
 }
 const std::string kCensus = bytes(
@@ -46,14 +46,14 @@
     bytes("03 03000000 c4913a5dc2bd0b00 00004040 00002044 80a90300 0000 0000 0000 00003041 640ad2557c3bf091");
 
 TEST(Codec, EmptyBatch) {
-  simhost::Host host;
+  simulator_adapter::Host host;
   const auto head = bytes("00000000 5a5c800000000000 00000000 01000000");
-  const auto h = simhost::read_header(head);
+  const auto h = simulator_adapter::read_header(head);
   EXPECT_EQ(h.clock, 8412250u);
   EXPECT_EQ(host.answer(h, ""), bytes("00000000 01000000"));
 }
 TEST(Codec, ADemandBecomesADeliverViaWithTheParentAsSource) {
-  simhost::Host host;
+  simulator_adapter::Host host;
   const auto reply = answer(host, 4, hello(3, kSettings) + kCensus + kMembers + kDemand);
   EXPECT_EQ(reply.substr(4, 4), le<std::uint32_t>(5));
   EXPECT_EQ(reply.size() - 8, static_cast<unsigned char>(reply[0]) + 0u);
@@ -61,38 +61,38 @@
   EXPECT_NE(reply.find(bytes("0a9011f2 b413 01 00000000 01")), std::string::npos);
 }
 TEST(Codec, AKilledInstanceActsNoMore) {
-  simhost::Host host;
+  simulator_adapter::Host host;
   const auto stop = bytes("0a 03000000");
   const auto reply = answer(host, 5, hello(3, kSettings) + kCensus + kMembers + kDemand + stop);
   EXPECT_EQ(reply.size(), 8u);
 }
 TEST(Codec, SettingsAreReadAndDefaulted) {
-  const auto s = simhost::read_settings(kSettings).first;
+  const auto s = simulator_adapter::read_settings(kSettings).first;
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].target, 500000);
   EXPECT_EQ(s.location.value, 1u);
   EXPECT_EQ(s.max_attempts, 3u);
   EXPECT_TRUE(s.can_join_fills);
   EXPECT_FALSE(s.may_probe);
-  EXPECT_THROW(simhost::read_settings("{"), simhost::WireError);
-  EXPECT_THROW(simhost::read_settings("[]"), simhost::WireError);
-  EXPECT_THROW(simhost::read_settings("{\"classes\":3}"), simhost::WireError);
-  EXPECT_NO_THROW(simhost::read_settings(R"({"classes":[{"target":"soon"},7],"ceilings":[],"domain":null})"));
+  EXPECT_THROW(simulator_adapter::read_settings("{"), simulator_adapter::WireError);
+  EXPECT_THROW(simulator_adapter::read_settings("[]"), simulator_adapter::WireError);
+  EXPECT_THROW(simulator_adapter::read_settings("{\"classes\":3}"), simulator_adapter::WireError);
+  EXPECT_NO_THROW(simulator_adapter::read_settings(R"({"classes":[{"target":"soon"},7],"ceilings":[],"domain":null})"));
 }
 TEST(Codec, EveryTruncationIsAPlainError) {
   const std::string body = hello(3, kSettings) + kCensus + kMembers + kDemand;
   for (std::size_t n = 0; n < body.size(); ++n) {
-    simhost::Host host;
-    EXPECT_THROW(answer(host, 4, body.substr(0, n)), simhost::WireError) << n;
+    simulator_adapter::Host host;
+    EXPECT_THROW(answer(host, 4, body.substr(0, n)), simulator_adapter::WireError) << n;
   }
-  simhost::Host host;
-  EXPECT_THROW(answer(host, 4, body + "x"), simhost::WireError);
-  EXPECT_THROW(answer(host, 1, bytes("ff 03000000")), simhost::WireError);
-  EXPECT_THROW(answer(host, 1, bytes("02 03000000 02 29000000 07000000")), simhost::WireError);
+  simulator_adapter::Host host;
+  EXPECT_THROW(answer(host, 4, body + "x"), simulator_adapter::WireError);
+  EXPECT_THROW(answer(host, 1, bytes("ff 03000000")), simulator_adapter::WireError);
+  EXPECT_THROW(answer(host, 1, bytes("02 03000000 02 29000000 07000000")), simulator_adapter::WireError);
 }
 TEST(Codec, AHugeListLengthEndsPlainly) {
-  simhost::Host host;
-  EXPECT_THROW(answer(host, 1, bytes("0c 00000000 ffffffff")), simhost::WireError);
+  simulator_adapter::Host host;
+  EXPECT_THROW(answer(host, 1, bytes("0c 00000000 ffffffff")), simulator_adapter::WireError);
 }
 
 }  // namespace
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "store/membership_state.h"
+#include "store/endpoint_state.h"
 
 namespace {
 
@@ -23,22 +23,22 @@
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
   static store::MembershipState state(std::uint64_t generation, std::size_t servers) {
-    auto list = std::make_shared<membership::Snapshot>();
+    auto list = std::make_shared<endpoints::Snapshot>();
     list->generation = generation;
     list->source = "servers.toml";
     list->taken = 17;
     list->hubs = {"north"};
     list->points = {{"edge-1", 0}};
     for (std::size_t i = 0; i < servers; ++i) {
-      membership::Listed s;
+      endpoints::Listed s;
       s.name = "s-" + std::to_string(i);
-      s.id = membership::server_id(s.name);
+      s.id = endpoints::server_id(s.name);
       s.address = "127.0.0.1:" + std::to_string(1 + i % 60000);
       s.weight = 1 + static_cast<double>(i % 7);
       list->servers.push_back(s);
     }
     list->seal();
-    return {list, {{membership::server_id("s-1"), 5, 2.5, 900, 6, true}}, 99};
+    return {list, {{endpoints::server_id("s-1"), 5, 2.5, 900, 6, true}}, 99};
   }
   static std::string bytes(const std::string& of) {
     std::ifstream in(of, std::ios::binary);
@@ -61,7 +61,7 @@
   ASSERT_EQ(back.state->remembered.size(), 1u);
   EXPECT_EQ(back.state->remembered[0].born, 5);
   EXPECT_TRUE(back.state->remembered[0].held);
-  EXPECT_TRUE(membership::difference(saved.list.get(), *back.state->list).empty());
+  EXPECT_TRUE(endpoints::difference(saved.list.get(), *back.state->list).empty());
 }
 
 // Kill -9 at each step of the write: the old content is there or the new one, and the next write goes well.
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -11,10 +11,10 @@
 #include <sstream>
 #include <thread>
 
-#include "app/keeper.h"
+#include "app/endpoint_controller.h"
 #include "loopback.h"
-#include "membership/list.h"
-#include "store/membership_state.h"
+#include "endpoints/list.h"
+#include "store/endpoint_state.h"
 
 namespace {
 
@@ -351,7 +351,7 @@
     t.replace(t.find("servers = 1"), 11, "servers = " + std::to_string(n));
     for (std::size_t i = 0; i < texts.size(); ++i)
       t += "[[piece]]\nfile = \"p" + std::to_string(i) + ".toml\"\ndigest = \"" +
-           membership::digest_text(membership::digest_of(texts[i])) + "\"\n";
+           endpoints::digest_text(endpoints::digest_of(texts[i])) + "\"\n";
     return t;
   };
   const auto put = [&](const std::string& name, const std::string& text) {
@@ -430,7 +430,7 @@
   };
   notices = R"({"rev":1,"pool":{"complete":true,"members":[)" + member("a", box[0], "edge", "small") + "," +
             member("b", box[1], "edge", "small") + "," + member("o", origin, "hub", "origin") + "]}}";
-  settings.fleet.authority = membership::Authority::both;
+  settings.fleet.authority = endpoints::Authority::both;
   rename_in(list(1, {{"a", &box[0]}, {"b", &box[1]}, {"x", &stranger}}));
   start();
   ASSERT_TRUE(until([&] { return box[0].count("fetch") > 3 && box[1].count("fetch") > 3; }));
