--- a/bench/cluster/membership_sim.cpp
+++ b/bench/cluster/membership_sim.cpp
@@ -1,6 +1,7 @@
-// Figures of the membership on a simulated network: times to form, to know of a death and to heal, false
-// failures under loss, and the load of a member by the number of members. CPU and memory are of the whole
-// simulation, by member: more than a member's own. Usage: membership_sim MEMBERS [SECONDS OF LOSS [PERCENT]]
+// Figures of the membership on a simulated network: times to form, to know of a death and to heal,
+// false failures under loss, and the load of a member by the number of members. CPU and memory are
+// of the whole simulation, by member: more than a member's own. Usage: membership_sim MEMBERS
+// [SECONDS OF LOSS [PERCENT]]
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -25,13 +26,15 @@
 double part(std::vector<double> v, double p) {
   std::sort(v.begin(), v.end());
   return v.empty() ? 0
-                   : v[std::min(v.size() - 1, static_cast<std::size_t>(p * static_cast<double>(v.size())))];
+                   : v[std::min(v.size() - 1,
+                                static_cast<std::size_t>(p * static_cast<double>(v.size())))];
 }
 
 double cpu() {  // seconds of this process
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
-  return static_cast<double>(used.ru_utime.tv_sec) + static_cast<double>(used.ru_utime.tv_usec) / 1e6;
+  return static_cast<double>(used.ru_utime.tv_sec) +
+         static_cast<double>(used.ru_utime.tv_usec) / 1e6;
 }
 std::size_t peak_kb() {
   rusage used{};
@@ -66,7 +69,9 @@
       net.run(3 * kSecond);
     }
     const std::size_t half = n / 2;
-    const auto low = [&](const std::string& a) { return std::atoi(a.c_str() + 4) < static_cast<int>(half); };
+    const auto low = [&](const std::string& a) {
+      return std::atoi(a.c_str() + 4) < static_cast<int>(half);
+    };
     net.lost = [&](auto& a, auto& b) { return low(a) != low(b); };
     net.run(15 * kSecond);
     net.lost = [](auto&, auto&) { return false; };
@@ -75,7 +80,8 @@
     healed.push_back(seconds(net.now - end_of_cut));
   }
   std::printf(
-      "%zu members: formed p50 %.1f max %.1f s; death known by the first p50 %.1f p99 %.1f max %.1f s, by "
+      "%zu members: formed p50 %.1f max %.1f s; death known by the first p50 %.1f p99 %.1f max "
+      "%.1f s, by "
       "all "
       "p50 %.1f p99 %.1f max %.1f s; healed after halves p50 %.1f max %.1f s\n",
       n, part(formed, 0.5), part(formed, 1), part(first, 0.5), part(first, 0.99), part(first, 1),
@@ -99,17 +105,20 @@
     for (auto& [a, node] : net.nodes) sum += node.member->counts().*what;
     return sum;
   };
-  const auto suspected = counted(&cluster::Counts::suspicions), failed = counted(&cluster::Counts::failures);
+  const auto suspected = counted(&cluster::Counts::suspicions),
+             failed = counted(&cluster::Counts::failures);
   const double before = cpu();
   net.run(time);
   const double spent = cpu() - before;
   const double member_seconds = seconds(time) * static_cast<double>(n);
   std::printf(
-      "%zu members, %u%% lost, %.0f s: failures %llu, suspicions %.2f a member and hour; a member and second "
+      "%zu members, %u%% lost, %.0f s: failures %llu, suspicions %.2f a member and hour; a member "
+      "and second "
       "%.1f datagrams, %.0f bytes, %.0f us of CPU; %.0f KB a member\n",
       n, percent, seconds(time),
       static_cast<unsigned long long>(counted(&cluster::Counts::failures) - failed),
-      static_cast<double>(counted(&cluster::Counts::suspicions) - suspected) / member_seconds * 3600,
+      static_cast<double>(counted(&cluster::Counts::suspicions) - suspected) / member_seconds *
+          3600,
       static_cast<double>(datagrams) / member_seconds, static_cast<double>(bytes) / member_seconds,
       spent / member_seconds * 1e6, static_cast<double>(peak_kb()) / static_cast<double>(n));
 }
--- a/bench/cluster/processes.cpp
+++ b/bench/cluster/processes.cpp
@@ -1,6 +1,6 @@
-// Figures of the membership between processes of the program, each link through a gate of the rig: times to
-// form, to know of a death and to heal, and what a member sends, computes and holds at rest. Times are to
-// 0.1 s, as views are asked. Usage: cluster_processes PROCESSES...
+// Figures of the membership between processes of the program, each link through a gate of the rig:
+// times to form, to know of a death and to heal, and what a member sends, computes and holds at
+// rest. Times are to 0.1 s, as views are asked. Usage: cluster_processes PROCESSES...
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -36,7 +36,8 @@
 double part(std::vector<double> v, double p) {
   std::sort(v.begin(), v.end());
   return v.empty() ? -1
-                   : v[std::min(v.size() - 1, static_cast<std::size_t>(p * static_cast<double>(v.size())))];
+                   : v[std::min(v.size() - 1,
+                                static_cast<std::size_t>(p * static_cast<double>(v.size())))];
 }
 
 void deaths(Rig& r, std::size_t n) {
@@ -84,7 +85,8 @@
   const auto b = sum();
   const double each = seconds(net::unix_now() - from) * static_cast<double>(n);
   std::printf(
-      "  a member and second at rest: %.1f datagrams, %.0f bytes, %.2f ms of CPU; resident at most %.1f MB\n",
+      "  a member and second at rest: %.1f datagrams, %.0f bytes, %.2f ms of CPU; resident at most "
+      "%.1f MB\n",
       (b.datagrams - a.datagrams) / each, (b.bytes - a.bytes) / each, (b.cpu - a.cpu) / each * 1e3,
       static_cast<double>(b.kb) / 1024);
 }
--- a/bench/config_language_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -1,5 +1,6 @@
-// The configuration language by number of routes: loading with checks, formatting, compiling, matching, and
-// what a limit costs a request. Run by bench/run.sh; figures stand in docs/measured.md.
+// The configuration language by number of routes: loading with checks, formatting, compiling,
+// matching, and what a limit costs a request. Run by bench/run.sh; figures stand in
+// docs/measured.md.
 #include <benchmark/benchmark.h>
 
 #include <map>
@@ -34,10 +35,11 @@
 Memory program(std::size_t routes) {
   Memory m;
   m.files["main.alder"] =
-      "include \"r/*\"\nclass a {\n  repeat = safe\n  deadline = 1 s\n}\npool p {\n  role = cache\n}\n";
+      "include \"r/*\"\nclass a {\n  repeat = safe\n  deadline = 1 s\n}\npool p {\n  role = "
+      "cache\n}\n";
   for (std::size_t i = 0; i < routes; ++i)
-    m.files["r/" + std::to_string(i / 5000)] += "route r" + std::to_string(i) + " {\n  path = \"/s" +
-                                                std::to_string(i) +
+    m.files["r/" + std::to_string(i / 5000)] += "route r" + std::to_string(i) +
+                                                " {\n  path = \"/s" + std::to_string(i) +
                                                 "/{object}/{part}\"\n  class = a\n  pool = p\n}\n";
   return m;
 }
@@ -57,7 +59,8 @@
     for (const auto& [path, text] : m.files) {
       diagnostics::Findings f;
       config_language::Sources sources;
-      benchmark::DoNotOptimize(config_language::format(config_language::parse(sources, sources.add(path, text), f)));
+      benchmark::DoNotOptimize(
+          config_language::format(config_language::parse(sources, sources.add(path, text), f)));
     }
 }
 void Compile(benchmark::State& state) {
@@ -65,7 +68,8 @@
   diagnostics::Findings f;
   const auto p = config_language::load("main.alder", m, f);
   const auto meaning = config_language::check(p, f);
-  for (auto _ : state) benchmark::DoNotOptimize(std::make_unique<routing::Table>(meaning, p.sources));
+  for (auto _ : state)
+    benchmark::DoNotOptimize(std::make_unique<routing::Table>(meaning, p.sources));
 }
 void Differ(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
--- a/bench/consensus/consensus_sim.cpp
+++ b/bench/consensus/consensus_sim.cpp
@@ -1,6 +1,6 @@
-// Times of a version from proposal to everywhere, on the simulated network of the tests: 1 to 3 ms a way, a
-// store of 0.5 ms, clocks up to 1% apart. One line a size: plain, with one router stopped, with the leader
-// lost.
+// Times of a version from proposal to everywhere, on the simulated network of the tests: 1 to 3 ms
+// a way, a store of 0.5 ms, clocks up to 1% apart. One line a size: plain, with one router stopped,
+// with the leader lost.
 //   agreement_sim [ROUTERS...]
 #include <algorithm>
 #include <cstdio>
@@ -49,9 +49,11 @@
     if (!w.broken.empty()) std::printf("BROKEN %s\n", w.broken.c_str());
   }
   std::printf(
-      "%4zu routers: in force p50 %.0f p99 %.0f ms, everywhere p50 %.0f p99 %.0f max %.0f ms; one stopped "
+      "%4zu routers: in force p50 %.0f p99 %.0f ms, everywhere p50 %.0f p99 %.0f max %.0f ms; one "
+      "stopped "
       "%.0f to %.0f ms; "
-      "leader lost %.0f to %.0f ms; longest contradiction %lld ms; at rest %.1f frames %.0f bytes a router "
+      "leader lost %.0f to %.0f ms; longest contradiction %lld ms; at rest %.1f frames %.0f bytes "
+      "a router "
       "and s, %.1f stores a s\n",
       n, force.ms(0.5), force.ms(0.99), everywhere.ms(0.5), everywhere.ms(0.99), everywhere.ms(1),
       stopped.ms(0), stopped.ms(1), lost.ms(0), lost.ms(1), static_cast<long long>(longest / 1000),
--- a/bench/consensus/processes.cpp
+++ b/bench/consensus/processes.cpp
@@ -1,8 +1,9 @@
-// Figures of agreed versions between processes of the program: from proposal to in force and to everywhere,
-// with one router stopped, with the leader killed; requests served while nobody leads; requests' times while
-// versions change; versions a second; a router that comes back after many; what a box that has just started
-// gets over its budget, and a parent, with leased parts and with told numbers. Usage: agree_processes
-// PROCESSES [VERSIONS A ROUTER IS AWAY FOR | leased | told | leased-parent | told-parent]
+// Figures of agreed versions between processes of the program: from proposal to in force and to
+// everywhere, with one router stopped, with the leader killed; requests served while nobody leads;
+// requests' times while versions change; versions a second; a router that comes back after many;
+// what a box that has just started gets over its budget, and a parent, with leased parts and with
+// told numbers. Usage: agree_processes PROCESSES [VERSIONS A ROUTER IS AWAY FOR | leased | told |
+// leased-parent | told-parent]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -51,7 +52,8 @@
         force.all.push_back(t), everywhere.all.push_back(all);
     }
     std::printf(
-        "%zu processes: in force p50 %.0f p99 %.0f max %.0f ms, everywhere p50 %.0f p99 %.0f max %.0f ms\n",
+        "%zu processes: in force p50 %.0f p99 %.0f max %.0f ms, everywhere p50 %.0f p99 %.0f max "
+        "%.0f ms\n",
         n_, force.ms(0.5), force.ms(0.99), force.ms(1), everywhere.ms(0.5), everywhere.ms(0.99),
         everywhere.ms(1));
     const Time from = net::unix_now();
@@ -70,8 +72,8 @@
     for (const Time end = net::unix_now() + 8 * kSecond; net::unix_now() < end;)
       change(n_ - 1), r->run(300'000);
     on_answer = {};
-    std::printf("  requests: p99 %.2f ms at rest (%zu), %.2f ms while versions change (%zu)\n", rest.ms(0.99),
-                rest.all.size(), changing.ms(0.99), changing.all.size());
+    std::printf("  requests: p99 %.2f ms at rest (%zu), %.2f ms while versions change (%zu)\n",
+                rest.ms(0.99), rest.all.size(), changing.ms(0.99), changing.all.size());
   }
   void faults() {
     const auto still = n_ > 3 ? n_ - 2 : (leader() + 1) % 3;
@@ -103,8 +105,10 @@
   // All routers take three times as much as the last half of them; then all but three are killed.
   bool cold(bool told, bool parent) {
     constexpr double kFrom = 0.2, kSpan = 60, kUsed = 0.75, kSending = 90.0 / 9000;
-    obligations_ = R"("weights":"nominal","obligations":{"cold-from":0.2,"cold":60000000,"fall":1000000},)";
-    if (parent) domain_ = R"("upper-kind":1,"source-kind":2,"upper-cold-from":0.2,"upper-cold":60000000,)";
+    obligations_ =
+        R"("weights":"nominal","obligations":{"cold-from":0.2,"cold":60000000,"fall":1000000},)";
+    if (parent)
+      domain_ = R"("upper-kind":1,"source-kind":2,"upper-cold-from":0.2,"upper-cold":60000000,)";
     first_ = parent ? "abcp" : "ab", weight_ = 1, alone_ = told;
     const std::string then = parent ? "abcpq" : "abc";
     if (!Fleet::begin(n_, {0, 1, 2})) return false;
@@ -113,7 +117,8 @@
     r->run(4 * kSecond);
     if (told)
       for (const auto i : r->all()) r->write_list(i, servers(then, 2));
-    else change(n_ - 1, then);
+    else
+      change(n_ - 1, then);
     const Time born = net::unix_now();
     r->run(kSecond);
     const auto counted = [&] { return parent ? filled_by_q_ : got_[2]; };
@@ -131,11 +136,12 @@
     std::vector<double> after;
     for (int i = 0; i < 5; ++i) after.push_back(used(2 * kSecond));
     std::printf(
-        "%zu processes, %s: of its budget a cold %s gets %.2f; with all but three lost %.2f %.2f %.2f %.2f "
+        "%zu processes, %s: of its budget a cold %s gets %.2f; with all but three lost %.2f %.2f "
+        "%.2f %.2f "
         "%.2f in "
         "steps of 2 s\n",
-        n_, told ? "told numbers" : "leased parts", parent ? "parent" : "box", whole, after[0], after[1],
-        after[2], after[3], after[4]);
+        n_, told ? "told numbers" : "leased parts", parent ? "parent" : "box", whole, after[0],
+        after[1], after[2], after[3], after[4]);
     return true;
   }
   void away(int versions) {
@@ -149,8 +155,10 @@
     const Time up = net::unix_now();
     r->until([&] { return all_act(last_, {out}); });
     std::printf(
-        "  away for %d versions: acts on the newest %.0f ms after its start (it answers after %.0f)\n", made,
-        static_cast<double>(net::unix_now() - from) / 1000, static_cast<double>(up - from) / 1000);
+        "  away for %d versions: acts on the newest %.0f ms after its start (it answers after "
+        "%.0f)\n",
+        made, static_cast<double>(net::unix_now() - from) / 1000,
+        static_cast<double>(up - from) / 1000);
   }
 
  private:
--- a/bench/consensus/times.h
+++ b/bench/consensus/times.h
@@ -11,8 +11,8 @@
   double ms(double q) {  // -1: none
     if (all.empty()) return -1;
     std::sort(all.begin(), all.end());
-    return static_cast<double>(
-               all[std::min(all.size() - 1, static_cast<std::size_t>(q * static_cast<double>(all.size())))]) /
+    return static_cast<double>(all[std::min(
+               all.size() - 1, static_cast<std::size_t>(q * static_cast<double>(all.size())))]) /
            1000;
   }
 };
--- a/bench/endpoints_bench.cpp
+++ b/bench/endpoints_bench.cpp
@@ -1,5 +1,5 @@
-// Lists of servers by size: reading, checking, difference, saving. Time by Google Benchmark, memory by
-// counting what is allocated. Run by bench/run.sh; figures stand in docs/measured.md.
+// Lists of servers by size: reading, checking, difference, saving. Time by Google Benchmark, memory
+// by counting what is allocated. Run by bench/run.sh; figures stand in docs/measured.md.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -98,13 +98,15 @@
   state.SetComplexityN(state.range(0));
 }
 void Encode(benchmark::State& state) {
-  const store::MembershipState s{list_of(text_of(static_cast<std::size_t>(state.range(0)), 1, 0)), {}, 1};
+  const store::MembershipState s{
+      list_of(text_of(static_cast<std::size_t>(state.range(0)), 1, 0)), {}, 1};
   std::size_t size = 0;
   for (auto _ : state) size = store::encode(s).size();
   state.counters["file_MB"] = static_cast<double>(size) / 1e6;
 }
 void Decode(benchmark::State& state) {
-  const auto bytes = store::encode({list_of(text_of(static_cast<std::size_t>(state.range(0)), 1, 0)), {}, 1});
+  const auto bytes =
+      store::encode({list_of(text_of(static_cast<std::size_t>(state.range(0)), 1, 0)), {}, 1});
   for (auto _ : state) {
     std::string error;
     if (!store::decode(bytes, error)) state.SkipWithError(error.c_str());
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,11 +1,12 @@
 // Measures `alderspur run` as a process, with stand-in boxes and clients of this process:
 //
 //   load PROGRAM changes [N]       from rename to in force and to the first request by the new list
-//   load PROGRAM reload [SECONDS]  request latency while 20,000 servers are reloaded every second, and
-//   without load PROGRAM idle              CPU a request with 0 and 10,000 idle connections, and with 5,000
-//   servers
+//   load PROGRAM reload [SECONDS]  request latency while 20,000 servers are reloaded every second,
+//   and without load PROGRAM idle              CPU a request with 0 and 10,000 idle connections,
+//   and with 5,000 servers
 //
-// One JSON line a figure. Everything on loopback; stops by itself. docs/measured.md has the figures.
+// One JSON line a figure. Everything on loopback; stops by itself. docs/measured.md has the
+// figures.
 #include <sys/resource.h>
 #include <sys/wait.h>
 
@@ -51,7 +52,8 @@
     std::ofstream(folder_ + "/alderspur.toml")
         << "[router]\nconfig = \"config.json\"\n[membership]\nauthority = \"files\"\nlist = "
            "\"servers.toml\"\n"
-           "state = \"state\"\nmost_out = 1.0\n[membership.damping]\non = false\n[signed]\nlisten = "
+           "state = \"state\"\nmost_out = 1.0\n[membership.damping]\non = false\n[signed]\nlisten "
+           "= "
            "\"127.0.0.1:0\"\n"
            "[[signed.key]]\nid = \"k\"\nsecret = \""
         << kSecret << "\"\n[[signed.route]]\nprefix = \"/asset/\"\nclass = \"asset\"\n";
@@ -73,8 +75,8 @@
     t << "format = 1\ngeneration = " << generation << "\nservers = " << near.size() + far + 1
       << "\n[[hub]]\nname = \"hub\"\n[[point]]\nname = \"edge\"\nhub = \"hub\"\n";
     if (far) t << "[[point]]\nname = \"far\"\nhub = \"hub\"\n";
-    const auto server = [&](const std::string& id, const char* role, const char* place, const std::string& at,
-                            const char* weight) {
+    const auto server = [&](const std::string& id, const char* role, const char* place,
+                            const std::string& at, const char* weight) {
       t << "[[server]]\nid = \"" << id << "\"\nrole = \"" << role << "\"\n"
         << place << "\naddress = \"" << at << "\"\nweight = " << weight
         << "\nstate = \"in_service\"\ncell = 0\n";
@@ -132,7 +134,8 @@
   // Microseconds of CPU that the program has used, all threads.
   double cpu_us() const {
     double sum = 0;
-    for (const auto& t : std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/task")) {
+    for (const auto& t :
+         std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/task")) {
       std::ifstream in(t.path() / "schedstat");
       double ns = 0;
       in >> ns;
@@ -142,7 +145,8 @@
   }
   // Of the loop's thread alone.
   double loop_cpu_us() const {
-    std::ifstream in("/proc/" + std::to_string(pid_) + "/task/" + std::to_string(pid_) + "/schedstat");
+    std::ifstream in("/proc/" + std::to_string(pid_) + "/task/" + std::to_string(pid_) +
+                     "/schedstat");
     double ns = 0;
     in >> ns;
     return ns / 1000;
@@ -193,8 +197,10 @@
     }
     if (!sent_ && ask) {
       char object[17];
-      std::snprintf(object, sizeof object, "%016llx", static_cast<unsigned long long>(object_ += 7919));
-      socket_->write(std::string("GET /asset/") + object + "/0?" + query_ + " HTTP/1.1\r\nHost: x\r\n\r\n");
+      std::snprintf(object, sizeof object, "%016llx",
+                    static_cast<unsigned long long>(object_ += 7919));
+      socket_->write(std::string("GET /asset/") + object + "/0?" + query_ +
+                     " HTTP/1.1\r\nHost: x\r\n\r\n");
       sent_ = net::unix_now();
     }
     return done;
@@ -224,7 +230,8 @@
   HttpClient client(rig.http_at, 1);
   std::vector<Time> in_force, first;
   for (int i = 0; i < n; ++i) {
-    // A new id at the third box's address, another each time: its first request proves the new list.
+    // A new id at the third box's address, another each time: its first request proves the new
+    // list.
     auto next = near;
     next.push_back({"n" + std::to_string(i), rig.address(2)});
     rig.list(static_cast<std::uint64_t>(i + 2), next, 0);
@@ -242,12 +249,14 @@
     }
     first.push_back(net::unix_now() - begun);
     in_force.push_back(taken);
-    for (const Time end = net::unix_now() + 20'000; net::unix_now() < end;) rig.play(), client.poll(true);
+    for (const Time end = net::unix_now() + 20'000; net::unix_now() < end;)
+      rig.play(), client.poll(true);
   }
   const auto say = [&](const char* what, const std::vector<Time>& v) {
-    std::printf("{\"what\":\"%s\",\"changes\":%zu,\"p50_ms\":%.1f,\"p99_ms\":%.1f,\"max_ms\":%.1f}\n", what,
-                v.size(), static_cast<double>(part(v, 0.5)) / 1e3, static_cast<double>(part(v, 0.99)) / 1e3,
-                static_cast<double>(part(v, 1)) / 1e3);
+    std::printf(
+        "{\"what\":\"%s\",\"changes\":%zu,\"p50_ms\":%.1f,\"p99_ms\":%.1f,\"max_ms\":%.1f}\n", what,
+        v.size(), static_cast<double>(part(v, 0.5)) / 1e3, static_cast<double>(part(v, 0.99)) / 1e3,
+        static_cast<double>(part(v, 1)) / 1e3);
   };
   say("rename to in force", in_force);
   say("rename to first request", first);
@@ -272,7 +281,8 @@
     for (const Time end = net::unix_now() + seconds * 1'000'000; net::unix_now() < end;) {
       const Time now = net::unix_now();
       if (reloads && now >= next_list) {
-        // 200 weights change each time; written beside, so that the list's making holds up no answer.
+        // 200 weights change each time; written beside, so that the list's making holds up no
+        // answer.
         if (writer.joinable()) writer.join();
         writer = std::thread(
             [&, g = ++generation] { rig.list(g, rig.near(), 20'000, g % 2 ? 200 : 0), rig.put(); });
@@ -300,7 +310,8 @@
     std::fflush(stdout);
   }
   std::printf("{\"what\":\"ratio of the p99\",\"ratio\":%.2f}\n", p99[1] / p99[0]);
-  std::printf("{\"what\":\"longest that the loop was held by membership\",\"us\":%ld}\n", rig.longest_hold());
+  std::printf("{\"what\":\"longest that the loop was held by membership\",\"us\":%ld}\n",
+              rig.longest_hold());
   return 0;
 }
 
@@ -322,11 +333,15 @@
       rig.read_log();
     }
     std::printf(
-        "{\"what\":\"100,000 servers, rename to in force\",\"ms\":%.0f,\"requests\":%zu,\"p99_us\":%ld}\n",
-        static_cast<double>(net::unix_now() - begun) / 1e3, took.size(), static_cast<long>(part(took, 0.99)));
-    for (const Time end = net::unix_now() + 1'500'000; net::unix_now() < end;) rig.play(), client.poll(true);
+        "{\"what\":\"100,000 servers, rename to in "
+        "force\",\"ms\":%.0f,\"requests\":%zu,\"p99_us\":%ld}\n",
+        static_cast<double>(net::unix_now() - begun) / 1e3, took.size(),
+        static_cast<long>(part(took, 0.99)));
+    for (const Time end = net::unix_now() + 1'500'000; net::unix_now() < end;)
+      rig.play(), client.poll(true);
   }
-  std::printf("{\"what\":\"longest that the loop was held by membership\",\"us\":%ld}\n", rig.longest_hold());
+  std::printf("{\"what\":\"longest that the loop was held by membership\",\"us\":%ld}\n",
+              rig.longest_hold());
   return 0;
 }
 
@@ -334,7 +349,8 @@
 double cost(Rig& rig, bool http, std::size_t idle) {
   std::vector<std::unique_ptr<Socket>> beside;
   const auto status = loopback::pack([](msgpack_packer* p) {
-    msgpack_pack_array(p, 4), msgpack_pack_int(p, 0), msgpack_pack_int(p, 1), loopback::str(p, "status");
+    msgpack_pack_array(p, 4), msgpack_pack_int(p, 0), msgpack_pack_int(p, 1),
+        loopback::str(p, "status");
     msgpack_pack_array(p, 1), msgpack_pack_map(p, 0);
   });
   for (std::size_t i = 0; i < idle; ++i) {
@@ -383,10 +399,12 @@
         least[what] = std::min(least[what], cost(rig, http, what == 1 ? 10'000 : 0));
       }
     std::printf(
-        "{\"front\":\"%s\",\"us_a_request\":%.1f,\"with_10000_idle\":%.1f,\"ratio\":%.2f,\"with_5000_"
+        "{\"front\":\"%s\",\"us_a_request\":%.1f,\"with_10000_idle\":%.1f,\"ratio\":%.2f,\"with_"
+        "5000_"
         "servers\":%.1f,"
         "\"ratio_servers\":%.2f}\n",
-        http ? "signed" : "platform", least[0], least[1], least[1] / least[0], least[2], least[2] / least[0]);
+        http ? "signed" : "platform", least[0], least[1], least[1] / least[0], least[2],
+        least[2] / least[0]);
     std::fflush(stdout);
   }
   return 0;
--- a/include/alderspur/router.h
+++ b/include/alderspur/router.h
@@ -3,15 +3,17 @@
 // Use: make one Router per proxy from Settings and a seed, feed it every event in the order it
 // happened, and carry out the actions it appends, in order, at the same moment. The router owns no
 // clock, thread, socket or global; all state is inside the object and two routers share nothing.
-// It is not thread-safe: call one router from one thread at a time. The same settings, seed and events
-// give the same actions.
+// It is not thread-safe: call one router from one thread at a time. The same settings, seed and
+// events give the same actions.
 //
-// Units: time and durations are whole microseconds (Time), sizes are KB as double. The clock may start
-// anywhere; a clock that stands still or steps back is treated as standing still. Zero means "not told".
+// Units: time and durations are whole microseconds (Time), sizes are KB as double. The clock may
+// start anywhere; a clock that stands still or steps back is treated as standing still. Zero means
+// "not told".
 //
 // Misuse is harmless: events that name unknown requests, servers or timers, repeated outcomes and
-// repeated request ids are ignored; sizes that are NaN, negative or infinite read as not told. An empty
-// fleet leads to a refusal or failure, never to silence. No call throws except on lack of memory.
+// repeated request ids are ignored; sizes that are NaN, negative or infinite read as not told. An
+// empty fleet leads to a refusal or failure, never to silence. No call throws except on lack of
+// memory.
 #pragma once
 
 #include <compare>
@@ -40,10 +42,11 @@
 using AttemptNo = Id<struct AttemptTag, std::uint32_t>;
 using TimerId = Id<struct TimerTag, std::uint32_t>;
 
-// ---- Settings, given once at start -----------------------------------------------------------------
+// ---- Settings, given once at start
+// -----------------------------------------------------------------
 
-enum class Repeat { safe, keyed, unsafe };             // may a request of this class run more than once?
-enum class DedupScope { all, location, cell };         // keyed: which caches drop repeats of each other
+enum class Repeat { safe, keyed, unsafe };      // may a request of this class run more than once?
+enum class DedupScope { all, location, cell };  // keyed: which caches drop repeats of each other
 enum class WeightKind { none, nominal, rough, live };  // what Server::weight means
 
 struct ClassSettings {
@@ -80,7 +83,8 @@
   bool has_fills = false;        // caches can be told to fill what they lack
 };
 
-// ---- Events -----------------------------------------------------------------------------------------
+// ---- Events
+// -----------------------------------------------------------------------------------------
 
 enum class Role { cache, parent, origin };
 enum class Status { gone, ready, draining };
@@ -108,8 +112,20 @@
   Time budget = 0;
   bool write = false;
 };
-// withheld: it waited to be sent and may not be any more (see may_send); nothing ran, nobody is to blame.
-enum class Result { ok, error, full, timeout, connect_failed, reset, cancelled, moot, miss, withheld };
+// withheld: it waited to be sent and may not be any more (see may_send); nothing ran, nobody is to
+// blame.
+enum class Result {
+  ok,
+  error,
+  full,
+  timeout,
+  connect_failed,
+  reset,
+  cancelled,
+  moot,
+  miss,
+  withheld
+};
 enum class Note {  // what a cache says of the copy or of the fill
   none,
   hit,
@@ -162,28 +178,31 @@
 struct TimerDue {
   TimerId timer{};
 };
-// By hand, whatever the list says and whether or not the server is on it: nothing more goes there, neither
-// requests nor fills nor probes, until the ban is lifted. It is then held to have started anew.
+// By hand, whatever the list says and whether or not the server is on it: nothing more goes there,
+// neither requests nor fills nor probes, until the ban is lifted. It is then held to have started
+// anew.
 struct Ban {
   ServerId server{};
   bool out = false;
 };
-// Another process acts as this same router beside us, one taking over from the other: this is our part of the
-// router's cold budgets. `door`: what the other has found its limit on sending seconds out to be, taken over
-// where we have found none yet; 0: not told.
+// Another process acts as this same router beside us, one taking over from the other: this is our
+// part of the router's cold budgets. `door`: what the other has found its limit on sending seconds
+// out to be, taken over where we have found none yet; 0: not told.
 struct Twins {
   double share = 1, door = 0;
-  // This router's part of what all routers may do together, and of what those of its location may: in place
-  // of their told numbers; 0: not told.
+  // This router's part of what all routers may do together, and of what those of its location may:
+  // in place of their told numbers; 0: not told.
   double all = 0, here = 0;
 };
-using Event =
-    std::variant<FleetUpdate, Request, Outcome, StreamBegun, ClientLeft, Purge, Probed, TimerDue, Ban, Twins>;
+using Event = std::variant<FleetUpdate, Request, Outcome, StreamBegun, ClientLeft, Purge, Probed,
+                           TimerDue, Ban, Twins>;
 
-// ---- Actions ----------------------------------------------------------------------------------------
+// ---- Actions
+// ----------------------------------------------------------------------------------------
 
-// Ask a server. Attempts of a request are numbered 0, 1, ... in the order of their Sends. With `fill`
-// unset it is a plain look. The caller ends the attempt with Result::timeout after `timeout`.
+// Ask a server. Attempts of a request are numbered 0, 1, ... in the order of their Sends. With
+// `fill` unset it is a plain look. The caller ends the attempt with Result::timeout after
+// `timeout`.
 struct Fill {
   ServerId source{};       // the server itself: fill nothing
   std::uint32_t keep = 0;  // 0: pass through; 1 to 3: the rank at which the copy is kept
@@ -235,8 +254,9 @@
 
   // Takes one event and appends what to do about it.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  // For callers whose Sends wait, for a connection to come up, say: may it still be sent now? Servers drain,
-  // sources go, the time in which a repeat is harmless runs out. If not: Result::withheld.
+  // For callers whose Sends wait, for a connection to come up, say: may it still be sent now?
+  // Servers drain, sources go, the time in which a repeat is harmless runs out. If not:
+  // Result::withheld.
   bool may_send(Time now, RequestId id, AttemptNo attempt) const;
   std::vector<Standing> standings(Time now);
   double door() const;  // the limit on sending seconds out; 0: none found yet
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -35,9 +35,11 @@
   for (auto& c : callers_) drop(*c);
 }
 
-// Danger: callers that open a connection and say nothing would keep those out that have something to say.
+// Danger: callers that open a connection and say nothing would keep those out that have something
+// to say.
 bool Front::make_room() {
-  const auto alive = std::count_if(callers_.begin(), callers_.end(), [](auto& c) { return !c->dead; });
+  const auto alive =
+      std::count_if(callers_.begin(), callers_.end(), [](auto& c) { return !c->dead; });
   if (static_cast<std::size_t>(alive) < kCallersMost) return true;
   for (auto& c : callers_) {  // the longest there first
     if (c->dead || c->called) continue;
@@ -58,7 +60,8 @@
     // A caller may end its side behind its call and still wait for the answer.
     if (why != net::Closed::by_peer || !raw->called) drop(*raw);
   };
-  raw->connection = std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
+  raw->connection =
+      std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   raw->timeout = deadlines_.set(now_() + kCallTime, [this, raw] { drop(*raw); });
   callers_.push_back(std::move(caller));
 }
@@ -87,12 +90,14 @@
   if (counters) return respond(caller, 200, desk_.figures());
   if (cluster) {
     const auto view = desk_.cluster();
-    return respond(caller, view.empty() ? 404 : 200, view.empty() ? "this router is in no cluster\n" : view);
+    return respond(caller, view.empty() ? 404 : 200,
+                   view.empty() ? "this router is in no cluster\n" : view);
   }
   if (path.starts_with(kVersions)) {
     const auto query = request.target.substr(std::min(path.size() + 1, request.target.size()));
     const bool put = request.method == http::Method::put;
-    if (!put && request.method != http::Method::get) return respond(caller, 405, "GET or PUT\n", "GET, PUT");
+    if (!put && request.method != http::Method::get)
+      return respond(caller, 405, "GET or PUT\n", "GET, PUT");
     const auto told =
         desk_.versions(path.substr(kVersions.size()), query, put ? request.body : std::string());
     return respond(caller, told.status ? told.status : 404,
@@ -130,8 +135,10 @@
 void Front::drop(Caller& caller, bool orderly) {
   if (std::exchange(caller.dead, true)) return;
   deadlines_.clear(caller.timeout);
-  if (orderly) loop_.lingering().take(std::move(caller.connection));
-  else caller.connection->close();
+  if (orderly)
+    loop_.lingering().take(std::move(caller.connection));
+  else
+    caller.connection->close();
 }
 
 void Front::end_turn() {
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,10 +1,10 @@
-// Where operators call: HTTP/1.1, one call a connection, on an address of its own. Thin: what a call means is
-// done by the Desk that stands behind it.
+// Where operators call: HTTP/1.1, one call a connection, on an address of its own. Thin: what a
+// call means is done by the Desk that stands behind it.
 //
-// Bounded: kCallersMost connections, each with a head of 2 KB, a body where the desk takes one, and kCallTime
-// to complete its call; out of places, whoever has waited longest without a whole call goes. Calls are
-// answered in the turn in which they arrive, whatever else the loop has to do; only a ban waits for its place
-// on the disk, kDiskTime at most.
+// Bounded: kCallersMost connections, each with a head of 2 KB, a body where the desk takes one, and
+// kCallTime to complete its call; out of places, whoever has waited longest without a whole call
+// goes. Calls are answered in the turn in which they arrive, whatever else the loop has to do; only
+// a ban waits for its place on the disk, kDiskTime at most.
 #pragma once
 
 #include <functional>
@@ -30,7 +30,8 @@
   virtual bool takes_clients() = 0;
   virtual std::string figures() = 0;
   virtual std::string cluster() { return {}; }  // JSON; empty: there is none
-  // Of versions that routers agree on: a view, and a proposal or the word on one. Status 0: there are none.
+  // Of versions that routers agree on: a view, and a proposal or the word on one. Status 0: there
+  // are none.
   struct Told {
     int status = 0;
     std::string text;
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -27,7 +27,8 @@
   family(out, "edge_relay_success", "Requests served.", engine, classes, &C::served);
   family(out, "edge_relay_busy", "Requests refused.", engine, classes, &C::refused);
   family(out, "edge_relay_failure", "Requests failed.", engine, classes, &C::failed);
-  family(out, "edge_relay_backend_calls", "Attempts written whole to caches.", engine, classes, &C::sent);
+  family(out, "edge_relay_backend_calls", "Attempts written whole to caches.", engine, classes,
+         &C::sent);
   gauge(out, "edge_relay_inflight", "Requests taken and not yet ended.", engine.held());
   const auto census = engine.census();
   gauge(out, "edge_relay_hosts_listed", "Caches on the list.", census.listed);
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -1,7 +1,7 @@
 // The figures that operators' scrapers read, in the plain text exposition format. No I/O.
 //
-// Every figure comes from where the thing happens: the engine's ledger, its attempts written whole, and the
-// decision module's own view of the caches. All counts begin at 0 with the process.
+// Every figure comes from where the thing happens: the engine's ledger, its attempts written whole,
+// and the decision module's own view of the caches. All counts begin at 0 with the process.
 #pragma once
 
 #include <string>
--- a/src/admin/router_admin_handler.cpp
+++ b/src/admin/router_admin_handler.cpp
@@ -3,8 +3,8 @@
 #include <memory>
 #include <utility>
 
-#include "core/parsing.h"
 #include "admin/metrics.h"
+#include "core/parsing.h"
 
 namespace alderspur::admin {
 namespace {
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-RouterDesk::RouterDesk(core::Deadlines& deadlines, core::Engine& engine, const platform::Caches& caches,
-                       hot_restart::Twin& twin, const std::vector<std::string>& classes,
-                       std::function<bool()> leaving)
+RouterDesk::RouterDesk(core::Deadlines& deadlines, core::Engine& engine,
+                       const platform::Caches& caches, hot_restart::Twin& twin,
+                       const std::vector<std::string>& classes, std::function<bool()> leaving)
     : deadlines_(deadlines),
       engine_(engine),
       caches_(caches),
@@ -37,7 +37,8 @@
   const bool banned = core::plain_word(id) && twin_.banned(name);
   if (!banned && (!core::plain_word(id) || !caches_.listed(config::server_id(id))))
     return done(404, "no such cache\n");
-  if (banned != out && twin_.full()) return done(503, "too many changes wait for the disk, call again\n");
+  if (banned != out && twin_.full())
+    return done(503, "too many changes wait for the disk, call again\n");
   const std::string yes = name + (out ? " is out\n" : " may serve\n");
   if (banned == out && twin_.on_disk(name)) return done(200, yes);
   struct Waiting {
@@ -49,10 +50,13 @@
     if (!waiting->done) return;
     deadlines_.clear(waiting->timeout);
     const auto answer = std::exchange(waiting->done, {});
-    if (error.empty()) answer(200, yes);
-    else answer(503, "it holds in this process, but is not on the disk: " + error + "\n");
+    if (error.empty())
+      answer(200, yes);
+    else
+      answer(503, "it holds in this process, but is not on the disk: " + error + "\n");
   };
-  waiting->timeout = deadlines_.set(engine_.now() + kDiskTime, [end] { end("the disk does not answer"); });
+  waiting->timeout =
+      deadlines_.set(engine_.now() + kDiskTime, [end] { end("the disk does not answer"); });
   twin_.change({name, out}, end);
 }
 
--- a/src/admin/router_admin_handler.h
+++ b/src/admin/router_admin_handler.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
+#include "admin/admin_server.h"
 #include "core/engine.h"
 #include "hot_restart/coordinator.h"
-#include "admin/admin_server.h"
 #include "platform/upstream_pool.h"
 
 namespace alderspur::admin {
@@ -15,7 +15,8 @@
 class RouterDesk : public Desk {
  public:
   RouterDesk(core::Deadlines& deadlines, core::Engine& engine, const platform::Caches& caches,
-             hot_restart::Twin& twin, const std::vector<std::string>& classes, std::function<bool()> leaving);
+             hot_restart::Twin& twin, const std::vector<std::string>& classes,
+             std::function<bool()> leaving);
 
   bool takes_clients() override;
   std::string figures() override;
@@ -23,7 +24,8 @@
   void on_cluster(std::function<std::string()> view) { view_ = std::move(view); }
   void on_ready(std::function<bool()> may) { may_be_ready_ = std::move(may); }
   // `what`: the rest of the path; `body`: of a PUT.
-  using Versions = std::function<Told(std::string_view what, std::string_view query, std::string body)>;
+  using Versions =
+      std::function<Told(std::string_view what, std::string_view query, std::string body)>;
   Told versions(std::string_view what, std::string_view query, std::string body) override {
     return versions_ ? versions_(what, query, std::move(body)) : Told{};
   }
@@ -31,9 +33,9 @@
   void on_versions(Versions versions, std::size_t body_most) {
     versions_ = std::move(versions), body_most_ = body_most;
   }
-  // An unknown id gets a no; a call that changes nothing gets a yes like the first. The ban binds from this
-  // turn on; the yes comes once it is on the disk. Where that takes kDiskTime or fails: 503, and it binds all
-  // the same.
+  // An unknown id gets a no; a call that changes nothing gets a yes like the first. The ban binds
+  // from this turn on; the yes comes once it is on the disk. Where that takes kDiskTime or fails:
+  // 503, and it binds all the same.
   void ban(std::string_view id, bool out, Done done) override;
 
  private:
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -14,9 +14,9 @@
 #include "app/routes.h"
 #include "config/config.h"
 #include "endpoints/list.h"
+#include "file_watch/source.h"
 #include "settings/settings.h"
 #include "store/endpoint_state.h"
-#include "file_watch/source.h"
 
 namespace alderspur::app {
 namespace {
@@ -41,8 +41,10 @@
 
 bool is_settings(const std::string& text) { return text.find("[router]") != std::string::npos; }
 
-void check_settings(const std::string& file, const std::string& content, diagnostics::Findings& findings) {
-  auto s = settings::read(content, file, std::filesystem::path(file).parent_path().string(), findings);
+void check_settings(const std::string& file, const std::string& content,
+                    diagnostics::Findings& findings) {
+  auto s =
+      settings::read(content, file, std::filesystem::path(file).parent_path().string(), findings);
   if (s.config.empty()) return;
   try {
     const auto config = config::read_file(s.config);
@@ -65,18 +67,23 @@
         findings.error("A043", pool.place,
                        "pool " + pool.name + " selects no server in service of " + list->source,
                        "change what it selects, or list a server for it");
-  } catch (const std::exception& e) { findings.error("S002", {file, 0, 0}, e.what()); }
+  } catch (const std::exception& e) {
+    findings.error("S002", {file, 0, 0}, e.what());
+  }
 }
 
 // `render` shows a finding, with its line where the file is one of the language.
-diagnostics::Findings check_one(const std::string& path, const endpoints::Snapshot* against, std::string& said,
-                         std::function<std::string(const diagnostics::Finding&)>& render) {
+diagnostics::Findings check_one(const std::string& path, const endpoints::Snapshot* against,
+                                std::string& said,
+                                std::function<std::string(const diagnostics::Finding&)>& render) {
   diagnostics::Findings findings;
   render = diagnostics::to_string;
   try {
     if (is_language(path)) {
       const auto checked = std::make_shared<Checked>(check_language(path, findings));
-      render = [checked](const diagnostics::Finding& f) { return checked->program.sources.render(f); };
+      render = [checked](const diagnostics::Finding& f) {
+        return checked->program.sources.render(f);
+      };
       said = std::to_string(checked->meaning.declarations.size()) + " declarations in " +
              std::to_string(checked->program.trees.size()) + " files";
       return findings;
@@ -94,7 +101,9 @@
     check_change(against, *list, {}, findings);
     said = std::to_string(list->servers.size()) + " servers, " +
            summary(against, *list, difference(against, *list));
-  } catch (const std::exception& e) { findings.error("S002", {path, 0, 0}, e.what()); }
+  } catch (const std::exception& e) {
+    findings.error("S002", {path, 0, 0}, e.what());
+  }
   return findings;
 }
 
@@ -117,8 +126,8 @@
   w.EndObject();
 }
 
-void names(Writer& w, const char* key, const std::vector<ServerId>& ids, const endpoints::Snapshot& from,
-           const endpoints::Snapshot& to) {
+void names(Writer& w, const char* key, const std::vector<ServerId>& ids,
+           const endpoints::Snapshot& from, const endpoints::Snapshot& to) {
   w.Key(key), w.StartArray();
   for (const ServerId id : ids) {
     const auto* s = to.find(id) ? to.find(id) : from.find(id);
@@ -176,7 +185,8 @@
       diagnostics::Findings findings;
       against = read_list(options.against, findings);
       if (!against)
-        throw config::Error(options.against + " is no good list: " + to_string(findings.list().at(0)));
+        throw config::Error(options.against +
+                            " is no good list: " + to_string(findings.list().at(0)));
     }
     rapidjson::StringBuffer buffer;
     Writer w(buffer);
@@ -205,7 +215,8 @@
     diagnostics::Findings findings;
     const auto a = read_list(from, findings), b = read_list(to, findings);
     if (!a || !b) {
-      for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
+      for (const auto& f : findings.list())
+        std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
       return kUsage;
     }
     const auto d = difference(a.get(), *b);
--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -28,7 +28,8 @@
   while (!secret.empty() && (secret.back() == '\n' || secret.back() == '\r')) secret.pop_back();
   if (!in) throw config::Error("cannot read the secret of the cluster, " + path);
   if (secret.size() < kSecretLeast)
-    throw config::Error("the secret of the cluster, " + path + ", has under 32 characters; use random ones");
+    throw config::Error("the secret of the cluster, " + path +
+                        ", has under 32 characters; use random ones");
   return secret;
 }
 
@@ -41,8 +42,8 @@
 
 }  // namespace
 
-std::string cluster_view(const cluster::Membership& m, const cluster::LinkCounts& link, core::Time now,
-                         const std::function<void(Writer&)>& more) {
+std::string cluster_view(const cluster::Membership& m, const cluster::LinkCounts& link,
+                         core::Time now, const std::function<void(Writer&)>& more) {
   rapidjson::StringBuffer out;
   Writer w(out);
   const auto& c = m.counts();
@@ -96,7 +97,8 @@
   cluster::Identity self;
   self.name = s.member.empty() ? node.config().name : s.member;
   self.point = s.point, self.share = s.share, self.version = ALDERSPUR_VERSION;
-  if (self.name.empty()) throw config::Error("this member of the cluster has no name: set [cluster] member");
+  if (self.name.empty())
+    throw config::Error("this member of the cluster has no name: set [cluster] member");
   self.epoch = cluster::next_epoch(s.state, net::unix_now(), error);
   if (!error.empty()) log.record(kName, log::Level::warning, "epoch_unusable", {{"reason", error}});
   cluster::Link::Hooks hooks;
@@ -106,21 +108,23 @@
   };
   hooks.changed = [this](const cluster::Changed& c) {
     tell_members();
-    log_.record(kName, c.now.state == cluster::State::failed ? log::Level::warning : log::Level::info,
-                "member",
-                {{"name", c.now.who.name},
-                 {"address", c.now.who.address},
-                 {"state", cluster::word(c.now.state)},
-                 {"before", c.before ? cluster::word(*c.before) : "unknown"},
-                 {"by", c.now.by},
-                 {"whole", cluster::word(link_ ? link_->membership().whole() : cluster::Whole::alone)}});
+    log_.record(
+        kName, c.now.state == cluster::State::failed ? log::Level::warning : log::Level::info,
+        "member",
+        {{"name", c.now.who.name},
+         {"address", c.now.who.address},
+         {"state", cluster::word(c.now.state)},
+         {"before", c.before ? cluster::word(*c.before) : "unknown"},
+         {"by", c.now.by},
+         {"whole", cluster::word(link_ ? link_->membership().whole() : cluster::Whole::alone)}});
   };
   hooks.conflict = [this](const cluster::Conflict& c) {
     log_.record(kName, log::Level::error, "two_of_one_name",
                 {{"name", c.newer.name}, {"holds", c.newer.address}, {"older", c.older.address}});
   };
   hooks.superseded = [this](const cluster::Superseded& x) {
-    log_.record(kName, log::Level::error, "superseded", {{"name", x.by.name}, {"by", x.by.address}});
+    log_.record(kName, log::Level::error, "superseded",
+                {{"name", x.by.name}, {"by", x.by.address}});
   };
   hooks.dropped = [this](const char* kind, const std::string& from) {
     log_.record(kName, log::Level::warning, "dropped", {{"kind", kind}, {"from", from}});
@@ -132,7 +136,8 @@
       std::move(hooks));
   log.record(kName, log::Level::info, "listening",
              {{"address", net::to_string(link_->address())}, {"name", self.name}});
-  node.add({[this] { link_->end_turn(); }, [this] { link_->leave(); }, [this] { return link_->done(); }});
+  node.add({[this] { link_->end_turn(); }, [this] { link_->leave(); },
+            [this] { return link_->done(); }});
   node.on_cluster([this] { return view(); });
 }
 
@@ -156,8 +161,8 @@
   for (const auto& then : members_) then(names);
 }
 
-Asked ask_operators(const std::string& address, const std::string& method, const std::string& target,
-                    const std::string& body) {
+Asked ask_operators(const std::string& address, const std::string& method,
+                    const std::string& target, const std::string& body) {
   const auto at = net::parse_address(address);
   if (!at) return {};
   const net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -165,7 +170,8 @@
   setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
   setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&*at), sizeof *at) < 0) return {};
-  const std::string request = method + " " + target + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" +
+  const std::string request = method + " " + target +
+                              " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" +
                               "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   for (std::size_t sent = 0; sent < request.size();) {
     const ssize_t n = ::send(fd.get(), request.data() + sent, request.size() - sent, MSG_NOSIGNAL);
@@ -185,11 +191,13 @@
   if (!net::parse_address(address))
     return std::fprintf(stderr, "alderspur: '%s' is no address\n", address.c_str()), kUsage;
   const auto [status, view] = ask_operators(address, "GET", "/control/cluster");
-  if (!status) return std::fprintf(stderr, "alderspur: nobody answers at %s\n", address.c_str()), kFinding;
+  if (!status)
+    return std::fprintf(stderr, "alderspur: nobody answers at %s\n", address.c_str()), kFinding;
   rapidjson::Document j;
   j.Parse<rapidjson::kParseIterativeFlag>(view.c_str());
   if (status != 200 || j.HasParseError() || !j.IsObject() || !j.HasMember("members"))
-    return std::fprintf(stderr, "alderspur: %s has no cluster: %s", address.c_str(), view.c_str()), kFinding;
+    return std::fprintf(stderr, "alderspur: %s has no cluster: %s", address.c_str(), view.c_str()),
+           kFinding;
   if (json) return std::fputs(view.c_str(), stdout), kYes;
   const auto line = [](const rapidjson::Value& m, const char* state, const std::string& since) {
     std::printf("%-24s %-22s %-10s %-8s %8s\n", m["name"].GetString(), m["address"].GetString(),
--- a/src/app/cluster_service.h
+++ b/src/app/cluster_service.h
@@ -1,5 +1,5 @@
-// The cluster in service: the link with its log records, the view that operators ask for, and leaving in
-// order.
+// The cluster in service: the link with its log records, the view that operators ask for, and
+// leaving in order.
 #pragma once
 
 #include <memory>
@@ -51,8 +51,8 @@
   std::string text;
 };
 // One call to a running process over its operators' address.
-Asked ask_operators(const std::string& address, const std::string& method, const std::string& target,
-                    const std::string& body = {});
+Asked ask_operators(const std::string& address, const std::string& method,
+                    const std::string& target, const std::string& body = {});
 // Prints the members, or the JSON as it came.
 int cluster_members(const std::string& address, bool json);
 
--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -16,8 +16,8 @@
   std::string against;  // a list that counts as in force
   bool json = false;
 };
-// Says of each file (settings, a list of servers, a directory with a manifest, a program of the language)
-// what is wrong with it.
+// Says of each file (settings, a list of servers, a directory with a manifest, a program of the
+// language) what is wrong with it.
 int check(const CheckOptions& options);
 // What changes between two lists, or two programs of the language, by meaning.
 int diff(const std::string& from, const std::string& to, bool json, bool by_risk);
@@ -26,8 +26,8 @@
 // What the state directory holds: generation, age, servers and what is remembered of them.
 int state(const std::string& folder, bool json);
 
-// Proposes a version to a running router (NAME=FILE each), or other voters, and follows it to its end; the
-// versions that it knows; what differs between two of them.
+// Proposes a version to a running router (NAME=FILE each), or other voters, and follows it to its
+// end; the versions that it knows; what differs between two of them.
 struct TrialOptions {  // of a version that holds for some routers first; see consensus::Trial
   std::string first, hold = "60", harm = "0.05";
   bool go_on = false;
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -4,9 +4,9 @@
 #include <fstream>
 #include <sstream>
 
+#include "app/routes.h"
 #include "consensus/conservative_merge.h"
 #include "consensus/messages.h"
-#include "app/routes.h"
 #include "endpoints/check.h"
 #include "store/state_file.h"
 
@@ -34,7 +34,8 @@
     out.kept = decode_kept(*kept.payload).value_or(Kept{});
   const auto take = [&](const std::string& digest) {
     if (digest.empty() || out.contents.size() >= kLoadedMost) return;
-    if (const auto c = store::load_file(content_path(folder, digest), kContentMost + 4096); c.payload)
+    if (const auto c = store::load_file(content_path(folder, digest), kContentMost + 4096);
+        c.payload)
       out.contents[digest] = *c.payload;
   };
   take(out.kept.in_force.digest);
@@ -52,8 +53,8 @@
 
 }  // namespace
 
-AgreePart::AgreePart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& s, Files files,
-                     log::Log& log)
+AgreePart::AgreePart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& s,
+                     Files files, log::Log& log)
     : node_(node),
       cluster_(cluster),
       files_(std::move(files)),
@@ -142,7 +143,8 @@
   const bool given = log_writer_.submit([this, disk = disk_, p = std::move(p)] {
     const auto error = disk->write(p.store);
     wakeup_.post([this, number = p.number, error] {
-      if (!error.empty()) log_.record(kName, log::Level::error, "log_not_written", {{"reason", error}});
+      if (!error.empty())
+        log_.record(kName, log::Level::error, "log_not_written", {{"reason", error}});
       handle(Stored{number, error.empty()});
     });
   });
@@ -155,7 +157,8 @@
   const bool given = writer_.submit([this, folder = folder_, w = std::move(w)] {
     const auto error = store::replace_file(content_path(folder, w.digest), w.bytes);
     wakeup_.post([this, digest = w.digest, error] {
-      if (!error.empty()) log_.record(kName, log::Level::error, "content_not_written", {{"reason", error}});
+      if (!error.empty())
+        log_.record(kName, log::Level::error, "content_not_written", {{"reason", error}});
       handle(Written{digest, error.empty()});
     });
   });
@@ -186,29 +189,33 @@
         const auto file = folder + "/checked.alder";
         std::ofstream(file) << text;
         std::vector<std::string> findings;
-        if (!compile(file, config, findings)) reason = findings.empty() ? "does not check" : findings[0];
+        if (!compile(file, config, findings))
+          reason = findings.empty() ? "does not check" : findings[0];
       } else {
         reason = "this program knows no document '" + name + "'";
       }
       if (!reason.empty()) break;
     }
-    wakeup_.post([this, digest = c.digest, reason] { handle(Checked{digest, reason.empty(), reason}); });
+    wakeup_.post([this, digest = c.digest, reason] {
+      handle(Checked{digest, reason.empty(), reason});
+    });
   });
 }
 
 // ---- Acting
 
 void AgreePart::act(const Acting& a) {
-  const bool version =
-      a.version.number != acting_.version.number || a.careful != acting_.careful || a.heard != acting_.heard;
+  const bool version = a.version.number != acting_.version.number || a.careful != acting_.careful ||
+                       a.heard != acting_.heard;
   acting_ = a;
   const bool share = a.share_all > 0;
   node_.cluster_share(share ? a.share_all : unleased_, share ? a.share_point : unleased_);
   if (!version) return;
   if (a.version.number != judged_)
     judged_ = a.version.number, bad_part_ = 0;  // what ends from here on is its own
-  log_.record(kName, log::Level::info, "acts",
-              {{"version", a.version.number}, {"careful", a.careful ? 1 : 0}, {"heard", a.heard.size()}});
+  log_.record(
+      kName, log::Level::info, "acts",
+      {{"version", a.version.number}, {"careful", a.careful ? 1 : 0}, {"heard", a.heard.size()}});
   write_files();
 }
 
@@ -229,11 +236,13 @@
       const auto text = list_to_act_on(texts, generation, error);
       if (error.empty()) error = store::write_text(files.servers, text);
     }
-    if (const auto it = acting.content->find("routes"); it != acting.content->end() && !files.routes.empty())
+    if (const auto it = acting.content->find("routes");
+        it != acting.content->end() && !files.routes.empty())
       if (auto e = store::write_text(files.routes, it->second); !e.empty()) error = e;
     wakeup_.post([this, error] {
       writing_ = false;
-      if (!error.empty()) log_.record(kName, log::Level::error, "not_acted_on", {{"reason", error}});
+      if (!error.empty())
+        log_.record(kName, log::Level::error, "not_acted_on", {{"reason", error}});
       if (files_.look) files_.look();
       if (std::exchange(again_, false)) write_files();
     });
@@ -250,7 +259,8 @@
     bad_part_ += 0.3 * (part - bad_part_);
   }
   ended_ = ended, bad_ = bad;
-  rate_ += 0.3 * (static_cast<double>(taken - taken_) * 1e6 / static_cast<double>(kMeasure) - rate_);
+  rate_ +=
+      0.3 * (static_cast<double>(taken - taken_) * 1e6 / static_cast<double>(kMeasure) - rate_);
   taken_ = taken;
   if (agreement_) handle(Load{1 + rate_, bad_part_});
   measure_ = node_.deadlines().set(node_.engine().now() + kMeasure, [this] { measure(); });
@@ -264,12 +274,13 @@
     const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
     for (const auto& s : settled_)
       if (s.nonce == nonce)
-        return {200,
-                std::string(s.yes ? "yes" : "no") + " " + std::to_string(s.number) + " " + s.text + "\n"};
+        return {200, std::string(s.yes ? "yes" : "no") + " " + std::to_string(s.number) + " " +
+                         s.text + "\n"};
     return {202, "under way\n"};
   }
   if (body.empty() && what.starts_with("/content/")) {
-    const auto c = agreement_->content(std::strtoull(std::string(what.substr(9)).c_str(), nullptr, 10));
+    const auto c =
+        agreement_->content(std::strtoull(std::string(what.substr(9)).c_str(), nullptr, 10));
     if (!c) return {404, "that version is not kept here\n"};
     return {200, encode(*c)};
   }
@@ -278,10 +289,11 @@
 }
 
 admin::Desk::Told AgreePart::propose(std::string_view what, std::string_view query,
-                                         const std::string& body) {
+                                     const std::string& body) {
   Proposal p;
   p.nonce = random_() >> 1 | 1;
-  if (const auto nonce = http::parameter(query, "nonce"))  // asked again by whoever did not hear the answer
+  if (const auto nonce =
+          http::parameter(query, "nonce"))  // asked again by whoever did not hear the answer
     p.nonce = std::max(1ULL, std::strtoull(std::string(*nonce).c_str(), nullptr, 10));
   if (const auto author = http::parameter(query, "author")) p.author = *author;
   if (const auto base = http::parameter(query, "base"); base && !base->empty())
--- a/src/app/consensus_service.h
+++ b/src/app/consensus_service.h
@@ -1,9 +1,10 @@
-// Versions in service: the agreement with its channels, its disk, its checks, and what comes in force.
+// Versions in service: the agreement with its channels, its disk, its checks, and what comes in
+// force.
 //
-// The loop's thread owns the Agreement. Three workers: one writes the voter's log, one contents and what is
-// kept through a restart, one checks contents and writes the files that this router acts on (the list of
-// servers and the program of routes, where the settings name them; others are kept and passed on). A disk
-// that hangs holds its worker only.
+// The loop's thread owns the Agreement. Three workers: one writes the voter's log, one contents and
+// what is kept through a restart, one checks contents and writes the files that this router acts on
+// (the list of servers and the program of routes, where the settings name them; others are kept and
+// passed on). A disk that hangs holds its worker only.
 #pragma once
 
 #include <deque>
@@ -12,11 +13,11 @@
 #include <optional>
 #include <string>
 
+#include "app/cluster_service.h"
 #include "consensus/consensus_node.h"
 #include "consensus/log_store.h"
-#include "app/cluster_service.h"
-#include "net/wakeup.h"
 #include "file_watch/worker.h"
+#include "net/wakeup.h"
 
 namespace alderspur::app {
 
@@ -26,12 +27,13 @@
 class AgreePart {
  public:
   struct Files {
-    std::string servers, routes;  // written by this part when a version is in force; empty: not used here
-    std::function<void()> look;   // they may have changed
+    std::string servers,
+        routes;  // written by this part when a version is in force; empty: not used here
+    std::function<void()> look;                 // they may have changed
     std::function<std::uint64_t()> generation;  // of the list of servers in force
   };
-  AgreePart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& settings, Files files,
-            log::Log& log);
+  AgreePart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& settings,
+            Files files, log::Log& log);
   ~AgreePart();
   // False: a disk hangs, and the process can only be ended by _exit().
   bool settle();
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -63,13 +63,15 @@
   shared_->zones = node.config().names.zones;
   const core::Time now = node_.engine().now();
   if (!settings_.list.empty()) {
-    file_watch::WatchSettings w{settings_.list, settings_.settle, settings_.poll, settings_.limits.bytes};
+    file_watch::WatchSettings w{settings_.list, settings_.settle, settings_.poll,
+                                settings_.limits.bytes};
     watcher_ = std::make_unique<file_watch::Watcher>(
         node_.loop(), node_.deadlines(), wakeup_, reader_, w,
         [limits = settings_.limits](const std::string& text) { return piece_names(text, limits); },
         [this, shared = shared_](file_watch::Look&& look) -> file_watch::Apply {
-          return
-              [this, judged = std::make_shared<Judged>(judge(*shared, std::move(look)))] { take(*judged); };
+          return [this, judged = std::make_shared<Judged>(judge(*shared, std::move(look)))] {
+            take(*judged);
+          };
         });
   }
   begin(now);
@@ -79,8 +81,8 @@
   if (save_) node_.deadlines().clear(*save_);
 }
 
-// What an earlier process had in force counts as in force: a list may not go back behind it, and whoever is
-// new against it is cold.
+// What an earlier process had in force counts as in force: a list may not go back behind it, and
+// whoever is new against it is cold.
 std::optional<endpoints::Offer> Keeper::begin_with_state(core::Time now) {
   if (settings_.state.empty()) return {};
   std::error_code ignored;
@@ -91,7 +93,8 @@
       log_.record(kName, log::Level::warning, "state_unusable", {{"reason", restored.error}});
     return {};
   }
-  endpoints::Offer offer{restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}, {}};
+  endpoints::Offer offer{
+      restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}, {}};
   diagnostics::Findings findings;
   zones_of(*offer.list, shared_->zones, offer.point_zones, offer.hub_zones, findings);
   check_alone(*offer.list, findings);
@@ -111,16 +114,19 @@
   shared_->bring(fleet_.in_force());
   const auto look = watcher_->first(kFirst);
   Judged judged;
-  if (look) judged = judge(*shared_, file_watch::Look(*look));
-  else judged.refusal = settings_.list + " has not settled";
+  if (look)
+    judged = judge(*shared_, file_watch::Look(*look));
+  else
+    judged.refusal = settings_.list + " has not settled";
   if (judged.offer || judged.unchanged) {
     take(judged);
   } else if (kept) {
     take(judged);  // says what is wrong with the files
     const core::Time age = now - kept->list->taken;
     if (age > settings_.oldest)
-      throw config::Error("no usable list of servers: " + judged.refusal + "; the last good one is " +
-                          std::to_string(age / 1'000'000) + " s old, over the bound of " +
+      throw config::Error("no usable list of servers: " + judged.refusal +
+                          "; the last good one is " + std::to_string(age / 1'000'000) +
+                          " s old, over the bound of " +
                           std::to_string(settings_.oldest / 1'000'000) + " s");
     log_.record(kName, log::Level::warning, "started_from_state",
                 {{"generation", kept->list->generation}, {"age_s", age / 1'000'000}});
@@ -213,7 +219,8 @@
   push();
 }
 
-// Connections hear of a server before the core does, and departures come before whoever takes their place.
+// Connections hear of a server before the core does, and departures come before whoever takes their
+// place.
 void Keeper::push() {
   auto changes = fleet_.take();
   FleetUpdate update;
@@ -242,8 +249,9 @@
   arm();
 }
 
-// Caches of other points are asked by nobody here: a list of a hundred thousand must not make every update of
-// the module's view, and every sweep, as long as itself. One that leaves our point is still told of.
+// Caches of other points are asked by nobody here: a list of a hundred thousand must not make every
+// update of the module's view, and every sweep, as long as itself. One that leaves our point is
+// still told of.
 bool Keeper::concerns(const Server& s) {
   const bool ours = s.role != Role::cache || s.location == node_.config().settings.location;
   if (ours && s.status != Status::gone) return passed_.insert(s.id.value), true;
@@ -294,7 +302,8 @@
     wakeup_.post([this, error] {
       saving_ = false;
       ++(error.empty() ? counters_.saved : counters_.save_failed);
-      if (!error.empty()) log_.record(kName, log::Level::error, "state_not_saved", {{"reason", error}});
+      if (!error.empty())
+        log_.record(kName, log::Level::error, "state_not_saved", {{"reason", error}});
     });
   });
 }
@@ -311,12 +320,13 @@
   const auto& c = fleet_.counters();
   const auto& list = fleet_.in_force();
   return "generation " + std::to_string(list ? list->generation : 0) + ", known " +
-         std::to_string(fleet_.known()) + " ready " + std::to_string(fleet_.ready()) + "; lists taken " +
-         std::to_string(counters_.taken) + " refused " + std::to_string(counters_.refused) + ", changes " +
-         std::to_string(c.changes) + " departures " + std::to_string(c.departures) + " weight steps " +
+         std::to_string(fleet_.known()) + " ready " + std::to_string(fleet_.ready()) +
+         "; lists taken " + std::to_string(counters_.taken) + " refused " +
+         std::to_string(counters_.refused) + ", changes " + std::to_string(c.changes) +
+         " departures " + std::to_string(c.departures) + " weight steps " +
          std::to_string(c.weight_steps) + " held out " + std::to_string(c.held_out) + " let back " +
-         std::to_string(c.let_back) + ", saved " + std::to_string(counters_.saved) + ", longest hold us " +
-         std::to_string(counters_.longest_apply);
+         std::to_string(c.let_back) + ", saved " + std::to_string(counters_.saved) +
+         ", longest hold us " + std::to_string(counters_.longest_apply);
 }
 
 }  // namespace alderspur::app
--- a/src/app/endpoint_controller.h
+++ b/src/app/endpoint_controller.h
@@ -1,9 +1,9 @@
-// Membership in service: watched files and the board on one side, connections and core on the other, the last
-// good state on disk between one process and the next.
+// Membership in service: watched files and the board on one side, connections and core on the
+// other, the last good state on disk between one process and the next.
 //
-// The loop's thread owns the Fleet and applies what changes; a worker reads, parses, checks and reckons the
-// difference against the list in force, and another writes the state. Where a list is refused, the one in
-// force stays, and the refusal is told once for each content.
+// The loop's thread owns the Fleet and applies what changes; a worker reads, parses, checks and
+// reckons the difference against the list in force, and another writes the state. Where a list is
+// refused, the one in force stays, and the refusal is told once for each content.
 #pragma once
 
 #include <memory>
@@ -12,13 +12,13 @@
 #include <unordered_set>
 #include <vector>
 
-#include "log/log.h"
 #include "endpoints/endpoint_set.h"
+#include "file_watch/watcher.h"
+#include "file_watch/worker.h"
+#include "log/log.h"
 #include "net/wakeup.h"
 #include "platform/edge_router.h"
 #include "settings/settings.h"
-#include "file_watch/watcher.h"
-#include "file_watch/worker.h"
 
 namespace alderspur::app {
 
@@ -29,8 +29,8 @@
 
 class Keeper : public platform::PoolSink {
  public:
-  // Chooses the list to start from: the files', else the last good state. Throws config::Error where
-  // authority needs files and there is neither.
+  // Chooses the list to start from: the files', else the last good state. Throws config::Error
+  // where authority needs files and there is neither.
   Keeper(platform::Node& node, const settings::Membership& settings, log::Log& log);
   ~Keeper() override;
 
--- a/src/app/language.h
+++ b/src/app/language.h
@@ -21,8 +21,8 @@
   std::vector<std::string> files;
   bool write = false, check = false;
 };
-// Prints the canonical form, writes it in place, or says which files are not in it. A file that does not
-// parse is left as it is.
+// Prints the canonical form, writes it in place, or says which files are not in it. A file that
+// does not parse is left as it is.
 int format_files(const FormatOptions& options);
 struct ExplainOptions {
   std::string file, point;
--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -10,7 +10,8 @@
 using namespace alderspur::replication;
 constexpr const char* kName = "replica";
 constexpr std::size_t kFileMost = 1 << 20;
-constexpr core::Time kOld = 10'000'000;  // beyond the time in which caches drop what was purged by themselves
+constexpr core::Time kOld =
+    10'000'000;  // beyond the time in which caches drop what was purged by themselves
 constexpr std::chrono::milliseconds kSettle(200);
 
 }  // namespace
@@ -27,12 +28,14 @@
   const auto& self = cluster.link().membership().self();
   settings.self = {self.name, self.epoch};
   std::random_device random;
-  replica_ = std::make_unique<Replica>(settings, (static_cast<std::uint64_t>(random()) << 32) ^ random());
+  replica_ =
+      std::make_unique<Replica>(settings, (static_cast<std::uint64_t>(random()) << 32) ^ random());
   node_.on_ban([this](const hot_restart::BanChange& change) { called(change); });
   node_.on_ready([this] { return begun_ && replica_->caught_up(); });
-  node_.engine().on_purge([this](std::optional<std::uint64_t> object, std::uint32_t group, core::Time at) {
-    handle(Purged{{object.has_value(), object.value_or(group), at}});
-  });
+  node_.engine().on_purge(
+      [this](std::optional<std::uint64_t> object, std::uint32_t group, core::Time at) {
+        handle(Purged{{object.has_value(), object.value_or(group), at}});
+      });
   cluster_.on_replica([this](const std::string& from, std::string_view bytes) {
     if (begun_) handle(Frame{from, std::string(bytes)});
   });
@@ -47,9 +50,8 @@
   }
   writer_.submit([this, path = path_] {
     auto loaded = store::load_file(path, kFileMost);
-    wakeup_.post([this, payload = std::move(loaded.payload), error = loaded.absent ? "" : loaded.error] {
-      begin(payload, error);
-    });
+    wakeup_.post([this, payload = std::move(loaded.payload),
+                  error = loaded.absent ? "" : loaded.error] { begin(payload, error); });
   });
 }
 ReplicaPart::~ReplicaPart() {
@@ -57,8 +59,8 @@
 }
 bool ReplicaPart::settle() { return writer_.settle(kSettle); }
 
-// Danger: what the file cannot tell is taken from the bans that this router holds, as new ones. So a ban may
-// hold that was lifted while it was away, and none is forgotten.
+// Danger: what the file cannot tell is taken from the bans that this router holds, as new ones. So
+// a ban may hold that was lifted while it was away, and none is forgotten.
 void ReplicaPart::begin(std::optional<std::string> kept, const std::string& error) {
   Loaded loaded;
   const bool whole = kept && Bans::decode(*kept, loaded.bans);
@@ -81,15 +83,18 @@
 void ReplicaPart::called(const hot_restart::BanChange& change) {
   if (binding_) return;
   if (!begun_) return early_.push_back(change);
-  if (change.out) handle(CallBan{change.name, "by hand", node_.engine().now()});
-  else handle(CallLift{change.name});
+  if (change.out)
+    handle(CallBan{change.name, "by hand", node_.engine().now()});
+  else
+    handle(CallLift{change.name});
 }
 
 void ReplicaPart::handle(const replication::Event& event) {
   std::vector<replication::Action> actions;
   replica_->handle(net::steady_now(), event, actions);
   for (const auto& a : actions) carry_out(a);
-  if (!std::holds_alternative<Purged>(event)) save();  // a purge changes no ban, and there may be many
+  if (!std::holds_alternative<Purged>(event))
+    save();  // a purge changes no ban, and there may be many
   arm();
 }
 
@@ -103,7 +108,8 @@
 }
 
 void ReplicaPart::carry_out(const replication::Action& action) {
-  if (const auto* s = std::get_if<replication::SendFrame>(&action)) return cluster_.send_replica(s->to, s->bytes);
+  if (const auto* s = std::get_if<replication::SendFrame>(&action))
+    return cluster_.send_replica(s->to, s->bytes);
   if (const auto* b = std::get_if<Bind>(&action)) {
     log_.record(kName, log::Level::info, b->out ? "banned" : "lifted", {{"server", b->server}});
     binding_ = true;
@@ -112,7 +118,8 @@
     return;
   }
   const Floor& f = std::get<Forbid>(action).floor;
-  if (f.at < node_.engine().now() - settles_ - kOld) return;  // caches have dropped it by themselves
+  if (f.at < node_.engine().now() - settles_ - kOld)
+    return;  // caches have dropped it by themselves
   const auto object = f.object ? std::optional(f.id) : std::nullopt;
   node_.engine().purge(object, f.object ? 0 : static_cast<std::uint32_t>(f.id), f.at);
 }
@@ -124,7 +131,8 @@
     const auto error = store::replace_file(path, text);
     wakeup_.post([this, digest, error] {
       saving_ = false;
-      if (error.empty()) saved_ = digest;
+      if (error.empty())
+        saved_ = digest;
       else
         log_.record(kName, log::Level::error, "not_written",
                     {{"reason", error}});  // again with the next event
--- a/src/app/replication_service.h
+++ b/src/app/replication_service.h
@@ -1,9 +1,10 @@
-// Bans by hand and purges that all routers of a cluster keep alike, in service: the replica with its
-// channels, its file and what it binds.
+// Bans by hand and purges that all routers of a cluster keep alike, in service: the replica with
+// its channels, its file and what it binds.
 //
-// The loop's thread owns the Replica. A worker reads and writes the bans with all that they have seen, as one
-// file that is replaced whole: so a ban that was lifted while this router was away is lifted here as well,
-// and one that nobody has lifted is never lost. A disk that hangs holds the worker only.
+// The loop's thread owns the Replica. A worker reads and writes the bans with all that they have
+// seen, as one file that is replaced whole: so a ban that was lifted while this router was away is
+// lifted here as well, and one that nobody has lifted is never lost. A disk that hangs holds the
+// worker only.
 #pragma once
 
 #include <memory>
@@ -13,15 +14,16 @@
 #include <vector>
 
 #include "app/cluster_service.h"
+#include "file_watch/worker.h"
 #include "net/wakeup.h"
 #include "replication/replica.h"
-#include "file_watch/worker.h"
 
 namespace alderspur::app {
 
 class ReplicaPart {
  public:
-  ReplicaPart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& settings, log::Log& log);
+  ReplicaPart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& settings,
+              log::Log& log);
   ~ReplicaPart();
   bool settle();  // false: the disk hangs, and the process can only be ended by _exit()
 
--- a/src/app/routes.cpp
+++ b/src/app/routes.cpp
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-TablePtr compile(const std::string& file, const config::Config& config, std::vector<std::string>& findings) {
+TablePtr compile(const std::string& file, const config::Config& config,
+                 std::vector<std::string>& findings) {
   diagnostics::Findings found;
   const auto checked = check_language(file, found);
   auto out = std::make_shared<TableInForce>();
@@ -26,9 +27,11 @@
     for (const auto& r : out->table->routes()) {
       const auto it = std::find(names.begin(), names.end(), r.cls);
       out->classes.push_back(static_cast<std::uint32_t>(it - names.begin()));
-      if (it == names.end()) found.error("S002", r.place, "the router's configuration has no class " + r.cls);
+      if (it == names.end())
+        found.error("S002", r.place, "the router's configuration has no class " + r.cls);
       else if (config.settings.classes[out->classes.back()].uncached)
-        found.error("S002", r.place, "class " + r.cls + " runs at the origin and cannot be fetched by links");
+        found.error("S002", r.place,
+                    "class " + r.cls + " runs at the origin and cannot be fetched by links");
       const auto named = [&](const char* capture) {
         return std::any_of(r.path.begin(), r.path.end(), [&](auto& s) {
           return s.kind == config_language::Segment::Kind::capture && s.text == capture;
@@ -59,7 +62,8 @@
     : node_(node), file_(std::move(file)), log_(log), wakeup_(node.loop()) {
   std::vector<std::string> findings;
   table_ = compile(file_, node.config(), findings);
-  if (!table_) throw config::Error("the routes do not check: " + (findings.empty() ? file_ : findings[0]));
+  if (!table_)
+    throw config::Error("the routes do not check: " + (findings.empty() ? file_ : findings[0]));
   log_.record(kName, log::Level::info, "table_taken", {{"routes", table_->table->routes().size()}});
 }
 Routes::~Routes() = default;
@@ -72,7 +76,9 @@
   const bool given = worker_.submit([this, &config = node_.config()] {
     std::vector<std::string> findings;
     auto table = compile(file_, config, findings);
-    wakeup_.post([this, table = std::move(table), findings = std::move(findings)] { take(table, findings); });
+    wakeup_.post([this, table = std::move(table), findings = std::move(findings)] {
+      take(table, findings);
+    });
   });
   if (!given) reading_ = false;
 }
@@ -80,7 +86,8 @@
 void Routes::take(TablePtr table, const std::vector<std::string>& findings) {
   reading_ = false;
   if (!table) {
-    for (const auto& f : findings) log_.record(kName, log::Level::error, "table_refused", {{"reason", f}});
+    for (const auto& f : findings)
+      log_.record(kName, log::Level::error, "table_refused", {{"reason", f}});
   } else {
     const auto before = std::exchange(table_, std::move(table));
     std::vector<std::string> named;
@@ -88,14 +95,15 @@
     for (const auto& p : table_->table->pools()) named.push_back("pool " + p.name);
     for (const auto& p : table_->table->policies()) named.push_back("policy " + p.name);
     limits_.keep(named);
-    log_.record(kName, log::Level::info, "table_taken",
-                {{"routes", table_->table->routes().size()}, {"before", before->table->routes().size()}});
+    log_.record(
+        kName, log::Level::info, "table_taken",
+        {{"routes", table_->table->routes().size()}, {"before", before->table->routes().size()}});
   }
   if (std::exchange(again_, false)) reload();
 }
 
 std::optional<signed_url::Found> Routes::find(const http::Request& request, std::string_view path,
-                                               std::string_view query) {
+                                              std::string_view query) {
   routing::Question q;
   q.host = request.host;
   q.path = path;
--- a/src/app/routes.h
+++ b/src/app/routes.h
@@ -1,8 +1,8 @@
-// Routes in service: a program of the configuration language read, checked and compiled off the loop, its
-// table swapped whole between turns, and its limits kept over the swap.
+// Routes in service: a program of the configuration language read, checked and compiled off the
+// loop, its table swapped whole between turns, and its limits kept over the swap.
 //
-// A program that does not check leaves the table in force; the refusal is told with its first findings. A
-// request keeps the table that it began under until it has its answer.
+// A program that does not check leaves the table in force; the refusal is told with its first
+// findings. A request keeps the table that it began under until it has its answer.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,13 @@
 #include <string>
 #include <vector>
 
+#include "file_watch/worker.h"
 #include "limits/limits.h"
 #include "log/log.h"
 #include "net/wakeup.h"
 #include "platform/edge_router.h"
 #include "routing/table.h"
 #include "signed_url/route_selector.h"
-#include "file_watch/worker.h"
 
 namespace alderspur::app {
 
@@ -27,8 +27,10 @@
   std::vector<core::Time> deadlines;   // by class
 };
 using TablePtr = std::shared_ptr<const TableInForce>;
-// Null with findings (rendered, the first few) where the program does not check or names unknown classes.
-TablePtr compile(const std::string& file, const config::Config& config, std::vector<std::string>& findings);
+// Null with findings (rendered, the first few) where the program does not check or names unknown
+// classes.
+TablePtr compile(const std::string& file, const config::Config& config,
+                 std::vector<std::string>& findings);
 
 class Routes : public signed_url::Guide {
  public:
@@ -38,7 +40,7 @@
   void reload();  // SIGHUP
 
   std::optional<signed_url::Found> find(const http::Request& request, std::string_view path,
-                                         std::string_view query) override;
+                                        std::string_view query) override;
   core::Time admit(signed_url::Found& found, core::Time now) override;
   const limits::Limits& limits() const { return limits_; }
   const TablePtr& in_force() const { return table_; }
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -6,9 +6,9 @@
 #include <filesystem>
 #include <memory>
 
-#include "app/consensus_service.h"
 #include "app/cluster_service.h"
 #include "app/commands.h"
+#include "app/consensus_service.h"
 #include "app/endpoint_controller.h"
 #include "app/replication_service.h"
 #include "app/routes.h"
@@ -23,7 +23,8 @@
 constexpr std::size_t kProxiesMost = 32;
 
 int refuse(const diagnostics::Findings& findings) {
-  for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
+  for (const auto& f : findings.list())
+    std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
   return kFinding;
 }
 
@@ -42,26 +43,31 @@
   platform::Node node(std::move(config), say, make_sink);
   node.config_path = settings.config;
   node.on_counters([&] {
-    std::vector<log::Field> fields{{"open", node.engine().held()}, {"links", node.caches().links()}};
-    for (const auto& [name, value] : core::fields(node.engine().counters())) fields.emplace_back(name, value);
+    std::vector<log::Field> fields{{"open", node.engine().held()},
+                                   {"links", node.caches().links()}};
+    for (const auto& [name, value] : core::fields(node.engine().counters()))
+      fields.emplace_back(name, value);
     log.record("router", log::Level::info, "counters", fields);
   });
   std::unique_ptr<Routes> routes;
-  if (!settings.routes_file.empty()) routes = std::make_unique<Routes>(node, settings.routes_file, log);
+  if (!settings.routes_file.empty())
+    routes = std::make_unique<Routes>(node, settings.routes_file, log);
   std::unique_ptr<signed_url::HttpFront> links;
   if (settings.links) {
-    links =
-        std::make_unique<signed_url::HttpFront>(node.loop(), node.deadlines(), node.engine(), node.config(),
-                                                 *settings.links, net::unix_now, routes.get());
+    links = std::make_unique<signed_url::HttpFront>(node.loop(), node.deadlines(), node.engine(),
+                                                    node.config(), *settings.links, net::unix_now,
+                                                    routes.get());
     node.add({[&] { links->end_turn(); }, [&] { links->leave(); }, [&] { return links->idle(); }});
-    log.record("signed", log::Level::info, "listening", {{"address", net::to_string(links->address())}});
+    log.record("signed", log::Level::info, "listening",
+               {{"address", net::to_string(links->address())}});
   }
   std::unique_ptr<xds::Server> discovery;
   if (settings.xds) {
-    discovery = std::make_unique<xds::Server>(node.loop(), node.deadlines(), node.engine(), node.caches(),
-                                              *settings.xds, kProxiesMost);
+    discovery = std::make_unique<xds::Server>(node.loop(), node.deadlines(), node.engine(),
+                                              node.caches(), *settings.xds, kProxiesMost);
     node.add({[&] { discovery->end_turn(); }, [&] { discovery->stop_listening(); }, {}});
-    log.record("xds", log::Level::info, "listening", {{"address", net::to_string(discovery->address())}});
+    log.record("xds", log::Level::info, "listening",
+               {{"address", net::to_string(discovery->address())}});
   }
   std::unique_ptr<ClusterPart> cluster;
   if (settings.cluster) cluster = std::make_unique<ClusterPart>(node, *settings.cluster, log);
@@ -80,21 +86,26 @@
                              const auto list = keeper ? keeper->fleet().in_force() : nullptr;
                              return list ? list->generation : 0;
                            }};
-    versions = std::make_unique<AgreePart>(node, *cluster, *settings.cluster, std::move(files), log);
+    versions =
+        std::make_unique<AgreePart>(node, *cluster, *settings.cluster, std::move(files), log);
+  }
+  if (keeper) {
+    keeper->start();
   }
-  if (keeper) { keeper->start(); }
   node.on_reload([&] {
     if (keeper) keeper->look();
     if (routes) routes->reload();
   });
   node.loop().on_signal(SIGUSR1, [&] {
-    if (keeper) log.record("membership", log::Level::info, "standing", {{"text", keeper->summary()}});
+    if (keeper)
+      log.record("membership", log::Level::info, "standing", {{"text", keeper->summary()}});
     log.flush();
   });
   node.run();
   if (!node.settle() || (versions && !versions->settle()) ||
       (replica && !replica->settle())) {  // a disk that hangs must not hold the end of the process
-    log.record("router", log::Level::warning, "shared_folder", {{"reason", "hangs, ending without it"}});
+    log.record("router", log::Level::warning, "shared_folder",
+               {{"reason", "hangs, ending without it"}});
     log.flush();
     ::_exit(kYes);
   }
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -4,8 +4,8 @@
 
 #include <cstdio>
 
-#include "app/consensus_service.h"
 #include "app/commands.h"
+#include "app/consensus_service.h"
 #include "app/json.h"
 
 namespace alderspur::app {
@@ -36,7 +36,8 @@
   version(w, "acting", v.acting.version, v.acting.careful ? "careful" : "leased");
   w.Key("lease_ms"), w.Int64(v.lease_left / 1000);
   w.Key("heard"), w.Uint64(v.acting.heard.size());
-  w.Key("share_all"), w.Double(v.acting.share_all), w.Key("share_point"), w.Double(v.acting.share_point);
+  w.Key("share_all"), w.Double(v.acting.share_all), w.Key("share_point"),
+      w.Double(v.acting.share_point);
   if (v.pending) version(w, "pending", *v.pending, v.pending_agreed ? "agreed" : "offered");
   text(w, "part", word(v.part)), text(w, "leader", v.leader);
   w.Key("leads"), w.Bool(v.leads), w.Key("term"), w.Uint64(v.term), w.Key("log"), w.Uint64(v.log);
@@ -121,7 +122,8 @@
 
 int cluster_versions(const std::string& at, bool json) {
   const auto asked = ask_operators(at, "GET", "/control/versions");
-  if (asked.status != 200) return say(asked.status ? asked.text : "nobody answers at " + at, kFinding);
+  if (asked.status != 200)
+    return say(asked.status ? asked.text : "nobody answers at " + at, kFinding);
   if (json) return std::fputs(asked.text.c_str(), stdout), kYes;
   rapidjson::Document j;
   j.Parse<rapidjson::kParseIterativeFlag>(asked.text.c_str());
@@ -132,7 +134,8 @@
                 v["author"].GetString(), static_cast<unsigned long long>(v["base"].GetUint64()),
                 v["note"].GetString());
     if (v.HasMember("first"))
-      for (const auto& n : v["first"].GetArray()) std::printf("         on trial at %s\n", n.GetString());
+      for (const auto& n : v["first"].GetArray())
+        std::printf("         on trial at %s\n", n.GetString());
   };
   line("acting", j["acting"]);
   if (j.HasMember("pending")) line("pending", j["pending"]);
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 void pack(Packer& p, const Identity& i) {
-  p.array(6).text(i.name).text(i.address).text(i.point).text(i.version).number(i.epoch).real(i.share);
+  p.array(6).text(i.name).text(i.address).text(i.point).text(i.version).number(i.epoch).real(
+      i.share);
 }
 void pack(Packer& p, const std::vector<Rumour>& all) {
   p.array(all.size());
--- a/src/cluster/codec.h
+++ b/src/cluster/codec.h
@@ -1,7 +1,7 @@
 // The wire form of the cluster's messages: MessagePack arrays, version 1. No sockets, no secrets.
 //
-// Further elements at the end of an array are passed over, so that a later version may add some. What does
-// not fit the bounds of membership.h reads as nothing.
+// Further elements at the end of an array are passed over, so that a later version may add some.
+// What does not fit the bounds of membership.h reads as nothing.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +19,8 @@
 std::string encode(const Message& message);
 std::optional<Message> decode_message(std::string_view bytes);
 
-// A whole picture, by a connection of its own. `asked` repeats what the other side drew, so that a picture
-// kept from an earlier exchange is none; `ask` is what this side has drawn.
+// A whole picture, by a connection of its own. `asked` repeats what the other side drew, so that a
+// picture kept from an earlier exchange is none; `ask` is what this side has drawn.
 struct Picture {
   std::uint64_t asked = 0, ask = 0;
   std::vector<Rumour> members;
@@ -28,7 +28,8 @@
 std::string encode(const Picture& picture);
 std::optional<Picture> decode_picture(std::string_view bytes);
 
-// The first word of a channel, in place of a picture: who speaks on it, with what the called side drew.
+// The first word of a channel, in place of a picture: who speaks on it, with what the called side
+// drew.
 struct Hello {
   std::uint64_t asked = 0, epoch = 0;
   std::string name;
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -13,9 +13,11 @@
 constexpr Time kStall = 500'000;    // a Tick so late means that we stood still, not that others did
 constexpr Time kLeaving = 500'000;  // for which our leaving is gossiped
 constexpr std::size_t kQuestionsMost = 1024;
-constexpr std::size_t kStorm = 4 * kRumoursMost;  // news that wait: gossip would take seconds for them
-constexpr Time kOwnPeriods = 3;  // for which an unanswered question speaks: a rumour takes that long to come
-constexpr int kCalls = 2;        // to a suspect, one an answer's time
+constexpr std::size_t kStorm =
+    4 * kRumoursMost;  // news that wait: gossip would take seconds for them
+constexpr Time kOwnPeriods =
+    3;  // for which an unanswered question speaks: a rumour takes that long to come
+constexpr int kCalls = 2;          // to a suspect, one an answer's time
 constexpr double kHelpPart = 0.8;  // of the answer's time: then a helper says that it has none
 
 bool usable(const Identity& who) {
@@ -73,7 +75,8 @@
   wake(static_cast<Time>(draw(static_cast<std::uint64_t>(set_.period))), Wake::probe);
   wake(static_cast<Time>(draw(static_cast<std::uint64_t>(set_.gossip))), Wake::gossip);
   wake(static_cast<Time>(draw(static_cast<std::uint64_t>(set_.reach / 4))), Wake::reach);
-  wake(set_.refresh + static_cast<Time>(draw(static_cast<std::uint64_t>(set_.refresh))), Wake::refresh);
+  wake(set_.refresh + static_cast<Time>(draw(static_cast<std::uint64_t>(set_.refresh))),
+       Wake::refresh);
   spread(myself());
 }
 
@@ -128,7 +131,8 @@
     case Wake::nack:
       if (const auto q = questions_.find(d.number); q != questions_.end()) {
         send(q->second.for_address, message(Message::Kind::nack, q->second.for_number));
-        if (const auto t = members_.find(q->second.name); t != members_.end()) t->second.unanswered = now_;
+        if (const auto t = members_.find(q->second.name); t != members_.end())
+          t->second.unanswered = now_;
         questions_.erase(q);
       }
       return;
@@ -155,7 +159,8 @@
   const Message& m = e.message;
   if (!usable(m.from) || m.rumours.size() > kRumoursMost) return void(++counts_.refused);
   if (m.from.name == self_.name) {
-    if (m.from.epoch > self_.epoch) merge_self({m.from, m.incarnation, State::alive, {}});
+    if (m.from.epoch > self_.epoch)
+      merge_self({m.from, m.incarnation, State::alive, {}});
     else if (m.from.epoch < self_.epoch) {
       ++counts_.conflicts;
       act(Conflict{m.from, self_});
@@ -166,19 +171,21 @@
   // An answer proves its sender; whoever asks from nowhere is asked back first.
   if (m.kind == Message::Kind::ack) answered(m);
   meet(m, e.from);
-  // Danger: what somebody says who may be dead, in a message kept from his life, would revive others that
-  // are.
+  // Danger: what somebody says who may be dead, in a message kept from his life, would revive
+  // others that are.
   const auto sender = members_.find(m.from.name);
   if (sender != members_.end() && sender->second.seen.member.who.epoch == m.from.epoch)
     for (const auto& r : m.rumours)
       if (!out_of_it_) merge(r);
   if (out_of_it_) return;
-  const bool for_us = m.to.empty() || (m.to == self_.name && (!m.to_epoch || m.to_epoch == self_.epoch));
+  const bool for_us =
+      m.to.empty() || (m.to == self_.name && (!m.to_epoch || m.to_epoch == self_.epoch));
   if (m.kind == Message::Kind::ping && for_us)
     send(e.from, message(Message::Kind::ack, m.number), m.from.name);
   if (m.kind == Message::Kind::nack)
     if (const auto q = questions_.find(m.number); q != questions_.end()) ++q->second.nacks;
-  if (m.kind != Message::Kind::ask || questions_.size() >= kQuestionsMost || m.target.size() > kWordMost)
+  if (m.kind != Message::Kind::ask || questions_.size() >= kQuestionsMost ||
+      m.target.size() > kWordMost)
     return;
   const auto number = ask(m.target, m.target_epoch, m.target_address, false);
   Question& q = questions_[number];
@@ -188,7 +195,9 @@
 
 // ---- Probing
 
-Rumour Membership::myself() const { return {self_, incarnation_, leaving_ ? State::left : State::alive, {}}; }
+Rumour Membership::myself() const {
+  return {self_, incarnation_, leaving_ ? State::left : State::alive, {}};
+}
 
 Message Membership::message(Message::Kind kind, std::uint64_t number) const {
   Message m;
@@ -205,8 +214,8 @@
   act(Send{address, std::move(m)});
 }
 
-std::uint64_t Membership::ask(const std::string& name, std::uint64_t epoch, const std::string& address,
-                              bool periodic) {
+std::uint64_t Membership::ask(const std::string& name, std::uint64_t epoch,
+                              const std::string& address, bool periodic) {
   const std::uint64_t number = random_();
   Question& q = questions_[number];
   q.name = name, q.epoch = epoch, q.periodic = periodic;
@@ -235,8 +244,8 @@
   const auto target = members_.find(q->second.name);
   if (target == members_.end()) return void(questions_.erase(q));
   const Identity& who = target->second.seen.member.who;
-  // Once more ourselves too: of a message and its answer a third is lost where a fifth of all messages is,
-  // and each suspicion that need not be takes the place of other news.
+  // Once more ourselves too: of a message and its answer a third is lost where a fifth of all
+  // messages is, and each suspicion that need not be takes the place of other news.
   Message again = message(Message::Kind::ping, number);
   again.to = who.name, again.to_epoch = q->second.epoch;
   send(who.address, std::move(again), who.name);
@@ -270,7 +279,8 @@
   const Question q = it->second;
   // A helper passes the target's answer on under its own name and our number.
   const bool helped = m.target == q.name && m.from.name != q.name;
-  if (!helped && !q.name.empty() && m.from.name != q.name) return;  // somebody else is at that address now
+  if (!helped && !q.name.empty() && m.from.name != q.name)
+    return;  // somebody else is at that address now
   questions_.erase(it);
   if (!q.for_address.empty()) {
     Message ack = message(Message::Kind::ack, q.for_number);
@@ -320,7 +330,8 @@
   }
   Member& m = it->second;
   if (overrides(r, m.seen.member)) return take(r);
-  const bool same = r.who.epoch == m.seen.member.who.epoch && r.incarnation == m.seen.member.incarnation;
+  const bool same =
+      r.who.epoch == m.seen.member.who.epoch && r.incarnation == m.seen.member.incarnation;
   if (same && r.state == State::suspect && m.seen.member.state == State::suspect) confirm(m, r);
 }
 
@@ -334,7 +345,8 @@
     self_.epoch = r.who.epoch + 1, incarnation_ = 1;
     return spread(myself());
   }
-  if (r.who.epoch < self_.epoch || r.state == State::alive || leaving_ || r.incarnation < incarnation_)
+  if (r.who.epoch < self_.epoch || r.state == State::alive || leaving_ ||
+      r.incarnation < incarnation_)
     return;
   // We are accused, or held for gone: said to be wrong, and a reason to doubt our own speed.
   incarnation_ = r.incarnation + 1;
@@ -348,7 +360,8 @@
   Member& m = it->second;
   const auto before = fresh ? std::nullopt : std::optional(m.seen.member.state);
   const bool new_start = !fresh && m.seen.member.who.epoch != r.who.epoch;
-  // Held for there a moment ago, and now started elsewhere: two processes, or a move that nobody announced.
+  // Held for there a moment ago, and now started elsewhere: two processes, or a move that nobody
+  // announced.
   if (new_start && is_there(*before) && m.seen.member.who.address != r.who.address) {
     ++counts_.conflicts;
     act(Conflict{m.seen.member.who, r.who});
@@ -370,7 +383,8 @@
     m.verdict = now_ + patience(m);
     m.called = 0, m.calls = 0;
     // Without an answer to us either, when we were asked for help: that is a suspicion of our own.
-    const bool ours = m.unanswered > m.seen.heard && now_ < m.unanswered + kOwnPeriods * set_.period;
+    const bool ours =
+        m.unanswered > m.seen.heard && now_ < m.unanswered + kOwnPeriods * set_.period;
     if (ours && m.suspecters.insert(self_.name).second) {
       m.verdict = m.suspected + patience(m);
       m.seen.member.by = self_.name;
@@ -381,7 +395,8 @@
   if (before != r.state || new_start) act(Changed{r, before});
 }
 
-// Every independent suspicion shortens the time that is left, and is passed on until there are enough.
+// Every independent suspicion shortens the time that is left, and is passed on until there are
+// enough.
 void Membership::confirm(Member& m, const Rumour& r) {
   if (m.suspecters.size() > set_.helpers || !m.suspecters.insert(r.by).second) return;
   m.verdict = m.suspected + patience(m);
@@ -409,8 +424,9 @@
   already ? confirm(it->second, r) : take(r);
 }
 
-// Danger: where a fifth of all messages is lost, a refutation may not reach everybody in time. Towards the
-// end of a suspicion each that holds it asks the suspect, which costs a member two messages a death.
+// Danger: where a fifth of all messages is lost, a refutation may not reach everybody in time.
+// Towards the end of a suspicion each that holds it asks the suspect, which costs a member two
+// messages a death.
 void Membership::await(const Member& m) {
   wake(m.verdict - kCalls * set_.answer - now_, Wake::suspicion, m.seen.member.who.name);
 }
@@ -458,7 +474,8 @@
     const auto m = members_.find(about);
     if (m != members_.end() && m->second.seen.member.state != State::alive)
       into.push_back(m->second.seen.member);
-    else if (m != members_.end() || about == self_.name) into.push_back(myself());
+    else if (m != members_.end() || about == self_.name)
+      into.push_back(myself());
   }
   const auto most =
       static_cast<std::size_t>(kSpread * std::ceil(std::log2(static_cast<double>(there() + 2))));
@@ -471,8 +488,10 @@
     const auto n = news_.find(name);
     into.push_back(n->second.rumour);
     n->second.sent = sent + 1;
-    if (n->second.sent >= most) news_.erase(n);
-    else fresh_.insert({sent + 1, name});
+    if (n->second.sent >= most)
+      news_.erase(n);
+    else
+      fresh_.insert({sent + 1, name});
   }
 }
 
@@ -485,7 +504,8 @@
   }
 }
 
-// News are lost now and then: a few of what is known, new or not, to one other, in turn through all.
+// News are lost now and then: a few of what is known, new or not, to one other, in turn through
+// all.
 void Membership::refresh() {
   const auto peers = some(1, {});
   if (peers.empty()) return;
@@ -497,7 +517,8 @@
     refreshed_ = it->first;
   }
   act(Send{peers[0]->seen.member.who.address, std::move(m)});
-  // Danger: hundreds that start at once, or two halves that meet, have hundreds of news, six a message.
+  // Danger: hundreds that start at once, or two halves that meet, have hundreds of news, six a
+  // message.
   if (fresh_.size() <= kStorm || now_ < exchanged_ + set_.reach) return;
   exchanged_ = now_;
   act(Exchange{peers[0]->seen.member.who.address});
@@ -528,12 +549,14 @@
   std::vector<Member*> out;
   for (std::size_t tries = 0; tries < 3 * n + 3 && out.size() < n && !order_.empty(); ++tries) {
     Member* m = order_[draw(order_.size())];
-    if (m->seen.member.who.name != but && std::find(out.begin(), out.end(), m) == out.end()) out.push_back(m);
+    if (m->seen.member.who.name != but && std::find(out.begin(), out.end(), m) == out.end())
+      out.push_back(m);
   }
   return out;
 }
 
-// A new one comes to a place drawn, so that a wave of them is not probed in the order of its coming.
+// A new one comes to a place drawn, so that a wave of them is not probed in the order of its
+// coming.
 void Membership::enlist(Member& m) {
   at_addresses_.insert(m.seen.member.who.address);
   m.place = order_.size();
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,23 +1,27 @@
-// Who is there: a weakly consistent membership of routers, in the manner of SWIM (Das et al. 2002) with the
-// refinements of Lifeguard (Dadgar et al. 2018). Values in, values out: no I/O, no clock, no thread of its
-// own.
+// Who is there: a weakly consistent membership of routers, in the manner of SWIM (Das et al. 2002)
+// with the refinements of Lifeguard (Dadgar et al. 2018). Values in, values out: no I/O, no clock,
+// no thread of its own.
 //
-// Use: one Membership a process; hand it every event with the time, carry out the actions in order, and hand
-// it Tick when next() is due. The same identity, seed and events give the same actions. Not thread-safe.
+// Use: one Membership a process; hand it every event with the time, carry out the actions in order,
+// and hand it Tick when next() is due. The same identity, seed and events give the same actions.
+// Not thread-safe.
 //
-// What it does: each period it probes one member, in an order that is shuffled anew each round; without an
-// answer it has others probe it; without theirs it suspects it. A suspicion ends in a failure unless the
-// member refutes it by a higher incarnation; its time shrinks as others suspect the same, and whoever
-// suspected it first goes on asking it. News travel as rumours on all messages and by a gossip of their own
-// while there are any; where more wait than messages can carry (a fleet starts, a cut ends), by whole
-// pictures. So the load of a member does not grow with their number, but for the one rumour a change.
+// What it does: each period it probes one member, in an order that is shuffled anew each round;
+// without an answer it has others probe it; without theirs it suspects it. A suspicion ends in a
+// failure unless the member refutes it by a higher incarnation; its time shrinks as others suspect
+// the same, and whoever suspected it first goes on asking it. News travel as rumours on all
+// messages and by a gossip of their own while there are any; where more wait than messages can
+// carry (a fleet starts, a cut ends), by whole pictures. So the load of a member does not grow with
+// their number, but for the one rumour a change.
 //
-// Who is who: a member is known by its name; its epoch is new at each start, its incarnation grows within
-// one. (epoch, incarnation, state) orders all that is said of a name, and the greater holds. Whoever is
-// unknown, or known by a lower epoch, and speaks for itself is asked first: only an answer to our own
-// question proves that it is there now. So neither a replayed message nor an old rumour revives the dead.
+// Who is who: a member is known by its name; its epoch is new at each start, its incarnation grows
+// within one. (epoch, incarnation, state) orders all that is said of a name, and the greater holds.
+// Whoever is unknown, or known by a lower epoch, and speaks for itself is asked first: only an
+// answer to our own question proves that it is there now. So neither a replayed message nor an old
+// rumour revives the dead.
 //
-// Bounds: kMembersMost members, kRumoursMost rumours a message, names and addresses of kWordMost characters.
+// Bounds: kMembersMost members, kRumoursMost rumours a message, names and addresses of kWordMost
+// characters.
 #pragma once
 
 #include <cstdint>
@@ -154,7 +158,7 @@
   std::uint32_t incarnation() const { return incarnation_; }
   std::size_t there() const { return order_.size(); }      // others that are alive or suspect
   std::size_t known() const { return there() + failed_; }  // others, but for those that left
-  int health() const { return doubt_; }                    // 0: well; more: we may be slow ourselves
+  int health() const { return doubt_; }  // 0: well; more: we may be slow ourselves
   const Counts& counts() const { return counts_; }
 
  private:
@@ -206,7 +210,8 @@
   void wake(Time in, Wake why, std::string name = {}, std::uint64_t number = 0);
   Message message(Message::Kind kind, std::uint64_t number) const;
   void send(const std::string& address, Message m, const std::string& about = {});
-  std::uint64_t ask(const std::string& name, std::uint64_t epoch, const std::string& address, bool periodic);
+  std::uint64_t ask(const std::string& name, std::uint64_t epoch, const std::string& address,
+                    bool periodic);
 
   void probe();
   void help(std::uint64_t number);
--- a/src/cluster/packing.h
+++ b/src/cluster/packing.h
@@ -1,7 +1,8 @@
-// MessagePack arrays as the cluster's messages and records use them: packed in order, read in order.
+// MessagePack arrays as the cluster's messages and records use them: packed in order, read in
+// order.
 //
-// Further elements at the end of an array are passed over, so that a later version may add some. Texts are
-// printable and of kWordMost characters where nothing else is said. No I/O.
+// Further elements at the end of an array are passed over, so that a later version may add some.
+// Texts are printable and of kWordMost characters where nothing else is said. No I/O.
 #pragma once
 
 #include <msgpack.h>
@@ -33,7 +34,9 @@
     msgpack_pack_bin(&p_, s.size());
     return msgpack_pack_bin_body(&p_, s.data(), s.size()), *this;
   }
-  Packer& text(std::string_view s) { return msgpack_pack_str_with_body(&p_, s.data(), s.size()), *this; }
+  Packer& text(std::string_view s) {
+    return msgpack_pack_str_with_body(&p_, s.data(), s.size()), *this;
+  }
   std::string take() const { return {buffer_.data, buffer_.size}; }
 
  private:
@@ -41,7 +44,8 @@
   msgpack_packer p_;
 };
 
-// Reads an array element by element; once something does not fit, everything after it reads as not there.
+// Reads an array element by element; once something does not fit, everything after it reads as not
+// there.
 class Reader {
  public:
   Reader(const msgpack_object& o, std::size_t least) {
@@ -86,7 +90,8 @@
   bool flag() { return number(1) == 1; }
   std::string_view bytes(std::size_t most) {
     const auto& o = next();
-    if (o.type != MSGPACK_OBJECT_BIN || o.via.bin.size > most) return good = false, std::string_view();
+    if (o.type != MSGPACK_OBJECT_BIN || o.via.bin.size > most)
+      return good = false, std::string_view();
     return {o.via.bin.ptr, o.via.bin.size};
   }
   std::string text(std::size_t most = kWordMost) {
--- a/src/cluster/seal.cpp
+++ b/src/cluster/seal.cpp
@@ -19,7 +19,8 @@
 }
 std::uint64_t get(std::string_view bytes) {
   std::uint64_t n = 0;
-  for (int i = 7; i >= 0; --i) n = n << 8 | static_cast<unsigned char>(bytes[static_cast<std::size_t>(i)]);
+  for (int i = 7; i >= 0; --i)
+    n = n << 8 | static_cast<unsigned char>(bytes[static_cast<std::size_t>(i)]);
   return n;
 }
 
@@ -31,9 +32,11 @@
   return kWords[static_cast<std::size_t>(opened)];
 }
 
-Seal::Seal(std::string_view cluster, std::string secret, std::uint64_t sender, double rate, double burst)
+Seal::Seal(std::string_view cluster, std::string secret, std::uint64_t sender, double rate,
+           double burst)
     : Seal(core::stable_hash(cluster), std::move(secret), sender, rate, burst) {}
-Seal::Seal(std::uint64_t cluster, std::string secret, std::uint64_t sender, double rate, double burst)
+Seal::Seal(std::uint64_t cluster, std::string secret, std::uint64_t sender, double rate,
+           double burst)
     : cluster_(cluster), sender_(sender), secret_(std::move(secret)), rate_(rate), burst_(burst) {}
 Seal Seal::under(std::uint64_t sender, double rate, double burst) const {
   return Seal(cluster_, secret_, sender, rate, burst);
@@ -55,15 +58,16 @@
 }
 
 Opened Seal::open(std::string_view frame, core::Time now, std::string_view& payload) {
-  if (frame.size() < kSealBytes || !frame.starts_with(kMagic.substr(0, 3))) return Opened::unreadable;
+  if (frame.size() < kSealBytes || !frame.starts_with(kMagic.substr(0, 3)))
+    return Opened::unreadable;
   if (!frame.starts_with(kMagic)) return Opened::later;
   if (get(frame.substr(4)) != cluster_) return Opened::foreign;
   const std::uint64_t sender = get(frame.substr(12)), count = get(frame.substr(20));
   const auto known = windows_.find(sender);
   if (known != windows_.end()) {
     Window& w = known->second;
-    w.tokens =
-        std::min(burst_, w.tokens + rate_ * static_cast<double>(std::max<core::Time>(0, now - w.at)) / 1e6);
+    w.tokens = std::min(
+        burst_, w.tokens + rate_ * static_cast<double>(std::max<core::Time>(0, now - w.at)) / 1e6);
     w.at = now;
     if (w.tokens < 1) return Opened::flooding;
     --w.tokens;
--- a/src/cluster/seal.h
+++ b/src/cluster/seal.h
@@ -1,13 +1,13 @@
-// What a message of the cluster is wrapped in: which cluster, which sender, its how manieth, and a code by
-// the shared secret (HMAC-SHA256, RFC 2104). No I/O.
+// What a message of the cluster is wrapped in: which cluster, which sender, its how manieth, and a
+// code by the shared secret (HMAC-SHA256, RFC 2104). No I/O.
 //
-//   "ALC1", then in little-endian 64-bit numbers the cluster's hash, the sender, its count; the payload; the
-//   code
+//   "ALC1", then in little-endian 64-bit numbers the cluster's hash, the sender, its count; the
+//   payload; the code
 //
-// Of each sender (a number drawn at its start) a window of 64 counts is remembered: what comes again is
-// replayed, and what is older than the window passes for it. Senders are remembered up to kSendersMost; the
-// longest there go first. A sender may be heard kRate times a second, and kBurst at once: one that floods
-// costs the others nothing.
+// Of each sender (a number drawn at its start) a window of 64 counts is remembered: what comes
+// again is replayed, and what is older than the window passes for it. Senders are remembered up to
+// kSendersMost; the longest there go first. A sender may be heard kRate times a second, and kBurst
+// at once: one that floods costs the others nothing.
 #pragma once
 
 #include <cstdint>
@@ -35,7 +35,8 @@
   // Of the same cluster and secret.
   Seal under(std::uint64_t sender, double rate = kRate, double burst = kBurst) const;
   std::string seal(std::string_view payload);
-  // `payload` is a slice of `frame`. Cheapest checks first: the code is reckoned for what may be ours only.
+  // `payload` is a slice of `frame`. Cheapest checks first: the code is reckoned for what may be
+  // ours only.
   Opened open(std::string_view frame, core::Time now, std::string_view& payload);
 
  private:
--- a/src/cluster_transport/channels.cpp
+++ b/src/cluster_transport/channels.cpp
@@ -7,8 +7,8 @@
 
 namespace alderspur::cluster {
 
-// The called side: an exchange has turned out to be a channel. Danger: a former process of that name, stopped
-// for a while, may still speak; what is known to have come after it holds.
+// The called side: an exchange has turned out to be a channel. Danger: a former process of that
+// name, stopped for a while, may still speak; what is known to have come after it holds.
 bool Link::open(Peer& peer, std::string_view payload) {
   const auto hello = decode_hello(payload);
   if (!hello || peer.caller || peer.said || hello->asked != peer.drawn) return false;
@@ -26,7 +26,8 @@
 // The calling side: the other has drawn its number; what waited goes out behind our name.
 bool Link::answer(Peer& peer, std::uint64_t asked) {
   if (std::exchange(peer.said, true)) return false;
-  write(peer, seal_.seal(encode(Hello{asked, membership_->self().epoch, membership_->self().name})));
+  write(peer,
+        seal_.seal(encode(Hello{asked, membership_->self().epoch, membership_->self().name})));
   for (const auto& frame : std::exchange(peer.waiting, {})) write(peer, peer.seal->seal(frame));
   peer.waiting_bytes = 0;
   return true;
@@ -68,9 +69,10 @@
 
 void Link::send_frame(const std::string& to, std::string_view frame) {
   Peer* peer = channel(to);
-  const bool room = peer && frame.size() < kFrameMost &&
-                    peer->connection->unwritten() + peer->waiting_bytes + frame.size() < kWaitingMost &&
-                    peer->waiting.size() < kFramesWaiting;
+  const bool room =
+      peer && frame.size() < kFrameMost &&
+      peer->connection->unwritten() + peer->waiting_bytes + frame.size() < kWaitingMost &&
+      peer->waiting.size() < kFramesWaiting;
   if (!room) return void(++counts_.frames_lost);
   ++counts_.frames_out;
   peer->used = now_();
@@ -82,14 +84,16 @@
   touch(*peer);
 }
 
-// Danger: a link may take what is written and never move it, or never come up: seen by what has left.
+// Danger: a link may take what is written and never move it, or never come up: seen by what has
+// left.
 void Link::watch(Peer& peer) {
   peer.moved = peer.connection->written_total();
   peer.timeout = deadlines_.set(now_() + kStalled, [this, &peer] { look_at(peer); });
 }
 
 void Link::look_at(Peer& peer) {
-  const bool owes = peer.connection->unwritten() > 0 || !peer.waiting.empty() || (peer.caller && !peer.said);
+  const bool owes =
+      peer.connection->unwritten() > 0 || !peer.waiting.empty() || (peer.caller && !peer.said);
   if ((owes && peer.connection->written_total() == peer.moved) || now_() > peer.used + kUnused)
     return drop(peer);
   watch(peer);
--- a/src/cluster_transport/transport.cpp
+++ b/src/cluster_transport/transport.cpp
@@ -18,7 +18,8 @@
 constexpr int kBuffer = 256 << 10;     // of datagrams that wait for the next turn
 
 std::runtime_error cannot(const char* what, const sockaddr_in& at) {
-  return std::runtime_error(std::string(what) + " " + net::to_string(at) + ": " + std::strerror(errno));
+  return std::runtime_error(std::string(what) + " " + net::to_string(at) + ": " +
+                            std::strerror(errno));
 }
 sockaddr_in parsed(const std::string& text) {
   const auto at = net::parse_address(text);
@@ -194,7 +195,8 @@
   if (bytes.size() < sizeof size) return 0;
   std::memcpy(&size, bytes.data(), sizeof size);
   size = ntohl(size);
-  if (size > (peer.is_channel ? kFrameMost : kPictureMost)) return drop("oversized", "an exchange"), -1;
+  if (size > (peer.is_channel ? kFrameMost : kPictureMost))
+    return drop("oversized", "an exchange"), -1;
   if (bytes.size() < sizeof size + size) return 0;
   counts_.bytes_in += size;
   std::string_view payload;
@@ -250,7 +252,8 @@
     p->connection->end_turn();
     if (p->connection->feed_again()) p->connection->end_turn();
     if (p->dead || !p->finished || p->connection->unwritten() > 0) continue;
-    // The caller has all it wanted; the called one lets the caller end, so that its last word is read.
+    // The caller has all it wanted; the called one lets the caller end, so that its last word is
+    // read.
     if (p->caller) drop(*p);
   }
   for (Peer* p : std::exchange(touched_, {})) {
--- a/src/cluster_transport/transport.h
+++ b/src/cluster_transport/transport.h
@@ -1,18 +1,19 @@
-// Membership on the wire: UDP for probes and rumours, TCP for whole pictures, on one address. Thin: what a
-// message means is Membership's; what it is wrapped in is Seal's.
+// Membership on the wire: UDP for probes and rumours, TCP for whole pictures, on one address. Thin:
+// what a message means is Membership's; what it is wrapped in is Seal's.
 //
 // An exchange of pictures, each frame with its length before it (32 bits, big-endian):
-//   the called one draws a number and says it; the caller says its picture with that number, and one it has
-//   drawn; the called one says its own with the caller's number, and ends.
+//   the called one draws a number and says it; the caller says its picture with that number, and
+//   one it has drawn; the called one says its own with the caller's number, and ends.
 //
-// A channel carries frames from one member to another, for what builds on membership: on the same address,
-// opened by Hello in place of a picture, one for each direction, kept open while it is used. Frames come in
-// order or not at all: whoever does not read, or whose link stalls for kStalled, loses what waits for it, and
-// holds nobody else's channel. The frames of a channel are sealed under a number of its own.
+// A channel carries frames from one member to another, for what builds on membership: on the same
+// address, opened by Hello in place of a picture, one for each direction, kept open while it is
+// used. Frames come in order or not at all: whoever does not read, or whose link stalls for
+// kStalled, loses what waits for it, and holds nobody else's channel. The frames of a channel are
+// sealed under a number of its own.
 //
 // Bounds: datagrams of kDatagramMost and kAtOnce of them a turn; kExchangesMost connections with
-// kExchangeTime each and a frame of kPictureMost. A member that floods or reads nothing costs the others
-// nothing. One thread: the loop's. What cannot be used is told once in ten seconds a kind.
+// kExchangeTime each and a frame of kPictureMost. A member that floods or reads nothing costs the
+// others nothing. One thread: the loop's. What cannot be used is told once in ten seconds a kind.
 #pragma once
 
 #include <functional>
@@ -32,7 +33,8 @@
 
 constexpr std::size_t kAtOnce = 64, kExchangesMost = 16, kChannelsMost = 1024;
 constexpr std::size_t kFrameMost = 4 << 20, kWaitingMost = 6 << 20, kFramesWaiting = 512;
-constexpr Time kExchangeTime = 3'000'000, kStalled = 3'000'000, kUnused = 30'000'000, kRedial = 200'000;
+constexpr Time kExchangeTime = 3'000'000, kStalled = 3'000'000, kUnused = 30'000'000,
+               kRedial = 200'000;
 
 struct LinkSettings {
   std::string cluster, secret, listen;
@@ -41,7 +43,8 @@
   MembershipSettings membership;
 };
 struct LinkCounts {
-  std::uint64_t datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0, exchanges = 0, dropped = 0;
+  std::uint64_t datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0, exchanges = 0,
+                dropped = 0;
   std::uint64_t frames_in = 0, frames_out = 0, frames_lost = 0;
 };
 
@@ -54,10 +57,10 @@
     std::function<void(const char* kind, const std::string& from)> dropped;      // a bounded line
     std::function<void(const std::string& from, std::string_view frame)> frame;  // of a channel
   };
-  // Throws std::runtime_error where the address is not to be had. With port 0 the identity gets the one
-  // given.
-  Link(net::Loop& loop, core::Deadlines& deadlines, std::function<Time()> now, const LinkSettings& settings,
-       Identity self, std::uint64_t seed, Hooks hooks);
+  // Throws std::runtime_error where the address is not to be had. With port 0 the identity gets the
+  // one given.
+  Link(net::Loop& loop, core::Deadlines& deadlines, std::function<Time()> now,
+       const LinkSettings& settings, Identity self, std::uint64_t seed, Hooks hooks);
   ~Link();
   void end_turn();
   void leave();  // in order: said to the others; done() once it has been
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -205,8 +205,8 @@
   c.operator_listen = word(at(j, "operator"));
   c.seed = hex(word(at(j, "seed"))).value_or(0);
   c.memory_mb = count(at(at(j, "limits"), "memory_mb"), 192);
-  c.sockets =
-      static_cast<int>(std::clamp<std::uint32_t>(count(at(at(j, "limits"), "sockets"), 1024), 32, 1 << 20));
+  c.sockets = static_cast<int>(
+      std::clamp<std::uint32_t>(count(at(at(j, "limits"), "sockets"), 1024), 32, 1 << 20));
   const Json& settings = at(j, "settings");
   if (!settings.IsObject()) throw Error("the configuration has no settings");
   c.settings = settings_of(settings);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -40,7 +40,8 @@
 struct Config {
   std::string name, listen, board;
   std::string operator_listen;  // where operators call; empty: nowhere
-  std::string state_folder;     // shared with the process that we replace, or that replaces us; empty: none
+  std::string
+      state_folder;  // shared with the process that we replace, or that replaces us; empty: none
   std::uint64_t seed = 0;
   std::size_t memory_mb = 192;
   int sockets = 1024;
--- a/src/config_language/check.cpp
+++ b/src/config_language/check.cpp
@@ -29,7 +29,8 @@
 
 class Checker {
  public:
-  Checker(const Program& program, diagnostics::Findings& findings) : program_(program), findings_(findings) {}
+  Checker(const Program& program, diagnostics::Findings& findings)
+      : program_(program), findings_(findings) {}
 
   Meaning run() {
     for (const auto& t : program_.trees) faulty_ |= t.faulty;
@@ -38,8 +39,8 @@
     for (const auto* s : program_.statements)
       if (s->key != "let") top(*s, {});
     for (std::size_t i = 0; i < out_.declarations.size(); ++i)
-      out_.index.emplace(std::pair(std::string(out_.declarations[i].kind->name), out_.declarations[i].name),
-                         i);
+      out_.index.emplace(
+          std::pair(std::string(out_.declarations[i].kind->name), out_.declarations[i].name), i);
     names();
     for (const auto& d : out_.declarations) references(d);
     for (const auto& d : out_.declarations) siblings(d);
@@ -69,7 +70,8 @@
     const auto& name = s.arguments[0].text;
     if (const auto [it, first] = constants_.emplace(name, &s); !first)
       error("A020", s.arguments[0].span,
-            "constant " + name + " is declared twice, first at " + where(it->second->span), "rename one");
+            "constant " + name + " is declared twice, first at " + where(it->second->span),
+            "rename one");
   }
   std::string where(const Span& span) const {
     const auto p = at(span);
@@ -83,8 +85,10 @@
       for (const auto& i : v.items) {
         auto r = resolved(i, within);
         if (!r) return {};
-        if (r->kind == Kind::list) out.items.insert(out.items.end(), r->items.begin(), r->items.end());
-        else out.items.push_back(std::move(*r));
+        if (r->kind == Kind::list)
+          out.items.insert(out.items.end(), r->items.begin(), r->items.end());
+        else
+          out.items.push_back(std::move(*r));
       }
       return out;
     }
@@ -98,7 +102,8 @@
     }
     used_constants_.insert(v.text);
     if (std::find(within.begin(), within.end(), v.text) != within.end()) {
-      error("A023", v.span, "constant " + v.text + " is defined by itself", "give it a value of its own");
+      error("A023", v.span, "constant " + v.text + " is defined by itself",
+            "give it a value of its own");
       return {};
     }
     within.push_back(it->first);
@@ -125,8 +130,10 @@
     d.span = s.arguments[0].span;
     d.when = when;
     for (const auto& e : s.body) {
-      if (e.key == "split" && kind->name == "route") split(e, d);
-      else entry(e, *kind, d.settings);
+      if (e.key == "split" && kind->name == "route")
+        split(e, d);
+      else
+        entry(e, *kind, d.settings);
     }
     for (const auto& f : kind->fields)
       if (f.required && !s.faulty && !d.settings.contains(std::string(f.key)) &&
@@ -143,22 +150,26 @@
       good &= s.arguments[i].kind == Kind::string;
       names.push_back(s.arguments[i].text);
     }
-    if (!good) return error("A006", s.key_span, "when is written: when point \"NAME\" ... { declarations }");
+    if (!good)
+      return error("A006", s.key_span, "when is written: when point \"NAME\" ... { declarations }");
     for (const auto& inner : s.body) {
       if (inner.key == "let" || inner.key == "include")
         error("A006", inner.key_span, inner.key + " stands outside of when", "move it out");
-      else top(inner, names);
+      else
+        top(inner, names);
     }
   }
 
   void split(const Statement& e, Declaration& d) {
     if (e.arguments.size() != 1 || e.arguments[0].unit != "%" || e.value || !e.block)
-      return error("A006", e.key_span, "a split is written: split 20% { pool = ...  policy = ... }");
+      return error("A006", e.key_span,
+                   "a split is written: split 20% { pool = ...  policy = ... }");
     Split out{e.span, e.arguments[0].number / 100, {}};
     for (const auto& inner : e.body) {
       if (inner.key != "pool" && inner.key != "policy")
         error("A015", inner.key_span, "a split holds pool and policy, not " + inner.key);
-      else entry(inner, *d.kind, out.settings);
+      else
+        entry(inner, *d.kind, out.settings);
     }
     d.splits.push_back(std::move(out));
   }
@@ -177,7 +188,8 @@
       return error("A006", e.key_span,
                    f->argument ? e.key + " is written: " + e.key + " \"NAME\" = \"VALUE\""
                                : e.key + " is written: " + e.key + " = VALUE");
-    if (!e.value || e.block) return error("A006", e.key_span, e.key + " is written: " + e.key + " = VALUE");
+    if (!e.value || e.block)
+      return error("A006", e.key_span, e.key + " is written: " + e.key + " = VALUE");
     if (f->argument) key += ' ' + e.arguments[0].text;
     const auto value = resolved(*e.value);
     if (!value) return;
@@ -187,14 +199,16 @@
     s.shown = text_of(*value);
     if (value->kind == Kind::list) {
       if (!f->list) return error("A013", s.span, e.key + " takes one value, not a list");
-      if (value->items.empty()) return error("A013", s.span, e.key + " is an empty list", "remove it");
+      if (value->items.empty())
+        return error("A013", s.span, e.key + " is an empty list", "remove it");
       for (const auto& i : value->items)
         if (!single(*f, i, s)) return;
     } else if (!single(*f, *value, s)) {
       return;
     }
     if (const auto [it, first] = into.emplace(key, std::move(s)); !first)
-      error("A017", e.key_span, key + " is given twice, first at " + where(it->second.span), "keep one");
+      error("A017", e.key_span, key + " is given twice, first at " + where(it->second.span),
+            "keep one");
   }
 
   bool single(const Field& f, const Value& v, Setting& out) {
@@ -208,20 +222,24 @@
         out.number.reset();
         break;
       case Type::string:
-        if (v.kind != Kind::string) return error("A013", v.span, key + " takes a text in quotes"), false;
+        if (v.kind != Kind::string)
+          return error("A013", v.span, key + " takes a text in quotes"), false;
         break;
       case Type::word:
       case Type::flag:
-        if (v.kind != Kind::word) return error("A013", v.span, key + " takes a word", allowed(f)), false;
+        if (v.kind != Kind::word)
+          return error("A013", v.span, key + " takes a word", allowed(f)), false;
         if (std::find(f.words.begin(), f.words.end(), v.text) == f.words.end()) {
           const auto n = near(v.text, f.words);
-          return error("A019", v.span, "'" + v.text + "' is no value of " + key, n.empty() ? allowed(f) : n),
+          return error("A019", v.span, "'" + v.text + "' is no value of " + key,
+                       n.empty() ? allowed(f) : n),
                  false;
         }
         break;
       case Type::reference:
         if (v.kind != Kind::word)
-          return error("A013", v.span, key + " takes the name of a " + std::string(f.words[0])), false;
+          return error("A013", v.span, key + " takes the name of a " + std::string(f.words[0])),
+                 false;
         break;
     }
     out.texts.push_back(v.text);
@@ -276,12 +294,14 @@
       if (first) continue;
       const auto& other = *it->second;
       const bool apart =
-          !d.when.empty() && !other.when.empty() && std::none_of(d.when.begin(), d.when.end(), [&](auto& p) {
+          !d.when.empty() && !other.when.empty() &&
+          std::none_of(d.when.begin(), d.when.end(), [&](auto& p) {
             return std::find(other.when.begin(), other.when.end(), p) != other.when.end();
           });
       if (!apart)
         error("A020", d.span,
-              std::string(d.kind->name) + " " + d.name + " is declared twice, first at " + where(other.span),
+              std::string(d.kind->name) + " " + d.name + " is declared twice, first at " +
+                  where(other.span),
               "rename one");
     }
   }
@@ -293,11 +313,13 @@
         if (!f || f->type != Field::Type::reference) continue;
         for (const auto& name : s.texts) {
           used_.insert({f->words[0], name});
-          if (out_.find(f->words[0], name) || faulty_) continue;  // what did not parse may have declared it
+          if (out_.find(f->words[0], name) || faulty_)
+            continue;  // what did not parse may have declared it
           std::vector<std::string_view> all;
           for (const auto& o : out_.declarations)
             if (o.kind->name == f->words[0]) all.push_back(o.name);
-          error("A021", s.span, "no " + std::string(f->words[0]) + " is called " + name, near(name, all));
+          error("A021", s.span, "no " + std::string(f->words[0]) + " is called " + name,
+                near(name, all));
         }
       }
     };
@@ -317,11 +339,13 @@
     };
     const auto told = [&](const char* key) { return d.find(key)->shown; };
     if (const auto* s = over("attempt-deadline", "deadline"))
-      error("A030", s->span,
-            "an attempt's deadline of " + s->shown + " is over its request's of " + told("deadline"),
-            "make it shorter, or the other longer");
+      error(
+          "A030", s->span,
+          "an attempt's deadline of " + s->shown + " is over its request's of " + told("deadline"),
+          "make it shorter, or the other longer");
     if (const auto* s = over("hedge-after", "deadline"))
-      error("A032", s->span, "a hedge after " + s->shown + " comes after the deadline of " + told("deadline"),
+      error("A032", s->span,
+            "a hedge after " + s->shown + " comes after the deadline of " + told("deadline"),
             "hedge earlier");
     else if (const auto* h = over("hedge-after", "attempt-deadline"))
       error("A032", h->span,
@@ -329,7 +353,8 @@
                 told("attempt-deadline"),
             "hedge earlier");
     if (const auto* s = over("target", "deadline"))
-      error("A034", s->span, "a target of " + s->shown + " is over the deadline of " + told("deadline"),
+      error("A034", s->span,
+            "a target of " + s->shown + " is over the deadline of " + told("deadline"),
             "was another unit meant?");
     if (d.find("grace") && d.number("grace", 0) > 0 && over("fresh", "grace"))
       warn("A031", d.find("grace")->span,
@@ -338,8 +363,8 @@
     if (d.number("parallel", 1) > 1)
       error("A035", d.find("parallel")->span, "two attempts of a request may never be out at once",
             "parallel = 1");
-    if (const auto* fill = d.find("fill");
-        fill && std::find(fill->texts.begin(), fill->texts.end(), "other-point") != fill->texts.end())
+    if (const auto* fill = d.find("fill"); fill && std::find(fill->texts.begin(), fill->texts.end(),
+                                                             "other-point") != fill->texts.end())
       error("A036", fill->span, "no fill may come from a cache of another point",
             "use parent, origin or point");
     if (d.kind->name == "route") repeats(d);
@@ -347,7 +372,8 @@
 
   void repeats(const Declaration& route) {
     const auto* cls_name = route.find("class");
-    const auto* cls = cls_name && !cls_name->texts.empty() ? out_.find("class", cls_name->texts[0]) : nullptr;
+    const auto* cls =
+        cls_name && !cls_name->texts.empty() ? out_.find("class", cls_name->texts[0]) : nullptr;
     const auto* repeat = cls ? cls->find("repeat") : nullptr;
     if (!repeat || repeat->texts.empty() || repeat->texts[0] != "unsafe") return;
     const auto look = [&](const Settings& settings) {
@@ -358,7 +384,8 @@
       if (!policy) return;
       if (policy->number("attempts", 1) > 1 || policy->find("hedge-after"))
         error("A033", it->second.span,
-              "class " + cls->name + " is unsafe to repeat, and policy " + policy->name + " repeats it",
+              "class " + cls->name + " is unsafe to repeat, and policy " + policy->name +
+                  " repeats it",
               "use a policy with attempts = 1 and no hedge");
     };
     look(route.settings);
@@ -374,7 +401,8 @@
   };
 
   void routes() {
-    std::map<std::string, std::vector<Shape>> by_path;  // only routes of one path can hide each other
+    std::map<std::string, std::vector<Shape>>
+        by_path;  // only routes of one path can hide each other
     for (const auto& d : out_.declarations) {
       if (d.kind->name != "route") continue;
       double sum = 0;
@@ -418,8 +446,8 @@
       before.push_back(std::move(shape));
     }
   }
-  // Of two routes with the same path and the same hosts the one with more conditions goes first, then the
-  // earlier; a route for certain hosts goes before one for any.
+  // Of two routes with the same path and the same hosts the one with more conditions goes first,
+  // then the earlier; a route for certain hosts goes before one for any.
   static bool hides(const Shape& a, const Shape& b) {
     const auto within = [](const std::set<std::string>& x, const std::set<std::string>& y) {
       return std::includes(x.begin(), x.end(), y.begin(), y.end());
@@ -457,7 +485,9 @@
   return it == index.end() ? nullptr : &declarations[it->second];
 }
 
-Meaning check(const Program& program, diagnostics::Findings& findings) { return Checker(program, findings).run(); }
+Meaning check(const Program& program, diagnostics::Findings& findings) {
+  return Checker(program, findings).run();
+}
 
 std::optional<std::vector<Segment>> segments(std::string_view path, std::string& error) {
   std::vector<Segment> out;
@@ -477,7 +507,8 @@
     } else if (part.starts_with('{') && part.ends_with('}') && part.size() > 2) {
       s.kind = Segment::Kind::capture;
       s.text = part.substr(1, part.size() - 2);
-      if (!names.insert(s.text).second) return error = "capture {" + s.text + "} stands twice", std::nullopt;
+      if (!names.insert(s.text).second)
+        return error = "capture {" + s.text + "} stands twice", std::nullopt;
     } else if (part.find_first_of("{}*?# ") != std::string::npos) {
       return error = "'" + part + "' is no segment of a path", std::nullopt;
     } else if (part.empty() && more) {
--- a/src/config_language/check.h
+++ b/src/config_language/check.h
@@ -1,13 +1,15 @@
-// What a program means: declarations with their settings, constants put in, every value in its base unit, and
-// everything that is wrong with it. The declarations are what difference and routing work from.
+// What a program means: declarations with their settings, constants put in, every value in its base
+// unit, and everything that is wrong with it. The declarations are what difference and routing work
+// from.
 //
-// Codes: A012 a bare number where a unit belongs, A013 a value of another type, A014 out of bounds, A015 an
-// unknown field, A016 an unknown declaration, A017 a field twice, A018 a field missing, A019 none of the
-// allowed words; A020 a name twice, A021 an unknown name, A022 unused (warning), A023 constants in a circle,
-// A024 an unknown constant; A030 an attempt's deadline over its request's, A031 a grace shorter than the
-// fresh time (warning), A032 a hedge after the deadline, A033 repeats of an unsafe class, A034 a target over
-// the deadline, A035 two attempts at once, A036 fills across points; A040 a route that another hides, A041 no
-// path, A042 splits over 100%, A043 a pool without servers.
+// Codes: A012 a bare number where a unit belongs, A013 a value of another type, A014 out of bounds,
+// A015 an unknown field, A016 an unknown declaration, A017 a field twice, A018 a field missing,
+// A019 none of the allowed words; A020 a name twice, A021 an unknown name, A022 unused (warning),
+// A023 constants in a circle, A024 an unknown constant; A030 an attempt's deadline over its
+// request's, A031 a grace shorter than the fresh time (warning), A032 a hedge after the deadline,
+// A033 repeats of an unsafe class, A034 a target over the deadline, A035 two attempts at once, A036
+// fills across points; A040 a route that another hides, A041 no path, A042 splits over 100%, A043 a
+// pool without servers.
 #pragma once
 
 #include <map>
@@ -54,7 +56,8 @@
 struct Meaning {
   std::vector<Declaration> declarations;  // in the order of the text
   const Declaration* find(std::string_view kind, std::string_view name) const;
-  std::map<std::pair<std::string, std::string>, std::size_t> index;  // the first of each kind and name
+  std::map<std::pair<std::string, std::string>, std::size_t>
+      index;  // the first of each kind and name
 };
 
 Meaning check(const Program& program, diagnostics::Findings& findings);
--- a/src/config_language/differ.cpp
+++ b/src/config_language/differ.cpp
@@ -23,7 +23,8 @@
   for (const char* high :
        {"class", "pool", "path", "host", "method", "repeat", "uncached", "role", "dedup-window"})
     if (field == high) return Risk::high;
-  for (const char* limit : {"max-in-flight", "max-rate", "deadline", "attempt-deadline", "queue", "burst"})
+  for (const char* limit :
+       {"max-in-flight", "max-rate", "deadline", "attempt-deadline", "queue", "burst"})
     if (field == limit) return falls ? Risk::high : Risk::some;
   return field == "worth" || field == "renew" || field == "join" ? Risk::low : Risk::some;
 }
@@ -37,8 +38,10 @@
     for (const auto& d : to.declarations) {
       const auto key = key_of(d);
       const auto it = a.find(key);
-      if (it == a.end()) add(key.first == "route" ? Risk::some : Risk::low, key, "", "is new" + routed(d));
-      else settings(key, "", it->second->settings, d.settings), splits(key, *it->second, d);
+      if (it == a.end())
+        add(key.first == "route" ? Risk::some : Risk::low, key, "", "is new" + routed(d));
+      else
+        settings(key, "", it->second->settings, d.settings), splits(key, *it->second, d);
     }
     return std::move(out_);
   }
@@ -56,7 +59,8 @@
     return ": requests for " + path->shown + (pool ? " and pool " + pool->shown : "");
   }
   void add(Risk risk, const Key& key, const std::string& field, const std::string& text) {
-    out_.push_back({risk, key.first, key.second, field, key.first + " " + key.second + ": " + text});
+    out_.push_back(
+        {risk, key.first, key.second, field, key.first + " " + key.second + ": " + text});
   }
 
   void settings(const Key& key, const std::string& prefix, const Settings& a, const Settings& b) {
@@ -64,15 +68,17 @@
       const auto it = b.find(name);
       const auto field = prefix + name;
       if (it == b.end())
-        add(risk_of(name, false), key, field, field + " was " + was.shown + " and is not given any more");
-      else setting(key, field, name, was, it->second);
+        add(risk_of(name, false), key, field,
+            field + " was " + was.shown + " and is not given any more");
+      else
+        setting(key, field, name, was, it->second);
     }
     for (const auto& [name, is] : b)
       if (!a.contains(name))
         add(risk_of(name, true), key, prefix + name, prefix + name + " is now given: " + is.shown);
   }
-  void setting(const Key& key, const std::string& field, const std::string& name, const Setting& was,
-               const Setting& is) {
+  void setting(const Key& key, const std::string& field, const std::string& name,
+               const Setting& was, const Setting& is) {
     if (was.number && is.number) {
       if (*was.number == *is.number) return;
       const bool falls = *is.number < *was.number;
@@ -83,7 +89,8 @@
     if (!ordered(name)) std::sort(a.begin(), a.end()), std::sort(b.begin(), b.end());
     if (a == b) return;
     if (name == "path")
-      return add(Risk::high, key, field, "takes requests for " + is.shown + " in place of " + was.shown);
+      return add(Risk::high, key, field,
+                 "takes requests for " + is.shown + " in place of " + was.shown);
     if (name == "pool" || name == "policy" || name == "class")
       return add(risk_of(name, false), key, field,
                  "goes to " + name + " " + is.shown + " in place of " + was.shown);
@@ -118,6 +125,8 @@
 
 const char* word(Risk r) { return r == Risk::high ? "high" : r == Risk::some ? "some" : "low"; }
 
-std::vector<Change> differ(const Meaning& from, const Meaning& to) { return Differ().run(from, to); }
+std::vector<Change> differ(const Meaning& from, const Meaning& to) {
+  return Differ().run(from, to);
+}
 
 }  // namespace alderspur::config_language
--- a/src/config_language/differ.h
+++ b/src/config_language/differ.h
@@ -1,6 +1,6 @@
-// The difference between two programs by meaning: what is declared anew or no longer, which limits rise or
-// fall, where routes lead. A renamed constant, a moved line, another order where order means nothing, or the
-// same value in another unit is no difference. Pure.
+// The difference between two programs by meaning: what is declared anew or no longer, which limits
+// rise or fall, where routes lead. A renamed constant, a moved line, another order where order
+// means nothing, or the same value in another unit is no difference. Pure.
 #pragma once
 
 #include <string>
--- a/src/config_language/files.cpp
+++ b/src/config_language/files.cpp
@@ -14,7 +14,8 @@
   const auto status = std::filesystem::status(path, code);
   if (!std::filesystem::exists(status)) return error = "there is no such file", std::nullopt;
   // Danger: a FIFO would hold the reader for ever, and a device has no end.
-  if (!std::filesystem::is_regular_file(status)) return error = "it is no regular file", std::nullopt;
+  if (!std::filesystem::is_regular_file(status))
+    return error = "it is no regular file", std::nullopt;
   std::ifstream in(path, std::ios::binary);
   std::string text(kTextMost + 1, '\0');  // one byte over the bound shows that it is too large
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
--- a/src/config_language/format.cpp
+++ b/src/config_language/format.cpp
@@ -10,16 +10,21 @@
 std::string quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
-    if (c == '"' || c == '\\') (out += '\\') += c;
-    else if (c == '\n') out += "\\n";
-    else if (c == '\t') out += "\\t";
-    else out += c;
+    if (c == '"' || c == '\\')
+      (out += '\\') += c;
+    else if (c == '\n')
+      out += "\\n";
+    else if (c == '\t')
+      out += "\\t";
+    else
+      out += c;
   }
   return out + "\"";
 }
 
 bool commented(const Value& v) {
-  return !v.before.empty() || !v.tail.empty() || std::any_of(v.items.begin(), v.items.end(), commented);
+  return !v.before.empty() || !v.tail.empty() ||
+         std::any_of(v.items.begin(), v.items.end(), commented);
 }
 
 void write_value(const Value& v, std::size_t indent, std::size_t used, std::string& out) {
@@ -76,7 +81,8 @@
 }
 
 bool same(const Value& a, const Value& b) {
-  return a.kind == b.kind && a.text == b.text && a.unit == b.unit && a.items.size() == b.items.size() &&
+  return a.kind == b.kind && a.text == b.text && a.unit == b.unit &&
+         a.items.size() == b.items.size() &&
          std::equal(a.items.begin(), a.items.end(), b.items.begin(),
                     [](const Value& x, const Value& y) { return same(x, y); });
 }
@@ -120,7 +126,8 @@
 }
 
 bool same(const Tree& a, const Tree& b) {
-  return std::equal(a.statements.begin(), a.statements.end(), b.statements.begin(), b.statements.end(),
+  return std::equal(a.statements.begin(), a.statements.end(), b.statements.begin(),
+                    b.statements.end(),
                     [](const Statement& x, const Statement& y) { return same(x, y); });
 }
 
--- a/src/config_language/format.h
+++ b/src/config_language/format.h
@@ -1,7 +1,8 @@
-// The canonical form of a syntax tree: two spaces a level, one entry a line, comments kept where they stood.
+// The canonical form of a syntax tree: two spaces a level, one entry a line, comments kept where
+// they stood.
 //
-// Formatting twice changes nothing, and what is formatted means what it meant: the tree of the output is that
-// of the input but for places. Pure.
+// Formatting twice changes nothing, and what is formatted means what it meant: the tree of the
+// output is that of the input but for places. Pure.
 #pragma once
 
 #include <string>
--- a/src/config_language/load.cpp
+++ b/src/config_language/load.cpp
@@ -36,7 +36,8 @@
     const auto id = program_.sources.add(path, std::move(*text));
     program_.trees.push_back(parse(program_.sources, id, findings_));
     chain_.push_back({path, {}});
-    for (const auto& s : program_.trees[program_.trees.size() - 1].statements) statements_of(s, path);
+    for (const auto& s : program_.trees[program_.trees.size() - 1].statements)
+      statements_of(s, path);
     chain_.pop_back();
     return true;
   }
@@ -53,8 +54,10 @@
       return;
     }
     const auto place = program_.sources.place(s.span);
-    if (s.arguments.size() != 1 || s.arguments[0].kind != Value::Kind::string || s.value || s.block) {
-      findings_.error("A006", place, "include takes one path in quotes", "include \"routes/*.alder\"");
+    if (s.arguments.size() != 1 || s.arguments[0].kind != Value::Kind::string || s.value ||
+        s.block) {
+      findings_.error("A006", place, "include takes one path in quotes",
+                      "include \"routes/*.alder\"");
       return;
     }
     chain_.back().include = s.span;
@@ -63,7 +66,8 @@
     const bool pattern = wanted.find_first_of("*?") != std::string::npos;
     const auto paths = pattern ? loader_.match(target) : std::vector<std::string>{target};
     if (paths.empty())
-      findings_.warn("A010", program_.sources.place(s.arguments[0].span), "no file is named by " + wanted);
+      findings_.warn("A010", program_.sources.place(s.arguments[0].span),
+                     "no file is named by " + wanted);
     for (const auto& p : paths) include(normal(p), s);
   }
 
@@ -73,10 +77,13 @@
     bool cycle = false;
     for (const auto& step : chain_) {
       cycle |= step.path == path;
-      if (cycle) told += step.path + ":" + std::to_string(program_.sources.place(step.include).line) + " -> ";
+      if (cycle)
+        told +=
+            step.path + ":" + std::to_string(program_.sources.place(step.include).line) + " -> ";
     }
     if (cycle) {
-      findings_.error("A011", place, "include cycle: " + told + path, "remove one of these includes");
+      findings_.error("A011", place, "include cycle: " + told + path,
+                      "remove one of these includes");
       return;
     }
     if (chain_.size() >= kIncludesMost) {
--- a/src/config_language/load.h
+++ b/src/config_language/load.h
@@ -1,17 +1,18 @@
-// A program of several files: includes followed, each file read once, cycles reported and never followed.
+// A program of several files: includes followed, each file read once, cycles reported and never
+// followed.
 //
-// Files come through a Loader, so that nothing here does I/O. Paths are taken from the including file's own
-// folder and compared in their normal form. Bounds: kFilesMost files, kAllMost bytes, includes kIncludesMost
-// deep. Codes: A010 no such file, A011 an include cycle (told as the chain of files and lines), A008 too
-// large.
+// Files come through a Loader, so that nothing here does I/O. Paths are taken from the including
+// file's own folder and compared in their normal form. Bounds: kFilesMost files, kAllMost bytes,
+// includes kIncludesMost deep. Codes: A010 no such file, A011 an include cycle (told as the chain
+// of files and lines), A008 too large.
 #pragma once
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "diagnostics/diagnostics.h"
 #include "config_language/syntax.h"
+#include "diagnostics/diagnostics.h"
 
 namespace alderspur::config_language {
 
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -9,12 +9,15 @@
 namespace {
 
 constexpr Unit kUnits[] = {
-    {"us", Measure::duration, 1},      {"ms", Measure::duration, 1e3},    {"s", Measure::duration, 1e6},
-    {"min", Measure::duration, 60e6},  {"h", Measure::duration, 3600e6},  {"B", Measure::size, 1},
-    {"KB", Measure::size, 1e3},        {"MB", Measure::size, 1e6},        {"GB", Measure::size, 1e9},
-    {"KiB", Measure::size, 1024},      {"MiB", Measure::size, 1048576},   {"GiB", Measure::size, 1073741824},
-    {"/s", Measure::rate, 1},          {"/min", Measure::rate, 1.0 / 60}, {"KB/s", Measure::bandwidth, 1e3},
-    {"MB/s", Measure::bandwidth, 1e6}, {"GB/s", Measure::bandwidth, 1e9}, {"%", Measure::percent, 0.01},
+    {"us", Measure::duration, 1},      {"ms", Measure::duration, 1e3},
+    {"s", Measure::duration, 1e6},     {"min", Measure::duration, 60e6},
+    {"h", Measure::duration, 3600e6},  {"B", Measure::size, 1},
+    {"KB", Measure::size, 1e3},        {"MB", Measure::size, 1e6},
+    {"GB", Measure::size, 1e9},        {"KiB", Measure::size, 1024},
+    {"MiB", Measure::size, 1048576},   {"GiB", Measure::size, 1073741824},
+    {"/s", Measure::rate, 1},          {"/min", Measure::rate, 1.0 / 60},
+    {"KB/s", Measure::bandwidth, 1e3}, {"MB/s", Measure::bandwidth, 1e6},
+    {"GB/s", Measure::bandwidth, 1e9}, {"%", Measure::percent, 0.01},
 };
 
 enum class Kind { word, string, number, constant, punctuation, line_end, comment, end, bad };
@@ -29,14 +32,18 @@
 bool letter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
 bool digit(char c) { return c >= '0' && c <= '9'; }
 
-// How many bytes of well-formed UTF-8 stand at `at`; 0: none (overlong forms and surrogates included).
+// How many bytes of well-formed UTF-8 stand at `at`; 0: none (overlong forms and surrogates
+// included).
 std::size_t utf8(std::string_view t, std::size_t at) {
-  const auto byte = [&](std::size_t i) { return i < t.size() ? static_cast<unsigned char>(t[i]) : 0U; };
+  const auto byte = [&](std::size_t i) {
+    return i < t.size() ? static_cast<unsigned char>(t[i]) : 0U;
+  };
   const unsigned a = byte(at), b = byte(at + 1), c = byte(at + 2), d = byte(at + 3);
   const auto more = [](unsigned x) { return (x & 0xc0) == 0x80; };
   if (a < 0x80) return 1;
   if (a >= 0xc2 && a <= 0xdf && more(b)) return 2;
-  if (a >= 0xe0 && a <= 0xef && more(b) && more(c) && !(a == 0xe0 && b < 0xa0) && !(a == 0xed && b > 0x9f))
+  if (a >= 0xe0 && a <= 0xef && more(b) && more(c) && !(a == 0xe0 && b < 0xa0) &&
+      !(a == 0xed && b > 0x9f))
     return 3;
   if (a >= 0xf0 && a <= 0xf4 && more(b) && more(c) && more(d) && !(a == 0xf0 && b < 0x90) &&
       !(a == 0xf4 && b > 0x8f))
@@ -117,7 +124,8 @@
       at_ += n;
     }
     Token t = make(Kind::comment, begin);
-    while (!t.text.empty() && (t.text.back() == ' ' || t.text.back() == '\t' || t.text.back() == '\r'))
+    while (!t.text.empty() &&
+           (t.text.back() == ' ' || t.text.back() == '\t' || t.text.back() == '\r'))
       t.text.pop_back();
     return t;
   }
@@ -221,8 +229,10 @@
   const Token& take() { return tokens_[is(Kind::end) ? at_ : at_++]; }
 
   static void blank(std::vector<std::string>& comments, bool& gap) {
-    if (comments.empty()) gap = true;
-    else comments.emplace_back();
+    if (comments.empty())
+      gap = true;
+    else
+      comments.emplace_back();
   }
   // Comments and empty lines up to the next thing that is neither.
   void margin(std::vector<std::string>& comments, bool& gap) {
@@ -259,8 +269,10 @@
       Statement s;
       s.before = std::move(before);
       s.gap = gap && !out.empty();
-      if (statement(s, depth)) out.push_back(std::move(s));
-      else faulty = true, recover();
+      if (statement(s, depth))
+        out.push_back(std::move(s));
+      else
+        faulty = true, recover();
     }
   }
 
@@ -360,8 +372,10 @@
         if (is(Kind::comment)) v.items.back().before.push_back(now().text);
         take();
       }
-      if (is(',')) take();
-      else if (!is(']') && !is('}') && !is(Kind::end)) return expected("',' or ']'");
+      if (is(','))
+        take();
+      else if (!is(']') && !is('}') && !is(Kind::end))
+        return expected("',' or ']'");
     }
   }
 
--- a/src/config_language/parser.h
+++ b/src/config_language/parser.h
@@ -1,13 +1,13 @@
-// Reads a text into its syntax tree, by recursive descent with recovery: one run reports all independent
-// faults. A statement with a fault is left out of the tree; those around it stay.
+// Reads a text into its syntax tree, by recursive descent with recovery: one run reports all
+// independent faults. A statement with a fault is left out of the tree; those around it stay.
 //
-// Bounds: depth kDepthMost, text kTextMost bytes. Codes: A001 a character that belongs to nothing, A002 a
-// string without end, A003 an unknown escape, A004 no number, A005 an unknown unit, A006 something else
-// expected, A007 too deep, A008 too large, A009 no UTF-8 or a control character.
+// Bounds: depth kDepthMost, text kTextMost bytes. Codes: A001 a character that belongs to nothing,
+// A002 a string without end, A003 an unknown escape, A004 no number, A005 an unknown unit, A006
+// something else expected, A007 too deep, A008 too large, A009 no UTF-8 or a control character.
 #pragma once
 
-#include "diagnostics/diagnostics.h"
 #include "config_language/syntax.h"
+#include "diagnostics/diagnostics.h"
 
 namespace alderspur::config_language {
 
--- a/src/config_language/schema.cpp
+++ b/src/config_language/schema.cpp
@@ -28,7 +28,8 @@
 Field flag(std::string_view key) {
   return {key, Type::flag, Measure::none, 0, 0, {"yes", "no"}, false, false, false, false};
 }
-Field reference(std::string_view key, std::string_view kind, bool required = false, bool list = false) {
+Field reference(std::string_view key, std::string_view kind, bool required = false,
+                bool list = false) {
   return {key, Type::reference, Measure::none, 0, 0, {kind}, required, list, false, false};
 }
 Field named(std::string_view key) {
@@ -54,24 +55,29 @@
         duration("fresh", 0, 720 * kHour), duration("grace", 0, 720 * kHour),
         duration("dedup-window", kMs, 24 * kHour), flag("uncached")}},
       {"pool",
-       with_limits({word_of("role", {"cache", "parent", "origin"}, true), strings("point"), strings("hub"),
-                    Field{"cell", Type::count, Measure::none, 0, 4e9, {}, false, true, false, false},
-                    Field{"weight-least", Type::count, Measure::none, 0, 1e6, {}, false, false, false, false},
-                    reference("fallback", "pool", false, true)})},
-      {"policy",
-       with_limits({count("attempts", 1, 8), count("parallel", 1, 8), duration("deadline", kMs, 60 * kSecond),
-                    duration("attempt-deadline", kMs, 60 * kSecond), percent("retry-budget"),
-                    duration("hedge-after", kMs, 30 * kSecond), percent("hedge-budget"),
-                    duration("fresh", 0, 720 * kHour), duration("grace", 0, 720 * kHour), count("rank", 0, 3),
-                    flag("renew"), flag("join"), word_of("purge", {"strict", "settled"}),
-                    word_of("fill", {"parent", "origin", "point", "none", "other-point"}, false, true),
-                    duration("retry-after", kMs, 600 * kSecond)})},
+       with_limits(
+           {word_of("role", {"cache", "parent", "origin"}, true), strings("point"), strings("hub"),
+            Field{"cell", Type::count, Measure::none, 0, 4e9, {}, false, true, false, false},
+            Field{
+                "weight-least", Type::count, Measure::none, 0, 1e6, {}, false, false, false, false},
+            reference("fallback", "pool", false, true)})},
+      {"policy", with_limits({count("attempts", 1, 8), count("parallel", 1, 8),
+                              duration("deadline", kMs, 60 * kSecond),
+                              duration("attempt-deadline", kMs, 60 * kSecond),
+                              percent("retry-budget"), duration("hedge-after", kMs, 30 * kSecond),
+                              percent("hedge-budget"), duration("fresh", 0, 720 * kHour),
+                              duration("grace", 0, 720 * kHour), count("rank", 0, 3), flag("renew"),
+                              flag("join"), word_of("purge", {"strict", "settled"}),
+                              word_of("fill", {"parent", "origin", "point", "none", "other-point"},
+                                      false, true),
+                              duration("retry-after", kMs, 600 * kSecond)})},
       {"route",
        with_limits({strings("host"),
                     Field{"path", Type::string, Measure::none, 0, 0, {}, true, false, false, false},
-                    word_of("method", {"GET", "HEAD", "POST", "PUT", "DELETE"}, false, true), named("header"),
-                    named("query"), strings("point"), reference("class", "class", true),
-                    reference("pool", "pool"), reference("policy", "policy")})},
+                    word_of("method", {"GET", "HEAD", "POST", "PUT", "DELETE"}, false, true),
+                    named("header"), named("query"), strings("point"),
+                    reference("class", "class", true), reference("pool", "pool"),
+                    reference("policy", "policy")})},
   };
   return kKinds;
 }
--- a/src/config_language/schema.h
+++ b/src/config_language/schema.h
@@ -1,8 +1,9 @@
-// What may stand in a program: the kinds of declarations, their fields, and for each field its type, its
-// unit, its bounds and what it may name. Tables only; docs/language.md is written from the same facts.
+// What may stand in a program: the kinds of declarations, their fields, and for each field its
+// type, its unit, its bounds and what it may name. Tables only; docs/language.md is written from
+// the same facts.
 //
-// A bound is in the field's base unit: microseconds, bytes, per second, parts of one. Bounds are what tells a
-// value in s that was meant in ms, so they are as narrow as use allows.
+// A bound is in the field's base unit: microseconds, bytes, per second, parts of one. Bounds are
+// what tells a value in s that was meant in ms, so they are as narrow as use allows.
 #pragma once
 
 #include <string_view>
--- a/src/config_language/source.cpp
+++ b/src/config_language/source.cpp
@@ -29,8 +29,8 @@
 
 std::string Sources::render(const diagnostics::Finding& finding) const {
   std::string out = diagnostics::to_string(finding);
-  const auto it =
-      std::find_if(files_.begin(), files_.end(), [&](const File& f) { return f.name == finding.place.file; });
+  const auto it = std::find_if(files_.begin(), files_.end(),
+                               [&](const File& f) { return f.name == finding.place.file; });
   if (it == files_.end() || !finding.place.line) return out;
   const auto text = line(static_cast<std::uint32_t>(it - files_.begin()), finding.place.line);
   std::string shown, caret;
--- a/src/config_language/source.h
+++ b/src/config_language/source.h
@@ -1,7 +1,7 @@
 // The texts of a program in the configuration language, and places in them.
 //
-// Spans are byte offsets into one file of a Sources; lines and columns count from 1, columns in bytes.
-// Sources only grows, so a Span stays good for as long as it. No I/O.
+// Spans are byte offsets into one file of a Sources; lines and columns count from 1, columns in
+// bytes. Sources only grows, so a Span stays good for as long as it. No I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/config_language/syntax.h
+++ b/src/config_language/syntax.h
@@ -37,7 +37,8 @@
   std::optional<Value> value;
   bool block = false;
   std::vector<Statement> body;
-  // Comments on lines of their own, in front of it and before its closing brace; "" is an empty line between.
+  // Comments on lines of their own, in front of it and before its closing brace; "" is an empty
+  // line between.
   std::vector<std::string> before, tail;
   std::string after, opened;  // comment behind it; behind its opening brace
   bool gap = false;           // an empty line stands in front of it
--- a/src/consensus/applied_state.cpp
+++ b/src/consensus/applied_state.cpp
@@ -14,16 +14,24 @@
 
 std::string encode(const Command& command) {
   cluster::Packer p;
-  const auto kind = [&](Kind k, std::size_t n) { p.array(n + 1).number(static_cast<std::uint64_t>(k)); };
+  const auto kind = [&](Kind k, std::size_t n) {
+    p.array(n + 1).number(static_cast<std::uint64_t>(k));
+  };
   struct {
     decltype(kind)& head;
     cluster::Packer& p;
     void operator()(const Offer& c) { head(Kind::offer, 2), p.number(c.nonce), pack(p, c.version); }
     void operator()(const Agree& c) { head(Kind::agree, 1), p.number(c.number); }
     void operator()(const Force& c) { head(Kind::force, 1), p.number(c.number); }
-    void operator()(const Withdraw& c) { head(Kind::withdraw, 2), p.number(c.number).text(c.reason); }
-    void operator()(const Release& c) { head(Kind::release, 2), p.number(c.nonce).number(c.number); }
-    void operator()(const Back& c) { head(Kind::back, 3), p.number(c.nonce).number(c.number).text(c.reason); }
+    void operator()(const Withdraw& c) {
+      head(Kind::withdraw, 2), p.number(c.number).text(c.reason);
+    }
+    void operator()(const Release& c) {
+      head(Kind::release, 2), p.number(c.nonce).number(c.number);
+    }
+    void operator()(const Back& c) {
+      head(Kind::back, 3), p.number(c.nonce).number(c.number).text(c.reason);
+    }
     void operator()(const Voters& c) { head(Kind::voters, 2), p.number(c.nonce), pack(p, c.names); }
   } write{kind, p};
   std::visit(write, command);
@@ -71,8 +79,8 @@
 }
 
 const Settled* Ledger::settled(std::uint64_t nonce) const {
-  const auto it =
-      std::find_if(settled_.begin(), settled_.end(), [&](const Settled& s) { return s.nonce == nonce; });
+  const auto it = std::find_if(settled_.begin(), settled_.end(),
+                               [&](const Settled& s) { return s.nonce == nonce; });
   return it == settled_.end() ? nullptr : &*it;
 }
 
@@ -88,15 +96,17 @@
   const std::uint64_t head = agreed_ ? agreed_->number : in_force_.number;
   if (offered_ || agreed_) {
     const auto& other = *pending();
-    return settle({c.nonce, false, true, head,
-                   "version " + std::to_string(other.number) + " by " + other.author + " is under way"});
+    return settle(
+        {c.nonce, false, true, head,
+         "version " + std::to_string(other.number) + " by " + other.author + " is under way"});
   }
   if (c.version.base != head)
     return settle({c.nonce, false, true, head,
-                   "made from " + std::to_string(c.version.base) + ", but " + std::to_string(head) + " by " +
-                       in_force_.author + " holds"});
+                   "made from " + std::to_string(c.version.base) + ", but " + std::to_string(head) +
+                       " by " + in_force_.author + " holds"});
   if (c.version.trial && !in_force_.number)
-    return settle({c.nonce, false, true, head, "nothing is in force that a trial could go back to"});
+    return settle(
+        {c.nonce, false, true, head, "nothing is in force that a trial could go back to"});
   offered_ = c.version;
   offered_->number = ++last_;
   pending_nonce_ = c.nonce;
@@ -114,8 +124,8 @@
 bool Ledger::on_trial(std::uint64_t nonce, std::uint64_t number) {
   if (settled(nonce)) return false;  // asked again
   const bool is = trial() && agreed_->number == number;
-  settle(
-      {nonce, is, true, number, is ? "so be it" : "version " + std::to_string(number) + " is not on trial"});
+  settle({nonce, is, true, number,
+          is ? "so be it" : "version " + std::to_string(number) + " is not on trial"});
   return is;
 }
 
--- a/src/consensus/applied_state.h
+++ b/src/consensus/applied_state.h
@@ -1,16 +1,19 @@
-// The state that the log of agreement makes: the same commands in the same order give the same ledger at
-// every voter. No I/O, no clock, no randomness.
+// The state that the log of agreement makes: the same commands in the same order give the same
+// ledger at every voter. No I/O, no clock, no randomness.
 //
-//   Offer     a content as the next version. Refused if it was not made from the newest agreed one (the base
-//             is outdated) or if another change is still under way: of two at the same time one holds.
+//   Offer     a content as the next version. Refused if it was not made from the newest agreed one
+//   (the base
+//             is outdated) or if another change is still under way: of two at the same time one
+//             holds.
 //   Agree     enough voters have checked and kept it. From here on it cannot be lost.
 //   Force     every router has acknowledged it or has lost its lease on the older one.
 //   Release   a version on trial is to hold for all, as any other.
 //   Back      a version on trial is taken back: what was in force before is the next version.
-//   Withdraw  it is not to be (a voter refuses it, or nobody can bring its content); only before Agree.
-//   Voters    who votes from now on, by name.
+//   Withdraw  it is not to be (a voter refuses it, or nobody can bring its content); only before
+//   Agree. Voters    who votes from now on, by name.
 //
-// An author who does not hear the answer asks again under the same nonce; what was settled for it stands.
+// An author who does not hear the answer asks again under the same nonce; what was settled for it
+// stands.
 #pragma once
 
 #include <deque>
@@ -78,7 +81,9 @@
   const std::optional<Version>& agreed() const { return agreed_; }
   const Version& in_force() const { return in_force_; }
   // The agreed one, while it holds for the first routers only.
-  const Version* trial() const { return agreed_ && agreed_->trial && !released_ ? &*agreed_ : nullptr; }
+  const Version* trial() const {
+    return agreed_ && agreed_->trial && !released_ ? &*agreed_ : nullptr;
+  }
   const Version* pending() const { return agreed_ ? &*agreed_ : offered_ ? &*offered_ : nullptr; }
   const std::vector<std::string>& voters() const { return voters_; }
   const std::deque<Past>& history() const { return history_; }
--- a/src/consensus/codec.h
+++ b/src/consensus/codec.h
@@ -1,10 +1,10 @@
-// How versions, names and servers stand in messages, in the ledger's snapshot and in what is kept. For the
-// codecs of this folder.
+// How versions, names and servers stand in messages, in the ledger's snapshot and in what is kept.
+// For the codecs of this folder.
 #pragma once
 
+#include "cluster/packing.h"
 #include "consensus/applied_state.h"
 #include "consensus/raft.h"
-#include "cluster/packing.h"
 
 namespace alderspur::consensus {
 
@@ -60,7 +60,8 @@
 using Servers = decltype(VotersAt::servers);
 inline void pack(cluster::Packer& p, const Servers& servers) {
   p.array(servers.size());
-  for (const auto& [name, role] : servers) p.array(2).text(name).number(static_cast<std::uint64_t>(role));
+  for (const auto& [name, role] : servers)
+    p.array(2).text(name).number(static_cast<std::uint64_t>(role));
 }
 inline Servers servers(cluster::Reader& r) {
   Servers out;
--- a/src/consensus/consensus_node.cpp
+++ b/src/consensus/consensus_node.cpp
@@ -91,7 +91,8 @@
   for (const auto& [digest, bytes] : e.contents) {
     auto content = decode_content(bytes);
     if (!content || digest_of(bytes) != digest) continue;
-    items_[digest] = {bytes, std::make_shared<const Content>(std::move(*content)), true, true, true, {}};
+    items_[digest] = {bytes, std::make_shared<const Content>(std::move(*content)), true, true, true,
+                      {}};
   }
   target_ = kept_.in_force;
   if (const auto it = items_.find(target_.digest); it != items_.end())
@@ -119,8 +120,10 @@
 void Agreement::on(const Wake&) {}
 
 void Agreement::send(const std::string& to, const Message& m) {
-  if (to == set_.name) own_.emplace_back(to, encode(m));
-  else act(SendFrame{to, encode(m)});
+  if (to == set_.name)
+    own_.emplace_back(to, encode(m));
+  else
+    act(SendFrame{to, encode(m)});
 }
 
 // ---- Lease
@@ -154,7 +157,8 @@
   renew_at_ = now_ + set_.renew;
   const auto& voters = desired();
   if (voters.empty()) return;
-  if (now_ > heard_at_ + 2 * set_.renew + kSoon) follow("");  // it may be gone: ask them all in turn
+  if (now_ > heard_at_ + 2 * set_.renew + kSoon)
+    follow("");  // it may be gone: ask them all in turn
   if (leads(now_)) follow(set_.name);
   const auto& to = leader_.empty() ? voters[voter_at_++ % voters.size()] : leader_;
   asked_.insert(now_);
@@ -180,11 +184,12 @@
   return std::find(v.trial.first.begin(), v.trial.first.end(), name) != v.trial.first.end();
 }
 
-// Danger: news may come late or in any order; a number never goes back. And what is on trial elsewhere holds
-// for nobody else, whoever tells of it.
+// Danger: news may come late or in any order; a number never goes back. And what is on trial
+// elsewhere holds for nobody else, whoever tells of it.
 void Agreement::hear(const Version& v, bool in_force) {
   if (v.trial && !first(v)) return;
-  if (in_force && v.number == target_.number && target_.trial && !v.trial) {  // it holds for all now
+  if (in_force && v.number == target_.number && target_.trial &&
+      !v.trial) {  // it holds for all now
     target_ = v;
     if (acting_.version.number == v.number) acting_.version = kept_.in_force = v;
   }
@@ -259,7 +264,8 @@
 
 void Agreement::take(const std::string& from, Chunk& m) {
   if (!fetch_ || m.digest != fetch_->digest || m.offset != fetch_->bytes.size()) return;
-  if (m.total == 0) return void(fetch_->until = std::min(fetch_->until, now_ + kSoon));  // the next source
+  if (m.total == 0)
+    return void(fetch_->until = std::min(fetch_->until, now_ + kSoon));  // the next source
   fetch_->bytes += m.bytes;
   if (fetch_->bytes.size() < m.total && fetch_->bytes.size() <= kContentMost) {
     fetch_->until = now_ + kFetchTime;
@@ -268,7 +274,8 @@
   const auto digest = fetch_->digest;
   auto bytes = std::move(fetch_->bytes);
   fetch_.reset();
-  if (digest_of(bytes) != digest) return report("content_spoilt", "from " + from);  // asked for again
+  if (digest_of(bytes) != digest)
+    return report("content_spoilt", "from " + from);  // asked for again
   arrived(digest, std::move(bytes));
 }
 
@@ -290,7 +297,8 @@
   const auto it = items_.find(e.digest);
   if (it == items_.end()) return;
   it->second.written = e.good;
-  // Danger: a full disk says no at once; written again as fast, it would take the process's time for nothing.
+  // Danger: a full disk says no at once; written again as fast, it would take the process's time
+  // for nothing.
   if (!e.good && it->second.write_at == 0) report("not_kept", "a content did not reach the disk");
   it->second.write_at = e.good ? 0 : now_ + kWriteAgain;
   judge(e.digest);
@@ -305,7 +313,8 @@
 void Agreement::on(const Checked& e) {
   const auto it = items_.find(e.digest);
   if (it == items_.end()) return;
-  it->second.checked = true, it->second.good = e.good, it->second.reason = plain(e.reason, kNoteMost);
+  it->second.checked = true, it->second.good = e.good,
+  it->second.reason = plain(e.reason, kNoteMost);
   judge(e.digest);
 }
 
@@ -327,14 +336,16 @@
 void Agreement::sweep() {
   if (items_.size() <= kContentsMost || !leased()) return;
   const auto used = [&](const std::string& d) {
-    return d == acting_.version.digest || d == target_.digest || (pending_ && d == pending_->digest) ||
-           (kept_.agreed && d == kept_.agreed->digest) ||
+    return d == acting_.version.digest || d == target_.digest ||
+           (pending_ && d == pending_->digest) || (kept_.agreed && d == kept_.agreed->digest) ||
            std::any_of(mine_.begin(), mine_.end(),
                        [&](const Mine& m) { return m.propose.version.digest == d; });
   };
   for (auto it = items_.begin(); it != items_.end() && items_.size() > kContentsMost;) {
-    if (used(it->first)) ++it;
-    else act(Discard{it->first}), it = items_.erase(it);
+    if (used(it->first))
+      ++it;
+    else
+      act(Discard{it->first}), it = items_.erase(it);
   }
 }
 
@@ -398,11 +409,13 @@
   m.until = now_ + kMineMost, m.again = now_;
   if (!e.voters.empty()) {
     m.propose.voters = e.voters;
-    if (e.voters.size() > kVotersMost || e.voters.size() % 2 == 0) return no("take 1, 3, 5 or 7 voters");
+    if (e.voters.size() > kVotersMost || e.voters.size() % 2 == 0)
+      return no("take 1, 3, 5 or 7 voters");
   } else if (e.verdict) {
     m.verdict = e.verdict, m.verdict->nonce = e.nonce;
   } else {
-    if (e.content.empty() || e.content.size() > kDocumentsMost) return no("a content has 1 to 64 documents");
+    if (e.content.empty() || e.content.size() > kDocumentsMost)
+      return no("a content has 1 to 64 documents");
     auto bytes = encode(e.content);
     if (bytes.size() > kContentMost) return no("over 16 MB");
     const auto& t = e.trial;
@@ -413,7 +426,8 @@
     v.author = plain(e.author.empty() ? set_.name : e.author, cluster::kWordMost);
     v.note = plain(e.note, kNoteMost);
     v.trial = e.trial;
-    v.base = e.base.value_or(std::max({target_.number, kept_.agreed ? kept_.agreed->number : 0, settled_}));
+    v.base = e.base.value_or(
+        std::max({target_.number, kept_.agreed ? kept_.agreed->number : 0, settled_}));
     if (!items_.contains(v.digest)) arrived(v.digest, std::move(bytes));
   }
   mine_.push_back(std::move(m));
@@ -428,8 +442,10 @@
     if (content && item != items_.end() && item->second.checked && !item->second.good)
       s.text = "refused here: " + item->second.reason;
     else if (now_ >= it->until)
-      s.text = "no answer from the voters; it may still come into force, ask which versions there are";
-    // Danger: to a leader of an earlier program it would be a version like any other, and hold for all.
+      s.text =
+          "no answer from the voters; it may still come into force, ask which versions there are";
+    // Danger: to a leader of an earlier program it would be a version like any other, and hold for
+    // all.
     if (v.trial && leader_forms_ && *leader_forms_ < 1)
       s.text = "the program of " + leader_ + ", which leads, knows no trials";
     if (!s.text.empty()) {
@@ -441,7 +457,9 @@
     if (now_ >= it->again) {
       it->again = now_ + kMineAgain;
       const auto& voters = desired();
-      const auto to = !leader_.empty() ? leader_ : voters.empty() ? "" : voters[random_() % voters.size()];
+      const auto to = !leader_.empty() ? leader_
+                      : voters.empty() ? ""
+                                       : voters[random_() % voters.size()];
       const bool may = !v.trial || leader_forms_;
       if (ready && may && !to.empty()) it->verdict ? send(to, *it->verdict) : send(to, it->propose);
     }
--- a/src/consensus/consensus_node.h
+++ b/src/consensus/consensus_node.h
@@ -1,23 +1,25 @@
-// Versions that routers agree on, at one router: what it acts on, under which lease, and its part in
-// deciding.
+// Versions that routers agree on, at one router: what it acts on, under which lease, and its part
+// in deciding.
 //
-// Values in, values out: no I/O, no clock, no thread. Every call is given the time of a clock that never goes
-// back; actions are to be carried out in their order. Not thread-safe.
+// Values in, values out: no I/O, no clock, no thread. Every call is given the time of a clock that
+// never goes back; actions are to be carried out in their order. Not thread-safe.
 //
-// A router keeps contents by their digest, checks them by the existing checkers (outside, by Check), asks the
-// leader for a lease every `renew`, and acts on what the leader says is in force as soon as it holds it. When
-// its lease has run out it is careful: what it acts on then is the careful union of that version and of all
-// it has heard to be agreed since; it asks any other router for news. It never goes back to an older number.
+// A router keeps contents by their digest, checks them by the existing checkers (outside, by
+// Check), asks the leader for a lease every `renew`, and acts on what the leader says is in force
+// as soon as it holds it. When its lease has run out it is careful: what it acts on then is the
+// careful union of that version and of all it has heard to be agreed since; it asks any other
+// router for news. It never goes back to an older number.
 //
-// A few routers are voters and hold the log (Raft). The one that leads it gives the leases (Book), has an
-// offered version agreed once a majority of the voters, and every voter whose lease runs and that answers in
-// time, has kept it and found it good, and puts an agreed one in force once every router has kept it or has
-// lost its lease.
+// A few routers are voters and hold the log (Raft). The one that leads it gives the leases (Book),
+// has an offered version agreed once a majority of the voters, and every voter whose lease runs and
+// that answers in time, has kept it and found it good, and puts an agreed one in force once every
+// router has kept it or has lost its lease.
 //
-// A voter at its start asks the other voters how far they are. With an empty disk it founds a cluster only if
-// all of them are empty as well; with a lost or spoilt one it never votes as its former self: it has itself
-// taken out of the voters and comes back as a learner with an empty log. One whose log is behind what another
-// told votes for nobody who holds less than that, for kHoldBack.
+// A voter at its start asks the other voters how far they are. With an empty disk it founds a
+// cluster only if all of them are empty as well; with a lost or spoilt one it never votes as its
+// former self: it has itself taken out of the voters and comes back as a learner with an empty log.
+// One whose log is behind what another told votes for nobody who holds less than that, for
+// kHoldBack.
 #pragma once
 
 #include <algorithm>
@@ -30,8 +32,8 @@
 #include <variant>
 #include <vector>
 
-#include "consensus/lease_table.h"
 #include "consensus/applied_state.h"
+#include "consensus/lease_table.h"
 #include "consensus/messages.h"
 #include "consensus/raft.h"
 
@@ -292,7 +294,7 @@
   std::optional<std::uint64_t> leader_forms_;  // empty: it has not said so
   std::size_t voter_at_ = 0;
   std::vector<std::string> others_;
-  std::set<Time> asked_;                                 // questions for a lease that may yet be answered
+  std::set<Time> asked_;  // questions for a lease that may yet be answered
   std::deque<std::pair<std::string, std::string>> own_;  // frames to ourselves
   std::deque<Mine> mine_;
 
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -42,8 +42,10 @@
       unsure.push_back(s);
       continue;
     }
-    if (merged.state == State::in_service) served.insert(place_of(newest, s));
-    else if (s.state == State::in_service) unsure.push_back(s);  // draining by an older one only
+    if (merged.state == State::in_service)
+      served.insert(place_of(newest, s));
+    else if (s.state == State::in_service)
+      unsure.push_back(s);  // draining by an older one only
     out.servers.push_back(std::move(merged));
   }
   for (const Listed& s : unsure) {
@@ -68,9 +70,9 @@
     if (std::string_view(weight).find_first_of(".e") == std::string_view::npos)
       std::snprintf(weight, sizeof weight, "%.1f", s.weight);
     out += "[[server]]\nid = \"" + s.name + "\"\nrole = \"" + endpoints::word(s.role) + "\"\n" +
-           (s.role == Role::cache ? "point" : "hub") + " = \"" + list.place_name(s) + "\"\naddress = \"" +
-           s.address + "\"\nweight = " + weight + "\nstate = \"" + endpoints::word(s.state) +
-           "\"\ncell = " + std::to_string(s.cell) + "\n";
+           (s.role == Role::cache ? "point" : "hub") + " = \"" + list.place_name(s) +
+           "\"\naddress = \"" + s.address + "\"\nweight = " + weight + "\nstate = \"" +
+           endpoints::word(s.state) + "\"\ncell = " + std::to_string(s.cell) + "\n";
   }
   return out;
 }
@@ -82,7 +84,8 @@
     diagnostics::Findings findings;
     const auto read = endpoints::read_list(text, "servers", 0, {}, findings);
     if (!findings.good() || !read.list) {
-      error = findings.list().empty() ? "no list of servers" : diagnostics::to_string(findings.list()[0]);
+      error = findings.list().empty() ? "no list of servers"
+                                      : diagnostics::to_string(findings.list()[0]);
       return {};
     }
     lists.push_back(read.list);
--- a/src/consensus/lease_table.cpp
+++ b/src/consensus/lease_table.cpp
@@ -12,7 +12,9 @@
 }  // namespace
 
 // By the leader's clock, which may run slower than the router's by the drift of both.
-Time Book::longest() const { return static_cast<Time>(static_cast<double>(set_.lease) * (1 + 3 * kDrift)); }
+Time Book::longest() const {
+  return static_cast<Time>(static_cast<double>(set_.lease) * (1 + 3 * kDrift));
+}
 
 void Book::begin(Time now, std::uint64_t term) {
   term_ = term, last_ = 0;
@@ -27,8 +29,8 @@
   weights_ += sign * h.weight, p.weights += sign * h.weight, bad_ += sign * h.weight * h.bad;
 }
 
-// What of the shares given may still be in use: the one taken, and those behind it that may yet arrive. A
-// former self may go on beside the new one until its lease runs out.
+// What of the shares given may still be in use: the one taken, and those behind it that may yet
+// arrive. A former self may go on beside the new one until its lease runs out.
 void Book::settle(Time now, Holder& h, std::uint64_t taken) {
   std::erase_if(h.given, [&](const Holder::Given& g) {
     return g.until <= now || (g.epoch == h.epoch && g.id < taken);
@@ -78,7 +80,8 @@
     count(it->second, -1);
   }
   Holder& h = it->second;
-  h.epoch = r.epoch, h.acting = r.acting, h.holds = r.holds, h.refused = r.refused, h.reason = r.reason;
+  h.epoch = r.epoch, h.acting = r.acting, h.holds = r.holds, h.refused = r.refused,
+  h.reason = r.reason;
   h.weight = std::clamp(r.weight, 1.0, 1e9), h.bad = std::clamp(r.bad, 0.0, 1.0), h.seen = now;
   h.forms = r.forms;
   settle(now, h, r.grant);
@@ -93,7 +96,8 @@
 void Book::give(Time now, Holder& h, const Renew& r, Grant& out) {
   out.id = (term_ << 32) | ++last_;
   // Danger: a router that cannot act on this version must not be held for one that does.
-  // And once a later one is agreed, no lease is given to whoever does not hold that: it would never end.
+  // And once a later one is agreed, no lease is given to whoever does not hold that: it would never
+  // end.
   const bool can = (r.acting == out.in_force.number || r.holds == out.in_force.number) &&
                    (!out.agreed || r.holds >= out.pending->number);
   if (!can || h.given.size() >= kGivenMost) return;  // it takes none of them: let them run out
--- a/src/consensus/lease_table.h
+++ b/src/consensus/lease_table.h
@@ -1,17 +1,19 @@
-// The leader's book of leases: who may act on which version until when, and with which share of the budgets.
-// No I/O, no clock.
+// The leader's book of leases: who may act on which version until when, and with which share of the
+// budgets. No I/O, no clock.
 //
-// A lease runs at the router from the moment it asked, here from the moment the question came, and longer by
-// the drift of both clocks: so it ends there before it ends here. Leases are given on the version in force
-// only, to routers that act on it or can at once.
+// A lease runs at the router from the moment it asked, here from the moment the question came, and
+// longer by the drift of both clocks: so it ends there before it ends here. Leases are given on the
+// version in force only, to routers that act on it or can at once.
 //
-// Shares: of what all routers together may do, kUsable is shared out, by what each takes; the rest is for
-// those without a lease, a fixed part each. A share counts until the router has said that it uses a smaller
-// one, or its lease has run out; a raise is given out of what is free then. So at no moment do the shares in
-// use add up to more than 1, whoever is lost, late or cut off. docs/design-agreement.md has the proof.
+// Shares: of what all routers together may do, kUsable is shared out, by what each takes; the rest
+// is for those without a lease, a fixed part each. A share counts until the router has said that it
+// uses a smaller one, or its lease has run out; a raise is given out of what is free then. So at no
+// moment do the shares in use add up to more than 1, whoever is lost, late or cut off.
+// docs/design-agreement.md has the proof.
 //
-// A new leader does not know what an earlier one gave: until the longest of those leases has run out it
-// raises nobody's share, forces no version, and counts for each router what that router says it holds.
+// A new leader does not know what an earlier one gave: until the longest of those leases has run
+// out it raises nobody's share, forces no version, and counts for each router what that router says
+// it holds.
 #pragma once
 
 #include <algorithm>
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -15,8 +15,10 @@
 constexpr const char* kSchema =
     "PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=DELETE; PRAGMA synchronous=EXTRA;"
     "PRAGMA cell_size_check=ON; PRAGMA mmap_size=0;"
-    "CREATE TABLE IF NOT EXISTS number(key TEXT PRIMARY KEY, value INTEGER, code INTEGER) WITHOUT ROWID;"
-    "CREATE TABLE IF NOT EXISTS log(at INTEGER PRIMARY KEY, term INTEGER, type INTEGER, data BLOB, code "
+    "CREATE TABLE IF NOT EXISTS number(key TEXT PRIMARY KEY, value INTEGER, code INTEGER) WITHOUT "
+    "ROWID;"
+    "CREATE TABLE IF NOT EXISTS log(at INTEGER PRIMARY KEY, term INTEGER, type INTEGER, data BLOB, "
+    "code "
     "INTEGER);"
     "CREATE TABLE IF NOT EXISTS snapshot(one INTEGER PRIMARY KEY, data BLOB, code INTEGER);";
 constexpr std::size_t kMarkMost = 64, kSnapshotMost = 2 << 20;
@@ -32,15 +34,20 @@
   Statement& number(std::uint64_t n) {
     return sqlite3_bind_int64(s_, ++at_, static_cast<sqlite3_int64>(n)), *this;
   }
-  Statement& text(const char* t) { return sqlite3_bind_text(s_, ++at_, t, -1, SQLITE_STATIC), *this; }
+  Statement& text(const char* t) {
+    return sqlite3_bind_text(s_, ++at_, t, -1, SQLITE_STATIC), *this;
+  }
   Statement& bytes(std::string_view b) {
     return sqlite3_bind_blob64(s_, ++at_, b.data() ? b.data() : "", b.size(), SQLITE_STATIC), *this;
   }
   int step() { return s_ ? sqlite3_step(s_) : SQLITE_ERROR; }
-  std::uint64_t number(int column) { return static_cast<std::uint64_t>(sqlite3_column_int64(s_, column)); }
+  std::uint64_t number(int column) {
+    return static_cast<std::uint64_t>(sqlite3_column_int64(s_, column));
+  }
   std::string bytes(int column) {
     const auto* p = static_cast<const char*>(sqlite3_column_blob(s_, column));
-    return p ? std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(s_, column))) : std::string();
+    return p ? std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(s_, column)))
+             : std::string();
   }
 
  private:
@@ -85,8 +92,9 @@
 
 std::string Disk::open() {
   sqlite3* db = nullptr;
-  const int code = sqlite3_open_v2(path("agree.db").c_str(), &db,
-                                   SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
+  const int code =
+      sqlite3_open_v2(path("agree.db").c_str(), &db,
+                      SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
   db_.reset(db);
   if (code != SQLITE_OK) return "cannot open " + path("agree.db") + ": " + sqlite3_errstr(code);
   return run(kSchema);
@@ -113,8 +121,8 @@
   if (out.error.empty() && mark.payload) {
     const auto said = std::strtoull(mark.payload->c_str(), nullptr, 10);
     if (stores_ < said || stores_ > said + 1)
-      out.error =
-          "agree.db holds " + std::to_string(stores_) + " stores, " + std::to_string(said) + " were told";
+      out.error = "agree.db holds " + std::to_string(stores_) + " stores, " + std::to_string(said) +
+                  " were told";
   }
   if (out.error.empty() && !mark.payload) out.error = this->mark();
   if (out.error.empty()) return out;
@@ -148,7 +156,8 @@
   if ((step = snapshot.step()) == SQLITE_ROW) {
     const auto data = snapshot.bytes(0);
     out.snapshot = decode(data);
-    if (!out.snapshot || snapshot.number(1) != code_of(data, 2)) return "agree.db: its snapshot is spoilt";
+    if (!out.snapshot || snapshot.number(1) != code_of(data, 2))
+      return "agree.db: its snapshot is spoilt";
   } else if (step != SQLITE_DONE) {
     return "agree.db cannot be read";
   }
@@ -180,7 +189,9 @@
   return error;
 }
 
-std::string Disk::mark() { return store::replace_file(path("agree.mark"), std::to_string(stores_) + "\n"); }
+std::string Disk::mark() {
+  return store::replace_file(path("agree.mark"), std::to_string(stores_) + "\n");
+}
 
 std::string Disk::change(const Store& s) {
   switch (s.kind) {
@@ -199,8 +210,9 @@
       if (!error.empty()) return error;
       const auto trailing = s.value;
       if (!trailing) return cut(nullptr, s.snapshot->index);
-      return s.snapshot->index > trailing ? cut("DELETE FROM log WHERE at <= ?", s.snapshot->index - trailing)
-                                          : "";
+      return s.snapshot->index > trailing
+                 ? cut("DELETE FROM log WHERE at <= ?", s.snapshot->index - trailing)
+                 : "";
     }
     default:
       return "no such store";
@@ -209,7 +221,8 @@
 
 std::string Disk::put(const char* key, std::uint64_t value) {
   Statement s(db_.get(), "INSERT OR REPLACE INTO number VALUES(?, ?, ?)");
-  const bool good = s.text(key).number(value).number(code_of_number(key, value)).step() == SQLITE_DONE;
+  const bool good =
+      s.text(key).number(value).number(code_of_number(key, value)).step() == SQLITE_DONE;
   return good ? "" : path("agree.db") + ": " + sqlite3_errmsg(db_.get());
 }
 
@@ -224,7 +237,8 @@
   std::uint64_t before = 0;
   {
     Statement last(db_.get(), "SELECT code FROM log WHERE at = ?");
-    if (last.number(s.value - 1).step() == SQLITE_ROW) before = last.number(0);
+    if (last.number(s.value - 1).step() == SQLITE_ROW)
+      before = last.number(0);
     else if (Statement own(db_.get(), "SELECT value FROM number WHERE key = 'before'");
              own.step() == SQLITE_ROW)
       before = own.number(0);
@@ -233,7 +247,8 @@
   for (const auto& e : s.entries) {
     before = code_of(e, at, before);
     Statement row(db_.get(), "INSERT INTO log VALUES(?, ?, ?, ?, ?)");
-    if (row.number(at).number(e.term).number(e.type).bytes(e.data).number(before).step() != SQLITE_DONE)
+    if (row.number(at).number(e.term).number(e.type).bytes(e.data).number(before).step() !=
+        SQLITE_DONE)
       return path("agree.db") + ": " + sqlite3_errmsg(db_.get());
     ++at;
   }
--- a/src/consensus/log_store.h
+++ b/src/consensus/log_store.h
@@ -1,12 +1,14 @@
 // A voter's term, vote, log and snapshot on the disk: SQLite in one file, written and synced by one
-// transaction a store, and checked when read. Blocks on the disk: for a worker's thread, never the loop's.
+// transaction a store, and checked when read. Blocks on the disk: for a worker's thread, never the
+// loop's.
 //
-// What a disk may do, and what then: a record that was flipped, torn or lost shows by its code (XXH3 over the
-// record and the code before it, so that a hole or a stale record shows as well); a file brought back from
-// earlier shows by the mark, a second small file that counts the stores and is replaced after each, before
-// anybody is told. Whatever does not fit, and any error while writing, spoils the whole: it is set aside
-// (agree.db.bad), nothing of it is believed, and this voter starts as one without a log. If both files are
-// brought back together, only the other voters can tell; see agreement.h.
+// What a disk may do, and what then: a record that was flipped, torn or lost shows by its code
+// (XXH3 over the record and the code before it, so that a hole or a stale record shows as well); a
+// file brought back from earlier shows by the mark, a second small file that counts the stores and
+// is replaced after each, before anybody is told. Whatever does not fit, and any error while
+// writing, spoils the whole: it is set aside (agree.db.bad), nothing of it is believed, and this
+// voter starts as one without a log. If both files are brought back together, only the other voters
+// can tell; see agreement.h.
 #pragma once
 
 #include <memory>
