--- a/src/consensus/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -23,8 +23,14 @@
 constexpr std::size_t fields(const Renew&) { return 14; }
 constexpr std::size_t least(const Renew&) { return 12; }  // of a program that knows no trials
 void write(Packer& p, const Renew& m) {
-  p.number(m.epoch), put(p, m.sent), p.number(m.acting).number(m.holds).number(m.refused).text(m.reason);
-  p.number(m.grant).real(m.share_all).real(m.share_point).real(m.weight).text(m.point).number(m.learner);
+  p.number(m.epoch), put(p, m.sent),
+      p.number(m.acting).number(m.holds).number(m.refused).text(m.reason);
+  p.number(m.grant)
+      .real(m.share_all)
+      .real(m.share_point)
+      .real(m.weight)
+      .text(m.point)
+      .number(m.learner);
   p.real(m.bad).number(m.forms);
 }
 void read(Reader& r, Renew& m) {
@@ -60,14 +66,18 @@
 void read(Reader& r, Want& m) { m.digest = r.text(), m.offset = r.number(kContentMost); }
 
 constexpr std::size_t fields(const Chunk&) { return 4; }
-void write(Packer& p, const Chunk& m) { p.text(m.digest).number(m.offset).number(m.total).bytes(m.bytes); }
+void write(Packer& p, const Chunk& m) {
+  p.text(m.digest).number(m.offset).number(m.total).bytes(m.bytes);
+}
 void read(Reader& r, Chunk& m) {
   m.digest = r.text(), m.offset = r.number(kContentMost), m.total = r.number(kContentMost);
   m.bytes = r.bytes(kChunk);
 }
 
 constexpr std::size_t fields(const Propose&) { return 3; }
-void write(Packer& p, const Propose& m) { p.number(m.nonce), pack(p, m.version), pack(p, m.voters); }
+void write(Packer& p, const Propose& m) {
+  p.number(m.nonce), pack(p, m.version), pack(p, m.voters);
+}
 void read(Reader& r, Propose& m) {
   m.nonce = r.number(), m.version = version(Reader(r.next(), 6), r.good), m.voters = names(r);
 }
@@ -85,7 +95,12 @@
 
 constexpr std::size_t fields(const Witness&) { return 7; }
 void write(Packer& p, const Witness& m) {
-  p.flag(m.asks).flag(m.pristine).number(m.term).number(m.last_term).number(m.last).number(m.your_term);
+  p.flag(m.asks)
+      .flag(m.pristine)
+      .number(m.term)
+      .number(m.last_term)
+      .number(m.last)
+      .number(m.your_term);
   p.number(m.your_last);
 }
 void read(Reader& r, Witness& m) {
@@ -110,7 +125,9 @@
 
 constexpr std::size_t fields(const Verdict&) { return 3; }
 void write(Packer& p, const Verdict& m) { p.number(m.nonce).number(m.number).flag(m.go_on); }
-void read(Reader& r, Verdict& m) { m.nonce = r.number(), m.number = r.number(), m.go_on = r.flag(); }
+void read(Reader& r, Verdict& m) {
+  m.nonce = r.number(), m.number = r.number(), m.go_on = r.flag();
+}
 
 template <class M>
 constexpr std::size_t least(const M& m) {
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -1,5 +1,6 @@
-// What routers say to each other about versions, and its wire form: MessagePack arrays [kind, fields...].
-// The sender is known by the channel. No I/O; what does not fit the bounds reads as nothing.
+// What routers say to each other about versions, and its wire form: MessagePack arrays [kind,
+// fields...]. The sender is known by the channel. No I/O; what does not fit the bounds reads as
+// nothing.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,8 @@
 
 namespace alderspur::consensus {
 
-// What a program knows beyond the first form: 1, trials. A form is used only where all that must know it do.
+// What a program knows beyond the first form: 1, trials. A form is used only where all that must
+// know it do.
 constexpr std::uint64_t kForms = 1;
 constexpr std::size_t kChunk = 32 << 10, kFrameMost = 2 << 20;
 
@@ -90,8 +92,8 @@
   bool go_on = false;
 };
 
-using Message = std::variant<Consensus, Renew, Grant, Redirect, Want, Chunk, Propose, Answer, Witness, Ask,
-                             Tell, Nudge, Verdict>;
+using Message = std::variant<Consensus, Renew, Grant, Redirect, Want, Chunk, Propose, Answer,
+                             Witness, Ask, Tell, Nudge, Verdict>;
 std::string encode(const Message& message);
 std::optional<Message> decode_message(std::string_view bytes);
 
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -19,8 +19,8 @@
   std::memcpy(out, bytes.data(), bytes.size());
   return out;
 }
-// All in one batch of memory, as the library expects: what it refuses of a message it frees by the first
-// one's.
+// All in one batch of memory, as the library expects: what it refuses of a message it frees by the
+// first one's.
 raft_entry* entries_of(const std::vector<LogEntry>& all) {
   if (all.empty()) return nullptr;
   const auto aligned = [](std::size_t n) { return (n + 7) / 8 * 8; };
@@ -41,7 +41,9 @@
   }
   return out;
 }
-std::string_view bytes_of(const raft_buffer& b) { return {static_cast<const char*>(b.base), b.len}; }
+std::string_view bytes_of(const raft_buffer& b) {
+  return {static_cast<const char*>(b.base), b.len};
+}
 std::vector<LogEntry> copy(const raft_entry* entries, unsigned n) {
   std::vector<LogEntry> out;
   for (unsigned i = 0; i < n; ++i)
@@ -51,12 +53,14 @@
 raft_configuration configuration_of(const VotersAt& v) {
   raft_configuration c;
   raft_configuration_init(&c);
-  for (const auto& [name, role] : v.servers) raft_configuration_add(&c, raft_id_of(name), name.c_str(), role);
+  for (const auto& [name, role] : v.servers)
+    raft_configuration_add(&c, raft_id_of(name), name.c_str(), role);
   return c;
 }
 VotersAt voters_of(const raft_configuration& c, std::uint64_t index) {
   VotersAt v{index, {}};
-  for (unsigned i = 0; i < c.n; ++i) v.servers.emplace_back(c.servers[i].address, c.servers[i].role);
+  for (unsigned i = 0; i < c.n; ++i)
+    v.servers.emplace_back(c.servers[i].address, c.servers[i].role);
   return v;
 }
 struct Changing : raft_change {
@@ -101,7 +105,8 @@
   saved_ = {};
 }
 
-// Danger: requests that are under way hold memory of the library; each must hear of its end before it closes.
+// Danger: requests that are under way hold memory of the library; each must hear of its end before
+// it closes.
 Raft::~Raft() {
   raft_close(&raft_, nullptr);
   for (auto& p : std::exchange(pending_, {})) {
@@ -119,8 +124,8 @@
   io_.version = 1, io_.impl = this, raft_.data = this;
   io_.init = [](raft_io*, raft_id, const char*) { return 0; };
   io_.close = [](raft_io* io, raft_io_close_cb cb) { of(io).closed_ = cb; };
-  io_.load = [](raft_io* io, raft_term* t, raft_id* v, raft_snapshot** s, raft_index* i, raft_entry** e,
-                std::size_t* n) { return of(io).load(t, v, s, i, e, n); };
+  io_.load = [](raft_io* io, raft_term* t, raft_id* v, raft_snapshot** s, raft_index* i,
+                raft_entry** e, std::size_t* n) { return of(io).load(t, v, s, i, e, n); };
   io_.start = [](raft_io* io, unsigned, raft_io_tick_cb on_tick, raft_io_recv_cb recv) {
     of(io).tick_ = on_tick, of(io).recv_ = recv;
     return 0;
@@ -137,24 +142,30 @@
     return 0;
   };
   io_.recover = [](raft_io*, const raft_configuration*) { return RAFT_INVALID; };
-  io_.set_term = [](raft_io* io, raft_term t) { return of(io).store({Store::Kind::term, t, {}, {}}), 0; };
-  io_.set_vote = [](raft_io* io, raft_id v) { return of(io).store({Store::Kind::vote, v, {}, {}}), 0; };
+  io_.set_term = [](raft_io* io, raft_term t) {
+    return of(io).store({Store::Kind::term, t, {}, {}}), 0;
+  };
+  io_.set_vote = [](raft_io* io, raft_id v) {
+    return of(io).store({Store::Kind::vote, v, {}, {}}), 0;
+  };
   io_.send = [](raft_io* io, raft_io_send* q, const raft_message* m, raft_io_send_cb cb) {
     return of(io).send(q, *m, cb);
   };
-  io_.append = [](raft_io* io, raft_io_append* q, const raft_entry* e, unsigned n, raft_io_append_cb cb) {
+  io_.append = [](raft_io* io, raft_io_append* q, const raft_entry* e, unsigned n,
+                  raft_io_append_cb cb) {
     auto& r = of(io);
     q->cb = cb;
     // The library has these in its log already: the first of them is the last but n - 1.
-    const auto number = r.store({Store::Kind::append, raft_last_index(&r.raft_) + 1 - n, copy(e, n), {}});
+    const auto number =
+        r.store({Store::Kind::append, raft_last_index(&r.raft_) + 1 - n, copy(e, n), {}});
     r.pending_.push_back({number, q, nullptr});
     return 0;
   };
   io_.truncate = [](raft_io* io, raft_index i) {
     return of(io).store({Store::Kind::truncate, i, {}, {}}), 0;
   };
-  io_.snapshot_put = [](raft_io* io, unsigned trailing, raft_io_snapshot_put* q, const raft_snapshot* s,
-                        raft_io_snapshot_put_cb cb) {
+  io_.snapshot_put = [](raft_io* io, unsigned trailing, raft_io_snapshot_put* q,
+                        const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
     auto& r = of(io);
     q->cb = cb;
     Snapshot out{s->index, s->term, voters_of(s->configuration, s->configuration_index), {}};
@@ -279,8 +290,9 @@
   auto* request = new Apply{};
   const raft_buffer b{copied(command), command.size()};
   // What became of it shows in the ledger; a command that is lost with its leader is asked again.
-  const int error = ::raft_apply(&raft_, request, &b, 1,
-                                 [](struct raft_apply* r, int, void*) { delete static_cast<Apply*>(r); });
+  const int error = ::raft_apply(&raft_, request, &b, 1, [](struct raft_apply* r, int, void*) {
+    delete static_cast<Apply*>(r);
+  });
   if (error) raft_free(b.base), delete request;
   release();
   return error == 0;
@@ -308,15 +320,19 @@
 
 // ---- Leading
 
-// Since when a majority, ourselves counted, has confirmed us without a gap that another could have used.
+// Since when a majority, ourselves counted, has confirmed us without a gap that another could have
+// used.
 Time Raft::since_leading() const {
   std::vector<Time> at;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     const auto& s = raft_.configuration.servers[i];
     if (s.role != RAFT_VOTER) continue;
-    if (s.id == raft_.id) at.push_back(now_);
-    else if (const auto it = confirmed_.find(s.address); it != confirmed_.end()) at.push_back(it->second);
-    else at.push_back(0);
+    if (s.id == raft_.id)
+      at.push_back(now_);
+    else if (const auto it = confirmed_.find(s.address); it != confirmed_.end())
+      at.push_back(it->second);
+    else
+      at.push_back(0);
   }
   if (at.empty()) return 0;
   std::sort(at.rbegin(), at.rend());
@@ -343,8 +359,10 @@
   request->raft = this, request->term = barrier_term_;
   const int error = ::raft_barrier(&raft_, request, [](struct raft_barrier* r, int status) {
     const std::unique_ptr<Barrier> done(static_cast<Barrier*>(r));
-    if (status == 0 && done->raft->barrier_term_ == done->term) done->raft->barrier_done_ = true;
-    else if (status != 0) done->raft->barrier_term_ = 0;
+    if (status == 0 && done->raft->barrier_term_ == done->term)
+      done->raft->barrier_done_ = true;
+    else if (status != 0)
+      done->raft->barrier_term_ = 0;
   });
   if (error) delete request, barrier_term_ = 0;
 }
@@ -399,16 +417,27 @@
   p.number(static_cast<std::uint64_t>(echo.sent));
   if (m.type == RAFT_IO_APPEND_ENTRIES) {
     const auto& a = m.append_entries;
-    p.array(5).number(a.term).number(a.prev_log_index).number(a.prev_log_term).number(a.leader_commit);
+    p.array(5)
+        .number(a.term)
+        .number(a.prev_log_index)
+        .number(a.prev_log_term)
+        .number(a.leader_commit);
     p.array(a.n_entries);
     for (unsigned i = 0; i < a.n_entries; ++i)
-      p.array(3).number(a.entries[i].term).number(a.entries[i].type).bytes(bytes_of(a.entries[i].buf));
+      p.array(3)
+          .number(a.entries[i].term)
+          .number(a.entries[i].type)
+          .bytes(bytes_of(a.entries[i].buf));
   } else if (m.type == RAFT_IO_APPEND_ENTRIES_RESULT) {
     const auto& a = m.append_entries_result;
     p.array(3).number(a.term).number(a.rejected).number(a.last_log_index);
   } else if (m.type == RAFT_IO_REQUEST_VOTE) {
     const auto& v = m.request_vote;
-    p.array(6).number(v.term).number(v.candidate_id).number(v.last_log_index).number(v.last_log_term);
+    p.array(6)
+        .number(v.term)
+        .number(v.candidate_id)
+        .number(v.last_log_index)
+        .number(v.last_log_term);
     p.flag(v.disrupt_leader).flag(v.pre_vote);
   } else if (m.type == RAFT_IO_REQUEST_VOTE_RESULT) {
     const auto& v = m.request_vote_result;
@@ -486,12 +515,12 @@
   Time sent = 0;
   if (!unpack(frame, from, m, sent)) return;
   m.server_id = raft_id_of(from), m.server_address = from.c_str();
-  // Danger: a voter that has just started has forgotten which leader it has heard; it votes for nobody until
-  // a leader that it had confirmed may no longer count on it.
+  // Danger: a voter that has just started has forgotten which leader it has heard; it votes for
+  // nobody until a leader that it had confirmed may no longer count on it.
   if (m.type == RAFT_IO_REQUEST_VOTE && now < begun_ + set_.election) return;
   if (m.type == RAFT_IO_REQUEST_VOTE && now < until_ &&
-      std::pair<std::uint64_t, std::uint64_t>(m.request_vote.last_log_term, m.request_vote.last_log_index) <
-          floor_)
+      std::pair<std::uint64_t, std::uint64_t>(m.request_vote.last_log_term,
+                                              m.request_vote.last_log_index) < floor_)
     return;
   if (m.type == RAFT_IO_APPEND_ENTRIES_RESULT || m.type == RAFT_IO_REQUEST_VOTE_RESULT) {
     auto& [term, index] = acknowledged_[from];
@@ -506,7 +535,8 @@
   const auto term = m.type == RAFT_IO_APPEND_ENTRIES     ? m.append_entries.term
                     : m.type == RAFT_IO_INSTALL_SNAPSHOT ? m.install_snapshot.term
                                                          : 0;
-  if (leading_word && term >= raft_.current_term) heard_[from] = {term, sent};  // its answer repeats this
+  if (leading_word && term >= raft_.current_term)
+    heard_[from] = {term, sent};  // its answer repeats this
   recv_(&io_, &m);
   begin_term();
   release();
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -1,17 +1,19 @@
-// Consensus: Debian's libraft (C, a pluggable I/O) behind values in and values out. No I/O, no clock.
+// Consensus: Debian's libraft (C, a pluggable I/O) behind values in and values out. No I/O, no
+// clock.
 //
-// Each call is given the time; what is to be sent or stored comes out by the hooks, during the call. Stores
-// are numbered and must be carried out in their order; `stored` says how each went. The library wants term
-// and vote on the disk before its call returns; here the call returns at once, and instead nothing that it
-// says to others leaves before all stores ahead of it are done ("external synchrony", Nightingale et al.,
-// OSDI 2006): nobody can tell the difference, and the loop waits for no disk. A store that failed ends the
-// instance: nothing of it may be believed any more.
+// Each call is given the time; what is to be sent or stored comes out by the hooks, during the
+// call. Stores are numbered and must be carried out in their order; `stored` says how each went.
+// The library wants term and vote on the disk before its call returns; here the call returns at
+// once, and instead nothing that it says to others leaves before all stores ahead of it are done
+// ("external synchrony", Nightingale et al., OSDI 2006): nobody can tell the difference, and the
+// loop waits for no disk. A store that failed ends the instance: nothing of it may be believed any
+// more.
 //
-// Leading: leads(now) is true only while a majority of voters has confirmed it so lately that none of them
-// can have helped to elect another (they hear no leader for `election` before they vote, by pre-vote and by
-// the library's rule; leadership is never handed over by word, which would break that; a voter that has just
-// started votes for nobody until that time has passed). It holds across a stop of the process: the time is
-// looked at, not a timer. Clocks may differ in rate by kDrift.
+// Leading: leads(now) is true only while a majority of voters has confirmed it so lately that none
+// of them can have helped to elect another (they hear no leader for `election` before they vote, by
+// pre-vote and by the library's rule; leadership is never handed over by word, which would break
+// that; a voter that has just started votes for nobody until that time has passed). It holds across
+// a stop of the process: the time is looked at, not a timer. Clocks may differ in rate by kDrift.
 //
 // Voters are known by name; the library's ids are hashes of them.
 #pragma once
@@ -79,7 +81,8 @@
     std::function<std::string()> snapshot;
     std::function<bool(std::string_view)> restore;
   };
-  // `found`: the first voters of a new cluster, where the disk is pristine and all agree that there is none.
+  // `found`: the first voters of a new cluster, where the disk is pristine and all agree that there
+  // is none.
   Raft(const std::string& name, const RaftSettings& settings, Saved saved,
        const std::vector<std::string>& found, std::uint64_t seed, Time now, Hooks hooks);
   ~Raft();
@@ -96,7 +99,8 @@
   enum class Change { add, vote, remove };
   bool change(Time now, Change change, const std::string& who, std::function<void(bool)> done);
 
-  // Neither votes for nor stands as one whose log is behind that, until then: term and index of an entry.
+  // Neither votes for nor stands as one whose log is behind that, until then: term and index of an
+  // entry.
   void hold_back(std::pair<std::uint64_t, std::uint64_t> floor, Time until) {
     floor_ = floor, until_ = until;
   }
@@ -106,7 +110,9 @@
 
   bool leads(Time now) const;
   // We lead, and all that was ever committed before is applied.
-  bool settled() const { return is_leader() && barrier_term_ == raft_.current_term && barrier_done_; }
+  bool settled() const {
+    return is_leader() && barrier_term_ == raft_.current_term && barrier_done_;
+  }
   bool is_leader() const { return raft_.state == RAFT_LEADER; }
   std::string leader() const;  // as known here; empty: none
   std::uint64_t term() const { return raft_.current_term; }
@@ -134,8 +140,8 @@
   };
   static Raft& of(raft_io* io) { return *static_cast<Raft*>(io->impl); }
   void set_io();
-  int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* start, raft_entry** entries,
-           std::size_t* n);
+  int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* start,
+           raft_entry** entries, std::size_t* n);
   int send(raft_io_send* request, const raft_message& message, raft_io_send_cb done);
   std::uint64_t store(Store s);
   void release();
--- a/src/consensus/version.cpp
+++ b/src/consensus/version.cpp
@@ -32,7 +32,8 @@
 std::optional<Content> decode_content(std::string_view bytes) {
   if (bytes.size() > kContentMost) return {};
   const cluster::Unpacked u(bytes);
-  if (!u.good || u.m.data.type != MSGPACK_OBJECT_ARRAY || u.m.data.via.array.size > kDocumentsMost) return {};
+  if (!u.good || u.m.data.type != MSGPACK_OBJECT_ARRAY || u.m.data.via.array.size > kDocumentsMost)
+    return {};
   cluster::Reader all(u.m.data, 0);
   Content out;
   for (std::uint32_t i = 0; i < u.m.data.via.array.size; ++i) {
@@ -76,8 +77,9 @@
     std::vector<std::string_view> less, more;
     std::set_difference(x.begin(), x.end(), y.begin(), y.end(), std::back_inserter(less));
     std::set_difference(y.begin(), y.end(), x.begin(), x.end(), std::back_inserter(more));
-    out.push_back(word + ": " + std::to_string(more.size()) + " lines added, " + std::to_string(less.size()) +
-                  " removed" + (less.empty() && more.empty() ? ", in another order" : ""));
+    out.push_back(word + ": " + std::to_string(more.size()) + " lines added, " +
+                  std::to_string(less.size()) + " removed" +
+                  (less.empty() && more.empty() ? ", in another order" : ""));
   }
   return out;
 }
--- a/src/consensus/version.h
+++ b/src/consensus/version.h
@@ -1,8 +1,9 @@
 // What routers agree on: a content of named documents, and the version that stands for it.
 //
-// A content is taken whole: lists of servers, programs of routes, the shared part of the settings, each a
-// text under its name. A version names a content by its digest (SHA-256 over all names and texts), carries a
-// number that never goes back, and says whose it is and what it was made from. Values; no I/O.
+// A content is taken whole: lists of servers, programs of routes, the shared part of the settings,
+// each a text under its name. A version names a content by its digest (SHA-256 over all names and
+// texts), carries a number that never goes back, and says whose it is and what it was made from.
+// Values; no I/O.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +31,8 @@
 std::optional<Content> decode_content(std::string_view bytes);
 std::string digest_of(std::string_view encoded);  // 64 hexadecimal digits
 
-// A version that holds for some routers first. It goes on to all, or is taken back: by an operator's word, by
-// what the first ones see (`harm`), or when its time is over.
+// A version that holds for some routers first. It goes on to all, or is taken back: by an
+// operator's word, by what the first ones see (`harm`), or when its time is over.
 struct Trial {
   std::vector<std::string> first;  // members' names; none: no trial
   Time hold = 0;
@@ -51,7 +52,8 @@
   bool operator==(const Version&) const = default;
 };
 
-// What one content has otherwise than another, a line a document: "servers: 3 lines added, 1 removed".
+// What one content has otherwise than another, a line a document: "servers: 3 lines added, 1
+// removed".
 std::vector<std::string> difference(const Content& from, const Content& to);
 
 }  // namespace alderspur::consensus
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -32,7 +32,8 @@
 }
 
 void Agreement::on(const Stored& e) {
-  const auto it = std::find_if(putting_.begin(), putting_.end(), [&](auto& p) { return p.put == e.number; });
+  const auto it =
+      std::find_if(putting_.begin(), putting_.end(), [&](auto& p) { return p.put == e.number; });
   if (it == putting_.end()) return;
   // Danger: one that was not even taken is told of ahead of those before it.
   const bool in_turn = it == putting_.begin();
@@ -52,8 +53,8 @@
   if (raft_->failed()) spoilt("a store did not reach the disk");
 }
 
-// Danger: what a disk has lost or made up, a vote above all, may not be gone on from as if nothing had been.
-// The former self is taken out of the voters by the others before the new one counts.
+// Danger: what a disk has lost or made up, a vote above all, may not be gone on from as if nothing
+// had been. The former self is taken out of the voters by the others before the new one counts.
 void Agreement::spoilt(const std::string& why) {
   raft_.reset();
   part_ = Part::learner;
@@ -141,8 +142,12 @@
   trouble_.clear();
   const auto instance = ++instance_;
   Raft::Hooks hooks;
-  hooks.send = [this](const std::string& to, std::string frame) { send(to, Consensus{std::move(frame)}); };
-  hooks.store = [this, instance](std::uint64_t number, Store s) { put(instance, number, std::move(s)); };
+  hooks.send = [this](const std::string& to, std::string frame) {
+    send(to, Consensus{std::move(frame)});
+  };
+  hooks.store = [this, instance](std::uint64_t number, Store s) {
+    put(instance, number, std::move(s));
+  };
   hooks.apply = [this](std::string_view bytes) {
     if (const auto c = decode_command(bytes)) ledger_.apply(*c);
   };
@@ -164,12 +169,15 @@
   const auto* p = ledger_.pending();
   const bool agreed = ledger_.agreed().has_value();
   if (agreed && first(*p)) hear(*p, true), p = nullptr;  // on trial here, or to hold for all soon
-  if (p) pending_ = *p, pending_agreed_ = agreed && !ledger_.trial();
-  else if (pending_) pending_.reset();
+  if (p)
+    pending_ = *p, pending_agreed_ = agreed && !ledger_.trial();
+  else if (pending_)
+    pending_.reset();
   if (p && pending_agreed_) pending_->trial = {}, hear(*pending_, false);
   const bool in = raft_->lists(set_.name);
   if (in) learner_ = 0;
-  // Taken out of the voters: what it holds is of no use to anybody. It is not told by its log, which ends.
+  // Taken out of the voters: what it holds is of no use to anybody. It is not told by its log,
+  // which ends.
   if (!wanted && (!in || !among_) && part_ == Part::voter) {
     raft_.reset();
     part_ = Part::follower, learner_ = 0;
@@ -188,8 +196,10 @@
   g.in_force = ledger_.in_force();
   if (const auto* p = ledger_.pending()) {
     const bool agreed = ledger_.agreed().has_value();
-    if (agreed && among_first(*p, from)) g.in_force = *p;
-    else g.pending = *p, g.agreed = agreed && !ledger_.trial();
+    if (agreed && among_first(*p, from))
+      g.in_force = *p;
+    else
+      g.pending = *p, g.agreed = agreed && !ledger_.trial();
     if (g.agreed) g.pending->trial = {};
   }
   g.voters = desired();
@@ -205,7 +215,8 @@
   Admission& a = admissions_[name];
   if (a.learner != r.learner) a = {r.learner, false};
   if (!a.done && !raft_->lists(name)) a.done = true;
-  if (a.done) out.admitted = r.learner;
+  if (a.done)
+    out.admitted = r.learner;
   else
     raft_->change(now_, Raft::Change::remove, name, [this, name, learner = r.learner](bool good) {
       if (auto& x = admissions_[name]; good && x.learner == learner) x.done = true;
@@ -218,8 +229,8 @@
   if (!m.voters.empty()) return void(propose(Voters{m.nonce, m.voters}));
   const auto old = m.version.trial ? who_knows_no_trials() : "";
   if (!old.empty())
-    return send(
-        from, Answer{{m.nonce, false, true, 0, "the program of " + old + ", which votes, knows no trials"}});
+    return send(from, Answer{{m.nonce, false, true, 0,
+                              "the program of " + old + ", which votes, knows no trials"}});
   propose(Offer{m.nonce, m.version});
 }
 
@@ -235,8 +246,10 @@
 void Agreement::take(const std::string& from, Verdict& m) {
   if (!leads(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
   if (const auto* s = ledger_.settled(m.nonce)) return send(from, Answer{*s});
-  if (m.go_on) propose(Release{m.nonce, m.number});
-  else propose(Back{m.nonce, m.number, "taken back by an operator"});
+  if (m.go_on)
+    propose(Release{m.nonce, m.number});
+  else
+    propose(Back{m.nonce, m.number, "taken back by an operator"});
 }
 
 // Nothing is proposed twice within a second; what is lost with a leader is asked again.
@@ -250,7 +263,8 @@
       },
       c);
   const int kind = static_cast<int>(c.index());
-  if (proposed_ == of && proposed_kind_ == kind && now_ < proposed_at_ + kProposeAgain) return false;
+  if (proposed_ == of && proposed_kind_ == kind && now_ < proposed_at_ + kProposeAgain)
+    return false;
   proposed_ = of, proposed_kind_ = kind, proposed_at_ = now_;
   return raft_->propose(now_, encode(c));
 }
@@ -282,17 +296,23 @@
     ++voters;
     const auto* h = book_.find(name);
     if (h && h->refused == v.number)
-      return void(propose(Withdraw{v.number, plain("refused by " + name + ": " + h->reason, kNoteMost)}));
-    if (h && h->holds >= v.number) ++yes;
-    else if (h && h->bound) waits = true;  // it may yet refuse
+      return void(
+          propose(Withdraw{v.number, plain("refused by " + name + ": " + h->reason, kNoteMost)}));
+    if (h && h->holds >= v.number)
+      ++yes;
+    else if (h && h->bound)
+      waits = true;  // it may yet refuse
   }
-  // Danger: a voter whose disk hangs keeps its lease and never holds anything; it loses that by Agree.
-  if (yes > voters / 2 && (!waits || now_ > offered_since_ + kVoterWait)) propose(Agree{v.number});
+  // Danger: a voter whose disk hangs keeps its lease and never holds anything; it loses that by
+  // Agree.
+  if (yes > voters / 2 && (!waits || now_ > offered_since_ + kVoterWait))
+    propose(Agree{v.number});
   else if (now_ > offered_since_ + kOfferMost)
     propose(Withdraw{v.number, "its content did not reach enough voters in time"});
 }
 
-// Worse than elsewhere by more than was declared: of all that ended, weighed by how much each router takes.
+// Worse than elsewhere by more than was declared: of all that ended, weighed by how much each
+// router takes.
 bool Agreement::harmful(const Version& trial, std::string& why) const {
   double weight = 0, bad = 0;
   for (const auto& name : trial.trial.first)
@@ -301,7 +321,8 @@
   const double others = book_.weights() - weight;
   if (weight < kEvidence + static_cast<double>(trial.trial.first.size()))
     return false;  // each counts one more
-  const double here = bad / weight, there = others > 1e-9 ? std::max(0.0, book_.bad() - bad) / others : 0;
+  const double here = bad / weight,
+               there = others > 1e-9 ? std::max(0.0, book_.bad() - bad) / others : 0;
   why = std::to_string(static_cast<int>(here * 100)) + "% ended badly at the first routers, " +
         std::to_string(static_cast<int>(there * 100)) + "% elsewhere";
   return here > there + trial.trial.harm;
@@ -311,12 +332,17 @@
 void Agreement::watch(const Version& trial) {
   if (tried_ != trial.number) tried_ = trial.number, tried_since_ = now_, harm_since_ = 0;
   std::string why;
-  if (!harmful(trial, why)) harm_since_ = 0;
-  else if (!harm_since_) harm_since_ = now_;
-  if (harm_since_ && now_ >= harm_since_ + kHarmTime) return void(propose(Back{0, trial.number, why}));
+  if (!harmful(trial, why))
+    harm_since_ = 0;
+  else if (!harm_since_)
+    harm_since_ = now_;
+  if (harm_since_ && now_ >= harm_since_ + kHarmTime)
+    return void(propose(Back{0, trial.number, why}));
   if (now_ < tried_since_ + trial.trial.hold) return;
-  if (trial.trial.go_on) propose(Release{0, trial.number});
-  else propose(Back{0, trial.number, "its time is over"});
+  if (trial.trial.go_on)
+    propose(Release{0, trial.number});
+  else
+    propose(Back{0, trial.number, "its time is over"});
 }
 
 void Agreement::reconcile() {
@@ -340,8 +366,10 @@
   std::string last;
   for (const auto& [name, role] : servers) {
     if (to_vote(name)) continue;
-    if (name == set_.name) last = name;
-    else return void(raft_->change(now_, Raft::Change::remove, name, nothing));
+    if (name == set_.name)
+      last = name;
+    else
+      return void(raft_->change(now_, Raft::Change::remove, name, nothing));
   }
   if (!last.empty()) raft_->change(now_, Raft::Change::remove, last, nothing);
 }
@@ -349,12 +377,13 @@
 // All routers are told at a change that there is news, some at a time; what the news is they ask.
 void Agreement::nudge_some() {
   const auto* p = ledger_.pending();
-  const std::pair<std::uint64_t, int> stands{p ? p->number : ledger_.in_force().number, !p                ? 3
-                                                                                        : ledger_.trial() ? 4
-                                                                                        : ledger_.agreed()
-                                                                                            ? 2
-                                                                                            : 1};
-  if (stands != nudged_) nudged_ = stands, nudges_.assign(others_.begin(), others_.end()), nudge_at_ = now_;
+  const std::pair<std::uint64_t, int> stands{p ? p->number : ledger_.in_force().number,
+                                             !p                 ? 3
+                                             : ledger_.trial()  ? 4
+                                             : ledger_.agreed() ? 2
+                                                                : 1};
+  if (stands != nudged_)
+    nudged_ = stands, nudges_.assign(others_.begin(), others_.end()), nudge_at_ = now_;
   if (now_ < nudge_at_) return;
   for (std::size_t i = 0; i < kNudgesAtOnce && !nudges_.empty(); ++i) {
     send(nudges_.front(), Nudge{});
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -21,7 +21,8 @@
     return key;
   }
   void clear(const Key& key) { waiting_.erase(key); }
-  // Runs all that is due. What these set for an earlier time waits for the next turn: no endless sweep.
+  // Runs all that is due. What these set for an earlier time waits for the next turn: no endless
+  // sweep.
   void sweep(Time now) {
     const std::uint64_t newest = last_;
     for (auto it = waiting_.begin(); it != waiting_.end() && it->first.first <= now;) {
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -8,9 +8,10 @@
 
 // The answer must reach the client before it gives up: ways, its clock and ours take their part.
 constexpr Time kAnswerMargin = 20'000, kMarginPart = 10;  // at most a tenth of the limit
-constexpr Time kAgeSlack = 50'000;                        // on the ages of copies: ways and rounding
+constexpr Time kAgeSlack = 50'000;  // on the ages of copies: ways and rounding
 constexpr Time kPurgeMargin = 2'000;
-// A request that nothing of has reached a server must move on or be answered before half of its time is over.
+// A request that nothing of has reached a server must move on or be answered before half of its
+// time is over.
 constexpr Time kUnsentPart = 45;  // per cent
 // How long an abort may be on its way to a server. The platform's slack on all its time limits.
 constexpr Time kOnWay = 50'000;
@@ -79,7 +80,8 @@
 
 bool Engine::clashes(const Demand& d) const {
   const auto [from, to] = ids_.equal_range(std::string(d.id));
-  return std::any_of(from, to, [&](auto& e) { return held_.at(e.second).request.object.value != d.object; });
+  return std::any_of(from, to,
+                     [&](auto& e) { return held_.at(e.second).request.object.value != d.object; });
 }
 
 void Engine::turned_away(std::uint32_t cls, Verdict verdict) {
@@ -89,9 +91,13 @@
   if (cls < by_class_.size()) ++(refused ? by_class_[cls].refused : by_class_[cls].failed);
 }
 
-void Engine::withdraw(Ticket ticket) { waiting_.push_back({module::ClientLeft{{ticket}}, ticket, 0, {}}); }
+void Engine::withdraw(Ticket ticket) {
+  waiting_.push_back({module::ClientLeft{{ticket}}, ticket, 0, {}});
+}
 
-void Engine::hurry(Ticket ticket) { waiting_.push_back({module::ClientLeft{{ticket}, true}, ticket, 0, {}}); }
+void Engine::hurry(Ticket ticket) {
+  waiting_.push_back({module::ClientLeft{{ticket}, true}, ticket, 0, {}});
+}
 
 void Engine::hurry_all() {
   for (const auto& [ticket, held] : held_)
@@ -148,18 +154,20 @@
   a.ended = true;
   deadlines_.clear(a.timeout);
   if (a.unsent.first) deadlines_.clear(a.unsent);
-  // Danger: an abort, or the end of a connection, takes its time to the server, and so may the command before
-  // it. The next attempt, by a shorter way or another connection to the same server, would be out beside the
-  // first: it must not leave before the abort is there.
-  const bool given_up = reply.result == module::Result::cancelled || reply.result == module::Result::reset;
-  if (!given_up || !a.written) return waiting_.push_back({module::Outcome{}, a.ticket, attempt, reply});
+  // Danger: an abort, or the end of a connection, takes its time to the server, and so may the
+  // command before it. The next attempt, by a shorter way or another connection to the same server,
+  // would be out beside the first: it must not leave before the abort is there.
+  const bool given_up =
+      reply.result == module::Result::cancelled || reply.result == module::Result::reset;
+  if (!given_up || !a.written)
+    return waiting_.push_back({module::Outcome{}, a.ticket, attempt, reply});
   deadlines_.set(now() + kOnWay, [this, ticket = a.ticket, attempt, result = reply.result] {
     waiting_.push_back({module::Outcome{}, ticket, attempt, {result, false, {}, {}, 0, {}}});
   });
 }
 
-void Engine::probed(module::ServerId server, bool ok, Time elapsed, const module::Report& report, Time up,
-                    bool lives, bool late) {
+void Engine::probed(module::ServerId server, bool ok, Time elapsed, const module::Report& report,
+                    Time up, bool lives, bool late) {
   waiting_.push_back({module::Probed{server, ok, elapsed, report, up, lives, late}, 0, 0, {}});
 }
 void Engine::ban(module::ServerId server, bool out) {
@@ -176,8 +184,8 @@
 }
 Engine::Census Engine::census() {
   const auto all = router_.standings(now());
-  return {all.size(),
-          static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [](auto& s) { return !s.usable; }))};
+  return {all.size(), static_cast<std::size_t>(std::count_if(all.begin(), all.end(),
+                                                             [](auto& s) { return !s.usable; }))};
 }
 
 void Engine::fleet(module::FleetUpdate update) {
@@ -246,8 +254,10 @@
     ++counters_.served;
     ++by_class_[held.request.cls.value].served;
     if (e.reply.unchanged) ++counters_.unchanged;
-    effects_.push_back(Serve{
-        e.ticket, held.front, {Verdict::served, e.reply.unchanged, 0, e.reply.body, e.reply.tag, false}});
+    effects_.push_back(
+        Serve{e.ticket,
+              held.front,
+              {Verdict::served, e.reply.unchanged, 0, e.reply.body, e.reply.tag, false}});
     end(held);
   }
   o.finished = !held.open;
@@ -255,8 +265,9 @@
   if (o.finished) ended_.push_back(e.ticket);
 }
 
-// Danger: within one batch the module may end a request for which an answer stands later in the batch. The
-// ledger is closed as the decisions come in, though they are carried out after the batch.
+// Danger: within one batch the module may end a request for which an answer stands later in the
+// batch. The ledger is closed as the decisions come in, though they are carried out after the
+// batch.
 void Engine::ask(const module::Event& event) {
   actions_.clear();
   router_.handle(now_, event, actions_);
@@ -296,7 +307,9 @@
   }
   if (const auto* t = std::get_if<module::SetTimer>(&action)) {
     const module::TimerId timer = t->timer;
-    deadlines_.set(t->at, [this, timer] { waiting_.push_back({module::TimerDue{timer}, 0, 0, {}}); });
+    deadlines_.set(t->at, [this, timer] {
+      waiting_.push_back({module::TimerDue{timer}, 0, 0, {}});
+    });
   }
 }
 
@@ -315,10 +328,13 @@
              s.fill,           now_ + s.timeout,       sending(held.request)};
   ++held.out;
   // Danger: the client may have left in this very batch, after the module decided to send.
-  if (!held.open || now_ >= held.no_more_from) return reply(id, {module::Result::moot, false, {}, {}, 0, {}});
-  a.timeout = deadlines_.set(a.order.deadline, [this, id] { give_up(id, module::Result::timeout); });
+  if (!held.open || now_ >= held.no_more_from)
+    return reply(id, {module::Result::moot, false, {}, {}, 0, {}});
+  a.timeout =
+      deadlines_.set(a.order.deadline, [this, id] { give_up(id, module::Result::timeout); });
   if (!held.written && now_ < held.unsent_until)
-    a.unsent = deadlines_.set(held.unsent_until, [this, id] { give_up(id, module::Result::connect_failed); });
+    a.unsent = deadlines_.set(held.unsent_until,
+                              [this, id] { give_up(id, module::Result::connect_failed); });
   backend_->send(id, s.server);
 }
 
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,9 +1,10 @@
-// The core: requests, attempts and outcomes, whatever wire they come by. It drives the decision module,
-// keeps the ledger of final answers (exactly one for each request taken), ends attempts that run out of
-// time and maps the Unix clock to the module's time. It knows no socket.
+// The core: requests, attempts and outcomes, whatever wire they come by. It drives the decision
+// module, keeps the ledger of final answers (exactly one for each request taken), ends attempts
+// that run out of time and maps the Unix clock to the module's time. It knows no socket.
 //
-// A turn: fronts, backend and board put what arrived into the engine; run() hands it all to the module in
-// one go and then carries out what came back, in order. Slices stay valid until run() returns.
+// A turn: fronts, backend and board put what arrived into the engine; run() hands it all to the
+// module in one go and then carries out what came back, in order. Slices stay valid until run()
+// returns.
 #pragma once
 
 #include <functional>
@@ -16,9 +17,9 @@
 #include <vector>
 
 #include "alderspur/router.h"
-#include "core/rate_limited_log.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
+#include "core/rate_limited_log.h"
 
 namespace alderspur::core {
 
@@ -50,8 +51,8 @@
   virtual void answer(Ticket ticket, const Answer& answer) = 0;
 };
 
-// An attempt as the backend is to send it. Read it at the moment of writing: a purge that is heard while a
-// connection comes up still tightens the age.
+// An attempt as the backend is to send it. Read it at the moment of writing: a purge that is heard
+// while a connection comes up still tightens the age.
 struct Order {
   std::string_view id, idempotency_key, held_tag, body, object_text;  // of the request held
   std::uint32_t cls = 0, part = 0;
@@ -88,11 +89,13 @@
   void hurry(Ticket ticket);
   // All that is open, likewise.
   void hurry_all();
-  // Its client has ended its side and may have left: what is out may come to its end, nothing more begins.
+  // Its client has ended its side and may have left: what is out may come to its end, nothing more
+  // begins.
   void begin_no_more(Ticket ticket);
   // Answered by the front itself, refused or failed, and never taken: it counts all the same.
   void turned_away(std::uint32_t cls, Verdict verdict);
-  // An open request bears this id for another object. Danger: to caches and clients both would be one.
+  // An open request bears this id for another object. Danger: to caches and clients both would be
+  // one.
   bool clashes(const Demand& demand) const;
   // A request of this id is open, or an attempt of it is still out.
   bool holds(std::string_view id) const { return ids_.contains(std::string(id)); }
@@ -100,13 +103,16 @@
   const Order* order(AttemptId attempt) const;  // null: over already, do not send
   void written(AttemptId attempt);              // whole
   bool was_written(AttemptId attempt) const;
-  // Asked at the moment of writing: is what was decided then still allowed? If not, the backend gives the
-  // attempt back by withhold(). Danger: a list, a ban or the end of a window may have come while it waited.
+  // Asked at the moment of writing: is what was decided then still allowed? If not, the backend
+  // gives the attempt back by withhold(). Danger: a list, a ban or the end of a window may have
+  // come while it waited.
   bool may_write(AttemptId attempt);
-  void withhold(AttemptId attempt) { reply(attempt, {module::Result::withheld, false, {}, {}, 0, {}}); }
+  void withhold(AttemptId attempt) {
+    reply(attempt, {module::Result::withheld, false, {}, {}, 0, {}});
+  }
   void reply(AttemptId attempt, const Reply& reply);
-  void probed(module::ServerId server, bool ok, Time elapsed, const module::Report& report, Time up = 0,
-              bool lives = false, bool late = false);
+  void probed(module::ServerId server, bool ok, Time elapsed, const module::Report& report,
+              Time up = 0, bool lives = false, bool late = false);
   // From operators, and from whoever knows of another process that acts as this router.
   void ban(module::ServerId server, bool out);
   void twins(double share, double door, double all = 0, double here = 0);
@@ -132,7 +138,9 @@
   const std::vector<ClassCounters>& by_class() const { return by_class_; }
   // Of a thing that arrived and cannot be used; bounded, see there.
   Complaints& complaints() { return complaints_; }
-  void complain(Complaint kind, std::string_view quote = {}) { complaints_.about(kind, now(), quote); }
+  void complain(Complaint kind, std::string_view quote = {}) {
+    complaints_.about(kind, now(), quote);
+  }
 
  private:
   struct Held;
@@ -176,7 +184,8 @@
   std::unordered_map<Ticket, Held> held_;
   std::unordered_multimap<std::string, Ticket> ids_;  // of what is held
   std::unordered_map<AttemptId, Attempt> attempts_;
-  std::vector<Event> urgent_, waiting_;  // board news goes first: it binds the sends of the same turn
+  std::vector<Event> urgent_,
+      waiting_;  // board news goes first: it binds the sends of the same turn
   std::vector<Effect> effects_;
   std::vector<module::Action> actions_;
   std::vector<Ticket> ended_;  // to be forgotten once nothing of the batch can name them
--- a/src/core/parsing.h
+++ b/src/core/parsing.h
@@ -13,8 +13,10 @@
 template <class T>
 bool parse_number(std::string_view text, T& out, [[maybe_unused]] int base = 10) {
   std::from_chars_result r{};
-  if constexpr (std::is_floating_point_v<T>) r = std::from_chars(text.data(), text.data() + text.size(), out);
-  else r = std::from_chars(text.data(), text.data() + text.size(), out, base);
+  if constexpr (std::is_floating_point_v<T>)
+    r = std::from_chars(text.data(), text.data() + text.size(), out);
+  else
+    r = std::from_chars(text.data(), text.data() + text.size(), out, base);
   if (text.empty() || r.ec != std::errc() || r.ptr != text.data() + text.size()) return false;
   if constexpr (std::is_floating_point_v<T>) return std::isfinite(out);
   return true;
@@ -27,10 +29,12 @@
   return text.size() == digits;
 }
 
-// Danger: such words pass into lines of words; a space or a comma in one would make another command of it.
+// Danger: such words pass into lines of words; a space or a comma in one would make another command
+// of it.
 inline bool plain_word(std::string_view text) {
   for (const char c : text)
-    if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' || c == '_'))
+    if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
+          c == '_'))
       return false;
   return text.size() <= 64;
 }
--- a/src/core/rate_limited_log.h
+++ b/src/core/rate_limited_log.h
@@ -1,8 +1,8 @@
-// What arrives and cannot be used, told to whoever keeps the log: one line a kind in ten seconds, so that a
-// flood of it costs neither the log nor the loop. No I/O; the loop's thread only.
+// What arrives and cannot be used, told to whoever keeps the log: one line a kind in ten seconds,
+// so that a flood of it costs neither the log nor the loop. No I/O; the loop's thread only.
 //
-// A line says how many of its kind were passed over since the one before. Foreign text in it is cut to 80
-// characters, and whatever does not print is shown as a dot. Clients' words are never quoted.
+// A line says how many of its kind were passed over since the one before. Foreign text in it is cut
+// to 80 characters, and whatever does not print is shown as a dot. Clients' words are never quoted.
 #pragma once
 
 #include <array>
--- a/src/diagnostics/diagnostics.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -66,7 +66,8 @@
   std::size_t least = std::max<std::size_t>(2, word.size() / 3) + 1;
   if (word.size() > 64) return {};
   for (const auto c : candidates)
-    if (c.size() == word.size() && strncasecmp(c.data(), word.data(), c.size()) == 0) return std::string(c);
+    if (c.size() == word.size() && strncasecmp(c.data(), word.data(), c.size()) == 0)
+      return std::string(c);
   for (const auto c : candidates)
     if (const auto d = distance(word, c); d < least) least = d, best = c;
   return std::string(best);
--- a/src/diagnostics/diagnostics.h
+++ b/src/diagnostics/diagnostics.h
@@ -1,8 +1,10 @@
-// Findings: what a checker says of a text that somebody wrote. Every part that reads operators' files reports
-// in this one shape, so that a message always has a place, a cause and a way to mend it.
+// Findings: what a checker says of a text that somebody wrote. Every part that reads operators'
+// files reports in this one shape, so that a message always has a place, a cause and a way to mend
+// it.
 //
-// A Finding is a plain value. Lines and columns count from 1; 0 means that the finding concerns the whole
-// file. Codes are stable: they may be matched by scripts and are explained in docs/. No I/O, no shared state.
+// A Finding is a plain value. Lines and columns count from 1; 0 means that the finding concerns the
+// whole file. Codes are stable: they may be matched by scripts and are explained in docs/. No I/O,
+// no shared state.
 #pragma once
 
 #include <cstdint>
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -1,4 +1,5 @@
-// edge_router, the platform's program: the router with the platform's front, and nothing else in it.
+// edge_router, the platform's program: the router with the platform's front, and nothing else in
+// it.
 #include <unistd.h>
 
 #include <csignal>
@@ -32,7 +33,8 @@
   node.config_path = path;
   node.run();
   // Danger: a disk that hangs would hold the end of the process until somebody kills it.
-  if (!node.settle()) std::fputs("the shared folder hangs, ending without it\n", stderr), ::_exit(0);
+  if (!node.settle())
+    std::fputs("the shared folder hangs, ending without it\n", stderr), ::_exit(0);
   return 0;
 }
 
--- a/src/endpoints/check.cpp
+++ b/src/endpoints/check.cpp
@@ -10,13 +10,17 @@
 struct Tally {
   std::size_t before = 0, out = 0, left = 0;
 };
-std::string percent(double part) { return std::to_string(static_cast<int>(part * 100 + 0.5)) + "%"; }
+std::string percent(double part) {
+  return std::to_string(static_cast<int>(part * 100 + 0.5)) + "%";
+}
 
 bool serves(const Listed* s) { return s && s->state == State::in_service; }
 
 void too_much(const Snapshot& next, const std::string& what, const Tally& t, const Bounds& bounds,
               diagnostics::Findings& findings) {
-  if (t.before == 0 || static_cast<double>(t.out) <= bounds.most_out * static_cast<double>(t.before)) return;
+  if (t.before == 0 ||
+      static_cast<double>(t.out) <= bounds.most_out * static_cast<double>(t.before))
+    return;
   if (next.confirm == next.generation) return;
   findings.error("L023", {next.source, 0, 0},
                  what + " would lose " + std::to_string(t.out) + " of " + std::to_string(t.before) +
@@ -38,12 +42,13 @@
   }
   for (std::size_t i = 0; i < by_point.size(); ++i)
     if (by_point[i] == 0)
-      findings.error("L022", {list.source, 0, 0}, "point " + list.points[i].name + " has no cache in service",
+      findings.error("L022", {list.source, 0, 0},
+                     "point " + list.points[i].name + " has no cache in service",
                      "list one, or remove the point");
   for (const auto& [role, n] : by_role)
     if (n.second == 0)
-      findings.error("L022", {list.source, 0, 0}, std::string("no ") + word(role) + " is in service",
-                     "leave one in service");
+      findings.error("L022", {list.source, 0, 0},
+                     std::string("no ") + word(role) + " is in service", "leave one in service");
 }
 
 void check_change(const Snapshot* in_force, const Snapshot& next, const Bounds& bounds,
@@ -59,9 +64,10 @@
   }
   if (next.generation == old.generation) {
     if (next.digest != old.digest)
-      findings.error("L021", {next.source, 0, 0},
-                     "generation " + std::to_string(next.generation) + " is in force with other content",
-                     "write a generation over " + std::to_string(old.generation));
+      findings.error(
+          "L021", {next.source, 0, 0},
+          "generation " + std::to_string(next.generation) + " is in force with other content",
+          "write a generation over " + std::to_string(old.generation));
     return;
   }
   std::map<std::string, Tally> points;
@@ -81,13 +87,16 @@
   for (const auto& [role, t] : roles) {
     if (t.before > 0 && t.left == 0)
       findings.error("L022", {next.source, 0, 0},
-                     std::string("no ") + word(role) + " would be left in service", "leave one in service");
-    else if (role == Role::parent) too_much(next, "the parents", t, bounds, findings);
+                     std::string("no ") + word(role) + " would be left in service",
+                     "leave one in service");
+    else if (role == Role::parent)
+      too_much(next, "the parents", t, bounds, findings);
   }
 }
 
-void zones_of(const Snapshot& list, const std::vector<std::string>& zones, std::vector<std::uint32_t>& points,
-              std::vector<std::uint32_t>& hubs, diagnostics::Findings& findings) {
+void zones_of(const Snapshot& list, const std::vector<std::string>& zones,
+              std::vector<std::uint32_t>& points, std::vector<std::uint32_t>& hubs,
+              diagnostics::Findings& findings) {
   std::unordered_map<std::string, std::uint32_t> numbers;
   for (std::uint32_t i = 0; i < zones.size(); ++i) numbers.emplace(zones[i], i);
   const std::vector<std::string_view> known(zones.begin(), zones.end());
@@ -95,9 +104,10 @@
     const auto it = numbers.find(name);
     if (it != numbers.end()) return it->second;
     const auto near = diagnostics::nearest(name, known);
-    findings.error("L024", {list.source, 0, 0},
-                   std::string(what) + " " + name + " is not in this router's settings",
-                   near.empty() ? "their zones (azs) name all places" : "did you mean '" + near + "'?");
+    findings.error(
+        "L024", {list.source, 0, 0},
+        std::string(what) + " " + name + " is not in this router's settings",
+        near.empty() ? "their zones (azs) name all places" : "did you mean '" + near + "'?");
     return 0;
   };
   points.clear(), hubs.clear();
--- a/src/endpoints/check.h
+++ b/src/endpoints/check.h
@@ -1,7 +1,8 @@
 // What a list that reads well must still keep, alone and against the list in force. No I/O.
 //
-// Codes: L020 generation going back, L021 a generation reused with other content, L022 a point or a role
-// without a server in service, L023 too much of a point taken out at once, L024 unknown to this router.
+// Codes: L020 generation going back, L021 a generation reused with other content, L022 a point or a
+// role without a server in service, L023 too much of a point taken out at once, L024 unknown to
+// this router.
 #pragma once
 
 #include <string>
@@ -13,8 +14,8 @@
 namespace alderspur::endpoints {
 
 struct Bounds {
-  // Of a point's caches in service (and of all parents): a larger part may leave service in one change only
-  // if the list says `confirm = GENERATION`.
+  // Of a point's caches in service (and of all parents): a larger part may leave service in one
+  // change only if the list says `confirm = GENERATION`.
   double most_out = 0.5;
 };
 
@@ -24,13 +25,16 @@
 void check_change(const Snapshot* in_force, const Snapshot& next, const Bounds& bounds,
                   diagnostics::Findings& findings);
 
-// Members by the numbers that the router's settings give places. A place that they do not name is an error.
+// Members by the numbers that the router's settings give places. A place that they do not name is
+// an error.
 std::vector<Member> members(const Snapshot& list, const std::vector<std::string>& zones,
                             diagnostics::Findings& findings);
-Member member_of(const Snapshot& list, const Listed& server, const std::vector<std::uint32_t>& point_zones,
+Member member_of(const Snapshot& list, const Listed& server,
+                 const std::vector<std::uint32_t>& point_zones,
                  const std::vector<std::uint32_t>& hub_zones);
 // Zones by point and by hub of the list; findings L024 where the settings have none of that name.
-void zones_of(const Snapshot& list, const std::vector<std::string>& zones, std::vector<std::uint32_t>& points,
-              std::vector<std::uint32_t>& hubs, diagnostics::Findings& findings);
+void zones_of(const Snapshot& list, const std::vector<std::string>& zones,
+              std::vector<std::uint32_t>& points, std::vector<std::uint32_t>& hubs,
+              diagnostics::Findings& findings);
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/damping.cpp
+++ b/src/endpoints/damping.cpp
@@ -7,13 +7,15 @@
 
 double Flaps::penalty(Time now, const DampingSettings& s) const {
   // A clock that stepped back must not let a penalty grow.
-  const double halves = static_cast<double>(std::max<Time>(0, now - at_)) / static_cast<double>(s.half_life);
+  const double halves =
+      static_cast<double>(std::max<Time>(0, now - at_)) / static_cast<double>(s.half_life);
   return penalty_ * std::exp2(-halves);
 }
 
 void Flaps::left(Time now, const DampingSettings& s) {
   if (!s.on) return;
-  // RFC 2439, 4.2: the ceiling is what decays to the reuse threshold in the longest time of holding out.
+  // RFC 2439, 4.2: the ceiling is what decays to the reuse threshold in the longest time of holding
+  // out.
   const double ceiling =
       s.reuse * std::exp2(static_cast<double>(s.longest) / static_cast<double>(s.half_life));
   penalty_ = std::min(ceiling, penalty(now, s) + s.departure);
--- a/src/endpoints/damping.h
+++ b/src/endpoints/damping.h
@@ -1,9 +1,10 @@
-// Route flap damping for servers: one that comes and goes earns a penalty that decays, and is held out of
-// service while the penalty is high.
+// Route flap damping for servers: one that comes and goes earns a penalty that decays, and is held
+// out of service while the penalty is high.
 //
-// Source: RFC 2439, with its figure of merit, half-life, cut-off (suppress) and reuse thresholds, and its
-// bound on the time that one may be held out. A penalty is a number without unit; 1000 for each departure, as
-// there. Times are microseconds of any one clock. Pure arithmetic; state is one Flaps a server.
+// Source: RFC 2439, with its figure of merit, half-life, cut-off (suppress) and reuse thresholds,
+// and its bound on the time that one may be held out. A penalty is a number without unit; 1000 for
+// each departure, as there. Times are microseconds of any one clock. Pure arithmetic; state is one
+// Flaps a server.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +33,9 @@
   // When held() turns false by itself; `now` where it is not held.
   Time free_at(Time now, const DampingSettings& s) const;
   // Nothing is left worth remembering.
-  bool calm(Time now, const DampingSettings& s) const { return !held_ && penalty(now, s) < s.reuse / 8; }
+  bool calm(Time now, const DampingSettings& s) const {
+    return !held_ && penalty(now, s) < s.reuse / 8;
+  }
 
   void release() { held_ = false; }  // needed in service for another reason; the penalty stays
   void restore(double penalty, Time at, bool held) { penalty_ = penalty, at_ = at, held_ = held; }
--- a/src/endpoints/endpoint_set.cpp
+++ b/src/endpoints/endpoint_set.cpp
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
-constexpr std::size_t kKnownMost = 250'000;  // beyond it servers that have gone are forgotten at once
-constexpr Time kBornMatters = 600'000'000;   // no server is cold for so long
+constexpr std::size_t kKnownMost =
+    250'000;  // beyond it servers that have gone are forgotten at once
+constexpr Time kBornMatters = 600'000'000;  // no server is cold for so long
 
 }  // namespace
 
@@ -40,7 +41,8 @@
     for (const auto& s : list_->servers)
       if (known_.contains(s.id.value)) waiting_.push_back(s.id);
   const bool first = !primed_;
-  if (first) {  // nothing is served before the first list: it is taken at once, and nobody in it is new
+  if (first) {  // nothing is served before the first list: it is taken at once, and nobody in it is
+                // new
     while (!waiting_.empty()) {
       const ServerId id = waiting_.front();
       waiting_.pop_front();
@@ -67,8 +69,10 @@
   }
   board_spoke_ = true;
   for (const auto& m : members) {
-    if (m.server.status == Status::gone) board_.erase(m.server.id.value);
-    else board_[m.server.id.value] = m;
+    if (m.server.status == Status::gone)
+      board_.erase(m.server.id.value);
+    else
+      board_[m.server.id.value] = m;
     touched.push_back(m.server.id);
   }
   for (const ServerId id : touched) evaluate(id, now);
@@ -109,7 +113,8 @@
   if (auto merged = merge(settings_.authority, v)) return *merged;
   Merged gone;
   gone.member.server.id = id;
-  gone.reason = settings_.authority == Authority::board ? Reason::not_on_board : Reason::not_in_files;
+  gone.reason =
+      settings_.authority == Authority::board ? Reason::not_on_board : Reason::not_in_files;
   return gone;
 }
 
@@ -125,8 +130,8 @@
     k.flaps.left(now, settings_.damping);
     ++counters_.departures;
   }
-  // Danger: a server that was away has lost what it held, whatever its list says; so may a new one, and one
-  // that stands at another address. Sent its full share at once it falls over.
+  // Danger: a server that was away has lost what it held, whatever its list says; so may a new one,
+  // and one that stands at another address. Sent its full share at once it falls over.
   const bool told = !k.told.name.empty();
   const bool appears = k.wanted == Status::gone && s.status != Status::gone;
   const bool moved = told && k.told.server.status != Status::gone && next.address != k.told.address;
@@ -145,9 +150,12 @@
     k.reason = Reason::flapping;
   }
   Time again = kNever;
-  if (k.reason == Reason::flapping) again = k.flaps.free_at(now, settings_.damping);
-  else if (k.wanted == Status::gone) again = now + settings_.damping.half_life;  // to be forgotten
-  if (k.wanted != Status::gone && s.weight != m.member.server.weight) again = std::min(again, k.step_at);
+  if (k.reason == Reason::flapping)
+    again = k.flaps.free_at(now, settings_.damping);
+  else if (k.wanted == Status::gone)
+    again = now + settings_.damping.half_life;  // to be forgotten
+  if (k.wanted != Status::gone && s.weight != m.member.server.weight)
+    again = std::min(again, k.step_at);
   wake(id, k, again);
   tell(id, k, next);
   forget_if_gone(id, k, now);
@@ -169,8 +177,8 @@
   const Place place{m.server.role, m.server.location.value};
   const auto count = ready_.find(place);
   const Server& told = k.told.server;
-  const bool counted =
-      !k.told.name.empty() && told.status == Status::ready && Place{told.role, told.location.value} == place;
+  const bool counted = !k.told.name.empty() && told.status == Status::ready &&
+                       Place{told.role, told.location.value} == place;
   const std::size_t others = (count == ready_.end() ? 0 : count->second) - (counted ? 1 : 0);
   bool held = k.wanted == Status::ready && k.flaps.held(now, settings_.damping);
   if (held && others == 0) k.flaps.release(), held = false;
@@ -199,9 +207,9 @@
   const Server &was = k.told.server, &is = m.server;
   const bool never = k.told.name.empty();
   if (never && is.status == Status::gone) return;
-  const bool same = !never && was.status == is.status && was.weight == is.weight && was.born == is.born &&
-                    was.role == is.role && was.location == is.location && was.cell == is.cell &&
-                    k.told.address == m.address;
+  const bool same = !never && was.status == is.status && was.weight == is.weight &&
+                    was.born == is.born && was.role == is.role && was.location == is.location &&
+                    was.cell == is.cell && k.told.address == m.address;
   if (same) return;
   const Place before{was.role, was.location.value}, place{is.role, is.location.value};
   const bool was_ready = !never && was.status == Status::ready, ready = is.status == Status::ready;
@@ -246,12 +254,17 @@
     const bool calm = k.flaps.calm(now, settings_.damping);
     const Time born = k.born > now - kBornMatters ? k.born : 0;
     if (born == 0 && !stepping && calm) continue;
-    out.push_back(
-        {{id}, born, stepping ? k.weight : 0, calm ? 0 : penalty, calm ? 0 : now, k.flaps.held_flag()});
+    out.push_back({{id},
+                   born,
+                   stepping ? k.weight : 0,
+                   calm ? 0 : penalty,
+                   calm ? 0 : now,
+                   k.flaps.held_flag()});
   }
   // Danger: a new server whose turn has not come yet would pass for a warm one after a restart.
   for (const ServerId id : waiting_)
-    if (const auto it = known_.find(id.value); it == known_.end() || it->second.wanted == Status::gone)
+    if (const auto it = known_.find(id.value);
+        it == known_.end() || it->second.wanted == Status::gone)
       out.push_back({id, now, 0, 0, 0, false});
   std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.id < b.id; });
   return out;
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -1,13 +1,15 @@
-// The fleet as this router is to see it: what board and files tell, merged, with weights that move by steps,
-// servers that come back counted as cold and those that come and go held out for a while.
+// The fleet as this router is to see it: what board and files tell, merged, with weights that move
+// by steps, servers that come back counted as cold and those that come and go held out for a while.
 //
-// State: the list of the files in force (one pointer), what the board lists, and for each server known what
-// the rest of the program was last told of it. News comes in by files() and board(); time by advance(); what
-// is to be passed on goes out by take(), departures first. Ids are the key throughout.
+// State: the list of the files in force (one pointer), what the board lists, and for each server
+// known what the rest of the program was last told of it. News comes in by files() and board();
+// time by advance(); what is to be passed on goes out by take(), departures first. Ids are the key
+// throughout.
 //
-// The cost of a new list is that of its differences: they come reckoned beforehand, off the loop's thread.
-// Departures act at once; the rest of a large change is taken in parts of kAtOnce, one each turn, so that the
-// loop is never held up. One thread only. Times are Unix microseconds. No I/O, no clock of its own.
+// The cost of a new list is that of its differences: they come reckoned beforehand, off the loop's
+// thread. Departures act at once; the rest of a large change is taken in parts of kAtOnce, one each
+// turn, so that the loop is never held up. One thread only. Times are Unix microseconds. No I/O, no
+// clock of its own.
 #pragma once
 
 #include <cstdint>
@@ -38,7 +40,8 @@
 struct Offer {
   SnapshotPtr list, base;
   Difference change;
-  std::vector<std::uint32_t> point_zones, hub_zones;  // the settings' numbers of its points and hubs
+  std::vector<std::uint32_t> point_zones,
+      hub_zones;  // the settings' numbers of its points and hubs
 };
 
 struct Change {
@@ -57,7 +60,8 @@
 };
 
 struct FleetCounters {
-  std::uint64_t lists = 0, changes = 0, departures = 0, weight_steps = 0, held_out = 0, let_back = 0;
+  std::uint64_t lists = 0, changes = 0, departures = 0, weight_steps = 0, held_out = 0,
+                let_back = 0;
 };
 
 class Fleet {
@@ -68,7 +72,8 @@
 
   // Before the first list: what an earlier process knew.
   void restore(const std::vector<Remembered>& remembered);
-  // False, and nothing happens, if the offer was reckoned against another list than the one in force.
+  // False, and nothing happens, if the offer was reckoned against another list than the one in
+  // force.
   bool files(const Offer& offer, Time now);
   void board(bool complete, const std::vector<Member>& members, Time now);
   // Takes the steps that are due and the next part of a large change.
--- a/src/endpoints/list.cpp
+++ b/src/endpoints/list.cpp
@@ -30,8 +30,9 @@
   unsigned port = 0;
   in_addr host{};
   return colon != std::string::npos &&
-         core::parse_number(std::string_view(address).substr(colon + 1), port) && port > 0 && port < 65536 &&
-         inet_pton(AF_INET, address.substr(0, colon).c_str(), &host) == 1 && host.s_addr != 0;
+         core::parse_number(std::string_view(address).substr(colon + 1), port) && port > 0 &&
+         port < 65536 && inet_pton(AF_INET, address.substr(0, colon).c_str(), &host) == 1 &&
+         host.s_addr != 0;
 }
 std::optional<std::uint64_t> digest_from(std::string_view text) {
   std::uint64_t value = 0;
@@ -41,7 +42,8 @@
 }
 
 // One text through the checks that need no tree. False: nothing more can be said of it.
-bool whole(std::string_view text, const std::string& file, std::size_t most, diagnostics::Findings& findings) {
+bool whole(std::string_view text, const std::string& file, std::size_t most,
+           diagnostics::Findings& findings) {
   if (text.size() > most) {
     findings.error("L002", {file, 0, 0}, "the file has " + std::to_string(text.size()) + " bytes",
                    "at most " + std::to_string(most) + " are read; split the list into pieces");
@@ -63,8 +65,9 @@
   if (!text.starts_with(kDigestKey)) return true;
   const auto end = text.find('\n');
   const auto quote = text.find('"', kDigestKey.size());
-  const auto told =
-      quote < end ? digest_from(text.substr(kDigestKey.size(), quote - kDigestKey.size())) : std::nullopt;
+  const auto told = quote < end
+                        ? digest_from(text.substr(kDigestKey.size(), quote - kDigestKey.size()))
+                        : std::nullopt;
   if (!told) {
     findings.error("L006", {file, 1, 1}, "the digest is not of the form xxh3: and 16 hex digits",
                    "run `alderspur seal` on the file");
@@ -72,9 +75,10 @@
   }
   const auto is = digest_of(text.substr(end + 1));
   if (is == *told) return true;
-  findings.error("L006", {file, 1, 1},
-                 "the digest is " + digest_text(*told) + " but the bytes after it give " + digest_text(is),
-                 "the file is half written, or was edited: run `alderspur seal` on it");
+  findings.error(
+      "L006", {file, 1, 1},
+      "the digest is " + digest_text(*told) + " but the bytes after it give " + digest_text(is),
+      "the file is half written, or was edited: run `alderspur seal` on it");
   return false;
 }
 
@@ -84,7 +88,8 @@
   diagnostics::Place id, address;
 };
 
-// Reads places and servers. read() only looks at what is declared already: several threads may call it.
+// Reads places and servers. read() only looks at what is declared already: several threads may call
+// it.
 class Builder {
  public:
   Builder(Snapshot& list, const Limits& limits) : list_(list), limits_(limits) {
@@ -97,8 +102,10 @@
       const auto name = t.text("name", true);
       t.finish();
       if (!name || !named(t, *name, findings)) continue;
-      if (!hubs_.emplace(*name, list_.hubs.size()).second) twice(t, "hub", *name, findings);
-      else list_.hubs.push_back(*name);
+      if (!hubs_.emplace(*name, list_.hubs.size()).second)
+        twice(t, "hub", *name, findings);
+      else
+        list_.hubs.push_back(*name);
     }
     for (auto& t : root.tables("point")) {
       const auto name = t.text("name", true), hub = t.text("hub", true);
@@ -106,12 +113,15 @@
       if (!name || !hub || !named(t, *name, findings)) continue;
       const auto at = known(t, "hub", hubs_, *hub, findings);
       if (!at) continue;
-      if (!points_.emplace(*name, list_.points.size()).second) twice(t, "point", *name, findings);
-      else list_.points.push_back({*name, *at});
+      if (!points_.emplace(*name, list_.points.size()).second)
+        twice(t, "point", *name, findings);
+      else
+        list_.points.push_back({*name, *at});
     }
   }
 
-  std::vector<Entry> read(toml::Table& root, std::uint32_t piece, diagnostics::Findings& findings) const {
+  std::vector<Entry> read(toml::Table& root, std::uint32_t piece,
+                          diagnostics::Findings& findings) const {
     std::vector<Entry> out;
     auto tables = root.tables("server");
     if (tables.size() > limits_.servers) {
@@ -132,7 +142,8 @@
   }
 
  private:
-  std::optional<Entry> server(toml::Table& t, std::uint32_t piece, diagnostics::Findings& findings) const {
+  std::optional<Entry> server(toml::Table& t, std::uint32_t piece,
+                              diagnostics::Findings& findings) const {
     const auto id = t.text("id", true);
     const auto role = t.word("role", {"cache", "parent", "origin"}, true);
     const auto address = t.text("address", true);
@@ -143,7 +154,8 @@
     const char* where = cache ? "point" : "hub";
     const auto place = t.text(where, true);
     t.finish();
-    if (!id || !role || !address || !weight || !state || !cell || !place || !named(t, *id, findings))
+    if (!id || !role || !address || !weight || !state || !cell || !place ||
+        !named(t, *id, findings))
       return {};
     const auto at = known(t, where, cache ? points_ : hubs_, *place, findings);
     if (!at) return {};
@@ -172,7 +184,8 @@
     Listed& s = e.server;
     if (const auto [it, first] = ids_.emplace(s.id.value, s.line); !first)
       return findings.error(
-          "L008", e.id, "server " + s.name + " is listed twice, first at line " + std::to_string(it->second),
+          "L008", e.id,
+          "server " + s.name + " is listed twice, first at line " + std::to_string(it->second),
           "keep one of the two");
     if (s.state == State::in_service)
       if (const auto [it, first] = addresses_.emplace(s.address, s.name); !first)
@@ -182,11 +195,13 @@
     list_.servers.push_back(std::move(s));
   }
 
-  void too_many(std::size_t n, const diagnostics::Place& place, diagnostics::Findings& findings) const {
+  void too_many(std::size_t n, const diagnostics::Place& place,
+                diagnostics::Findings& findings) const {
     findings.error("L013", place, std::to_string(n) + " servers are too many",
                    "a list may have " + std::to_string(limits_.servers));
   }
-  static bool named(const toml::Table& t, const std::string& name, diagnostics::Findings& findings) {
+  static bool named(const toml::Table& t, const std::string& name,
+                    diagnostics::Findings& findings) {
     if (good_name(name)) return true;
     findings.error("L012", t.place(), "'" + name + "' cannot be a name",
                    "use 1 to 64 letters, digits, '-' and '_'");
@@ -194,10 +209,12 @@
   }
   static void twice(const toml::Table& t, const char* what, const std::string& name,
                     diagnostics::Findings& findings) {
-    findings.error("L007", t.place(), std::string(what) + " " + name + " is declared twice", "keep one");
+    findings.error("L007", t.place(), std::string(what) + " " + name + " is declared twice",
+                   "keep one");
   }
-  static std::optional<std::uint32_t> known(const toml::Table& t, std::string_view key, const Names& names,
-                                            const std::string& name, diagnostics::Findings& findings) {
+  static std::optional<std::uint32_t> known(const toml::Table& t, std::string_view key,
+                                            const Names& names, const std::string& name,
+                                            diagnostics::Findings& findings) {
     const auto it = names.find(name);
     if (it != names.end()) return it->second;
     std::vector<std::string_view> all;
@@ -205,9 +222,9 @@
       for (const auto& [n, i] : names) all.push_back(n);
     std::sort(all.begin(), all.end());
     const auto near = diagnostics::nearest(name, all);
-    findings.error(
-        "L010", t.place(key), "no " + std::string(key) + " is called '" + name + "'",
-        near.empty() ? "declare it with [[" + std::string(key) + "]]" : "did you mean '" + near + "'?");
+    findings.error("L010", t.place(key), "no " + std::string(key) + " is called '" + name + "'",
+                   near.empty() ? "declare it with [[" + std::string(key) + "]]"
+                                : "did you mean '" + near + "'?");
     return {};
   }
 
@@ -251,14 +268,15 @@
   }
 }
 
-// Cuts a large list in front of its [[server]] lines, so that its parts can be read side by side. Nothing
-// where a part might not mean by itself what it means in the whole: other tables behind the first server, or
-// texts over several lines.
+// Cuts a large list in front of its [[server]] lines, so that its parts can be read side by side.
+// Nothing where a part might not mean by itself what it means in the whole: other tables behind the
+// first server, or texts over several lines.
 std::optional<std::pair<std::string_view, std::vector<Part>>> cut(std::string_view text,
                                                                   const std::string& file,
                                                                   const Limits& limits) {
   if (!limits.in_parts(text.size())) return {};
-  if (text.find("\"\"\"") != std::string_view::npos || text.find("'''") != std::string_view::npos) return {};
+  if (text.find("\"\"\"") != std::string_view::npos || text.find("'''") != std::string_view::npos)
+    return {};
   std::vector<Part> parts;
   std::size_t head = std::string_view::npos, begun = 0;
   std::uint32_t line = 0, begun_line = 0;
@@ -269,7 +287,8 @@
     if (row.starts_with('[')) {
       const bool server = row == "[[server]]";
       if (!server && head != std::string_view::npos) return {};
-      if (server && head == std::string_view::npos) head = begun = at, begun_line = line;
+      if (server && head == std::string_view::npos)
+        head = begun = at, begun_line = line;
       else if (server && at - begun >= limits.part_bytes) {
         parts.push_back({text.substr(begun, at - begun), file, 0, begun_line});
         begun = at, begun_line = line;
@@ -285,8 +304,8 @@
 void count(const Snapshot& list, std::uint64_t announced, diagnostics::Findings& findings) {
   if (!findings.good() || list.servers.size() == announced) return;
   findings.error("L005", {list.source, 0, 0},
-                 "servers = " + std::to_string(announced) + " but " + std::to_string(list.servers.size()) +
-                     " are listed",
+                 "servers = " + std::to_string(announced) + " but " +
+                     std::to_string(list.servers.size()) + " are listed",
                  "the file was cut off, or the count was not changed with the list");
 }
 
@@ -298,14 +317,16 @@
     t.finish();
     if (!file || !digest) continue;
     // Danger: a manifest must not lead to files outside its directory.
-    if (file->empty() || file->size() > 255 || file->front() == '.' || file->find('/') != std::string::npos) {
+    if (file->empty() || file->size() > 255 || file->front() == '.' ||
+        file->find('/') != std::string::npos) {
       findings.error("L012", t.place("file"), "'" + *file + "' cannot be the name of a piece",
                      "name a file beside the manifest");
       continue;
     }
     const auto value = digest_from(*digest);
     if (!value) {
-      findings.error("L006", t.place("digest"), "the digest is not of the form xxh3: and 16 hex digits",
+      findings.error("L006", t.place("digest"),
+                     "the digest is not of the form xxh3: and 16 hex digits",
                      "run `alderspur seal` on the directory");
       continue;
     }
@@ -315,7 +336,8 @@
     }
     out.push_back({*file, *value, t.place().line});
   }
-  if (out.size() > 4096) findings.error("L013", root.place(), "over 4096 pieces", "use fewer, larger ones");
+  if (out.size() > 4096)
+    findings.error("L013", root.place(), "over 4096 pieces", "use fewer, larger ones");
   return out;
 }
 
@@ -336,8 +358,8 @@
   return std::string(kDigestKey) + digest_text(digest_of(rest)) + "\"\n" + rest;
 }
 
-Read read_list(std::string_view text, const std::string& file, core::Time taken, const Limits& limits,
-               diagnostics::Findings& findings) {
+Read read_list(std::string_view text, const std::string& file, core::Time taken,
+               const Limits& limits, diagnostics::Findings& findings) {
   Read out;
   if (!whole(text, file, limits.bytes, findings) || !digest_holds(text, file, findings)) return out;
   const std::size_t errors = findings.errors();
@@ -359,9 +381,12 @@
   Builder builder(*list, limits);
   builder.places(root, findings);
   const bool manifest = root.has("piece");
-  if (manifest) out.pieces = read_manifest_pieces(root, findings);
-  else if (parts) read_parts(parts->second, builder, limits.threads, findings);
-  else builder.add(builder.read(root, 0, findings), findings);
+  if (manifest)
+    out.pieces = read_manifest_pieces(root, findings);
+  else if (parts)
+    read_parts(parts->second, builder, limits.threads, findings);
+  else
+    builder.add(builder.read(root, 0, findings), findings);
   if (manifest && root.has("server"))
     findings.error("L004", root.place("server"), "a manifest lists pieces, not servers",
                    "move the servers into a piece");
@@ -373,8 +398,8 @@
   return out;
 }
 
-SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts, const Limits& limits,
-                        diagnostics::Findings& findings) {
+SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts,
+                        const Limits& limits, diagnostics::Findings& findings) {
   if (!manifest.list || texts.size() != manifest.pieces.size()) return nullptr;
   auto list = std::make_shared<Snapshot>(*manifest.list);
   std::size_t bytes = 0;
@@ -388,10 +413,10 @@
       return nullptr;
     }
     if (const auto is = digest_of(texts[i]); is != p.digest)
-      findings.error(
-          "L006", {list->source, p.line, 0},
-          "piece " + p.file + " has the digest " + digest_text(is) + ", not " + digest_text(p.digest),
-          "the set is half written: write the pieces first and the manifest last");
+      findings.error("L006", {list->source, p.line, 0},
+                     "piece " + p.file + " has the digest " + digest_text(is) + ", not " +
+                         digest_text(p.digest),
+                     "the set is half written: write the pieces first and the manifest last");
   }
   if (!findings.good()) return nullptr;
   Builder builder(*list, limits);
--- a/src/endpoints/list.h
+++ b/src/endpoints/list.h
@@ -1,23 +1,25 @@
-// The written form of a list of servers: TOML in one file, or a manifest with pieces. No I/O: texts come in,
-// a Snapshot or findings come out. docs/servers.md has the form for operators.
+// The written form of a list of servers: TOML in one file, or a manifest with pieces. No I/O: texts
+// come in, a Snapshot or findings come out. docs/servers.md has the form for operators.
 //
 // One file:
 //     format = 1
 //     generation = 12
-//     servers = 2                  # how many follow: a TOML file cut at a line's end is a valid shorter one
+//     servers = 2                  # how many follow: a TOML file cut at a line's end is a valid
+//     shorter one
 //     [[hub]]    name = "north"
 //     [[point]]  name = "edge-1"  hub = "north"
 //     [[server]] id = "s-1"  role = "cache"  point = "edge-1"  address = "127.0.0.1:4201"
 //                weight = 4.0  state = "in_service"  cell = 0
-// Every key of a server is required, so that a cut inside the last one shows as well; `confirm` is optional.
-// The first line may be `digest = "xxh3:..."` over all bytes after it.
+// Every key of a server is required, so that a cut inside the last one shows as well; `confirm` is
+// optional. The first line may be `digest = "xxh3:..."` over all bytes after it.
 //
-// A manifest has the same head, the hubs and the points, and [[piece]] with `file` and `digest`; each piece
-// holds [[server]] only. A set counts only if every piece has the digest that the manifest names.
+// A manifest has the same head, the hubs and the points, and [[piece]] with `file` and `digest`;
+// each piece holds [[server]] only. A set counts only if every piece has the digest that the
+// manifest names.
 //
-// Codes: L001 no TOML, L002 too large, L003 cut off, L004 form, L005 count, L006 digest, L007 a name twice,
-// L008 an id twice, L009 an address twice in service, L010 unknown point or hub, L011 unusable address,
-// L012 bad name, L013 too many servers, F002 to F004 of form/document.h.
+// Codes: L001 no TOML, L002 too large, L003 cut off, L004 form, L005 count, L006 digest, L007 a
+// name twice, L008 an id twice, L009 an address twice in service, L010 unknown point or hub, L011
+// unusable address, L012 bad name, L013 too many servers, F002 to F004 of form/document.h.
 #pragma once
 
 #include <functional>
@@ -35,8 +37,9 @@
   std::size_t bytes = 16 << 20;  // of one text, and of all pieces together
   std::size_t servers = 100'000;
   double weight_least = 0.001, weight_most = 1e6;
-  // Texts of over six parts are read in parts, by so many threads; what comes out does not depend on either.
-  // A tree of TOML takes some fourteen times its text, so parts bound the memory as well.
+  // Texts of over six parts are read in parts, by so many threads; what comes out does not depend
+  // on either. A tree of TOML takes some fourteen times its text, so parts bound the memory as
+  // well.
   std::size_t part_bytes = 512 << 10;
   unsigned threads = 1;
   bool in_parts(std::size_t text) const { return text > 6 * part_bytes; }
@@ -54,14 +57,16 @@
   std::uint64_t announced = 0;     // servers, as the head counts them
 };
 
-// How many threads a large text is worth here: half the cores, four at most, the loop keeps its own.
+// How many threads a large text is worth here: half the cores, four at most, the loop keeps its
+// own.
 unsigned spare_threads();
 // Reads one text. `taken` is the time at which it was read.
-Read read_list(std::string_view text, const std::string& file, core::Time taken, const Limits& limits,
-               diagnostics::Findings& findings);
-// Reads the pieces of a manifest, in its order, and completes its list. Null with findings if any is wrong.
-SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts, const Limits& limits,
-                        diagnostics::Findings& findings);
+Read read_list(std::string_view text, const std::string& file, core::Time taken,
+               const Limits& limits, diagnostics::Findings& findings);
+// Reads the pieces of a manifest, in its order, and completes its list. Null with findings if any
+// is wrong.
+SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts,
+                        const Limits& limits, diagnostics::Findings& findings);
 
 std::uint64_t digest_of(std::string_view bytes);
 std::string digest_text(std::uint64_t digest);  // "xxh3:0123456789abcdef"
--- a/src/endpoints/merge.cpp
+++ b/src/endpoints/merge.cpp
@@ -9,7 +9,8 @@
 
 Merged alone(const Member& m, bool board) {
   Merged out{m, Reason::as_told};
-  if (m.server.status == Status::draining) out.reason = board ? Reason::board_drains : Reason::files_drain;
+  if (m.server.status == Status::draining)
+    out.reason = board ? Reason::board_drains : Reason::files_drain;
   return out;
 }
 bool agree(const Member& a, const Member& b) {
@@ -59,8 +60,8 @@
   Merged out{*f, Reason::as_told};
   Server& s = out.member.server;
   if (!agree(*b, *f)) {
-    // Danger: with two addresses one of them is another machine's; with two places a cold budget is wrong.
-    // What says "gone" of itself needs no agreement.
+    // Danger: with two addresses one of them is another machine's; with two places a cold budget is
+    // wrong. What says "gone" of itself needs no agreement.
     s.status = Status::gone;
     out.reason = Reason::places_differ;
   }
@@ -71,8 +72,10 @@
     out.reason = std::max(out.reason, Reason::weight_lower);
   }
   if (out.reason == Reason::places_differ) return out;
-  if (f->server.status == Status::draining) out.reason = Reason::files_drain;
-  else if (b->server.status == Status::draining) out.reason = Reason::board_drains;
+  if (f->server.status == Status::draining)
+    out.reason = Reason::files_drain;
+  else if (b->server.status == Status::draining)
+    out.reason = Reason::board_drains;
   return out;
 }
 
--- a/src/endpoints/merge.h
+++ b/src/endpoints/merge.h
@@ -1,9 +1,11 @@
-// Two that tell of one server: the board and the watched files. Pure; one answer for the same two inputs.
+// Two that tell of one server: the board and the watched files. Pure; one answer for the same two
+// inputs.
 //
-// With authority `both` the more careful of the two holds, field by field: gone before draining before ready,
-// the smaller weight, the later start. What they must agree on (role, place, cell, address) they must agree
-// on: a server of which they tell different things takes no traffic until they agree. Where one of the two
-// has not spoken at all yet, the other holds alone. Commutative: merge(a, b) == merge(b, a) but for `name`.
+// With authority `both` the more careful of the two holds, field by field: gone before draining
+// before ready, the smaller weight, the later start. What they must agree on (role, place, cell,
+// address) they must agree on: a server of which they tell different things takes no traffic until
+// they agree. Where one of the two has not spoken at all yet, the other holds alone. Commutative:
+// merge(a, b) == merge(b, a) but for `name`.
 #pragma once
 
 #include <optional>
--- a/src/endpoints/snapshot.cpp
+++ b/src/endpoints/snapshot.cpp
@@ -74,18 +74,23 @@
       continue;
     }
     const Listed &was = *a++, &is = *b++;
-    if (was.state == State::in_service && is.state == State::draining) d.drained.push_back(is.id);
-    else if (was.address != is.address) d.moved.push_back(is.id);
+    if (was.state == State::in_service && is.state == State::draining)
+      d.drained.push_back(is.id);
+    else if (was.address != is.address)
+      d.moved.push_back(is.id);
     else if (was.role != is.role || was.cell != is.cell || old.place_name(was) != to.place_name(is))
       d.other.push_back(is.id);
-    else if (was.state != is.state) d.returned.push_back(is.id);
-    else if (was.weight != is.weight) d.weighted.push_back(is.id);
+    else if (was.state != is.state)
+      d.returned.push_back(is.id);
+    else if (was.weight != is.weight)
+      d.weighted.push_back(is.id);
   }
   return d;
 }
 
 std::string summary(const Snapshot* from, const Snapshot& to, const Difference& d) {
-  std::string out = from ? "generation " + std::to_string(from->generation) + " to " : "generation ";
+  std::string out =
+      from ? "generation " + std::to_string(from->generation) + " to " : "generation ";
   out += std::to_string(to.generation) + ":";
   const auto part = [&, first = true](std::size_t n, const char* what) mutable {
     if (!n) return;
--- a/src/endpoints/snapshot.h
+++ b/src/endpoints/snapshot.h
@@ -1,8 +1,9 @@
 // A list of servers, taken whole: what one generation of the watched files says.
 //
-// A Snapshot never changes once it is made and is passed about by shared_ptr<const Snapshot>: the loop swaps
-// one pointer, and readers on other threads keep theirs. `servers` is sorted by ServerId, and lookups cost
-// the logarithm of the list's length. No I/O. Weights are in the unit of Server::weight.
+// A Snapshot never changes once it is made and is passed about by shared_ptr<const Snapshot>: the
+// loop swaps one pointer, and readers on other threads keep theirs. `servers` is sorted by
+// ServerId, and lookups cost the logarithm of the list's length. No I/O. Weights are in the unit of
+// Server::weight.
 #pragma once
 
 #include <cstdint>
@@ -29,8 +30,8 @@
   std::uint32_t line = 0, piece = 0;  // where it stands; no part of what it means
 
   bool same(const Listed& o) const {
-    return id == o.id && name == o.name && address == o.address && role == o.role && place == o.place &&
-           state == o.state && cell == o.cell && weight == o.weight;
+    return id == o.id && name == o.name && address == o.address && role == o.role &&
+           place == o.place && state == o.state && cell == o.cell && weight == o.weight;
   }
 };
 struct Point {
@@ -62,21 +63,22 @@
 };
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
-// What of one snapshot differs from another, by meaning. Ids; the removed ones are looked up in `from`.
+// What of one snapshot differs from another, by meaning. Ids; the removed ones are looked up in
+// `from`.
 struct Difference {
   std::vector<ServerId> added, removed, drained, returned, moved, weighted, other;
   bool places = false;  // points or hubs
   bool empty() const {
-    return added.empty() && removed.empty() && drained.empty() && returned.empty() && moved.empty() &&
-           weighted.empty() && other.empty() && !places;
+    return added.empty() && removed.empty() && drained.empty() && returned.empty() &&
+           moved.empty() && weighted.empty() && other.empty() && !places;
   }
   std::size_t size() const {
-    return added.size() + removed.size() + drained.size() + returned.size() + moved.size() + weighted.size() +
-           other.size();
+    return added.size() + removed.size() + drained.size() + returned.size() + moved.size() +
+           weighted.size() + other.size();
   }
 };
-// A null `from` stands for the empty list. A server that differs in several ways is named under the first of
-// removed, drained, moved, other, returned, weighted that holds.
+// A null `from` stands for the empty list. A server that differs in several ways is named under the
+// first of removed, drained, moved, other, returned, weighted that holds.
 Difference difference(const Snapshot* from, const Snapshot& to);
 // "generation 7 to 8: 2 added, 1 drained, 3 weights"
 std::string summary(const Snapshot* from, const Snapshot& to, const Difference& difference);
--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -16,7 +16,8 @@
 namespace {
 
 constexpr int kLinksMost = 16;
-constexpr std::int64_t kGrain = 40'000'000;  // nanoseconds; ctime steps by the kernel's tick, 10 ms at most
+constexpr std::int64_t kGrain =
+    40'000'000;  // nanoseconds; ctime steps by the kernel's tick, 10 ms at most
 
 std::uint64_t mix(std::uint64_t hash, std::string_view bytes) {
   for (const char c : bytes) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
@@ -54,7 +55,8 @@
     : path_(std::move(path)), most_(most_bytes), pieces_(std::move(pieces)) {}
 
 // Never waits on a FIFO or a device that somebody has put in the file's place.
-bool Source::read(const std::string& path, std::size_t& budget, std::string& out, std::string& error) const {
+bool Source::read(const std::string& path, std::size_t& budget, std::string& out,
+                  std::string& error) const {
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK | O_NOCTTY);
   const auto fail = [&](const std::string& why) {
     error = "cannot read " + path + ": " + why;
@@ -98,7 +100,8 @@
     for (const auto v :
          {static_cast<std::uint64_t>(is.st_dev), static_cast<std::uint64_t>(is.st_ino),
           static_cast<std::uint64_t>(is.st_mode), static_cast<std::uint64_t>(is.st_size),
-          static_cast<std::uint64_t>(nanos(is.st_mtim)), static_cast<std::uint64_t>(nanos(is.st_ctim))})
+          static_cast<std::uint64_t>(nanos(is.st_mtim)),
+          static_cast<std::uint64_t>(nanos(is.st_ctim))})
       identity.push_back(v);
     young |= nanos(is.st_ctim) > nanos(now) - kGrain;
   };
--- a/src/file_watch/source.h
+++ b/src/file_watch/source.h
@@ -1,11 +1,12 @@
-// What stands at a watched path: one file, or a directory with a manifest and its pieces. Reads it only once
-// it has settled, and never hands out half of it.
+// What stands at a watched path: one file, or a directory with a manifest and its pieces. Reads it
+// only once it has settled, and never hands out half of it.
 //
-// look() blocks on the file system: call it off the loop's thread, always from the same one. A content counts
-// as settled when two looks in a row see the same files: device, inode, size, mtime and ctime of each file,
-// and where each symlink on the way leads. The ctime tells of a writer who sets the mtime back. A file whose
-// ctime is younger than the clock's grain is looked at again, since a later write in the same grain would
-// show no difference (the problem is git's "racily clean" entry).
+// look() blocks on the file system: call it off the loop's thread, always from the same one. A
+// content counts as settled when two looks in a row see the same files: device, inode, size, mtime
+// and ctime of each file, and where each symlink on the way leads. The ctime tells of a writer who
+// sets the mtime back. A file whose ctime is younger than the clock's grain is looked at again,
+// since a later write in the same grain would show no difference (the problem is git's "racily
+// clean" entry).
 #pragma once
 
 #include <cstdint>
@@ -45,7 +46,8 @@
  private:
   using Identity = std::vector<std::uint64_t>;
   void identify(Identity& identity, Look& look, bool& young);
-  bool read(const std::string& path, std::size_t& budget, std::string& out, std::string& error) const;
+  bool read(const std::string& path, std::size_t& budget, std::string& out,
+            std::string& error) const;
 
   const std::string path_;
   const std::size_t most_;
--- a/src/file_watch/watcher.cpp
+++ b/src/file_watch/watcher.cpp
@@ -13,8 +13,10 @@
 namespace {
 
 constexpr std::uint32_t kMask = IN_CREATE | IN_MOVED_TO | IN_MOVED_FROM | IN_DELETE | IN_MODIFY |
-                                IN_CLOSE_WRITE | IN_ATTRIB | IN_DELETE_SELF | IN_MOVE_SELF | IN_ONLYDIR;
-constexpr std::uint32_t kAlways = IN_Q_OVERFLOW | IN_IGNORED | IN_DELETE_SELF | IN_MOVE_SELF | IN_UNMOUNT;
+                                IN_CLOSE_WRITE | IN_ATTRIB | IN_DELETE_SELF | IN_MOVE_SELF |
+                                IN_ONLYDIR;
+constexpr std::uint32_t kAlways =
+    IN_Q_OVERFLOW | IN_IGNORED | IN_DELETE_SELF | IN_MOVE_SELF | IN_UNMOUNT;
 constexpr int kReadsAtOnce = 16;
 
 }  // namespace
@@ -22,7 +24,8 @@
 // Outlives the watcher while a job of it runs.
 struct Watcher::Shared {
   Shared(const WatchSettings& s, Source::Pieces pieces)
-      : source(s.path, s.most_bytes, std::move(pieces)), inotify(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)) {}
+      : source(s.path, s.most_bytes, std::move(pieces)),
+        inotify(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)) {}
   Source source;  // of the worker, once started
   net::Fd inotify;
   Watcher* owner = nullptr;  // of the loop's thread; null: gone
@@ -38,7 +41,8 @@
       shared_(std::make_shared<Shared>(settings, std::move(pieces))) {
   shared_->owner = this;
   if (shared_->inotify.get() >= 0)
-    ready_ = std::make_unique<net::IoWatcher>(loop.raw(), shared_->inotify.get(), [this](int) { events(); });
+    ready_ = std::make_unique<net::IoWatcher>(loop.raw(), shared_->inotify.get(),
+                                              [this](int) { events(); });
 }
 Watcher::~Watcher() {
   shared_->owner = nullptr;
@@ -60,8 +64,10 @@
   submit();
 }
 void Watcher::look_now() {
-  if (out_) again_ = true;
-  else schedule(0);
+  if (out_)
+    again_ = true;
+  else
+    schedule(0);
 }
 
 void Watcher::schedule(core::Time at) {
@@ -87,8 +93,10 @@
     for (std::size_t i = 0; i < look.directories.size(); ++i) {
       const int fd = shared->inotify.get();
       const int wd = fd < 0 ? -1 : ::inotify_add_watch(fd, look.directories[i].c_str(), kMask);
-      if (wd >= 0) watched.names[wd].insert(look.names[i]);
-      else if (fd < 0 || (errno != ENOENT && errno != ENOTDIR)) watched.complete = false;
+      if (wd >= 0)
+        watched.names[wd].insert(look.names[i]);
+      else if (fd < 0 || (errno != ENOENT && errno != ENOTDIR))
+        watched.complete = false;
     }
     const Sight sight = look.sight;
     Apply apply;
@@ -114,8 +122,10 @@
   if (sight == Sight::unsettled) ++counters_.unsettled;
   if (apply) apply();
   const core::Time now = net::unix_now();
-  if (std::exchange(again_, false)) schedule(now);
-  else schedule(now + (sight == Sight::unsettled ? settings_.settle : settings_.poll));
+  if (std::exchange(again_, false))
+    schedule(now);
+  else
+    schedule(now + (sight == Sight::unsettled ? settings_.settle : settings_.poll));
 }
 
 bool Watcher::concerns(int descriptor, std::uint32_t mask, const char* name) const {
--- a/src/file_watch/watcher.h
+++ b/src/file_watch/watcher.h
@@ -1,12 +1,13 @@
 // Watches one path on the loop and has it read and judged on a worker when it has changed.
 //
-// inotify tells of changes through the loop: entries of every directory that the path leads through, symlinks
-// included, so that a swap of a parent directory shows as well. A slow poll runs beside it, for file systems
-// that tell nothing and for watches that ran out. The loop's thread only takes events, sets deadlines and
-// applies results; every call on the watched files is made by the worker.
+// inotify tells of changes through the loop: entries of every directory that the path leads
+// through, symlinks included, so that a swap of a parent directory shows as well. A slow poll runs
+// beside it, for file systems that tell nothing and for watches that ran out. The loop's thread
+// only takes events, sets deadlines and applies results; every call on the watched files is made by
+// the worker.
 //
-// A change is looked at when it is told and again after `settle`; two equal looks make it settled. `judge`
-// runs on the worker with what was read, and what it returns runs on the loop.
+// A change is looked at when it is told and again after `settle`; two equal looks make it settled.
+// `judge` runs on the worker with what was read, and what it returns runs on the loop.
 #pragma once
 
 #include <functional>
@@ -17,11 +18,11 @@
 #include <string>
 
 #include "core/deadlines.h"
+#include "file_watch/source.h"
+#include "file_watch/worker.h"
 #include "net/connection.h"
 #include "net/loop.h"
 #include "net/wakeup.h"
-#include "file_watch/source.h"
-#include "file_watch/worker.h"
 
 namespace alderspur::file_watch {
 
@@ -42,8 +43,8 @@
   Watcher(net::Loop& loop, core::Deadlines& deadlines, net::Wakeup& wakeup, Worker& worker,
           const WatchSettings& settings, Source::Pieces pieces, Judge judge);
   ~Watcher();
-  // Looks until the path has settled, on this thread, before start(). Blocks for `longest` at most; nothing
-  // if it has not settled by then.
+  // Looks until the path has settled, on this thread, before start(). Blocks for `longest` at most;
+  // nothing if it has not settled by then.
   std::optional<Look> first(core::Time longest);
   void start();
   void look_now();  // as if an event had come
--- a/src/file_watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -17,7 +17,8 @@
 }  // namespace
 
 Worker::Worker() {
-  // Danger: a signal taken by this thread would interrupt its reads; all of them belong to the loop.
+  // Danger: a signal taken by this thread would interrupt its reads; all of them belong to the
+  // loop.
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_SETMASK, &all, &before);
@@ -58,8 +59,8 @@
 }
 
 void Worker::run() {
-  // Where cores are few, what runs here must not take the loop's turn; a nice value is a thread's own on
-  // Linux.
+  // Where cores are few, what runs here must not take the loop's turn; a nice value is a thread's
+  // own on Linux.
   ::setpriority(PRIO_PROCESS, static_cast<id_t>(::syscall(SYS_gettid)), kNice);
   std::unique_lock lock(mutex_);
   for (;;) {
--- a/src/file_watch/worker.h
+++ b/src/file_watch/worker.h
@@ -1,8 +1,9 @@
-// One thread for what may block: reading, parsing, syncing. Jobs run one after another in the order given.
+// One thread for what may block: reading, parsing, syncing. Jobs run one after another in the order
+// given.
 //
-// submit() may be called from any thread and never waits; it is refused when kMost jobs wait already. The
-// destructor lets the job under way end and drops the others. Jobs must not throw; one that does is counted
-// as failed and the thread goes on.
+// submit() may be called from any thread and never waits; it is refused when kMost jobs wait
+// already. The destructor lets the job under way end and drops the others. Jobs must not throw; one
+// that does is counted as failed and the thread goes on.
 #pragma once
 
 #include <chrono>
@@ -24,8 +25,8 @@
   Worker& operator=(const Worker&) = delete;
   bool submit(std::function<void()> job);
   void drain();  // waits until all that was submitted has run
-  // Takes nothing more and drops what waits. False: the job under way has not ended within `most`; then the
-  // destructor would wait for it, as long as the disk pleases.
+  // Takes nothing more and drops what waits. False: the job under way has not ended within `most`;
+  // then the destructor would wait for it, as long as the disk pleases.
   bool settle(std::chrono::milliseconds most);
 
  private:
--- a/src/hot_restart/ban_store.cpp
+++ b/src/hot_restart/ban_store.cpp
@@ -28,7 +28,8 @@
   };
   Bans out;
   const auto first = line();
-  if (!first.starts_with(kForm) || !core::parse_number(first.substr(kForm.size()), out.serial)) return {};
+  if (!first.starts_with(kForm) || !core::parse_number(first.substr(kForm.size()), out.serial))
+    return {};
   while (!payload.empty()) {
     const auto name = line();
     if (name.empty() || !core::plain_word(name) || out.names.size() >= kBansMost) return {};
@@ -38,8 +39,10 @@
 }
 
 void carry_out(const BanChange& change, std::set<std::string>& names) {
-  if (change.out) names.insert(change.name);
-  else names.erase(change.name);
+  if (change.out)
+    names.insert(change.name);
+  else
+    names.erase(change.name);
 }
 
 void BanBook::call(const BanChange& change) {
@@ -64,7 +67,8 @@
 }
 std::vector<BanChange> BanBook::again() {
   std::erase_if(unsaved_, [&](auto& c) {
-    return std::any_of(under_way_.begin(), under_way_.end(), [&](auto& u) { return u.name == c.name; });
+    return std::any_of(under_way_.begin(), under_way_.end(),
+                       [&](auto& u) { return u.name == c.name; });
   });
   const std::size_t room = kUnderWayMost - std::min(kUnderWayMost, under_way_.size());
   const auto end = unsaved_.begin() + static_cast<std::ptrdiff_t>(std::min(room, unsaved_.size()));
--- a/src/hot_restart/ban_store.h
+++ b/src/hot_restart/ban_store.h
@@ -1,9 +1,10 @@
 // The bans by hand of one router, as its processes hold them together. No I/O, no clock.
 //
-// What is in force here is the list last known from the disk with the changes laid over it that are still on
-// their way there: a ban binds from the moment it is called, and no older list read meanwhile takes it back.
-// Lists carry a serial that grows with each change; the higher one holds. The processes change the list one
-// after the other (see Folder), so that two changes at once are both kept, in some order.
+// What is in force here is the list last known from the disk with the changes laid over it that are
+// still on their way there: a ban binds from the moment it is called, and no older list read
+// meanwhile takes it back. Lists carry a serial that grows with each change; the higher one holds.
+// The processes change the list one after the other (see Folder), so that two changes at once are
+// both kept, in some order.
 #pragma once
 
 #include <cstdint>
@@ -36,8 +37,8 @@
  public:
   // A call. What is in force has changed by exactly this, or by nothing.
   void call(const BanChange& change);
-  // The oldest call under way has reached the disk, which then held `list`; or it has not, and stays laid
-  // over.
+  // The oldest call under way has reached the disk, which then held `list`; or it has not, and
+  // stays laid over.
   void saved(const Bans& list);
   void not_saved();
   // The list was read, perhaps as another process left it.
@@ -49,8 +50,8 @@
   std::vector<BanChange> take();
   const Bans& list() const { return list_; }
   bool full() const { return under_way_.size() >= kUnderWayMost || told_.size() >= kBansMost; }
-  // Calls that did not reach the disk, to be tried again: now under way once more. As many as there is room
-  // for.
+  // Calls that did not reach the disk, to be tried again: now under way once more. As many as there
+  // is room for.
   std::vector<BanChange> again();
 
  private:
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -9,9 +9,9 @@
 namespace alderspur::hot_restart {
 namespace {
 
-constexpr double kLeast = 0.05;                    // of the router, for a process that takes nothing yet
+constexpr double kLeast = 0.05;  // of the router, for a process that takes nothing yet
 constexpr std::chrono::milliseconds kSettle(200);  // a look takes under one
-constexpr double kSmooth = 0.25;                   // of a look's rate into the mean: about half a second
+constexpr double kSmooth = 0.25;  // of a look's rate into the mean: about half a second
 
 }  // namespace
 
@@ -47,12 +47,16 @@
     }
     out.read = folder->read_bans();
     out.word.counted = out.others.count;
-    if (out.error.empty()) out.error = folder->raise(out.word, out.others.count ? kLeast : 1);
-    else out.word.share = 1;  // nothing is known of anybody
+    if (out.error.empty())
+      out.error = folder->raise(out.word, out.others.count ? kLeast : 1);
+    else
+      out.word.share = 1;  // nothing is known of anybody
     result->set_value(std::move(out));
   });
-  if (looked.wait_for(std::chrono::microseconds(kBegin)) == std::future_status::ready) take(looked.get());
-  else word_.share = 1, complain("the shared folder does not answer, starting without what it holds");
+  if (looked.wait_for(std::chrono::microseconds(kBegin)) == std::future_status::ready)
+    take(looked.get());
+  else
+    word_.share = 1, complain("the shared folder does not answer, starting without what it holds");
   arm();
 }
 
@@ -64,7 +68,8 @@
   const core::Time now = now_();
   const auto load = hooks_.load();
   if (measured_ && now > measured_) {
-    const double rate = static_cast<double>(load.taken - taken_) * 1e6 / static_cast<double>(now - measured_);
+    const double rate =
+        static_cast<double>(load.taken - taken_) * 1e6 / static_cast<double>(now - measured_);
     rate_ += kSmooth * (rate - rate_);
   }
   measured_ = now, taken_ = load.taken;
@@ -88,20 +93,21 @@
     word_.share = wanted();
     hooks_.others(others_, word_.share);
   }
-  looking_ = worker_->submit([this, folder = folder_, mine = book_.list(), word = word_, wants = wanted()] {
-    Looked out;
-    out.word = word;
-    out.error = folder->say(word);
-    if (wants > word.share && out.error.empty()) out.error = folder->raise(out.word, wants);
-    out.others = folder->others();
-    out.read = folder->read_bans();
-    if (out.read.bans.serial < mine.serial) out.error = folder->restore(mine);
-    wakeup_->post([this, out = std::move(out)] {
-      looking_ = false;
-      said_ |= out.word.phase == Phase::serving;
-      take(out);
-    });
-  });
+  looking_ = worker_->submit(
+      [this, folder = folder_, mine = book_.list(), word = word_, wants = wanted()] {
+        Looked out;
+        out.word = word;
+        out.error = folder->say(word);
+        if (wants > word.share && out.error.empty()) out.error = folder->raise(out.word, wants);
+        out.others = folder->others();
+        out.read = folder->read_bans();
+        if (out.read.bans.serial < mine.serial) out.error = folder->restore(mine);
+        wakeup_->post([this, out = std::move(out)] {
+          looking_ = false;
+          said_ |= out.word.phase == Phase::serving;
+          take(out);
+        });
+      });
 }
 
 void Twin::take(const Looked& looked) {
@@ -113,7 +119,8 @@
       counts || looked.others.successor != others_.successor || looked.word.share != word_.share;
   others_ = looked.others;
   word_.share = looked.word.share;
-  if (counts) say_("twins", std::to_string(others_.count) + " other processes of this router are there");
+  if (counts)
+    say_("twins", std::to_string(others_.count) + " other processes of this router are there");
   if (changed) hooks_.others(others_, word_.share);
   if (counts && worker_) look();  // they wait to hear that they are counted
 }
@@ -158,15 +165,18 @@
 
 void Twin::save(const BanChange& change, std::function<void(const std::string& error)> done) {
   const auto end = [this, done = std::move(done)](const Folder::Changed& changed) {
-    if (changed.error.empty()) book_.saved(changed.bans);
-    else book_.not_saved(), complain(changed.error);
+    if (changed.error.empty())
+      book_.saved(changed.bans);
+    else
+      book_.not_saved(), complain(changed.error);
     apply();
     if (done) done(changed.error);
   };
-  const bool submitted = worker_->submit([this, folder = folder_, mine = book_.list(), change, end] {
-    auto changed = folder->change(mine, change);
-    wakeup_->post([changed = std::move(changed), end] { end(changed); });
-  });
+  const bool submitted =
+      worker_->submit([this, folder = folder_, mine = book_.list(), change, end] {
+        auto changed = folder->change(mine, change);
+        wakeup_->post([changed = std::move(changed), end] { end(changed); });
+      });
   if (!submitted) end({{}, "too many changes wait for the disk"});
 }
 
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -1,14 +1,15 @@
 // This process beside others of the same router: the one it replaces, or the one that replaces it.
 //
-// Its worker looks into the shared folder every kLook and hands over what it found; the loop never waits for
-// the disk, but for one bounded moment at the start, before it listens (kBegin): the bans must bind the first
-// send, and a process that is there must have made room in the cold budgets first.
+// Its worker looks into the shared folder every kLook and hands over what it found; the loop never
+// waits for the disk, but for one bounded moment at the start, before it listens (kBegin): the bans
+// must bind the first send, and a process that is there must have made room in the cold budgets
+// first.
 //
-// How the budgets hold: each process holds a share of what the router may do and says it in its place. It
-// lowers it at once and says so afterwards; it raises it only into what the others' words leave free, and
-// acts on that after it has said it. So the sum over all never passes 1, whoever stalls or is killed in
-// between. What is wanted follows the requests that each takes. A new one starts with nothing and takes
-// clients once all others have counted it, or after kKnown.
+// How the budgets hold: each process holds a share of what the router may do and says it in its
+// place. It lowers it at once and says so afterwards; it raises it only into what the others' words
+// leave free, and acts on that after it has said it. So the sum over all never passes 1, whoever
+// stalls or is killed in between. What is wanted follows the requests that each takes. A new one
+// starts with nothing and takes clients once all others have counted it, or after kKnown.
 #pragma once
 
 #include <functional>
@@ -16,10 +17,10 @@
 #include <string>
 
 #include "core/deadlines.h"
+#include "file_watch/worker.h"
 #include "hot_restart/ban_store.h"
 #include "hot_restart/shared_directory.h"
 #include "net/wakeup.h"
-#include "file_watch/worker.h"
 
 namespace alderspur::hot_restart {
 
@@ -34,8 +35,9 @@
   };
   struct Hooks {
     std::function<Load()> load;
-    std::function<void(const BanChange&)> ban;                // what is in force has changed
-    std::function<void(const Others&, double share)> others;  // as is who else is there, or our share
+    std::function<void(const BanChange&)> ban;  // what is in force has changed
+    std::function<void(const Others&, double share)>
+        others;  // as is who else is there, or our share
   };
   // `folder` empty: bans are this process's own and nobody else is known of.
   Twin(net::Loop& loop, core::Deadlines& deadlines, std::function<core::Time()> now,
@@ -53,7 +55,9 @@
 
   // A call by hand. `done`: empty, or why it is not on the disk; it binds here all the same.
   void change(const BanChange& change, std::function<void(const std::string& error)> done);
-  const std::set<std::string>& bans() const { return book_.list().names; }  // as they were last read
+  const std::set<std::string>& bans() const {
+    return book_.list().names;
+  }  // as they were last read
   bool banned(const std::string& name) const { return book_.in_force(name); }
   bool on_disk(const std::string& name) const { return book_.settled(name); }
   bool full() const { return book_.full(); }  // no further change is taken now
--- a/src/hot_restart/shared_directory.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -75,18 +75,19 @@
     if (i == number_) continue;
     const net::Fd fd(::open(file(place_name(i)).c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
     auto lock = whole(F_RDLCK);
-    if (fd.get() < 0 || ::fcntl(fd.get(), F_OFD_GETLK, &lock) < 0 || lock.l_type == F_UNLCK) continue;
+    if (fd.get() < 0 || ::fcntl(fd.get(), F_OFD_GETLK, &lock) < 0 || lock.l_type == F_UNLCK)
+      continue;
     ++out.count;
     char text[kPlaceText + 1] = {};
     long long pid = 0, order = 0;
     int phase = 0;
     unsigned counted = 0;
     double share = 0, rate = 0, door = 0;
-    // One that has its place and has yet to say so, or says it in another form, knows nothing of us and may
-    // hold all there is.
+    // One that has its place and has yet to say so, or says it in another form, knows nothing of us
+    // and may hold all there is.
     if (::pread(fd.get(), text, kPlaceText, 0) <= 0 ||
-        std::sscanf(text, "place 1 %lld %d %u %lld %lf %lf %lf", &pid, &phase, &counted, &order, &share,
-                    &rate, &door) != 7 ||
+        std::sscanf(text, "place 1 %lld %d %u %lld %lf %lf %lf", &pid, &phase, &counted, &order,
+                    &share, &rate, &door) != 7 ||
         !(share >= 0 && share <= 1 && rate >= 0 && rate < 1e9 && door >= 0 && door < 1e9))
       counted = 0, phase = 0, share = 1, rate = 0, door = 0;
     out.successor |= phase == static_cast<int>(Phase::serving) && order > order_;
@@ -98,9 +99,9 @@
   return out;
 }
 
-// Danger: two that raise at once each read the other's old share. Each writes before it reads, so that at
-// least one of them sees the other's raise; who sees too much takes its own back. Until then nobody acts on
-// it.
+// Danger: two that raise at once each read the other's old share. Each writes before it reads, so
+// that at least one of them sees the other's raise; who sees too much takes its own back. Until
+// then nobody acts on it.
 std::string Folder::raise(Word& word, double wanted) {
   const double before = word.share;
   word.share = std::min(wanted, 1 - others().share);
@@ -119,8 +120,8 @@
     const auto bans = loaded.payload ? decode_bans(*loaded.payload) : std::nullopt;
     if (bans && bans->serial >= out.bans.serial) out.bans = *bans;
     if (!bans && !loaded.absent)
-      out.error =
-          loaded.error.empty() ? file(name) + " has a form that this version does not know" : loaded.error;
+      out.error = loaded.error.empty() ? file(name) + " has a form that this version does not know"
+                                       : loaded.error;
   }
   return out;
 }
@@ -131,7 +132,8 @@
 
 Folder::Changed Folder::change(const Bans& mine, const BanChange& change) {
   const net::Fd lock = open_file(file(".lock"));
-  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0) return {{}, failed("cannot lock " + file(".lock"))};
+  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0)
+    return {{}, failed("cannot lock " + file(".lock"))};
   Bans next = read_bans().bans;
   if (mine.serial > next.serial) next = mine;
   carry_out(change, next.names);
@@ -142,7 +144,8 @@
 
 std::string Folder::restore(const Bans& mine) {
   const net::Fd lock = open_file(file(".lock"));
-  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0) return failed("cannot lock " + file(".lock"));
+  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0)
+    return failed("cannot lock " + file(".lock"));
   if (read_bans().bans.serial >= mine.serial) return {};
   return write(mine);
 }
--- a/src/hot_restart/shared_directory.h
+++ b/src/hot_restart/shared_directory.h
@@ -1,9 +1,11 @@
-// The folder that the processes of one router share, one of which may be replacing the other ($TMPDIR).
+// The folder that the processes of one router share, one of which may be replacing the other
+// ($TMPDIR).
 //
-// In it, under the router's key (its clients' address): `.bans.a` and `.bans.b`, written in turn, each
-// replaced whole, synced and checked when read, so that one spoilt file loses no ban; `.lock`, under which
-// the list of bans is changed; and four places `.place0` to `.place3`, one held by each process through a
-// lock that ends with it however it ends. A place's text is what its process says of itself.
+// In it, under the router's key (its clients' address): `.bans.a` and `.bans.b`, written in turn,
+// each replaced whole, synced and checked when read, so that one spoilt file loses no ban; `.lock`,
+// under which the list of bans is changed; and four places `.place0` to `.place3`, one held by each
+// process through a lock that ends with it however it ends. A place's text is what its process says
+// of itself.
 //
 // Everything here may block on the disk: for a worker's thread, never the loop's. Errors are texts.
 #pragma once
@@ -30,8 +32,9 @@
 // What the others that are alive say.
 struct Others {
   std::uint32_t count = 0;
-  bool successor = false;   // one that came after us takes clients
-  bool all_know_us = true;  // each has counted at least one other: ours is the only one there can be
+  bool successor = false;  // one that came after us takes clients
+  bool all_know_us =
+      true;  // each has counted at least one other: ours is the only one there can be
   double share = 0, rate = 0, door = 0;  // together; the largest door
 };
 
@@ -57,7 +60,8 @@
     Bans bans;
     std::string error;  // not empty: the change is not on the disk
   };
-  // Under the lock: what is newer of the disk's list and `mine`, with the change; written and synced.
+  // Under the lock: what is newer of the disk's list and `mine`, with the change; written and
+  // synced.
   Changed change(const Bans& mine, const BanChange& change);
   // Where the disk's list is older than `mine`, or spoilt: writes mine again.
   std::string restore(const Bans& mine);
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -20,7 +20,8 @@
 }
 int on_url(http_parser* p, const char* at, std::size_t n) {
   auto& target = static_cast<Parsing*>(p->data)->request->target;
-  target = target.empty() ? std::string_view(at, n) : std::string_view(target.data(), target.size() + n);
+  target =
+      target.empty() ? std::string_view(at, n) : std::string_view(target.data(), target.size() + n);
   return 0;
 }
 int on_name(http_parser* p, const char* at, std::size_t n) {
@@ -29,7 +30,8 @@
 }
 int on_value(http_parser* p, const char* at, std::size_t n) {
   auto& s = *static_cast<Parsing*>(p->data);
-  if (s.request->fields.size() < kFieldsMost) s.request->fields.emplace_back(s.name, std::string_view(at, n));
+  if (s.request->fields.size() < kFieldsMost)
+    s.request->fields.emplace_back(s.name, std::string_view(at, n));
   std::string_view* field = same(s.name, "host")            ? &s.request->host
                             : same(s.name, "authorization") ? &s.request->authorization
                             : same(s.name, "cookie")        ? &s.request->cookie
@@ -120,10 +122,11 @@
     if (!whole_head) return false;
     return request.error = 400, true;
   }
-  const bool has_body =
-      (parser.flags & F_CHUNKED) != 0 || ((parser.flags & F_CONTENTLENGTH) != 0 && parser.content_length > 0);
+  const bool has_body = (parser.flags & F_CHUNKED) != 0 ||
+                        ((parser.flags & F_CONTENTLENGTH) != 0 && parser.content_length > 0);
   if (state.reads_body) {
-    // The length is what the request announced less what has come: never wait for more than will be read.
+    // The length is what the request announced less what has come: never wait for more than will be
+    // read.
     const bool announced = (parser.flags & F_CONTENTLENGTH) != 0 && !state.done;
     if (request.body.size() > limits.body || (announced && parser.content_length > limits.body))
       return request.error = 413, true;
@@ -141,7 +144,8 @@
   const bool reads = request.method == Method::get || request.method == Method::head;
   // A body that is not read leaves nothing behind it on this connection that could be told from it.
   if (!state.reads_body && (has_body || !reads)) request.keep_alive = false;
-  if (state.repeated || parser.upgrade || (!state.reads_body && has_body && reads)) request.error = 400;
+  if (state.repeated || parser.upgrade || (!state.reads_body && has_body && reads))
+    request.error = 400;
   return true;
 }
 
@@ -160,8 +164,8 @@
   if (a.status == 401) out += "WWW-Authenticate: Bearer\r\n";
   if (a.status == 405) ((out += "Allow: ") += a.allow) += "\r\n";
   if (a.status == 503)
-    out += "Retry-After: " + std::to_string(std::max<core::Time>(1, (a.retry_after + 999'999) / 1'000'000)) +
-           "\r\n";
+    out += "Retry-After: " +
+           std::to_string(std::max<core::Time>(1, (a.retry_after + 999'999) / 1'000'000)) + "\r\n";
   out += a.keep_alive ? "Connection: keep-alive\r\n\r\n" : "Connection: close\r\n\r\n";
   return out;
 }
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,8 +1,9 @@
-// HTTP/1.1 messages as every front here reads and writes them: requests in, response heads out. No sockets.
+// HTTP/1.1 messages as every front here reads and writes them: requests in, response heads out. No
+// sockets.
 //
-// Requests are read by http-parser (RFC 9112); what it and this part refuse is answered with the status in
-// `error`, after which the connection ends. Views point into the buffer given; a body is a copy only where it
-// came in chunks. Nothing here is shared: call it from any thread.
+// Requests are read by http-parser (RFC 9112); what it and this part refuse is answered with the
+// status in `error`, after which the connection ends. Views point into the buffer given; a body is
+// a copy only where it came in chunks. Nothing here is shared: call it from any thread.
 #pragma once
 
 #include <optional>
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -10,7 +10,8 @@
 constexpr Time kLeast = 1'000, kMost = 60'000'000;  // of what a refusal says
 
 double burst(const Rule& r) {
-  return r.burst ? std::max(1.0, static_cast<double>(*r.burst)) : std::max(1.0, r.max_rate.value_or(0) / 10);
+  return r.burst ? std::max(1.0, static_cast<double>(*r.burst))
+                 : std::max(1.0, r.max_rate.value_or(0) / 10);
 }
 Time bounded(double microseconds) {
   return std::clamp(static_cast<Time>(std::ceil(std::min(microseconds, 1e12))), kLeast, kMost);
@@ -40,7 +41,8 @@
   g.filled = std::max(g.filled, now);
 }
 
-// All are looked at before anything is taken: a request that one gate refuses must not cost another a token.
+// All are looked at before anything is taken: a request that one gate refuses must not cost another
+// a token.
 Verdict Limits::ask(const std::vector<Ask>& asked, Time now) {
   Verdict v;
   for (const auto& a : asked) {
@@ -57,11 +59,12 @@
     }
     if (a.rule.max_in_flight && g.out >= *a.rule.max_in_flight) {
       ++g.counters.refused_full;
-      // Little's law the other way round: of `out` held for `held` each, one leaves every held / out; it has
-      // to be as many as stand over the limit.
+      // Little's law the other way round: of `out` held for `held` each, one leaves every held /
+      // out; it has to be as many as stand over the limit.
       const double held = g.held > 0 ? g.held : kHeldAtFirst;
       const double over = static_cast<double>(g.out - *a.rule.max_in_flight + 1);
-      const Time after = bounded(held * over / static_cast<double>(std::max<std::size_t>(1, g.out)));
+      const Time after =
+          bounded(held * over / static_cast<double>(std::max<std::size_t>(1, g.out)));
       if (after > v.retry_after) v.gate = a.gate, v.retry_after = after;
       v.admitted = false;
     }
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -1,12 +1,13 @@
-// Limits on requests by route, pool and policy: how many at once, how many a second. No I/O, no clock of its
-// own.
+// Limits on requests by route, pool and policy: how many at once, how many a second. No I/O, no
+// clock of its own.
 //
-// A request asks all gates that concern it at once and is let through by all or by none; what it was given
-// goes back exactly once, by its Permit. A refusal says when room is to be expected: for a rate, when the
-// next token falls due; for concurrency, by how long requests are held on average. Gates are kept by name, so
-// that a table of routes that is swapped keeps what is in flight; a limit that falls below what is out
-// refuses until enough has gone. Rates are token buckets (burst tokens at most, `rate` of them a second).
-// Times are microseconds of one clock that does not step back; a step back adds no tokens. One thread.
+// A request asks all gates that concern it at once and is let through by all or by none; what it
+// was given goes back exactly once, by its Permit. A refusal says when room is to be expected: for
+// a rate, when the next token falls due; for concurrency, by how long requests are held on average.
+// Gates are kept by name, so that a table of routes that is swapped keeps what is in flight; a
+// limit that falls below what is out refuses until enough has gone. Rates are token buckets (burst
+// tokens at most, `rate` of them a second). Times are microseconds of one clock that does not step
+// back; a step back adds no tokens. One thread.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +26,9 @@
 
 struct Rule {  // absent: no limit
   std::optional<std::uint32_t> max_in_flight;
-  std::optional<double> max_rate;      // a second, over 0
-  std::optional<std::uint32_t> burst;  // of the rate; absent: what a tenth of a second brings, one at least
+  std::optional<double> max_rate;  // a second, over 0
+  std::optional<std::uint32_t>
+      burst;  // of the rate; absent: what a tenth of a second brings, one at least
   bool any() const { return max_in_flight || max_rate; }
 };
 struct GateCounters {
@@ -96,9 +98,9 @@
   std::map<std::string, Gate, std::less<>> gates_;
 };
 
-// Further tries, as a part of first ones: each first try earns `part` of a further one, up to `most` saved.
-// From "Retry budgets" of the Finagle library's published design: a service that fails everything is asked
-// 1 + part times as much, and not as often as clients have patience.
+// Further tries, as a part of first ones: each first try earns `part` of a further one, up to
+// `most` saved. From "Retry budgets" of the Finagle library's published design: a service that
+// fails everything is asked 1 + part times as much, and not as often as clients have patience.
 class RetryBudget {
  public:
   RetryBudget(double part, double most = 20) : part_(part), most_(most), saved_(most / 2) {}
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -29,10 +29,14 @@
   std::string out;
   for (const char c : text) {
     const auto u = static_cast<unsigned char>(c);
-    if (c == '"' || c == '\\') (out += '\\') += c;
-    else if (c == '\n') out += "\\n";
-    else if (u < 32 || u == 127) out += json ? fmt::format("\\u{:04x}", u) : "?";
-    else out += c;
+    if (c == '"' || c == '\\')
+      (out += '\\') += c;
+    else if (c == '\n')
+      out += "\\n";
+    else if (u < 32 || u == 127)
+      out += json ? fmt::format("\\u{:04x}", u) : "?";
+    else
+      out += c;
   }
   return out;
 }
@@ -60,7 +64,10 @@
 }  // namespace
 
 const char* word(Level l) {
-  return l == Level::debug ? "debug" : l == Level::info ? "info" : l == Level::warning ? "warning" : "error";
+  return l == Level::debug     ? "debug"
+         : l == Level::info    ? "info"
+         : l == Level::warning ? "warning"
+                               : "error";
 }
 
 std::string blotted(std::string_view value) {
@@ -104,8 +111,10 @@
 }
 
 void Log::write(Level level, const std::string& text) {
-  if (sink_) sink_(text);
-  else out_->write(level, text);
+  if (sink_)
+    sink_(text);
+  else
+    out_->write(level, text);
 }
 
 void Log::record(std::string_view subsystem, Level level, std::string_view event,
@@ -129,18 +138,21 @@
   for (auto& [name, kind] : kinds_) {
     if (!kind.held_back) continue;
     const auto space = name.find(' ');
-    write(Level::info, line(clock_(), std::string_view(name).substr(0, space), Level::info,
-                            std::string_view(name).substr(space + 1), {}, std::exchange(kind.held_back, 0)));
+    write(Level::info,
+          line(clock_(), std::string_view(name).substr(0, space), Level::info,
+               std::string_view(name).substr(space + 1), {}, std::exchange(kind.held_back, 0)));
   }
 }
 
-std::string Log::line(core::Time now, std::string_view subsystem, Level level, std::string_view event,
-                      const std::vector<Field>& fields, std::uint64_t held_back) const {
+std::string Log::line(core::Time now, std::string_view subsystem, Level level,
+                      std::string_view event, const std::vector<Field>& fields,
+                      std::uint64_t held_back) const {
   const bool json = settings_.form == Form::json;
-  std::string out = json ? fmt::format(R"({{"time":"{}","level":"{}","subsystem":"{}","event":"{}")",
-                                       time_text(now), word(level), subsystem, event)
-                         : fmt::format("time={} level={} subsystem={} event={}", time_text(now), word(level),
-                                       subsystem, event);
+  std::string out = json
+                        ? fmt::format(R"({{"time":"{}","level":"{}","subsystem":"{}","event":"{}")",
+                                      time_text(now), word(level), subsystem, event)
+                        : fmt::format("time={} level={} subsystem={} event={}", time_text(now),
+                                      word(level), subsystem, event);
   const auto add = [&](std::string_view name, const Value& value) {
     out += json ? fmt::format(R"(,"{}":{})", name, value_text(value, true))
                 : fmt::format(" {}={}", name, value_text(value, false));
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,9 +1,11 @@
-// Structured logs: one record an event, with stable names for subsystem, event and fields, on spdlog.
+// Structured logs: one record an event, with stable names for subsystem, event and fields, on
+// spdlog.
 //
-// A record is one line of logfmt or JSON: time, level, subsystem, event, then the fields in the order given.
-// Of one kind (subsystem and event) at most `per_second` are written in a second; the next record of that
-// kind, or flush(), says how many were held back. Secrets never go into a record: callers pass none, and what
-// looks like a signature, a token or a secret in a value is blotted out as well. Any thread may log.
+// A record is one line of logfmt or JSON: time, level, subsystem, event, then the fields in the
+// order given. Of one kind (subsystem and event) at most `per_second` are written in a second; the
+// next record of that kind, or flush(), says how many were held back. Secrets never go into a
+// record: callers pass none, and what looks like a signature, a token or a secret in a value is
+// blotted out as well. Any thread may log.
 #pragma once
 
 #include <cstdint>
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -30,7 +30,8 @@
   const std::string host(text.substr(0, colon));
   const auto port_text = text.substr(colon + 1);
   unsigned port = 0;
-  const auto [end, error] = std::from_chars(port_text.data(), port_text.data() + port_text.size(), port);
+  const auto [end, error] =
+      std::from_chars(port_text.data(), port_text.data() + port_text.size(), port);
   sockaddr_in out{};
   out.sin_family = AF_INET;
   if (error != std::errc() || end != port_text.data() + port_text.size() || port > 65535) return {};
@@ -53,7 +54,8 @@
     : fd_(std::move(fd)), handler_(std::move(handler)), connecting_(connecting) {
   const int on = 1;
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  watcher_ = std::make_unique<IoWatcher>(loop.raw(), fd_.get(), [this](int events) { ready(events); });
+  watcher_ =
+      std::make_unique<IoWatcher>(loop.raw(), fd_.get(), [this](int events) { ready(events); });
   watch();
 }
 
@@ -67,8 +69,8 @@
   if (closed_) return;
   closed_ = true;
   watcher_.reset();
-  // Unsent bytes are cut off: the other side must not take them for the whole. in_ stays: its slices may
-  // still be needed in this turn.
+  // Unsent bytes are cut off: the other side must not take them for the whole. in_ stays: its
+  // slices may still be needed in this turn.
   fd_ = Fd();
   queue_.clear();
   queue_at_ = 0;
@@ -135,8 +137,10 @@
   if (events & EV_WRITE) {
     flush();
     if (closed_) return;
-    if (lingering_ && unwritten() == 0) end_our_side();
-    else if (!lingering_ && handler_.on_written) handler_.on_written();
+    if (lingering_ && unwritten() == 0)
+      end_our_side();
+    else if (!lingering_ && handler_.on_written)
+      handler_.on_written();
   }
   if (!closed_ && (events & EV_READ)) lingering_ ? throw_away() : read();
   if (!closed_) watch();
@@ -145,8 +149,10 @@
 // One read a turn: a second one could move the buffer under slices handed out in the same turn.
 void Connection::read() {
   if (consumed_) return;
-  if (in_.size() - in_size_ < kReadLeast) in_.resize(std::max(in_.size() * 2, in_size_ + kReadLeast));
-  const ssize_t got = ::recv(fd_.get(), in_.data() + in_size_, std::min(in_.size() - in_size_, kReadMost), 0);
+  if (in_.size() - in_size_ < kReadLeast)
+    in_.resize(std::max(in_.size() * 2, in_size_ + kReadLeast));
+  const ssize_t got =
+      ::recv(fd_.get(), in_.data() + in_size_, std::min(in_.size() - in_size_, kReadMost), 0);
   if (got < 0) {
     if (errno != EAGAIN && errno != EINTR) fail(Closed::reset);
     return;
@@ -245,12 +251,14 @@
 }
 Listener::~Listener() { *alive_ = false; }
 
-// Classic BPF that names the second socket of the group, in the order in which they began to listen. Where
-// there is no second one, or the kernel refuses the program, the connections are spread as before.
+// Classic BPF that names the second socket of the group, in the order in which they began to
+// listen. Where there is no second one, or the kernel refuses the program, the connections are
+// spread as before.
 bool Listener::steer_to_successor() {
   sock_filter code[] = {{BPF_RET | BPF_K, 0, 0, 1}};
   const sock_fprog program{1, code};
-  return ::setsockopt(fd_.get(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof program) == 0;
+  return ::setsockopt(fd_.get(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof program) ==
+         0;
 }
 
 void Listener::stop_steering() {
@@ -258,15 +266,19 @@
   (void)::setsockopt(fd_.get(), SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, &none, sizeof none);
 }
 
-// Danger: what the kernel has completed for a listener that closes is reset, and its client's request lost.
+// Danger: what the kernel has completed for a listener that closes is reset, and its client's
+// request lost.
 bool Listener::stop_empty(bool all) {
   spare_ = Fd();
   while (watcher_) {
     if (!all && !may_accept_()) return false;
     Fd fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (fd.get() >= 0) on_accept_(std::move(fd));
-    else if (!all && (errno == EMFILE || errno == ENFILE)) return false;
-    else if (errno != EINTR && errno != ECONNABORTED) break;
+    if (fd.get() >= 0)
+      on_accept_(std::move(fd));
+    else if (!all && (errno == EMFILE || errno == ENFILE))
+      return false;
+    else if (errno != EINTR && errno != ECONNABORTED)
+      break;
   }
   stop();
   return true;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,5 +1,6 @@
-// A TCP connection on the loop: a read buffer whose slices live until the turn ends, a bounded write queue,
-// and counts of bytes queued and written. Listeners, addresses and the descriptor budget stand here too.
+// A TCP connection on the loop: a read buffer whose slices live until the turn ends, a bounded
+// write queue, and counts of bytes queued and written. Listeners, addresses and the descriptor
+// budget stand here too.
 #pragma once
 
 #include <netinet/in.h>
@@ -42,11 +43,12 @@
 class Connection {
  public:
   struct Handler {
-    // Takes what it can from the front of the bytes; returns how many it has consumed, -1 if unreadable.
+    // Takes what it can from the front of the bytes; returns how many it has consumed, -1 if
+    // unreadable.
     std::function<std::ptrdiff_t(std::string_view)> on_data;
     std::function<void()> on_written;  // something left the queue, or the connection came up
-    // Once; the owner then lets go of it after the turn. Unreadable: nothing more is read, but what was
-    // written may still leave, by linger().
+    // Once; the owner then lets go of it after the turn. Unreadable: nothing more is read, but what
+    // was written may still leave, by linger().
     std::function<void(Closed)> on_close;
     bool half_close = false;  // end of input: on_close(by_peer), but writing may go on
   };
@@ -56,10 +58,12 @@
   void write(std::string_view head, std::string_view body = {}, std::string_view tail = {});
   void end_turn();    // the slices handed out are over
   bool feed_again();  // offers what was left to on_data once more; true if some of it was taken
-  void close();  // ours, at once: what is unsent is cut off, unread bytes reset the connection; no on_close
-  // Lingering close: our side ends once all is written; what still comes is thrown away, kLingerBytes of it,
-  // until the peer has ended too. No handler is called any more; `gone` once, never from within this call.
-  // Danger: a close over unread bytes resets the connection, and takes along what the peer has yet to read.
+  void close();  // ours, at once: what is unsent is cut off, unread bytes reset the connection; no
+                 // on_close
+  // Lingering close: our side ends once all is written; what still comes is thrown away,
+  // kLingerBytes of it, until the peer has ended too. No handler is called any more; `gone` once,
+  // never from within this call. Danger: a close over unread bytes resets the connection, and takes
+  // along what the peer has yet to read.
   void linger(std::function<void()> gone);
   bool arrived() const;     // bytes are here that nobody has read
   bool peer_ended() const;  // its side, though what it wrote before may not be read yet
@@ -96,31 +100,33 @@
   std::unique_ptr<IoWatcher> watcher_;
 };
 
-// Null if no descriptor is to be had or the address refuses at once. `source`: the address to come from,
-// where it can be had.
+// Null if no descriptor is to be had or the address refuses at once. `source`: the address to come
+// from, where it can be had.
 std::unique_ptr<Connection> connect(Loop& loop, const sockaddr_in& to, Connection::Handler handler,
                                     bool* refused = nullptr, const sockaddr_in* source = nullptr);
 
 class Listener {
  public:
   // Throws std::runtime_error if the address is not to be had.
-  Listener(Loop& loop, core::Deadlines& deadlines, const sockaddr_in& at, std::function<bool()> may_accept,
-           std::function<void(Fd)> on_accept, bool shared = false);
+  Listener(Loop& loop, core::Deadlines& deadlines, const sockaddr_in& at,
+           std::function<bool()> may_accept, std::function<void(Fd)> on_accept,
+           bool shared = false);
   ~Listener();
-  // `shared`: another process may listen on the same address, and the kernel spreads connections over both.
-  // These hand all new ones to whoever began to listen after us, and end that.
+  // `shared`: another process may listen on the same address, and the kernel spreads connections
+  // over both. These hand all new ones to whoever began to listen after us, and end that.
   bool steer_to_successor();
   void stop_steering();
-  // One descriptor is kept back for when the process has none left, so that a caller still gets in; taken
-  // anew by this once there is room again.
+  // One descriptor is kept back for when the process has none left, so that a caller still gets in;
+  // taken anew by this once there is room again.
   void keep_spare();
-  // Takes what the kernel holds for us, then stops; false: there is no room for all of it, and it goes on.
-  // `all`: whatever the budget says, as long as there are descriptors.
+  // Takes what the kernel holds for us, then stops; false: there is no room for all of it, and it
+  // goes on. `all`: whatever the budget says, as long as there are descriptors.
   bool stop_empty(bool all = true);
   sockaddr_in address() const;
   void stop();
   std::uint64_t put_off = 0;
-  // So long has the queue not been empty: whoever is accepted now may have waited in it, and left since.
+  // So long has the queue not been empty: whoever is accepted now may have waited in it, and left
+  // since.
   core::Time waited() const { return full_since_ ? unix_now() - full_since_ : 0; }
 
  private:
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -38,16 +38,16 @@
   return static_cast<core::Time>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000;
 }
 
-// Danger: a wall clock that is set back by an hour would hold all deadlines for an hour, and one that is set
-// forward would fire them all at once. So it is followed at kSlew at most. Any thread.
+// Danger: a wall clock that is set back by an hour would hold all deadlines for an hour, and one
+// that is set forward would fire them all at once. So it is followed at kSlew at most. Any thread.
 core::Time unix_now() {
   constexpr core::Time kLook = 100'000, kSlew = 50;  // a fiftieth of the time that passes
   static const core::Time first = wall_now() - steady_now();
   static std::atomic<core::Time> ahead{0}, looked{0};
   const core::Time steady = steady_now();
   core::Time last = looked.load(std::memory_order_relaxed);
-  if (steady - last >= kLook && looked.compare_exchange_strong(last, steady, std::memory_order_relaxed) &&
-      last) {
+  if (steady - last >= kLook &&
+      looked.compare_exchange_strong(last, steady, std::memory_order_relaxed) && last) {
     const core::Time off = wall_now() - steady - first - ahead.load(std::memory_order_relaxed);
     const core::Time most = (steady - last) / kSlew;
     ahead.fetch_add(std::clamp(off, -most, most), std::memory_order_relaxed);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -13,7 +13,8 @@
 
 // Microseconds since 1970. Follows the wall clock, but never by jumps: see loop.cpp.
 core::Time unix_now();
-// Microseconds of a clock that never goes back and is set by nobody; also runs while the machine sleeps.
+// Microseconds of a clock that never goes back and is set by nobody; also runs while the machine
+// sleeps.
 core::Time steady_now();
 
 // A watcher that stops itself when it goes; the callback is a plain function object.
--- a/src/net/wakeup.h
+++ b/src/net/wakeup.h
@@ -1,7 +1,8 @@
 // Lets another thread have something done on the loop's thread.
 //
-// post() may be called from any thread; the functions run on the loop, in the order of their posting, before
-// the turn that follows. The Wakeup must outlive all posters; what is posted after close() is dropped.
+// post() may be called from any thread; the functions run on the loop, in the order of their
+// posting, before the turn that follows. The Wakeup must outlive all posters; what is posted after
+// close() is dropped.
 #pragma once
 
 #include <ev.h>
--- a/src/platform/cache_protocol.cpp
+++ b/src/platform/cache_protocol.cpp
@@ -16,14 +16,17 @@
 }
 }  // namespace
 
-std::string fetch_line(const core::Order& o, std::string_view lane, std::string_view source, core::Time now) {
+std::string fetch_line(const core::Order& o, std::string_view lane, std::string_view source,
+                       core::Time now) {
   std::string line = "fetch ";
   const auto add = [&](const char* name, std::string_view value) {
     if (line.back() != ' ') line += ',';
     (line += name) += '=';
     line += value;
   };
-  const auto milliseconds = [](core::Time t) { return std::to_string(std::max<core::Time>(1, t / 1000)); };
+  const auto milliseconds = [](core::Time t) {
+    return std::to_string(std::max<core::Time>(1, t / 1000));
+  };
   (line += o.id) += ' ';
   add("lane", lane);
   add("name", o.object_text);
@@ -48,7 +51,8 @@
   // After a length of 0 the closing CR LF reads as an empty line.
   while (bytes.starts_with("\r\n")) bytes.remove_prefix(2);
   const auto end = bytes.find("\r\n");
-  if (end == std::string_view::npos) return bytes.size() > kLineMost ? Parsed::unreadable : Parsed::partial;
+  if (end == std::string_view::npos)
+    return bytes.size() > kLineMost ? Parsed::unreadable : Parsed::partial;
   if (end > kLineMost) return Parsed::unreadable;
   std::string_view line = bytes.substr(0, end);
   answer = {};
@@ -58,7 +62,8 @@
   std::size_t length = 0;
   if (answer.id.empty() || answer.word.empty()) return Parsed::unreadable;
   // Without its length a line says nothing of where the answer ends.
-  if (fields.empty() || !core::parse_number(line, length) || length > kBodyMost) return Parsed::unreadable;
+  if (fields.empty() || !core::parse_number(line, length) || length > kBodyMost)
+    return Parsed::unreadable;
   if (fields == "-") fields = {};
   while (!fields.empty()) {
     std::string_view value = cut(fields, ',');
@@ -67,7 +72,8 @@
     if (name == "rep") answer.report = value;
     core::Time ms = 0;
     if (name == "t0") {
-      if (!core::parse_number(value, ms) || ms < 0 || ms > core::Time{1} << 50) return Parsed::unreadable;
+      if (!core::parse_number(value, ms) || ms < 0 || ms > core::Time{1} << 50)
+        return Parsed::unreadable;
       answer.born = ms * 1000;
     }
   }
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -55,7 +55,8 @@
   if (ahead_.empty()) told_.clear();
 }
 
-// Danger: what fills a gap comes behind later events, and would put a server that drains back into service.
+// Danger: what fills a gap comes behind later events, and would put a server that drains back into
+// service.
 void Board::tell(const config::Notice& n) {
   if (n.number < whole_) return;
   if (n.complete) whole_ = n.number;
@@ -97,8 +98,8 @@
   });
 }
 
-// Danger: the old board accepts nobody, tells nothing more and may still be open for seconds; a gap it left
-// is filled by the new one, since the numbers go on.
+// Danger: the old board accepts nobody, tells nothing more and may still be open for seconds; a gap
+// it left is filled by the new one, since the numbers go on.
 bool Board::move(const config::Config& renewed) {
   const auto at = net::parse_address(renewed.board);
   if (!at) return false;
@@ -114,7 +115,8 @@
   return true;
 }
 
-// Danger: a board that fell silent leaves its connection open; drains and purges would pass unheard.
+// Danger: a board that fell silent leaves its connection open; drains and purges would pass
+// unheard.
 void Board::listen_for_life() {
   const core::Time now = engine_.now();
   if (connection_ && now > heard_ + kSilence) try_again();
@@ -136,9 +138,12 @@
       continue;
     }
     if (notice->pool || notice->flush) apply(*notice);
-    const std::uint64_t last = ahead_.empty() ? notice->number : std::max(notice->number, *ahead_.rbegin());
-    if (last <= held_) gap_since_ = 0;
-    else if (!gap_since_) gap_since_ = heard_;
+    const std::uint64_t last =
+        ahead_.empty() ? notice->number : std::max(notice->number, *ahead_.rbegin());
+    if (last <= held_)
+      gap_since_ = 0;
+    else if (!gap_since_)
+      gap_since_ = heard_;
   }
   if (bytes.size() > kLineMost) return engine_.complain(core::Complaint::notice, bytes), -1;
   return static_cast<std::ptrdiff_t>(before - bytes.size());
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -1,4 +1,5 @@
-// The notice board: watched from the last number held on, applied in order, tolerant of repeats and gaps.
+// The notice board: watched from the last number held on, applied in order, tolerant of repeats and
+// gaps.
 #pragma once
 
 #include <map>
@@ -33,18 +34,18 @@
   core::Engine& engine_;
 };
 
-// How long to wait before the next connection to the board, in microseconds: a draw of the router's own seed.
-// Danger: a board that ends all its connections at once would be dialled by the whole fleet in one instant,
-// and as one again for as long as it refuses.
+// How long to wait before the next connection to the board, in microseconds: a draw of the router's
+// own seed. Danger: a board that ends all its connections at once would be dialled by the whole
+// fleet in one instant, and as one again for as long as it refuses.
 core::Time pause_before_dial(std::mt19937_64& random);
 
 class Board {
  public:
   Board(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, PoolSink& sink,
         const config::Config& config);
-  // The settings were read anew: what they know already is taken in, and the watch moves to their board from
-  // the last number held on, whatever state the old connection is in. False: they name no usable address,
-  // and the watch stays where it is.
+  // The settings were read anew: what they know already is taken in, and the watch moves to their
+  // board from the last number held on, whatever state the old connection is in. False: they name
+  // no usable address, and the watch stays where it is.
   bool move(const config::Config& renewed);
   void end_turn();
 
@@ -67,7 +68,8 @@
   std::vector<std::unique_ptr<net::Connection>> graves_;
   std::uint64_t held_ = 0;         // all up to it have been applied
   std::set<std::uint64_t> ahead_;  // applied beyond a gap
-  // While there is a gap: who was told of beyond it, by which event; and the last event with the whole list.
+  // While there is a gap: who was told of beyond it, by which event; and the last event with the
+  // whole list.
   std::map<alderspur::ServerId, std::pair<std::uint64_t, config::Member>> told_;
   std::uint64_t whole_ = 0;
   core::Time heard_ = 0, gap_since_ = 0;
--- a/src/platform/edge_router.cpp
+++ b/src/platform/edge_router.cpp
@@ -27,22 +27,23 @@
       caches_(loop_, deadlines_, engine_, config_),
       sink_(make_sink ? make_sink(*this) : std::make_unique<DirectPool>(caches_, engine_)),
       board_(loop_, deadlines_, engine_, *sink_, config_),
-      twin_(config_.operator_listen.empty()
-                ? nullptr
-                : std::make_unique<hot_restart::Twin>(
-                      loop_, deadlines_, [this] { return engine_.now(); }, config_.state_folder,
-                      config_.listen, say_,
-                      hot_restart::Twin::Hooks{
-                          [this] {
-                            return hot_restart::Twin::Load{engine_.counters().taken, engine_.door()};
-                          },
-                          [this](const hot_restart::BanChange& change) {
-                            const auto id = config::server_id(change.name);
-                            engine_.ban(id, change.out);
-                            if (change.out) caches_.give_back(id);
-                            if (banned_) banned_(change);
-                          },
-                          [this](const hot_restart::Others& o, double share) { others(o, share); }})),
+      twin_(
+          config_.operator_listen.empty()
+              ? nullptr
+              : std::make_unique<hot_restart::Twin>(
+                    loop_, deadlines_, [this] { return engine_.now(); }, config_.state_folder,
+                    config_.listen, say_,
+                    hot_restart::Twin::Hooks{
+                        [this] {
+                          return hot_restart::Twin::Load{engine_.counters().taken, engine_.door()};
+                        },
+                        [this](const hot_restart::BanChange& change) {
+                          const auto id = config::server_id(change.name);
+                          engine_.ban(id, change.out);
+                          if (change.out) caches_.give_back(id);
+                          if (banned_) banned_(change);
+                        },
+                        [this](const hot_restart::Others& o, double share) { others(o, share); }})),
       // What is known comes before the first status.
       front_(loop_, deadlines_, (engine_.attach(caches_), engine_.run(), engine_),
              listen_address(config_.listen), config_) {
@@ -52,31 +53,37 @@
 }
 
 void Node::begin_operation() {
-  desk_ = std::make_unique<admin::RouterDesk>(deadlines_, engine_, caches_, *twin_, config_.names.classes,
-                                                  [this] { return leave_at_ > 0; });
-  operators_ = std::make_unique<admin::Front>(loop_, deadlines_, listen_address(config_.operator_listen),
-                                                  *desk_, [this] { return engine_.now(); });
+  desk_ =
+      std::make_unique<admin::RouterDesk>(deadlines_, engine_, caches_, *twin_,
+                                          config_.names.classes, [this] { return leave_at_ > 0; });
+  operators_ =
+      std::make_unique<admin::Front>(loop_, deadlines_, listen_address(config_.operator_listen),
+                                     *desk_, [this] { return engine_.now(); });
   complete_ = true;
   say_("operator_front", "operators on " + net::to_string(operators_->address()));
   if (twin_->others().count > 0) others(twin_->others(), twin_->share());
   twin_->serving();
 }
 
-// Who else acts as this router: budgets and limits are shared, and whoever comes after us takes our clients
-// once our end is planned.
+// Who else acts as this router: budgets and limits are shared, and whoever comes after us takes our
+// clients once our end is planned.
 void Node::others(const hot_restart::Others& others, double share) {
   engine_.twins(share, others.door, all_, here_);
   caches_.share(others.count + 1);
   if (!complete_) return;  // still in the constructor: the front is not there yet
   front_.share(others.count + 1);
   if (!leave_at_) return;
-  if (others.successor) front_.hand_over(leave_at_ - kLinger + killed_after());
-  else front_.take_back();
+  if (others.successor)
+    front_.hand_over(leave_at_ - kLinger + killed_after());
+  else
+    front_.take_back();
 }
 
 void Node::ban(const hot_restart::BanChange& change) {
-  if (twin_) twin_->change(change, [](const std::string&) {});
-  else engine_.ban(config::server_id(change.name), change.out);
+  if (twin_)
+    twin_->change(change, [](const std::string&) {});
+  else
+    engine_.ban(config::server_id(change.name), change.out);
 }
 std::vector<std::string> Node::bans() const {
   if (!twin_) return {};
@@ -89,11 +96,12 @@
   engine_.twins(twin_ ? twin_->share() : 1, twin_ ? twin_->others().door : 0, all, here);
 }
 
-// A planned end is cut off no sooner than this after it began: the longest time a client waits, 3 s at most,
-// and 0.7 s.
+// A planned end is cut off no sooner than this after it began: the longest time a client waits, 3 s
+// at most, and 0.7 s.
 core::Time Node::killed_after() const {
   core::Time longest = 0;
-  for (const core::Time t : config_.names.give_up) longest = std::max(longest, t > 0 ? t : kLongest);
+  for (const core::Time t : config_.names.give_up)
+    longest = std::max(longest, t > 0 ? t : kLongest);
   return std::min(longest, kLongest) + kLinger - kLastWord;
 }
 
@@ -104,8 +112,8 @@
     twin_->leaving();
     others(twin_->others(), twin_->share());
   }
-  // Danger: a cache that hangs holds its requests longer than we live, and with the successor dead clients go
-  // on asking us, until SIGKILL finds something open.
+  // Danger: a cache that hangs holds its requests longer than we live, and with the successor dead
+  // clients go on asking us, until SIGKILL finds something open.
   deadlines_.set(leave_at_ - kLinger + killed_after(), [this] {
     engine_.hurry_all();
     front_.end();
@@ -120,12 +128,14 @@
   });
 }
 
-// Danger: an operator's half-written file must not end a router under load. Only the board's address can
-// change while it runs; the rest describes the process itself and is named so that nobody waits for it.
+// Danger: an operator's half-written file must not end a router under load. Only the board's
+// address can change while it runs; the rest describes the process itself and is named so that
+// nobody waits for it.
 void Node::reload() {
   try {
     const auto renewed = config::read_file(config_path);
-    if (!board_.move(renewed)) throw config::Error("no usable board address: '" + renewed.board + "'");
+    if (!board_.move(renewed))
+      throw config::Error("no usable board address: '" + renewed.board + "'");
     say_("reload", "settings read anew, board at " + renewed.board);
     if (renewed.memory_mb != config_.memory_mb || renewed.sockets != config_.sockets ||
         renewed.names.classes != config_.names.classes)
@@ -155,13 +165,15 @@
   if (leave_at_ && engine_.now() >= leave_at_) end_when_idle();
 }
 
-// Clients hear of our end by a close, each once it has its answers; those that rest until then hold nothing
-// up. With another process to take over, or its operators, busy ones are served until our time is over.
+// Clients hear of our end by a close, each once it has its answers; those that rest until then hold
+// nothing up. With another process to take over, or its operators, busy ones are served until our
+// time is over.
 void Node::end_when_idle() {
   const bool idle = engine_.held() == 0 && front_.idle();
   if (!twin_ || idle) front_.leave();
   const auto done = [](auto& part) { return !part.idle || part.idle(); };
-  if (over_ || (idle && front_.gone() && std::all_of(parts_.begin(), parts_.end(), done))) loop_.stop();
+  if (over_ || (idle && front_.gone() && std::all_of(parts_.begin(), parts_.end(), done)))
+    loop_.stop();
 }
 
 void Node::run() {
--- a/src/platform/edge_router.h
+++ b/src/platform/edge_router.h
@@ -1,8 +1,9 @@
-// One running router: loop, core, connections to servers, board and the platform's front, wired together.
+// One running router: loop, core, connections to servers, board and the platform's front, wired
+// together.
 //
-// Both programs are built round it: edge_router as it is, `alderspur run` with further fronts and with
-// membership between board and core. One thread; run() returns when a planned leave is over. Throws
-// std::runtime_error from its constructor where an address is not to be had.
+// Both programs are built round it: edge_router as it is, `alderspur run` with further fronts and
+// with membership between board and core. One thread; run() returns when a planned leave is over.
+// Throws std::runtime_error from its constructor where an address is not to be had.
 #pragma once
 
 #include <functional>
@@ -10,14 +11,14 @@
 #include <string>
 #include <vector>
 
+#include "admin/router_admin_handler.h"
 #include "config/config.h"
 #include "core/engine.h"
 #include "hot_restart/coordinator.h"
 #include "net/loop.h"
-#include "admin/router_admin_handler.h"
 #include "platform/discovery_client.h"
-#include "platform/upstream_pool.h"
 #include "platform/rpc_front.h"
+#include "platform/upstream_pool.h"
 
 namespace alderspur::platform {
 
@@ -40,14 +41,17 @@
   void on_cluster(std::function<std::string()> view) {
     if (desk_) desk_->on_cluster(std::move(view));
   }
-  // This router's part of what all routers, and those of its location, may do together; 0: by told numbers.
+  // This router's part of what all routers, and those of its location, may do together; 0: by told
+  // numbers.
   void cluster_share(double all, double here);
   // What operators are told of versions, and what they propose.
   void on_versions(admin::RouterDesk::Versions versions, std::size_t body_most) {
     if (desk_) desk_->on_versions(std::move(versions), body_most);
   }
   // Of bans by hand, whoever makes them; and one that others made. Unlisted servers as well.
-  void on_ban(std::function<void(const hot_restart::BanChange&)> then) { banned_ = std::move(then); }
+  void on_ban(std::function<void(const hot_restart::BanChange&)> then) {
+    banned_ = std::move(then);
+  }
   void ban(const hot_restart::BanChange& change);
   std::vector<std::string> bans() const;
   // The yes to `ready` waits for it.
--- a/src/platform/rpc_codec.cpp
+++ b/src/platform/rpc_codec.cpp
@@ -18,7 +18,9 @@
   if (o.type == MSGPACK_OBJECT_BIN) return {o.via.bin.ptr, o.via.bin.size};
   return {};
 }
-bool is_text(const msgpack_object& o) { return o.type == MSGPACK_OBJECT_STR || o.type == MSGPACK_OBJECT_BIN; }
+bool is_text(const msgpack_object& o) {
+  return o.type == MSGPACK_OBJECT_STR || o.type == MSGPACK_OBJECT_BIN;
+}
 
 // A map of strings to strings; what is not known is passed over.
 bool read_fields(const msgpack_object& map, Call& call) {
@@ -45,14 +47,16 @@
   if (o.type != MSGPACK_OBJECT_ARRAY || o.via.array.size < 3) return Parsed::unreadable;
   const msgpack_object* part = o.via.array.ptr;
   const std::size_t size = o.via.array.size;
-  const auto is_number = [](const msgpack_object& x) { return x.type == MSGPACK_OBJECT_POSITIVE_INTEGER; };
+  const auto is_number = [](const msgpack_object& x) {
+    return x.type == MSGPACK_OBJECT_POSITIVE_INTEGER;
+  };
   if (!is_number(part[0])) return Parsed::unreadable;
   if (part[0].via.u64 == 2 && size == 3) {
     call.notification = true;
     call.method = text(part[1]);
     const auto& args = part[2];
-    call.well_formed =
-        args.type == MSGPACK_OBJECT_ARRAY && args.via.array.size >= 1 && is_number(args.via.array.ptr[0]);
+    call.well_formed = args.type == MSGPACK_OBJECT_ARRAY && args.via.array.size >= 1 &&
+                       is_number(args.via.array.ptr[0]);
     if (call.well_formed) call.id = args.via.array.ptr[0].via.u64;
     return Parsed::whole;
   }
@@ -102,24 +106,36 @@
     const auto c = static_cast<unsigned char>(bytes[at++]);
     const auto number = [&](std::size_t width) {
       std::uint64_t n = 0;
-      for (std::size_t i = 0; i < width; ++i) n = n << 8 | static_cast<unsigned char>(bytes[at + i]);
+      for (std::size_t i = 0; i < width; ++i)
+        n = n << 8 | static_cast<unsigned char>(bytes[at + i]);
       return n;
     };
     std::size_t width = 0;  // of the length or count that follows the first byte
     std::uint64_t skip = 0;
     if (c == 0xc1) return Parsed::unreadable;
-    if (c >= 0xc4 && c <= 0xc9) width = std::size_t{1} << (c - 0xc4) % 3;
-    else if (c >= 0xd9 && c <= 0xdb) width = std::size_t{1} << (c - 0xd9);
-    else if (c >= 0xdc && c <= 0xdf) width = std::size_t{2} << (c - 0xdc) % 2;
+    if (c >= 0xc4 && c <= 0xc9)
+      width = std::size_t{1} << (c - 0xc4) % 3;
+    else if (c >= 0xd9 && c <= 0xdb)
+      width = std::size_t{1} << (c - 0xd9);
+    else if (c >= 0xdc && c <= 0xdf)
+      width = std::size_t{2} << (c - 0xdc) % 2;
     if (bytes.size() - at < width) return Parsed::partial;
-    if (c >= 0x80 && c <= 0x8f) items += 2u * (c & 15u);
-    else if (c >= 0x90 && c <= 0x9f) items += c & 15u;
-    else if (c >= 0xa0 && c <= 0xbf) skip = c & 31u;
-    else if (c >= 0xdc && c <= 0xdf) items += number(width) * (c < 0xde ? 1 : 2);
-    else if (width) skip = width + number(width) + (c >= 0xc7 && c <= 0xc9 ? 1 : 0);
-    else if (c == 0xca || c == 0xcb) skip = c == 0xca ? 4 : 8;
-    else if (c >= 0xcc && c <= 0xd3) skip = std::uint64_t{1} << c % 4;
-    else if (c >= 0xd4 && c <= 0xd8) skip = 1 + (std::uint64_t{1} << (c - 0xd4));
+    if (c >= 0x80 && c <= 0x8f)
+      items += 2u * (c & 15u);
+    else if (c >= 0x90 && c <= 0x9f)
+      items += c & 15u;
+    else if (c >= 0xa0 && c <= 0xbf)
+      skip = c & 31u;
+    else if (c >= 0xdc && c <= 0xdf)
+      items += number(width) * (c < 0xde ? 1 : 2);
+    else if (width)
+      skip = width + number(width) + (c >= 0xc7 && c <= 0xc9 ? 1 : 0);
+    else if (c == 0xca || c == 0xcb)
+      skip = c == 0xca ? 4 : 8;
+    else if (c >= 0xcc && c <= 0xd3)
+      skip = std::uint64_t{1} << c % 4;
+    else if (c >= 0xd4 && c <= 0xd8)
+      skip = 1 + (std::uint64_t{1} << (c - 0xd4));
     if (c >= 0xdc && c <= 0xdf) skip = width;
     if (at + skip + items - 1 > most) return Parsed::unreadable;
     if (bytes.size() - at < skip) return Parsed::partial;
@@ -135,11 +151,12 @@
   const auto first = static_cast<unsigned char>(bytes[0]);
   if (first != 0x93 && first != 0x94) return Parsed::unreadable;  // an array of three or four
   std::size_t size = 0;
-  if (const auto measured = measure(bytes, size, kMessageMost); measured != Parsed::whole) return measured;
+  if (const auto measured = measure(bytes, size, kMessageMost); measured != Parsed::whole)
+    return measured;
   msgpack_unpacked unpacked;
   msgpack_unpacked_init(&unpacked);
-  const std::unique_ptr<msgpack_unpacked, void (*)(msgpack_unpacked*)> guard(&unpacked,
-                                                                             msgpack_unpacked_destroy);
+  const std::unique_ptr<msgpack_unpacked, void (*)(msgpack_unpacked*)> guard(
+      &unpacked, msgpack_unpacked_destroy);
   std::size_t used = 0;
   if (msgpack_unpack_next(&unpacked, bytes.data(), size, &used) != MSGPACK_UNPACK_SUCCESS)
     return Parsed::unreadable;
@@ -158,7 +175,8 @@
   if (form.longest > 0 && d.limit > form.longest + 1000) return false;
   if (!core::parse_number(c.slice, d.part) || d.part > kPartMost) return false;
   if (!core::parse_number(c.set, d.group) || d.group > kGroupMost) return false;
-  if (!c.ram.empty() && (!core::parse_number(c.ram, d.size_kb) || d.size_kb < 0 || d.size_kb > kSizeMost))
+  if (!c.ram.empty() &&
+      (!core::parse_number(c.ram, d.size_kb) || d.size_kb < 0 || d.size_kb > kSizeMost))
     return false;
   if (c.body.size() > (form.write ? kBodyMost : 0)) return false;
   d.id = c.txn;
--- a/src/platform/rpc_codec.h
+++ b/src/platform/rpc_codec.h
@@ -18,9 +18,9 @@
   std::string_view txn, limit, unique, item, slice, set, ram, seen, body;
   bool well_formed = false;  // the parameters have the form of a request
 };
-// Where the MessagePack item at the front of `bytes` ends. Danger: the library claims memory by the counts
-// that it reads and takes a message's start apart anew with every read. What can't fit into `most` ends at
-// its header.
+// Where the MessagePack item at the front of `bytes` ends. Danger: the library claims memory by the
+// counts that it reads and takes a message's start apart anew with every read. What can't fit into
+// `most` ends at its header.
 Parsed measure(std::string_view bytes, std::size_t& size, std::size_t most);
 // Takes one message from the front of `bytes`; the call's strings are slices of it.
 Parsed next_call(std::string_view& bytes, Call& call);
@@ -30,8 +30,9 @@
   bool harmless = false;   // may be tried again though it may have run
   core::Time longest = 0;  // that a client waits, 0: not told
 };
-// The request's fields in the core's terms; false if a field is missing, unusable or out of its range.
-// Danger: a cache closes on what it can't read, and every other request on that connection goes with it.
+// The request's fields in the core's terms; false if a field is missing, unusable or out of its
+// range. Danger: a cache closes on what it can't read, and every other request on that connection
+// goes with it.
 bool to_demand(const Call& call, const Form& form, core::Demand& demand);
 
 // An answer in three parts: head, the body itself, tail.
--- a/src/platform/rpc_front.cpp
+++ b/src/platform/rpc_front.cpp
@@ -9,27 +9,30 @@
 namespace alderspur::platform {
 namespace {
 
-// Answers that a client has not taken: beyond kQueueFull it is refused more, beyond kQueueMost it is cut off
-// (32 open requests of 240,000 bytes fit). Danger: to stop reading instead would hide its cancels and its
-// end.
+// Answers that a client has not taken: beyond kQueueFull it is refused more, beyond kQueueMost it
+// is cut off (32 open requests of 240,000 bytes fit). Danger: to stop reading instead would hide
+// its cancels and its end.
 constexpr std::size_t kQueueFull = 2 << 20, kQueueMost = 12 << 20;
 constexpr std::size_t kOpenMost = 32;  // on one connection, as the platform has it
-// Parts of the memory limit: bodies and answers held for clients, and their half-read messages. A buffer may
-// be twice as large as what is in it.
+// Parts of the memory limit: bodies and answers held for clients, and their half-read messages. A
+// buffer may be twice as large as what is in it.
 constexpr std::size_t kHeldPart = 4, kUnreadPart = 16;
 constexpr core::Time kRetryAfter = 500'000;  // advice to clients that ask for more than they may
-// A client that says nothing, or not all of it, is owed an end. Those of the platform close after 4 s idle.
+// A client that says nothing, or not all of it, is owed an end. Those of the platform close after 4
+// s idle.
 constexpr core::Time kWatch = 200'000, kWord = 2'000'000, kIdle = 5'000'000, kUntaken = 5'000'000;
-constexpr core::Time kMessage = 5'000'000;  // for the whole of a message where no time limit is told
+constexpr core::Time kMessage =
+    5'000'000;  // for the whole of a message where no time limit is told
 // Under pressure idle clients give way, but not before what they may just be sending can arrive.
 constexpr core::Time kNew = 150'000, kFresh = 250'000;
 // Who has waited for a place for longer, and has ended its side, is gone.
 constexpr core::Time kGone = 100'000;
-// Where another process takes over: until handshakes under way are over; how often busy clients are looked
-// at.
+// Where another process takes over: until handshakes under way are over; how often busy clients are
+// looked at.
 constexpr core::Time kSteered = 100'000, kPartEvery = 10'000;
 constexpr std::size_t kOwnFds = 28;  // of one process, beside clients and servers
-constexpr std::size_t kLate = 8;     // places for those who are only told that we leave, beside busy ones
+constexpr std::size_t kLate =
+    8;  // places for those who are only told that we leave, beside busy ones
 
 }  // namespace
 
@@ -62,8 +65,8 @@
   for (std::size_t i = 0; i < config.names.classes.size(); ++i) {
     const auto& c = config.settings.classes[i];
     const bool keyed = c.repeat == alderspur::Repeat::keyed;
-    const bool harmless =
-        c.repeat == alderspur::Repeat::safe || (keyed && c.dedup_scope == alderspur::DedupScope::all);
+    const bool harmless = c.repeat == alderspur::Repeat::safe ||
+                          (keyed && c.dedup_scope == alderspur::DedupScope::all);
     const Form form{keyed, c.uncached, harmless, config.names.give_up[i]};
     longest_ = std::max(longest_, form.longest > 0 ? form.longest : kMessage);
     classes_[config.names.classes[i]] = {static_cast<std::uint32_t>(i), form};
@@ -75,8 +78,8 @@
 
 void RpcFront::listen(const sockaddr_in& at) {
   listener_ = std::make_unique<net::Listener>(
-      loop_, deadlines_, at, [this] { return may_accept(); }, [this](net::Fd fd) { accept(std::move(fd)); },
-      true);
+      loop_, deadlines_, at, [this] { return may_accept(); },
+      [this](net::Fd fd) { accept(std::move(fd)); }, true);
   address_ = listener_->address();
 }
 
@@ -90,7 +93,8 @@
   handler.on_data = [this, raw](std::string_view bytes) { return take(*raw, bytes); };
   handler.on_written = [this, raw] { touch(*raw); };
   handler.on_close = [this, raw](net::Closed why) { lost(*raw, why); };
-  raw->connection = std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
+  raw->connection =
+      std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   raw->place = clients_.size();
   clients_.push_back(std::move(client));
   ++live_;
@@ -101,9 +105,9 @@
   return loop_.lingering().fit(live_, most_clients_ + (leaving_ ? kLate : 0)) || make_room();
 }
 
-// Danger: connections that say nothing, or have asked once and stay for good, keep the others waiting
-// outside. Who only asked for the status, or for what nobody can use, has its answer
-// and goes first, at once; then those that never asked; then the longest idle.
+// Danger: connections that say nothing, or have asked once and stay for good, keep the others
+// waiting outside. Who only asked for the status, or for what nobody can use, has its answer and
+// goes first, at once; then those that never asked; then the longest idle.
 bool RpcFront::make_room() {
   const core::Time now = engine_.now();
   Client* best = nullptr;
@@ -119,7 +123,8 @@
     return false;
   }
   ++engine_.counters().idle_clients;
-  let_go(*best, false);  // its descriptor is wanted now; with nothing unread the close takes nothing along
+  let_go(*best,
+         false);  // its descriptor is wanted now; with nothing unread the close takes nothing along
   return true;
 }
 
@@ -137,7 +142,8 @@
     if (c->dead) continue;
     const auto taken = c->connection->written_total();
     if (c->queued == 0 || taken != c->taken) c->taken = taken, c->taken_at = now;
-    // A message may be long and the way slow: as long as some of it comes it has the time of a request.
+    // A message may be long and the way slow: as long as some of it comes it has the time of a
+    // request.
     const core::Time word = std::max(c->since, c->connection->last_read);
     const bool half = c->begun && (now > word + kWord || now > c->begun + longest_);
     const bool silent = half || (!c->asked && !c->begun && now > c->since + kWord);
@@ -150,8 +156,9 @@
   }
 }
 
-// Danger: a walk over all clients in every turn makes each request pay for thousands of idle connections. Who
-// was read, written to or dropped is on the list; nobody else can need anything at the turn's end.
+// Danger: a walk over all clients in every turn makes each request pay for thousands of idle
+// connections. Who was read, written to or dropped is on the list; nobody else can need anything at
+// the turn's end.
 void RpcFront::touch(Client& client) {
   if (std::exchange(client.touched, true)) return;
   touched_.push_back(&client);
@@ -165,7 +172,8 @@
 
 std::ptrdiff_t RpcFront::take(Client& client, std::string_view bytes) {
   touch(client);
-  // Danger: its request would be sent on for nobody. Its end is here though its words are read first.
+  // Danger: its request would be sent on for nobody. Its end is here though its words are read
+  // first.
   if (std::exchange(client.waited, false) && client.connection->peer_ended()) {
     let_go(client, false);
     return static_cast<std::ptrdiff_t>(bytes.size());
@@ -185,8 +193,10 @@
     bytes = rest;
     whole = client.asked = true;
   }
-  if (bytes.empty()) client.begun = 0;
-  else if (whole || !client.begun) client.begun = engine_.now();
+  if (bytes.empty())
+    client.begun = 0;
+  else if (whole || !client.begun)
+    client.begun = engine_.now();
   return static_cast<std::ptrdiff_t>(before - bytes.size());
 }
 
@@ -209,7 +219,8 @@
   }
   core::Demand demand;
   const auto found = classes_.find(std::string(c.method));
-  if (found == classes_.end() || !to_demand(c, found->second.second, demand) || engine_.clashes(demand)) {
+  if (found == classes_.end() || !to_demand(c, found->second.second, demand) ||
+      engine_.clashes(demand)) {
     ++engine_.counters().bad_requests;
     engine_.complain(core::Complaint::request);
     engine_.turned_away(found == classes_.end() ? core::kNoClass : found->second.first,
@@ -217,13 +228,14 @@
     reply(client, c.id, {core::Verdict::failed, false, 0, {}, {}, false});
     return true;
   }
-  // Danger: under this id a request is still open, or being called off; another attempt would be the second
-  // beside what is out of it. That one may have run.
+  // Danger: under this id a request is still open, or being called off; another attempt would be
+  // the second beside what is out of it. That one may have run.
   const bool again = engine_.holds(demand.id);
   // Bounds of this process, not of the service: nothing ran, so trying again is harmless.
   // So is what comes too late for us to finish.
-  if (!again && (leaving_ || client.ending || client.queued > kQueueFull || client.open.size() >= kOpenMost ||
-                 engine_.held_bytes() + queued_ > memory_ / kHeldPart)) {
+  if (!again &&
+      (leaving_ || client.ending || client.queued > kQueueFull || client.open.size() >= kOpenMost ||
+       engine_.held_bytes() + queued_ > memory_ / kHeldPart)) {
     refuse(client, c.id, found->second.first);
     return true;
   }
@@ -273,8 +285,9 @@
   let_go(**most, false);
 }
 
-// A client that ends its side has left, or still waits for answers: nobody can tell. What is out may come to
-// its end, and its answer is passed on; nothing more begins. After a reset nobody waits.
+// A client that ends its side has left, or still waits for answers: nobody can tell. What is out
+// may come to its end, and its answer is passed on; nothing more begins. After a reset nobody
+// waits.
 void RpcFront::lost(Client& client, net::Closed why) {
   touch(client);
   client.ending = true;
@@ -303,14 +316,15 @@
     if (c->dead) continue;
     c->connection->end_turn();
     count(*c);
-    if ((c->ending && c->open.empty() && c->connection->unwritten() == 0) || (c->asked && may_part(*c)))
+    if ((c->ending && c->open.empty() && c->connection->unwritten() == 0) ||
+        (c->asked && may_part(*c)))
       let_go(*c, true);
   }
   // Half messages that together take too much: whoever has kept one for longest has had its time.
   while (unread_ > memory_ / kUnreadPart) {
     const auto age = [](const auto& c) { return std::pair(c->unread == 0, c->begun); };
-    const auto oldest =
-        std::min_element(clients_.begin(), clients_.end(), [&](auto& a, auto& b) { return age(a) < age(b); });
+    const auto oldest = std::min_element(clients_.begin(), clients_.end(),
+                                         [&](auto& a, auto& b) { return age(a) < age(b); });
     ++engine_.counters().silent_clients;
     let_go(**oldest, true);
   }
@@ -323,8 +337,9 @@
   }
 }
 
-// Danger: the listening socket has connections in its queue, and some whose handshake is under way. New ones
-// are led to the successor first; the socket closes once those must have come up, and what they hold is ours.
+// Danger: the listening socket has connections in its queue, and some whose handshake is under way.
+// New ones are led to the successor first; the socket closes once those must have come up, and what
+// they hold is ours.
 void RpcFront::hand_over(core::Time leave_by) {
   if (std::exchange(parting_, true)) return;
   const core::Time wait = listener_ && listener_->steer_to_successor() ? kSteered : 0;
@@ -338,14 +353,15 @@
   if (!std::exchange(parts_, true)) part();
 }
 
-// How many open requests a busy client may lose now: least at the best moment, which nobody knows beforehand.
-// A third of the time is watched; then the first moment as good as the best one seen is taken, or nearly as
-// good in the last third; and at the end any.
+// How many open requests a busy client may lose now: least at the best moment, which nobody knows
+// beforehand. A third of the time is watched; then the first moment as good as the best one seen is
+// taken, or nearly as good in the last third; and at the end any.
 void RpcFront::part() {
   parts_ = parting_ || leaving_;
   if (!parts_) return;
   if (leaving_ && listener_ && listener_->stop_empty(false)) listener_.reset();
-  const core::Time now = engine_.now(), third = std::max<core::Time>(1, (leave_by_ - parting_since_) / 3);
+  const core::Time now = engine_.now(),
+                   third = std::max<core::Time>(1, (leave_by_ - parting_since_) / 3);
   for (auto& c : clients_) {
     if (c->dead) continue;
     if (may_part(*c)) {
@@ -354,7 +370,8 @@
     }
     if (!parting_) continue;
     const std::size_t open = c->open.size();
-    if (now < parting_since_ + third) c->least_open = std::min(c->least_open, open);
+    if (now < parting_since_ + third)
+      c->least_open = std::min(c->least_open, open);
     else if (open <= c->least_open + (now > parting_since_ + 2 * third ? 1 : 0) || now >= leave_by_)
       see_off(*c);
   }
@@ -382,7 +399,8 @@
 
 void RpcFront::cut() {
   for (auto& c : clients_) let_go(*c, false);
-  while (loop_.lingering().cut_oldest()) {}
+  while (loop_.lingering().cut_oldest()) {
+  }
 }
 
 bool RpcFront::gone() const { return !listener_ && live_ == 0 && loop_.lingering().size() == 0; }
@@ -396,9 +414,10 @@
   }
 }
 
-// A client is told to go by a close, at the first moment in which it has its answers and asks nothing: how
-// long that has lasted says nothing of when its next request comes. Danger: until that moment it may ask for
-// ever, and what is open at our end is lost. What has arrived and is not read yet is asked as well.
+// A client is told to go by a close, at the first moment in which it has its answers and asks
+// nothing: how long that has lasted says nothing of when its next request comes. Danger: until that
+// moment it may ask for ever, and what is open at our end is lost. What has arrived and is not read
+// yet is asked as well.
 bool RpcFront::may_part(const Client& c) const {
   return (parting_ || leaving_) && !c.dead && c.open.empty() && c.connection->unwritten() == 0 &&
          c.connection->unread() == 0 && !c.connection->arrived();
@@ -410,14 +429,16 @@
       std::max<std::size_t>(16, sockets / processes - std::min(sockets / processes, kOwnFds));
   most_clients_ = processes > 1 ? ours / 2 : sockets / 2;
   memory_ = (config_.memory_mb << 20) / processes;
-  while (live_ > most_clients_ && make_room()) {}
+  while (live_ > most_clients_ && make_room()) {
+  }
   loop_.lingering().fit(live_, most_clients_);
   if (processes == 1 && listener_) listener_->stop_steering();
 }
 
 bool RpcFront::idle() const {
-  return asked_.empty() && std::all_of(clients_.begin(), clients_.end(),
-                                       [](auto& c) { return c->dead || c->connection->unwritten() == 0; });
+  return asked_.empty() && std::all_of(clients_.begin(), clients_.end(), [](auto& c) {
+           return c->dead || c->connection->unwritten() == 0;
+         });
 }
 
 }  // namespace alderspur::platform
--- a/src/platform/rpc_front.h
+++ b/src/platform/rpc_front.h
@@ -16,19 +16,19 @@
 
 class RpcFront : public core::Front {
  public:
-  RpcFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, const sockaddr_in& listen,
-           const config::Config& config);
+  RpcFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+           const sockaddr_in& listen, const config::Config& config);
   ~RpcFront() override;
 
   void answer(core::Ticket ticket, const core::Answer& answer) override;
   void end_turn();
-  // Another process takes new clients on the same address: ours are sent there, the idle ones by a close, the
-  // others once they have their answers. take_back(): it has gone, clients are ours again.
-  // Ours end by `leave_by`, whatever they ask for.
+  // Another process takes new clients on the same address: ours are sent there, the idle ones by a
+  // close, the others once they have their answers. take_back(): it has gone, clients are ours
+  // again. Ours end by `leave_by`, whatever they ask for.
   void hand_over(core::Time leave_by);
   void take_back();
-  // We end, whoever comes after us or not. Nobody is taken any more, what is asked from now on is refused at
-  // once, and each client goes, by a lingering close, once it has its answers.
+  // We end, whoever comes after us or not. Nobody is taken any more, what is asked from now on is
+  // refused at once, and each client goes, by a lingering close, once it has its answers.
   void leave();
   void end();         // our time is over: what is open is given up, and answered in this turn
   void cut();         // whatever is still there is cut off
