--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -13,21 +13,24 @@
 namespace {
 
 constexpr core::Time kProbeTime = 250'000, kSweep = 1'000'000;
-// A probe is told as failed at kProbeTime, but its word is waited for so much longer: it may prove a queue.
+// A probe is told as failed at kProbeTime, but its word is waited for so much longer: it may prove
+// a queue.
 constexpr core::Time kLateWord = 3'000'000;
-constexpr int kDoubted = 2;  // connections to a server on which probes wait; further probes share the last
-constexpr core::Time kSilence = 300'000;  // not a byte for so long while an attempt waited: perhaps dead
+constexpr int kDoubted =
+    2;  // connections to a server on which probes wait; further probes share the last
+constexpr core::Time kSilence =
+    300'000;  // not a byte for so long while an attempt waited: perhaps dead
 constexpr std::size_t kBurntMost = 512;
-// Danger: a connection that is reset or spoilt takes all that is open on it along. So many share one before
-// another is opened beside it, up to so many to one server.
+// Danger: a connection that is reset or spoilt takes all that is open on it along. So many share
+// one before another is opened beside it, up to so many to one server.
 constexpr std::size_t kShare = 3, kLinksMost = 6;
 constexpr int kProbeTries = 3;
-// A connection with work of ours on which nothing came for kQuiet, and for longer than is usual before a
-// word, is asked for one; without it, it is lost.
+// A connection with work of ours on which nothing came for kQuiet, and for longer than is usual
+// before a word, is asked for one; without it, it is lost.
 constexpr core::Time kWatch = 50'000, kQuiet = 250'000, kWord = 300'000;
 constexpr double kUnusualDevs = 4;  // mean deviations above the mean
-// Half an answer has so long, and twice the sending time of what is open, to become whole; longer while it
-// comes at so many bytes a second.
+// Half an answer has so long, and twice the sending time of what is open, to become whole; longer
+// while it comes at so many bytes a second.
 constexpr core::Time kHalf = 1'500'000, kSlowest = 32'768;
 
 }  // namespace
@@ -45,11 +48,12 @@
   std::unordered_map<std::string, Open> open;
   std::deque<AttemptId> waiting;  // for the connection to come up, or for its queue to empty
   std::vector<std::string> probes;
-  std::deque<std::pair<std::uint64_t, AttemptId>> unwritten;  // commands, by where they end in the queue
-  std::string check;                                          // the tag under which it was asked for a word
+  std::deque<std::pair<std::uint64_t, AttemptId>>
+      unwritten;      // commands, by where they end in the queue
+  std::string check;  // the tag under which it was asked for a word
   core::Time checked = 0;
-  // Danger: a late answer to an attempt given up, or the second copy of one that failed, would pass for that
-  // of the same request's next attempt.
+  // Danger: a late answer to an attempt given up, or the second copy of one that failed, would pass
+  // for that of the same request's next attempt.
   std::unordered_set<std::string> burnt;
   core::Deadlines::Key dial{};
   bool retired = false, dead = false;
@@ -58,14 +62,16 @@
   core::Time half_since = 0;    // half an answer is here, 0: none
   core::Time doubted = 0;       // a probe was overdue then, and nothing came
   bool heard() const { return !doubted || connection->last_read > doubted; }
-  core::Time first(core::Time Open::*when, core::Time now) const {  // of the attempts open here; now: none
+  core::Time first(core::Time Open::*when,
+                   core::Time now) const {  // of the attempts open here; now: none
     for (const auto& [id, o] : open)
       if (o.attempt) now = std::min(now, o.*when);
     return now;
   }
   std::size_t load() const { return open.size() + waiting.size() + probes.size(); }
-  // Danger: what waits in the queue of a connection was judged when it was put there, and leaves when the
-  // list, a ban or a purge may have changed. So a command is made when its first byte can leave.
+  // Danger: what waits in the queue of a connection was judged when it was put there, and leaves
+  // when the list, a ban or a purge may have changed. So a command is made when its first byte can
+  // leave.
   bool takes_commands() const { return !connection->connecting() && connection->unwritten() == 0; }
 };
 struct Caches::Server {
@@ -77,7 +83,11 @@
 
 Caches::Caches(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
                const config::Config& config)
-    : loop_(loop), deadlines_(deadlines), engine_(engine), config_(config), link_limit_(link_limit(1)) {
+    : loop_(loop),
+      deadlines_(deadlines),
+      engine_(engine),
+      config_(config),
+      link_limit_(link_limit(1)) {
   sweep();
   watch_links();
 }
@@ -92,8 +102,10 @@
   const bool moved = known && address && member.address != s.member.address;
   const bool restarted = known && member.server.born > s.member.server.born;
   const std::string last_good = std::exchange(s.member, member).address;
-  if (address) s.address = *address;
-  else s.member.address = last_good;
+  if (address)
+    s.address = *address;
+  else
+    s.member.address = last_good;
   if (!address && member.server.status != al::Status::gone)
     engine_.complain(core::Complaint::address, member.name + ' ' + member.address);
   // A process that started anew knows nothing of what its forerunner was asked.
@@ -105,8 +117,8 @@
   return member.server.status == al::Status::gone || s.address.sin_port != 0;
 }
 
-// What waits for it has not run and is given back at once. Danger: another server may have its address by
-// the time a dial comes up.
+// What waits for it has not run and is given back at once. Danger: another server may have its
+// address by the time a dial comes up.
 void Caches::out_of_service(Server& server) {
   give_back(server.member.server.id);
   if (server.member.server.status != al::Status::gone) return;
@@ -135,7 +147,8 @@
   const std::string key(id);
   for (auto& link : server.links) {
     if (link->dead || link->retired || link->load() >= config_.streams) continue;
-    if (link->burnt.contains(key) || link->open.contains(key) || link->checked || !link->heard()) continue;
+    if (link->burnt.contains(key) || link->open.contains(key) || link->checked || !link->heard())
+      continue;
     if (stale(*link)) {
       drop(*link);
       continue;
@@ -146,7 +159,8 @@
   if (!best) return dial(server);
   const auto& links = server.links;
   const auto coming = [](auto& l) { return !l->dead && l->connection->connecting(); };
-  if (best->load() >= kShare && links.size() < kLinksMost && std::none_of(links.begin(), links.end(), coming))
+  if (best->load() >= kShare && links.size() < kLinksMost &&
+      std::none_of(links.begin(), links.end(), coming))
     dial(server);
   return best;
 }
@@ -197,8 +211,8 @@
     where_.erase(attempt);
     return engine_.withhold(attempt);
   }
-  // Danger: clients may give two requests one id; answers are told apart by it, so each needs its own
-  // connection.
+  // Danger: clients may give two requests one id; answers are told apart by it, so each needs its
+  // own connection.
   if (link.open.contains(std::string(order->id))) return send(attempt, order->server);
   std::string source;
   if (order->fill && order->fill->source != order->server)
@@ -227,12 +241,14 @@
 
 void Caches::mark_written(Link& link) {
   const auto total = link.connection->written_total();
-  for (; !link.unwritten.empty() && link.unwritten.front().first <= total; link.unwritten.pop_front())
+  for (; !link.unwritten.empty() && link.unwritten.front().first <= total;
+       link.unwritten.pop_front())
     engine_.written(link.unwritten.front().second);
 }
 
-// Danger: a spoilt line can read well. What is passed on must be what this request asked for: kept objects
-// come with their tag and date, writes with bytes, and a copy is confirmed only to whoever named it.
+// Danger: a spoilt line can read well. What is passed on must be what this request asked for: kept
+// objects come with their tag and date, writes with bytes, and a copy is confirmed only to whoever
+// named it.
 bool Caches::plausible(const LineAnswer& answer, AttemptId attempt) const {
   const core::Order* order = engine_.order(attempt);
   if (!order) return true;  // over already, nothing is passed on
@@ -273,14 +289,15 @@
     hear(link);
     const AttemptId attempt = it->second.attempt;
     const auto result = result_of(answer.word);
-    // A word of another answer, or an answer to what was not asked whole: nothing here can be trusted.
+    // A word of another answer, or an answer to what was not asked whole: nothing here can be
+    // trusted.
     if (!result || !engine_.was_written(attempt) || !plausible(answer, attempt)) return bad();
     if (*result != Result::ok) link.burnt.insert(it->first);
     link.open.erase(it);
     where_.erase(attempt);
     link.used = engine_.now();
-    engine_.reply(attempt, {*result, answer.word == "still_good", answer.body, answer.sum, answer.born,
-                            report_of(answer.report)});
+    engine_.reply(attempt, {*result, answer.word == "still_good", answer.body, answer.sum,
+                            answer.born, report_of(answer.report)});
     if (link.burnt.size() > kBurntMost) link.retired = true;
     if (link.retired && link.load() == 0) {
       drop(link);
@@ -289,9 +306,9 @@
   }
 }
 
-// Danger: where a router sends little, most connections are quiet for long while they serve; a look at each
-// would be a probe for every second request. What probes bring out is no measure of that, and a large answer
-// in one piece is due only once its own sending time is over.
+// Danger: where a router sends little, most connections are quiet for long while they serve; a look
+// at each would be a probe for every second request. What probes bring out is no measure of that,
+// and a large answer in one piece is due only once its own sending time is over.
 void Caches::hear(Link& link) {
   const core::Time now = engine_.now(), oldest = link.first(&Open::sent, now);
   if (oldest < now) gap_.learn(static_cast<double>(now - std::max(oldest, link.answered_at)));
@@ -310,15 +327,19 @@
     if (!o.attempt) {
       deadlines_.clear(o.timeout);
       if (o.overdue) continue;
-      // Danger: connections are reset while the machine is well. Only a refused one, or the next, says more.
+      // Danger: connections are reset while the machine is well. Only a refused one, or the next,
+      // says more.
       const auto id = link.server->member.server.id;
-      if (why != net::Closed::refused && o.tries < kProbeTries) probe(id, o.sent, o.tries + 1);
-      else engine_.probed(id, false, engine_.now() - o.sent, {});
+      if (why != net::Closed::refused && o.tries < kProbeTries)
+        probe(id, o.sent, o.tries + 1);
+      else
+        engine_.probed(id, false, engine_.now() - o.sent, {});
       continue;
     }
     where_.erase(o.attempt);
     const bool may_have_run = engine_.was_written(o.attempt);
-    engine_.reply(o.attempt, {may_have_run ? Result::reset : Result::connect_failed, false, {}, {}, 0, {}});
+    engine_.reply(o.attempt,
+                  {may_have_run ? Result::reset : Result::connect_failed, false, {}, {}, 0, {}});
   }
   for (const AttemptId attempt : waiting) {
     where_.erase(attempt);
@@ -352,7 +373,8 @@
   const std::string id = found->first;
   const Open open = found->second;
   link.open.erase(found);
-  // Danger: while the queue is stuck the abort would leave long after the request's next attempt elsewhere.
+  // Danger: while the queue is stuck the abort would leave long after the request's next attempt
+  // elsewhere.
   if (link.connection->unwritten() > 0) return lost(link, net::Closed::reset);
   link.connection->write("abort " + id + "\r\n");
   link.burnt.insert(id);
@@ -364,8 +386,9 @@
 
 void Caches::probe(al::ServerId id) { probe(id, engine_.now(), 1); }
 
-// Danger: on a connection that a spoilt answer has silenced, a probe would say that the machine is silent.
-// Danger: a dial for each probe of a silent server, from every router, is a load of its own.
+// Danger: on a connection that a spoilt answer has silenced, a probe would say that the machine is
+// silent. Danger: a dial for each probe of a silent server, from every router, is a load of its
+// own.
 Caches::Link* Caches::link_for_probe(Server& server, bool fresh) {
   Link *best = nullptr, *doubted = nullptr;
   std::size_t waiting = 0;
@@ -373,7 +396,8 @@
     if (l->dead || l->retired) continue;
     if (!l->heard() || l->connection->connecting()) ++waiting, doubted = l.get();
     const bool quiet = !l->open.empty() && l->connection->last_read <= engine_.now() - kQuiet;
-    if (!fresh && l->heard() && !l->checked && !l->connection->connecting() && !quiet) best = l.get();
+    if (!fresh && l->heard() && !l->checked && !l->connection->connecting() && !quiet)
+      best = l.get();
   }
   if (best) return best;
   return waiting < kDoubted ? dial(server) : doubted;
@@ -390,8 +414,10 @@
   open.sent = since;
   open.tries = tries;
   open.timeout = deadlines_.set(since + kProbeTime, [this, link, tag] { overdue(*link, tag); });
-  if (link->connection->connecting()) link->probes.push_back(tag);
-  else link->connection->write("stats " + tag + "\r\n");
+  if (link->connection->connecting())
+    link->probes.push_back(tag);
+  else
+    link->connection->write("stats " + tag + "\r\n");
 }
 
 void Caches::overdue(Link& link, const std::string& tag) {
@@ -462,7 +488,8 @@
       if (!link->dead && stale(*link)) drop(*link);
 }
 
-// Closed, and not written to, before the cache closes it: a command that crosses its close might have run.
+// Closed, and not written to, before the cache closes it: a command that crosses its close might
+// have run.
 bool Caches::stale(const Link& link) const {
   return link.load() == 0 && engine_.now() > link.used + config_.idle_close * 4 / 5;
 }
@@ -475,8 +502,8 @@
       if (Link& link = *s->links[i]; !link.dead && !link.connection->connecting()) watch(link);
 }
 
-// Danger: an answer that comes byte by byte for ever keeps its connection from looking silent, and all others
-// wait behind it.
+// Danger: an answer that comes byte by byte for ever keeps its connection from looking silent, and
+// all others wait behind it.
 bool Caches::never_ends(Link& link, core::Time now) {
   if (link.connection->unread() == 0) return link.half_since = 0, false;
   if (!link.half_since) link.half_since = now;
@@ -488,17 +515,19 @@
   return took > kHalf + 2 * sending && at_pace < took;
 }
 
-// Danger: after an answer that stops short or never comes, a connection stays open and is of no further use,
-// also for the other requests on it; the machine behind it is well.
+// Danger: after an answer that stops short or never comes, a connection stays open and is of no
+// further use, also for the other requests on it; the machine behind it is well.
 void Caches::watch(Link& link) {
   const core::Time now = engine_.now();
   if (never_ends(link, now)) {
     ++engine_.counters().silent_links;
     return lost(link, net::Closed::unreadable);
   }
-  if (link.checked && (link.check.empty() || link.connection->last_read >= link.checked)) link.checked = 0;
+  if (link.checked && (link.check.empty() || link.connection->last_read >= link.checked))
+    link.checked = 0;
   const core::Time quiet = now - std::max(link.first(&Open::due, now), link.connection->last_read);
-  if (quiet <= std::max(kQuiet, static_cast<core::Time>(gap_.value + kUnusualDevs * gap_.dev))) return;
+  if (quiet <= std::max(kQuiet, static_cast<core::Time>(gap_.value + kUnusualDevs * gap_.dev)))
+    return;
   // Nothing can be asked behind half an answer.
   if (link.connection->unread() > 0 || (link.checked && now > link.checked + kWord)) {
     ++engine_.counters().silent_links;
--- a/src/platform/upstream_pool.h
+++ b/src/platform/upstream_pool.h
@@ -1,4 +1,5 @@
-// The backend on the platform: connections to caches, parents and the origin, shared by many attempts.
+// The backend on the platform: connections to caches, parents and the origin, shared by many
+// attempts.
 #pragma once
 
 #include <map>
@@ -10,8 +11,8 @@
 
 #include "config/config.h"
 #include "core/engine.h"
-#include "routing_policy/estimates.h"
 #include "net/connection.h"
+#include "routing_state/estimators.h"
 
 namespace alderspur::platform {
 
@@ -19,12 +20,13 @@
 
 class Caches : public core::Backend {
  public:
-  Caches(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, const config::Config& config);
+  Caches(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+         const config::Config& config);
   ~Caches() override;
 
-  // What the board tells, before the engine hears of it. Connections are kept by a server's id: a new
-  // machine may have the address of one that has gone.
-  // False: no address of it that could be used has ever been told.
+  // What the board tells, before the engine hears of it. Connections are kept by a server's id: a
+  // new machine may have the address of one that has gone. False: no address of it that could be
+  // used has ever been told.
   bool update(const config::Member& member);
   void only(const std::vector<config::Member>& members);  // all others are gone
 
--- a/src/replication/bans.cpp
+++ b/src/replication/bans.cpp
@@ -8,7 +8,9 @@
 
 constexpr std::size_t kEncodedMost = 1 << 20;
 
-void pack(cluster::Packer& p, const Dot& d) { p.text(d.by.first).number(d.by.second).number(d.count); }
+void pack(cluster::Packer& p, const Dot& d) {
+  p.text(d.by.first).number(d.by.second).number(d.count);
+}
 Dot dot(cluster::Reader& r) {
   Dot d;
   d.by.first = r.text(), d.by.second = r.number(), d.count = r.number();
--- a/src/replication/causal.h
+++ b/src/replication/causal.h
@@ -1,10 +1,10 @@
-// Which changes a copy has seen, whatever the clocks say: each change has a dot of its own, an author and his
-// count; a context is the set of dots seen. No I/O, no clock. After Almeida, Shoker, Baquero: Delta State
-// Replicated Data Types (2018).
+// Which changes a copy has seen, whatever the clocks say: each change has a dot of its own, an
+// author and his count; a context is the set of dots seen. No I/O, no clock. After Almeida, Shoker,
+// Baquero: Delta State Replicated Data Types (2018).
 //
-// An author is one start of one router: name and epoch. So a router that lost its disk never gives a dot
-// twice. Bounds: kAuthorsMost authors and kCloudMost dots out of order; what is beyond is refused, and comes
-// again with a whole copy.
+// An author is one start of one router: name and epoch. So a router that lost its disk never gives
+// a dot twice. Bounds: kAuthorsMost authors and kCloudMost dots out of order; what is beyond is
+// refused, and comes again with a whole copy.
 #pragma once
 
 #include <algorithm>
--- a/src/replication/hash.h
+++ b/src/replication/hash.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "routing_policy/estimates.h"
+#include "routing_state/estimators.h"
 
 namespace alderspur::replication {
 
--- a/src/replication/purge_floors.cpp
+++ b/src/replication/purge_floors.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "routing_policy/estimates.h"
+#include "routing_state/estimators.h"
 
 namespace alderspur::replication {
 namespace {
@@ -13,7 +13,9 @@
 
 }  // namespace
 
-Floors::Key Floors::key(bool object, std::uint64_t id) { return {mix(id * 2 + object), object, id}; }
+Floors::Key Floors::key(bool object, std::uint64_t id) {
+  return {mix(id * 2 + object), object, id};
+}
 std::uint64_t Floors::sum(const Key& k, Time at) {
   return mix(k.place ^ mix(static_cast<std::uint64_t>(at)));
 }
@@ -51,7 +53,8 @@
 void Floors::fold() {
   std::vector<Time> times;
   for (const auto& [k, at] : held_) times.push_back(at);
-  std::nth_element(times.begin(), times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2), times.end());
+  std::nth_element(times.begin(), times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2),
+                   times.end());
   raise_all(times[times.size() / 2]);
 }
 
@@ -62,7 +65,8 @@
 
 std::array<std::uint64_t, kRanges> Floors::leaves(std::size_t range) const {
   std::array<std::uint64_t, kRanges> out{};
-  std::copy_n(sums_.begin() + static_cast<std::ptrdiff_t>(range % kRanges * kRanges), kRanges, out.begin());
+  std::copy_n(sums_.begin() + static_cast<std::ptrdiff_t>(range % kRanges * kRanges), kRanges,
+              out.begin());
   return out;
 }
 std::array<std::uint64_t, kRanges> Floors::sums() const {
--- a/src/replication/purge_floors.h
+++ b/src/replication/purge_floors.h
@@ -1,9 +1,9 @@
-// Purge floors that all routers keep: nothing of an object, or of a group, from before a moment may be
-// served. A mergeable map: the later moment wins and is never taken back. No I/O, no clock.
+// Purge floors that all routers keep: nothing of an object, or of a group, from before a moment may
+// be served. A mergeable map: the later moment wins and is never taken back. No I/O, no clock.
 //
-// Two copies find what differs in bytes that grow with the difference: sums over kLeaves ranges of keys, told
-// in two steps. Bounded: beyond `most` the older half is folded into one floor over everything (all()), which
-// is wider than what it stands for and never less.
+// Two copies find what differs in bytes that grow with the difference: sums over kLeaves ranges of
+// keys, told in two steps. Bounded: beyond `most` the older half is folded into one floor over
+// everything (all()), which is wider than what it stands for and never less.
 #pragma once
 
 #include <array>
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -8,7 +8,15 @@
 namespace {
 
 // Frames: [kind, fields...]. A later kind reads as nothing.
-enum class Kind : std::uint64_t { news_bans = 1, news_floors, sums, same, whole_bans, leaves, floors };
+enum class Kind : std::uint64_t {
+  news_bans = 1,
+  news_floors,
+  sums,
+  same,
+  whole_bans,
+  leaves,
+  floors
+};
 constexpr std::size_t kBansBytesMost = 1 << 20;
 
 void begin(cluster::Packer& p, Kind kind, std::size_t fields) {
@@ -36,7 +44,8 @@
   for (std::uint32_t i = 0; i < n; ++i) {
     auto x = r.item(i, 3);
     Floor f;
-    f.object = x.flag(), f.id = x.number(), f.at = static_cast<Time>(x.number(std::uint64_t{1} << 62));
+    f.object = x.flag(), f.id = x.number(),
+    f.at = static_cast<Time>(x.number(std::uint64_t{1} << 62));
     if (!x.good) return r.good = false;
     into.push_back(f);
   }
@@ -73,8 +82,8 @@
 void Replica::news(const std::string& bytes, const std::string& but) {
   ++counts_.news;
   std::vector<std::string> to;
-  for (std::size_t tries = 0; tries < 4 * set_.fanout && to.size() < set_.fanout && !others_.empty();
-       ++tries) {
+  for (std::size_t tries = 0;
+       tries < 4 * set_.fanout && to.size() < set_.fanout && !others_.empty(); ++tries) {
     const auto& name = others_[random_() % others_.size()];
     if (name != but && std::find(to.begin(), to.end(), name) == to.end()) to.push_back(name);
   }
@@ -116,8 +125,8 @@
   send(with, p.take());
 }
 
-// Danger: a change from elsewhere is told to the router by what it ends in: two bans and one lift are one
-// ban.
+// Danger: a change from elsewhere is told to the router by what it ends in: two bans and one lift
+// are one ban.
 void Replica::take_bans(const std::string& from, const Bans& theirs, bool whole) {
   const auto before = bans_.servers();
   const auto had = bans_.digest();
@@ -184,7 +193,8 @@
   switch (static_cast<Kind>(r.number())) {
     case Kind::news_bans:
     case Kind::whole_bans: {
-      const bool whole = u.m.data.via.array.ptr[0].via.u64 == static_cast<std::uint64_t>(Kind::whole_bans);
+      const bool whole =
+          u.m.data.via.array.ptr[0].via.u64 == static_cast<std::uint64_t>(Kind::whole_bans);
       Bans theirs;
       if (!Bans::decode(r.bytes(kBansBytesMost), theirs)) return refuse();
       return take_bans(e.from, theirs, whole);
@@ -219,8 +229,8 @@
         std::array<std::uint64_t, kRanges> theirs{};
         if (!read(x, theirs)) return refuse();
         const auto mine = floors_.leaves(range);
-        for (std::size_t k = 0; k < kRanges && ours.size() < kEntriesMost && wanted.size() < kEntriesMost;
-             ++k)
+        for (std::size_t k = 0;
+             k < kRanges && ours.size() < kEntriesMost && wanted.size() < kEntriesMost; ++k)
           if (mine[k] != theirs[k])
             wanted.push_back(range * kRanges + k), floors_.each(wanted.back(), ours, kEntriesMost);
       }
@@ -244,7 +254,8 @@
       more_ = theirs.size() >= kEntriesMost;
       for (const auto& f : theirs) take(f);
       if (!ours.empty()) send(e.from, floors_frame(ours, {}));
-      // At once again, until both say that they are the same: a copy that was long away catches up in a row.
+      // At once again, until both say that they are the same: a copy that was long away catches up
+      // in a row.
       if (n == 0 && !theirs.empty()) compare(e.from);
       return;
     }
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -1,16 +1,18 @@
-// What all routers of a cluster keep alike: bans by hand and purge floors. Values in, values out: no I/O, no
-// clock, no thread. Use it as Membership is used; not thread-safe.
+// What all routers of a cluster keep alike: bans by hand and purge floors. Values in, values out:
+// no I/O, no clock, no thread. Use it as Membership is used; not thread-safe.
 //
-// News go at once to a few others, and on from each for whom they are news. Each `compare` one other is asked
-// to compare: sums tell what differs, and only that is sent. So what a cut or a loss kept from somebody comes
-// with the next comparisons, and whoever was away needs no tombstones: what a copy has seen is part of it.
+// News go at once to a few others, and on from each for whom they are news. Each `compare` one
+// other is asked to compare: sums tell what differs, and only that is sent. So what a cut or a loss
+// kept from somebody comes with the next comparisons, and whoever was away needs no tombstones:
+// what a copy has seen is part of it.
 //
-// A copy is caught up once another said that both are the same. Where that word does not come, since nobody
-// is there, those that are there know of no copies (an earlier program), or changes never rest, it is after
-// `alone`, unless a large difference is still on its way.
+// A copy is caught up once another said that both are the same. Where that word does not come,
+// since nobody is there, those that are there know of no copies (an earlier program), or changes
+// never rest, it is after `alone`, unless a large difference is still on its way.
 //
-// Bounds: kNewsMost floors and one difference of bans a message; kLeavesMost leaves a comparison and
-// kEntriesMost floors an answer; a frame that does not fit its form reads as nothing and is counted.
+// Bounds: kNewsMost floors and one difference of bans a message; kLeavesMost leaves a comparison
+// and kEntriesMost floors an answer; a frame that does not fit its form reads as nothing and is
+// counted.
 #pragma once
 
 #include <cstdint>
@@ -101,7 +103,8 @@
                    const std::array<std::uint64_t, kRanges>& theirs);
   void take_bans(const std::string& from, const Bans& theirs, bool whole);
   bool take(const Floor& f);
-  std::string floors_frame(const std::vector<Floor>& floors, const std::vector<std::size_t>& wanted) const;
+  std::string floors_frame(const std::vector<Floor>& floors,
+                           const std::vector<std::size_t>& wanted) const;
 
   const ReplicaSettings set_;
   std::mt19937_64 random_;
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -91,7 +91,8 @@
   const Route* found = nullptr;
 };
 
-Table::Table(const config_language::Meaning& meaning, const config_language::Sources& sources) : any_(std::make_unique<Node>()) {
+Table::Table(const config_language::Meaning& meaning, const config_language::Sources& sources)
+    : any_(std::make_unique<Node>()) {
   std::map<std::string, std::uint32_t> pools, policies;
   for (const auto& d : meaning.declarations) {
     if (d.kind->name == "pool" && pools.emplace(d.name, pools_.size()).second) {
@@ -103,7 +104,8 @@
   }
   const auto target = [&](const config_language::Settings& s) {
     Target t;
-    if (const auto p = texts(s, "pool"); !p.empty() && pools.contains(p[0])) t.pool = pools.at(p[0]);
+    if (const auto p = texts(s, "pool"); !p.empty() && pools.contains(p[0]))
+      t.pool = pools.at(p[0]);
     if (const auto p = texts(s, "policy"); !p.empty() && policies.contains(p[0]))
       t.policy = policies.at(p[0]);
     return t;
@@ -114,7 +116,8 @@
         if (pools.contains(name)) pools_[pools.at(d.name)].fallback.push_back(pools.at(name));
     if (d.kind->name != "route") continue;
     std::string error;
-    auto path = config_language::segments(texts(d.settings, "path").empty() ? "" : texts(d.settings, "path")[0], error);
+    auto path = config_language::segments(
+        texts(d.settings, "path").empty() ? "" : texts(d.settings, "path")[0], error);
     const auto cls = texts(d.settings, "class");
     if (!path || cls.empty()) continue;  // a program that does not check
     Route r;
@@ -161,7 +164,8 @@
       end = &node->rests;
       break;
     }
-    auto& next = s.kind == config_language::Segment::Kind::capture ? node->capture : node->literal[s.text];
+    auto& next =
+        s.kind == config_language::Segment::Kind::capture ? node->capture : node->literal[s.text];
     if (!next) next = std::make_unique<Node>();
     node = next.get();
   }
@@ -197,10 +201,12 @@
   };
   if (depth == walk.segments.size()) return first(node.ends);
   if (!node.literal.empty())
-    if (const auto it = node.literal.find(std::string(walk.segments[depth])); it != node.literal.end())
+    if (const auto it = node.literal.find(std::string(walk.segments[depth]));
+        it != node.literal.end())
       if (search(*it->second, walk, depth + 1)) return true;
   // A capture takes no empty segment: "/a/" is not "/a/{x}" with nothing for x.
-  if (node.capture && !walk.segments[depth].empty() && search(*node.capture, walk, depth + 1)) return true;
+  if (node.capture && !walk.segments[depth].empty() && search(*node.capture, walk, depth + 1))
+    return true;
   return first(node.rests);
 }
 
@@ -211,7 +217,8 @@
     const auto slash = rest.find('/');
     walk.segments.push_back(rest.substr(0, slash));
     if (slash == std::string_view::npos) break;
-    if (walk.segments.size() >= kSegmentsMost) return {};  // no route is so deep; the rest of a * may be
+    if (walk.segments.size() >= kSegmentsMost)
+      return {};  // no route is so deep; the rest of a * may be
     rest.remove_prefix(slash + 1);
   }
   const auto host = lower(q.host.substr(0, q.host.find(':')));
@@ -229,7 +236,8 @@
   m.target = split ? m.route->splits[*split].second : m.route->target;
   for (std::size_t i = 0; i < m.route->path.size(); ++i) {
     const auto& s = m.route->path[i];
-    if (s.kind == config_language::Segment::Kind::capture) m.captures.emplace_back(s.text, walk.segments[i]);
+    if (s.kind == config_language::Segment::Kind::capture)
+      m.captures.emplace_back(s.text, walk.segments[i]);
     if (s.kind == config_language::Segment::Kind::rest)
       m.captures.emplace_back(
           "*", q.path.substr(static_cast<std::size_t>(walk.segments[i].data() - q.path.data())));
@@ -243,7 +251,8 @@
     return all.empty() || std::find(all.begin(), all.end(), one) != all.end();
   };
   for (const auto& s : list.servers) {
-    if (s.role != p.role || s.state != endpoints::State::in_service || s.weight < p.weight_least) continue;
+    if (s.role != p.role || s.state != endpoints::State::in_service || s.weight < p.weight_least)
+      continue;
     const auto& place = list.place_name(s);
     const auto& hub = s.role == Role::cache ? list.hubs[list.points[s.place].hub] : place;
     if (s.role == Role::cache && !among(p.points, place)) continue;
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -1,13 +1,16 @@
-// An immutable table of routes: which route, pool and policy hold for a request. Made from what a program of
-// the configuration language means; matched without I/O, locks or allocation beyond the captures.
+// An immutable table of routes: which route, pool and policy hold for a request. Made from what a
+// program of the configuration language means; matched without I/O, locks or allocation beyond the
+// captures.
 //
-// Precedence: hosts exact, then "*.suffix" (longest first), then any; within a host, segment by segment from
-// the left, text before {capture} before *; of equal paths the route with more conditions, then the earlier
-// one. A route whose method or conditions do not hold is passed over and the next best is tried.
-// Paths are compared as they stand in the request, byte by byte; hosts without regard to case. The cost of a
-// match grows with the path's length and with the captures on its way, not with the number of routes.
+// Precedence: hosts exact, then "*.suffix" (longest first), then any; within a host, segment by
+// segment from the left, text before {capture} before *; of equal paths the route with more
+// conditions, then the earlier one. A route whose method or conditions do not hold is passed over
+// and the next best is tried. Paths are compared as they stand in the request, byte by byte; hosts
+// without regard to case. The cost of a match grows with the path's length and with the captures on
+// its way, not with the number of routes.
 //
-// A Table never changes: many threads may match at once, and what is in flight keeps the one it began under.
+// A Table never changes: many threads may match at once, and what is in flight keeps the one it
+// began under.
 #pragma once
 
 #include <cstdint>
@@ -76,7 +79,8 @@
 struct Match {
   const Route* route = nullptr;
   Target target;
-  std::vector<std::pair<std::string_view, std::string_view>> captures;  // slices of the question's path
+  std::vector<std::pair<std::string_view, std::string_view>>
+      captures;  // slices of the question's path
 };
 
 class Table {
@@ -110,7 +114,8 @@
 
 // Whether a host pattern ("a.example", "*.example") takes a host in lower case.
 bool host_fits(std::string_view pattern, std::string_view host);
-// Which part of one a core::stable_hash falls into: the place of the split, or nothing for the rest.
+// Which part of one a core::stable_hash falls into: the place of the split, or nothing for the
+// rest.
 std::optional<std::size_t> split_of(const Route& route, std::uint64_t hash);
 
 }  // namespace alderspur::routing
--- a/src/routing_policy/router.cpp
+++ b/src/routing_policy/router.cpp
@@ -1,4 +1,7 @@
-// The decision module: interface in include/alderspur/router.h, departures from the design in docs/design.md.
+// The decision module: interface in include/alderspur/router.h, departures from the design in
+// docs/design.md.
+#include "alderspur/router.h"
+
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -8,8 +11,7 @@
 #include <span>
 #include <unordered_map>
 
-#include "alderspur/router.h"
-#include "routing_policy/state.h"
+#include "routing_state/state.h"
 
 namespace alderspur {
 namespace {
@@ -20,45 +22,57 @@
 constexpr double kLeastCount = 6;      // requests of one object in a window; fewer say nothing
 constexpr Time kWidenPause = kSecond;  // between two widenings of one set: counts must follow
 constexpr double kShrinkPart = 0.25;   // of T(s): below it everywhere for a window, a set shrinks
-constexpr double kRampFrom = 0.25;     // a new member's first share of a full one, rising over kWindow
-constexpr double kHugeFactor = 8;      // times the class's mean size: kept at the lowest rank at most
-// A crowded home: its work out over the location's mean, and sending seconds that are never too many.
-constexpr double kSeen = 0.4;   // attempts out for each cache and sharer: fewer say nothing of a crowd
-constexpr double kSharers = 2;  // routers of a location for whose view these values were set: others see thin
+constexpr double kRampFrom = 0.25;  // a new member's first share of a full one, rising over kWindow
+constexpr double kHugeFactor = 8;   // times the class's mean size: kept at the lowest rank at most
+// A crowded home: its work out over the location's mean, and sending seconds that are never too
+// many.
+constexpr double kSeen =
+    0.4;  // attempts out for each cache and sharer: fewer say nothing of a crowd
+constexpr double kSharers =
+    2;  // routers of a location for whose view these values were set: others see thin
 constexpr double kCrowded = 1.5, kCrowdedLeast = 1;
-constexpr int kCalm = 2;               // attempts out, at most, where a hit's time tells its sending time
-constexpr double kLateDevs = 3;        // deviations above the mean: late
+constexpr int kCalm = 2;         // attempts out, at most, where a hit's time tells its sending time
+constexpr double kLateDevs = 3;  // deviations above the mean: late
 constexpr double kLateFrom = 0.4;      // of the aim: nothing is late earlier
 constexpr Time kLeastTime = 30 * kMs;  // less than this left: no attempt can finish
-constexpr double kRetryPart = 0.15, kRetrySaved = 6;  // attempts a request, and how many can be saved up
-// Admission: a limit on sending seconds out; each answer moves it by kLimitStep of its distance from the aim.
+constexpr double kRetryPart = 0.15,
+                 kRetrySaved = 6;  // attempts a request, and how many can be saved up
+// Admission: a limit on sending seconds out; each answer moves it by kLimitStep of its distance
+// from the aim.
 constexpr double kCrowdAim = 0.3, kCrowdMost = 2, kLimitStep = 0.03;
-constexpr double kLeastShare = 0.01;                    // of a router, for one of its processes
-constexpr double kLimitLeast = 0.5, kLimitPart = 0.25;  // seconds for a cache; of our share of told sizes
+constexpr double kLeastShare = 0.01;  // of a router, for one of its processes
+constexpr double kLimitLeast = 0.5,
+                 kLimitPart = 0.25;  // seconds for a cache; of our share of told sizes
 constexpr double kStillWork = 2, kStillLearn = 0.03, kStillForget = 0.002, kStillRoom = 0.15,
                  kStillMost = 0.4;
 constexpr double kCheapRoom = 2;  // over the limit, for requests that cost little for their worth
-constexpr double kFetchAim = 0.5, kFetchLeast = 4.5;  // the same for fetches; of all routers, one origin
-constexpr double kPressLearn = 0.05;                  // weight of one request in the part refused lately
-constexpr int kHardFails = 2;                         // refused, reset or silent in a row: out
-// Errors in a window, their part of all answers, over the peers' part or alone: who stands out is out.
+constexpr double kFetchAim = 0.5,
+                 kFetchLeast = 4.5;   // the same for fetches; of all routers, one origin
+constexpr double kPressLearn = 0.05;  // weight of one request in the part refused lately
+constexpr int kHardFails = 2;         // refused, reset or silent in a row: out
+// Errors in a window, their part of all answers, over the peers' part or alone: who stands out is
+// out.
 constexpr double kSoftFails = 3, kSoftPart = 0.25, kSoftOver = 2, kSoftAlone = 0.5;
 constexpr Time kParentLook = kSecond;  // between two looks at a parent whose fills are late
 constexpr int kUnheard = 4;            // probes in a row that a parent leaves unanswered: out
-// A cache with work of ours is probed when silent for so long, and longer than is usual before a word.
+// A cache with work of ours is probed when silent for so long, and longer than is usual before a
+// word.
 constexpr Time kLook = 100 * kMs, kMute = 300 * kMs;
 constexpr Time kOwnWord = 3 * kMs;  // turned away sooner: by the cache itself, no source was asked
 constexpr int kSourceFails = 3;     // fills failed in a row by one source: passed over
 constexpr Time kBackoff = kSecond, kBackoffMost = 8 * kSecond;  // first and longest ejection
 // Cold ledger: of what is held to be its capacity now, a cold server is sent this part.
-constexpr double kColdUse = 0.75;        // told sizes: true ones lie below at times
-constexpr double kColdCarry = 1.1;       // of what warm ones carry for us: they are not full
-constexpr double kColdBurst = 0.25;      // of the fall window: how much allowance can be saved up
-constexpr double kCarryLearn = 0.1;      // a second: a thin sample's luck must not become its carry
-constexpr double kCarryForget = 0.01;    // a second: the most they carried is the better guess at their size
+constexpr double kColdUse = 0.75;    // told sizes: true ones lie below at times
+constexpr double kColdCarry = 1.1;   // of what warm ones carry for us: they are not full
+constexpr double kColdBurst = 0.25;  // of the fall window: how much allowance can be saved up
+constexpr double kCarryLearn = 0.1;  // a second: a thin sample's luck must not become its carry
+constexpr double kCarryForget =
+    0.01;  // a second: the most they carried is the better guess at their size
 constexpr double kUnknownTransfers = 1;  // capacity assumed before anything was observed
-// Purges: a fill begun before may land after caches have settled; the margin covers clocks and ways.
-constexpr Time kPurgeExtra = 4 * kSecond, kPurgeMargin = 2 * kMs, kOnWay = 20 * kMs;  // kOnWay: of a repeat
+// Purges: a fill begun before may land after caches have settled; the margin covers clocks and
+// ways.
+constexpr Time kPurgeExtra = 4 * kSecond, kPurgeMargin = 2 * kMs,
+               kOnWay = 20 * kMs;  // kOnWay: of a repeat
 constexpr Time kSweep = kSecond, kIdleObject = 30 * kSecond, kAskPause = kSecond;
 constexpr Time kRetryAfter = 400 * kMs;  // advice: from once to twice this,
 constexpr double kPressed = 8;           // and so many times more as more is refused
@@ -67,7 +81,8 @@
 
 class Router::Impl {
  public:
-  Impl(const Settings& s, std::uint64_t seed) : set_(s), random_(seed), learned_(s.classes.size()) {}
+  Impl(const Settings& s, std::uint64_t seed)
+      : set_(s), random_(seed), learned_(s.classes.size()) {}
   void handle(Time now, const Event& event, std::vector<Action>& actions) {
     out_ = &actions;
     now_ = std::max(now_, now);
@@ -112,12 +127,14 @@
   std::uint32_t next_timer_ = 1;
   std::vector<Learned> learned_;
   Bucket retries_{kRetrySaved / 2};
-  Limit door_, fetches_;                // of the location's caches; of what may wait for the origin
-  bool noted_ = false;                  // answers say what became of fills
-  double fetch_out_ = 0, pressed_ = 0;  // sending seconds waiting for the origin; part refused lately
-  double still_ = 0;                    // the crowd felt at the least work
-  Mean cost_;                           // sending seconds for a unit of worth
-  Mean gap_;  // from being asked, or an answer, to the next answer of a cache; what probes told is no answer
+  Limit door_, fetches_;  // of the location's caches; of what may wait for the origin
+  bool noted_ = false;    // answers say what became of fills
+  double fetch_out_ = 0,
+         pressed_ = 0;  // sending seconds waiting for the origin; part refused lately
+  double still_ = 0;    // the crowd felt at the least work
+  Mean cost_;           // sending seconds for a unit of worth
+  Mean gap_;  // from being asked, or an answer, to the next answer of a cache; what probes told is
+              // no answer
   struct Carry {
     double mean = 0, most = 0;
   } cache_carry_, parent_carry_;  // transfers that warm ones do for us, remembered
@@ -163,16 +180,20 @@
     n.banned = banned_.contains(s.id);
     if (restarted) n.streak = 0, n.blocked_until = 0, n.on_trial = n.was_silent = false;
     if (s.role == Role::origin) return;
-    if (restarted || (fresh && s.born > 0)) chill(n, s.born, true);
-    else if (back) chill(n, now_, true);
+    if (restarted || (fresh && s.born > 0))
+      chill(n, s.born, true);
+    else if (back)
+      chill(n, now_, true);
   }
   void chill(Node& n, Time since, bool told) {
     n.told = told || (n.cold && n.told);
     n.cold = true;
     n.cold_since = std::min(since, now_);
-    // Danger: hundreds of routers with one first send each push a cold server over; debts spread them.
+    // Danger: hundreds of routers with one first send each push a cold server over; debts spread
+    // them.
     double most = 0;
-    for (std::uint32_t c = 0; c < set_.classes.size(); ++c) most = std::max(most, class_sending({c}));
+    for (std::uint32_t c = 0; c < set_.classes.size(); ++c)
+      most = std::max(most, class_sending({c}));
     n.tokens = -chance() * most;
     n.tokens_at = now_;
   }
@@ -182,15 +203,20 @@
     origin_ = nullptr;
     for (auto& [id, n] : nodes_) {
       if (!n.ready()) continue;
-      if (n.at.role == Role::origin) origin_ = &n;
-      else if (n.at.role == Role::parent) parents_.push_back(&n);
-      else if (n.at.location == set_.location) caches_.push_back(&n);
+      if (n.at.role == Role::origin)
+        origin_ = &n;
+      else if (n.at.role == Role::parent)
+        parents_.push_back(&n);
+      else if (n.at.location == set_.location)
+        caches_.push_back(&n);
     }
   }
 
   // ---- Views of load ----
 
-  bool sized() const { return set_.weights == WeightKind::nominal || set_.weights == WeightKind::rough; }
+  bool sized() const {
+    return set_.weights == WeightKind::nominal || set_.weights == WeightKind::rough;
+  }
   double weight(const Node& n) const { return sized() ? n.at.weight : 1; }
   double sending(const Request& q) {  // seconds, at the top pace where sizes are told
     if (known(q.size_kb) > 0 && set_.stream_kb_per_s > 0) return q.size_kb / set_.stream_kb_per_s;
@@ -204,13 +230,18 @@
   Time aim(const Request& q) {
     return cls(q).target + static_cast<Time>(cls(q).aim_stretch * sending(q) * kSecond);
   }
-  double over_aim(const Request& q, double took) {  // beyond its own sending, over what the aim leaves beside
-    const double own = sending(q) * kSecond, room = std::max(1.0, static_cast<double>(aim(q)) - own);
+  double over_aim(const Request& q,
+                  double took) {  // beyond its own sending, over what the aim leaves beside
+    const double own = sending(q) * kSecond,
+                 room = std::max(1.0, static_cast<double>(aim(q)) - own);
     return std::clamp((took - own) / room, 0.0, kCrowdMost);
   }
-  double usual(const Request& q) { return static_cast<double>(cls(q).target) + sending(q) * kSecond; }
+  double usual(const Request& q) {
+    return static_cast<double>(cls(q).target) + sending(q) * kSecond;
+  }
 
-  // Load of our caches over their sizes. Unheard ones and those in doubt, which read light, count as average.
+  // Load of our caches over their sizes. Unheard ones and those in doubt, which read light, count
+  // as average.
   std::vector<double> loads() {
     std::vector<double> v;
     double sum = 0, heard = 0;
@@ -226,7 +257,8 @@
     const auto v = loads();
     auto sorted = v;
     std::sort(sorted.begin(), sorted.end());
-    const auto at = static_cast<std::size_t>(std::find(caches_.begin(), caches_.end(), &n) - caches_.begin());
+    const auto at =
+        static_cast<std::size_t>(std::find(caches_.begin(), caches_.end(), &n) - caches_.begin());
     if (at == v.size() || sorted.back() <= sorted.front()) return kBaseThresh;
     const double median = (sorted[(sorted.size() - 1) / 2] + sorted[sorted.size() / 2]) / 2;
     const double alpha = 1 - median / sorted.back();
@@ -239,8 +271,10 @@
   std::vector<Node*> ranked(const std::vector<Node*>& from, ObjectId object) const {
     std::vector<std::pair<double, Node*>> scored;
     for (auto* n : from)
-      scored.push_back({std::log(unit(mix(mix(object.value) ^ mix(n->at.id.value)))) / weight(*n), n});
-    std::stable_sort(scored.begin(), scored.end(), [](auto& a, auto& b) { return a.first > b.first; });
+      scored.push_back(
+          {std::log(unit(mix(mix(object.value) ^ mix(n->at.id.value)))) / weight(*n), n});
+    std::stable_sort(scored.begin(), scored.end(),
+                     [](auto& a, auto& b) { return a.first > b.first; });
     std::vector<Node*> line;
     for (auto& s : scored) line.push_back(s.second);
     return line;
@@ -249,12 +283,16 @@
     const auto it = std::ranges::find(o.members, id, &Member::id);
     return it != o.members.end() ? *it : o.members.emplace_back(Member{id, {}, {}, {}, now_});
   }
-  std::size_t cap() const { return std::min(caches_.size(), std::max<std::size_t>(2, caches_.size() / 2)); }
+  std::size_t cap() const {
+    return std::min(caches_.size(), std::max<std::size_t>(2, caches_.size() / 2));
+  }
 
   std::vector<Node*> line_for(Object& o, ObjectId id) {
     auto line = ranked(caches_, id);
-    // Danger: the dead of a lost point, asked as a last resort, hold a request past all other tries.
-    if (set_.may_probe || std::any_of(line.begin(), line.end(), [&](Node* n) { return usable(*n); }))
+    // Danger: the dead of a lost point, asked as a last resort, hold a request past all other
+    // tries.
+    if (set_.may_probe ||
+        std::any_of(line.begin(), line.end(), [&](Node* n) { return usable(*n); }))
       std::erase_if(line, [&](Node* n) { return !usable(*n); });
     const std::size_t width = std::min({o.width, cap(), line.size()});
     if (width < 2) return uncrowded(line);
@@ -267,7 +305,8 @@
                      [&](Node* a, Node* b) { return filled(a) < filled(b); });
     return uncrowded(line);
   }
-  // Danger: a home with more work than it can send stays crowded. Where we see that, the next goes first.
+  // Danger: a home with more work than it can send stays crowded. Where we see that, the next goes
+  // first.
   std::vector<Node*> uncrowded(std::vector<Node*> line) const {
     double work = 0, size = 0, out = 0;
     for (auto* n : line) work += n->work_out, size += weight(*n), out += n->out;
@@ -300,10 +339,14 @@
 
   // ---- Source of fills ----
 
-  // First usable parent in hash order over all listed ones, else the origin. Null: nobody can be asked now.
+  // First usable parent in hash order over all listed ones, else the origin. Null: nobody can be
+  // asked now.
   Node* source_for(const Life& life) {
-    const auto bad = [&](const Node& n) { return std::ranges::count(life.bad_sources, n.at.id) > 0; };
-    // Danger: writes run at the origin anyway; in a full parent's queue they would wait and fail for nothing.
+    const auto bad = [&](const Node& n) {
+      return std::ranges::count(life.bad_sources, n.at.id) > 0;
+    };
+    // Danger: writes run at the origin anyway; in a full parent's queue they would wait and fail
+    // for nothing.
     if (cls(life.q).uncached && origin_ && !bad(*origin_)) return origin_;
     for (auto* p : ranked(parents_, life.q.object))
       if (!bad(*p) && usable(*p) && affords(*p)) return p;
@@ -314,16 +357,20 @@
     Node* s = a.filling ? find(a.source) : nullptr;
     if (!s) return;
     const bool broke = o.note == Note::source_refused || o.note == Note::source_unreachable;
-    const bool gave = o.result == Result::ok && (o.note == Note::filled || o.note == Note::filled_by_origin);
-    // Without notes what was purged tells: hits would hide what fetches take, lost answers reopen nothing.
+    const bool gave =
+        o.result == Result::ok && (o.note == Note::filled || o.note == Note::filled_by_origin);
+    // Without notes what was purged tells: hits would hide what fetches take, lost answers reopen
+    // nothing.
     const bool had_to = a.fetching && !noted_ && purged_at(q) >= 0;
-    const bool fetched = noted_ ? gave && (o.note == Note::filled_by_origin || s->at.role == Role::origin)
-                                : had_to && o.result == Result::ok;
+    const bool fetched =
+        noted_ ? gave && (o.note == Note::filled_by_origin || s->at.role == Role::origin)
+               : had_to && o.result == Result::ok;
     const bool kept_out = noted_ ? a.fetching && o.result == Result::timeout
                                  : had_to && o.result == Result::full && o.elapsed > kOwnWord;
     const bool stuck = o.note == Note::origin_failed || o.note == Note::fills_full ||
                        (broke && s->at.role == Role::origin) || kept_out;
-    const Time waited = o.first_byte > 0 ? o.first_byte : o.elapsed;  // where told, without the link's part
+    const Time waited =
+        o.first_byte > 0 ? o.first_byte : o.elapsed;  // where told, without the link's part
     if (fetched || stuck)
       fetches_.learn(kLimitStep * std::sqrt(thin(sharers(true))),
                      kFetchAim - (stuck ? kCrowdMost : over_aim(q, static_cast<double>(waited))),
@@ -339,7 +386,8 @@
     }
     if (gave || (!noted_ && a.fetching && o.result == Result::ok))
       s->streak = s->ejections = 0, s->on_trial = false;
-    // Danger: many routers reach a parent that starts at once. One refused connection there puts it out.
+    // Danger: many routers reach a parent that starts at once. One refused connection there puts it
+    // out.
     const bool unreached = o.note == Note::source_unreachable && o.result == Result::full;
     if (broke) s->streak += unreached ? static_cast<int>(thin()) : 1;
     if (!broke || s->streak < kSourceFails) return;
@@ -349,14 +397,18 @@
 
   // ---- Health ----
 
-  bool doubtful(const Node& n) const { return n.on_trial || now_ < n.blocked_until || n.streak > 0; }
-  // Out while ejected; then one attempt at a time tests it. With probes allowed, a probe goes first.
+  bool doubtful(const Node& n) const {
+    return n.on_trial || now_ < n.blocked_until || n.streak > 0;
+  }
+  // Out while ejected; then one attempt at a time tests it. With probes allowed, a probe goes
+  // first.
   bool usable(const Node& n) const {
-    return now_ >= n.blocked_until && !(n.on_trial && (n.out > 0 || (awaits_probe(n) && !n.proved)));
+    return now_ >= n.blocked_until &&
+           !(n.on_trial && (n.out > 0 || (awaits_probe(n) && !n.proved)));
   }
   bool awaits_probe(const Node& n) const {
-    return set_.may_probe &&
-           (n.at.role == Role::parent || (n.at.role == Role::cache && n.at.location == set_.location));
+    return set_.may_probe && (n.at.role == Role::parent ||
+                              (n.at.role == Role::cache && n.at.location == set_.location));
   }
   void eject(Node& n) {
     n.blocked_until = now_ + std::min(kBackoffMost, kBackoff << std::min(n.ejections, 5));
@@ -375,33 +427,41 @@
     double peers_bad = 0, peers_all = 0;
     for (auto* p : n.at.role == Role::parent ? parents_ : caches_)
       if (p != &n) peers_bad += p->errors.read(now_), peers_all += p->answers.read(now_);
-    return peers_all < kSoftFails ? bad > kSoftAlone * all : bad * peers_all > kSoftOver * peers_bad * all;
+    return peers_all < kSoftFails ? bad > kSoftAlone * all
+                                  : bad * peers_all > kSoftOver * peers_bad * all;
   }
   // Danger: a cache that went silent and is back has restarted unseen, so it is cold and empty.
   void answered(Node& n) {
     if (n.was_silent && n.at.role != Role::origin) chill(n, now_, false);
     n.was_silent = n.on_trial = false, n.unheard = n.streak = n.ejections = 0;
   }
-  static bool fill_failed(const Outcome& o) { return o.note >= Note::source_refused; }  // not the cache
+  static bool fill_failed(const Outcome& o) {
+    return o.note >= Note::source_refused;
+  }  // not the cache
   void judge(Node& n, const Request& q, const Attempt& a, const Outcome& o) {
-    const bool word = o.result == Result::ok || o.result == Result::error || o.result == Result::full ||
-                      o.result == Result::miss;
+    const bool word = o.result == Result::ok || o.result == Result::error ||
+                      o.result == Result::full || o.result == Result::miss;
     if (word && n.at.role == Role::cache)
-      gap_.learn(static_cast<double>(now_ - std::max(n.idle_until, std::exchange(n.answered_at, now_))));
+      gap_.learn(
+          static_cast<double>(now_ - std::max(n.idle_until, std::exchange(n.answered_at, now_))));
     if (word) n.last_answer = now_, n.answers.add(now_, 1);
     if (o.result == Result::ok || o.result == Result::miss || fill_failed(o)) return answered(n);
     if (o.result == Result::error) {
       n.errors.add(now_, 1);
       if (n.on_trial || sick(n)) eject(n);
     } else if (o.result == Result::reset && awaits_probe(n) && !n.on_trial) {
-      if (!n.probing) check(n);  // a spoilt answer or a lost connection is no sick cache: a probe tells
-      if (std::exchange(n.reset_at, now_) == now_) return;  // one connection's end, however many it carried
+      if (!n.probing)
+        check(n);  // a spoilt answer or a lost connection is no sick cache: a probe tells
+      if (std::exchange(n.reset_at, now_) == now_)
+        return;  // one connection's end, however many it carried
       n.answers.add(now_, 1), n.errors.add(now_, 1);
       if (sick(n)) eject(n);
     } else if (o.result == Result::connect_failed || o.result == Result::reset) {
       hard_failure(n, o.result == Result::connect_failed);
-    } else if (o.result == Result::timeout && n.last_answer < a.sent && o.elapsed >= late_after(q)) {
-      hard_failure(n, true);  // not a word on anything since this was sent: silence, not a slow fill
+    } else if (o.result == Result::timeout && n.last_answer < a.sent &&
+               o.elapsed >= late_after(q)) {
+      hard_failure(n,
+                   true);  // not a word on anything since this was sent: silence, not a slow fill
     }
   }
 
@@ -414,7 +474,8 @@
     const double grown = static_cast<double>(now_ - n.cold_since) / span;
     return from + (1 - from) * std::clamp(grown, 0.0, 1.0);
   }
-  // Transfers at a time that this router may ask of a cold server now: its part of the least promised.
+  // Transfers at a time that this router may ask of a cold server now: its part of the least
+  // promised.
   double allowance(const Node& n) {
     const bool parent = n.at.role == Role::parent;
     const double share = cold_share(n);
@@ -423,7 +484,8 @@
     const double carry = (parent ? parent_carry_ : cache_carry_).most;
     return share * (carry > 0 ? kColdCarry * carry : kUnknownTransfers / sharers);
   }
-  // Routers at work, all or those of our location: by our part of what they may do, if told, or their number.
+  // Routers at work, all or those of our location: by our part of what they may do, if told, or
+  // their number.
   double sharers(bool all) const {
     const auto here = set_.location.value;
     const auto& by = set_.routers_by_location;
@@ -433,10 +495,13 @@
   // One of many routers hears fewer of the answers: each moves its limits further.
   static double thin(double sharers) { return std::max(1.0, sharers / kSharers); }
   double thin() const { return thin(sharers(false)); }
-  void warm_up(Node& n) { n.cold = n.cold && now_ < n.cold_since + cold_span(n.at.role == Role::parent); }
+  void warm_up(Node& n) {
+    n.cold = n.cold && now_ < n.cold_since + cold_span(n.at.role == Role::parent);
+  }
   bool affords(Node& n) {
     warm_up(n);
-    // Danger: a wave of resets or pauses makes warm caches look restarted; all held back, nothing is served.
+    // Danger: a wave of resets or pauses makes warm caches look restarted; all held back, nothing
+    // is served.
     const auto warm = [](const Node* c) { return !c->cold; };
     const bool doubt = !n.told && n.at.role == Role::cache;
     if (!n.cold || (doubt && std::none_of(caches_.begin(), caches_.end(), warm))) return true;
@@ -483,17 +548,19 @@
     const auto& c = cls(life.q);
     if (c.repeat == Repeat::safe || (c.repeat == Repeat::keyed && c.dedup_scope == DedupScope::all))
       return true;
-    return std::all_of(life.attempts.begin(), life.attempts.end(), [](auto& a) { return a.never_ran; });
+    return std::all_of(life.attempts.begin(), life.attempts.end(),
+                       [](auto& a) { return a.never_ran; });
   }
-  // Sends if every rule allows it, with all the time left. Danger: a time-out throws a slow cache's work
-  // away.
+  // Sends if every rule allows it, with all the time left. Danger: a time-out throws a slow cache's
+  // work away.
   bool pass(Life& life, Node& n, std::optional<Fill> fill) {
     if (!life.open || life.begun || life.attempts.size() >= set_.max_attempts) return false;
     if (!n.ready() || !may_repeat_at(life, n, life.attempts.size()) || !affords(n)) return false;
     Node* source = fill && fill->source != n.at.id ? find(fill->source) : nullptr;
     if (source && (!source->ready() || !affords(*source))) return false;
     if (const Time purged = purged_at(life.q); purged >= 0) {
-      // Danger: 0 would mean "any age", and a joined or renewed fill may have left before the purge.
+      // Danger: 0 would mean "any age", and a joined or renewed fill may have left before the
+      // purge.
       if (!fill) fill = Fill{n.at.id};
       const Time limit = std::max<Time>(1, now_ - purged - kPurgeMargin);
       fill->max_age = fill->max_age > 0 ? std::min(fill->max_age, limit) : limit;
@@ -505,8 +572,8 @@
       if (m && m->cold) m->tokens -= class_sending(life.q.cls);
     const double work = sending(life.q);
     const bool fetching = source && life.unseen && !fill->held_only;
-    life.attempts.push_back({n.at.id, source ? source->at.id : ServerId{}, n.at.location, n.at.cell, now_,
-                             work, source != nullptr, source && source->cold, fetching});
+    life.attempts.push_back({n.at.id, source ? source->at.id : ServerId{}, n.at.location, n.at.cell,
+                             now_, work, source != nullptr, source && source->cold, fetching});
     if (n.out++ == 0) n.idle_until = now_;
     n.work_out += work;
     if (fetching) fetch_out_ += work;
@@ -530,8 +597,10 @@
     f.source = s ? s->at.id : at.at.id;
     f.keep = rank_for(life, o);
     const bool kept = !c.uncached && !life.q.write;
-    // Danger: fills that wait for a slow origin hold places. Over the limit parents give only what they hold.
-    const bool over = kept && fetch_out_ > fetches_.value && (noted_ ? life.unseen : purged_at(life.q) >= 0);
+    // Danger: fills that wait for a slow origin hold places. Over the limit parents give only what
+    // they hold.
+    const bool over =
+        kept && fetch_out_ > fetches_.value && (noted_ ? life.unseen : purged_at(life.q) >= 0);
     f.join = kept && set_.can_join_fills;
     f.renew = kept && c.fresh > 0 && o.repeated && !over;
     f.held_only = over && s && s->at.role == Role::parent;
@@ -542,7 +611,8 @@
     }
     return f;
   }
-  // One more attempt: at the set, along the hash order, or, with nobody here, straight to parents and origin.
+  // One more attempt: at the set, along the hash order, or, with nobody here, straight to parents
+  // and origin.
   bool attempt(Life& life, const Node* again = nullptr) {
     Object& o = objects_[life.q.object];
     auto line = line_for(o, life.q.object);
@@ -561,13 +631,15 @@
   bool straight(Life& life) {
     Node* n = source_for(life);
     const Fill fill{origin_ ? origin_->at.id : ServerId{}, 0, 0, set_.can_join_fills};
-    return n && pass(life, *n, n->at.role == Role::parent && origin_ ? std::optional(fill) : std::nullopt);
+    return n && pass(life, *n,
+                     n->at.role == Role::parent && origin_ ? std::optional(fill) : std::nullopt);
   }
   double work_out() const {
     return std::accumulate(caches_.begin(), caches_.end(), 0.0,
                            [](double x, auto* n) { return x + n->work_out; });
   }
-  // Danger: beyond capacity all answers come late and none earns its worth, whatever caused the crowding.
+  // Danger: beyond capacity all answers come late and none earns its worth, whatever caused the
+  // crowding.
   bool shed(const Request& q) {
     const double cost = sending(q) / std::max(cls(q).worth, 1e-9);
     cost_.learn(cost);
@@ -576,7 +648,8 @@
     pressed_ += kPressLearn * ((over ? 1 : 0) - pressed_);
     return over;
   }
-  // Where sizes are told, a part of our share of what the usable caches can send; what is below is no crowd.
+  // Where sizes are told, a part of our share of what the usable caches can send; what is below is
+  // no crowd.
   double door_least() {
     double sum = 0;
     for (auto* n : caches_) sum += usable(*n) ? weight(*n) * (n->cold ? cold_share(*n) : 1) : 0;
@@ -592,7 +665,8 @@
     const double crowd = turned_away ? kCrowdMost : over_aim(q, static_cast<double>(own));
     const double least = door_least();
     // Danger: what answers take however little is out is no crowd; the door would stay shut.
-    still_ += door_.value < kStillWork * least ? kStillLearn * (crowd - still_) : -kStillForget * still_;
+    still_ +=
+        door_.value < kStillWork * least ? kStillLearn * (crowd - still_) : -kStillForget * still_;
     door_.learn(kLimitStep * std::sqrt(thin()),
                 std::clamp(still_ + kStillRoom, kCrowdAim, kStillMost) - crowd, least, work_out());
   }
@@ -622,7 +696,8 @@
     if (a) cancel(life);
   }
   void cancel(const Life& life) {
-    if (set_.may_cancel) act(Cancel{life.q.id, {static_cast<std::uint32_t>(life.attempts.size() - 1)}});
+    if (set_.may_cancel)
+      act(Cancel{life.q.id, {static_cast<std::uint32_t>(life.attempts.size() - 1)}});
   }
   void finish(Life& life) {
     if (std::exchange(life.open, false)) call_off(life);
@@ -668,7 +743,8 @@
     const bool unsure = !(n && n->on_trial) && unclear(life, a, o);
     if (a.fetching) fetch_out_ = std::max(0.0, fetch_out_ - a.work);
     a.never_ran = o.result == Result::full || o.result == Result::connect_failed ||
-                  o.result == Result::moot || o.result == Result::miss || o.result == Result::withheld;
+                  o.result == Result::moot || o.result == Result::miss ||
+                  o.result == Result::withheld;
     if (n) {
       n->out = std::max(0, n->out - 1);
       n->work_out = n->out ? std::max(0.0, n->work_out - a.work) : 0;
@@ -685,10 +761,12 @@
     }
     if (o.finished || o.result == Result::ok) return finish(life);
     if (life.open && !out(life)) {
-      // Danger: behind every parent stands the same origin; each router's retries help to push it over.
-      const bool no_use = o.note == Note::source_lacks || o.result == Result::moot ||
-                          (o.result == Result::miss && a.filling && !a.fetching) ||
-                          (o.note == Note::origin_failed && (life.stale_ok || !cls(life.q).stale_grace));
+      // Danger: behind every parent stands the same origin; each router's retries help to push it
+      // over.
+      const bool no_use =
+          o.note == Note::source_lacks || o.result == Result::moot ||
+          (o.result == Result::miss && a.filling && !a.fetching) ||
+          (o.note == Note::origin_failed && (life.stale_ok || !cls(life.q).stale_grace));
       no_use ? give_up(life)
              : retry(life, unsure ? n : follow_up(life, a, o, n),
                      o.result == Result::cancelled || o.result == Result::withheld ||
@@ -698,8 +776,10 @@
   }
   // Answers say nothing of fills: the same cache is asked once more with the next source, to tell.
   bool unclear(Life& life, const Attempt& a, const Outcome& o) {
-    const bool failed = o.result == Result::error || (o.result == Result::full && o.elapsed > kOwnWord);
-    if (noted_ || !a.filling || !failed || life.asked_again == a.server || cls(life.q).uncached) return false;
+    const bool failed =
+        o.result == Result::error || (o.result == Result::full && o.elapsed > kOwnWord);
+    if (noted_ || !a.filling || !failed || life.asked_again == a.server || cls(life.q).uncached)
+      return false;
     life.suspect = a.source, life.asked_again = a.server;
     life.bad_sources.push_back(a.source);
     return true;
@@ -732,11 +812,13 @@
   }
   void on(const Twins& t) {
     if (t.door > 0 && door() <= 0) door_.value = t.door;
-    if (t.share < twins_.share && objects_.empty())  // the other has had the first sends that debts spread
+    if (t.share < twins_.share &&
+        objects_.empty())  // the other has had the first sends that debts spread
       for (auto& [id, n] : nodes_) n.tokens = 0;
     twins_ = {std::max(t.share, kLeastShare), t.door, t.all, t.here};
   }
-  // Whoever took a server out may have done anything to it: it comes back as one that has just started.
+  // Whoever took a server out may have done anything to it: it comes back as one that has just
+  // started.
   void on(const Ban& b) {
     if (!(b.out ? banned_.insert(b.server).second : banned_.erase(b.server) > 0)) return;
     Node* n = find(b.server);
@@ -754,16 +836,19 @@
     n->proved = p.ok;
     if (p.ok) return;
     const bool parent = n->at.role == Role::parent, fresh_news = !n->on_trial;
-    if (p.lives) return parent || n->on_trial ? eject(*n) : void();  // full: spared a while, not lost
+    if (p.lives)
+      return parent || n->on_trial ? eject(*n) : void();  // full: spared a while, not lost
     if (fresh_news && n->last_answer >= n->probed_at) return;
     if (!n->was_silent && n->unheard == 0) n->silent_from = n->probed_at;
-    // Danger: behind a long queue a parent looks dead to all routers at once, who then push over the next.
+    // Danger: behind a long queue a parent looks dead to all routers at once, who then push over
+    // the next.
     if (fresh_news && parent && ++n->unheard < kUnheard) return check(*n);
     n->was_silent |= fresh_news;
     eject(*n);
     if (fresh_news) evacuate(*n);
   }
-  // Danger: what only seemed silent would be held for cold. A connection from before proves that it lives.
+  // Danger: what only seemed silent would be held for cold. A connection from before proves that it
+  // lives.
   void heard(Node& n, const Probed& p) {
     n.last_answer = now_, n.unheard = 0;
     if (p.up > now_ - n.silent_from) n.was_silent = false;
@@ -778,11 +863,13 @@
     if (why == Wake::ask) return act(Subscribe{});
     on(ClientLeft{id, true});
   }
-  // Danger: a cache that falls silent holds each request until its deadline where no second copy is allowed.
+  // Danger: a cache that falls silent holds each request until its deadline where no second copy is
+  // allowed.
   void look() {
     wake(now_ + kLook, Wake::look);
     for (auto* n : caches_) n->due = std::numeric_limits<Time>::max() / 2;
-    // Danger: a hundred routers that look at every parent by the clock load it more than they learn.
+    // Danger: a hundred routers that look at every parent by the clock load it more than they
+    // learn.
     for (const auto& [id, life] : lives_) {
       const Attempt* a = out(life);
       if (Node* n = a ? find(a->server) : nullptr)
@@ -792,10 +879,12 @@
           now_ >= std::max(s->probed_at, s->last_answer) + kParentLook)
         check(*s);
     }
-    // Danger: to one of many routers each cache is silent for long. What is usual tells, not a fixed time.
+    // Danger: to one of many routers each cache is silent for long. What is usual tells, not a
+    // fixed time.
     const Time mute = std::max(kMute, static_cast<Time>(gap_.value + kLateDevs * gap_.dev));
     for (auto* n : caches_)
-      if (n->out > 0 && !n->probing && !n->on_trial && now_ > std::max(n->due, n->last_answer) + mute)
+      if (n->out > 0 && !n->probing && !n->on_trial &&
+          now_ > std::max(n->due, n->last_answer) + mute)
         check(*n);
   }
   void check(Node& n) {
@@ -803,7 +892,8 @@
     n.probed_at = now_;
     act(Probe{n.at.id});
   }
-  // Calls off what a silent cache holds and may be sent elsewhere; the outcomes bring the next attempts.
+  // Calls off what a silent cache holds and may be sent elsewhere; the outcomes bring the next
+  // attempts.
   void evacuate(Node& n) {
     std::set<RequestId> held;
     for (const auto& [id, life] : lives_)
@@ -814,19 +904,23 @@
   bool movable(const Life& life, const Attempt& a) const {
     const auto& c = cls(life.q);
     return c.repeat == Repeat::safe ||
-           (c.repeat == Repeat::keyed && c.dedup_scope == DedupScope::all && now_ - a.sent < c.dedup_window);
+           (c.repeat == Repeat::keyed && c.dedup_scope == DedupScope::all &&
+            now_ - a.sent < c.dedup_window);
   }
   void sweep() {
     wake(now_ + kSweep, Wake::sweep);
     remember_carry();
     std::erase_if(objects_, [&](auto& e) { return now_ > e.second.last + kIdleObject; });
     for (auto& [id, o] : objects_) shrink(o);
-    std::erase_if(purged_, [&](auto& e) { return now_ > e.second + set_.purge_settles + kPurgeExtra; });
-    std::erase_if(nodes_, [](auto& e) { return e.second.at.status == Status::gone && e.second.out == 0; });
+    std::erase_if(purged_,
+                  [&](auto& e) { return now_ > e.second + set_.purge_settles + kPurgeExtra; });
+    std::erase_if(nodes_,
+                  [](auto& e) { return e.second.at.status == Status::gone && e.second.out == 0; });
     view();
     for (auto& [id, n] : nodes_) {
       warm_up(n);
-      if (awaits_probe(n) && n.on_trial && !n.probing && !n.proved && n.ready() && now_ >= n.blocked_until)
+      if (awaits_probe(n) && n.on_trial && !n.probing && !n.proved && n.ready() &&
+          now_ >= n.blocked_until)
         check(n);
     }
   }
@@ -842,7 +936,9 @@
   impl_->handle(now, event, actions);
 }
 std::vector<Standing> Router::standings(Time now) { return impl_->standings(now); }
-bool Router::may_send(Time now, RequestId id, AttemptNo no) const { return impl_->may_send(now, id, no); }
+bool Router::may_send(Time now, RequestId id, AttemptNo no) const {
+  return impl_->may_send(now, id, no);
+}
 double Router::door() const { return impl_->door(); }
 
 }  // namespace alderspur
--- a/src/routing_policy/estimates.h
+++ b/src/routing_state/estimators.h
@@ -13,7 +13,7 @@
 constexpr Time kWindow = 4 * kSecond;  // loads are counted over it: some tens of requests a cache
 constexpr double kLearn = 0.05;        // weight of a new sample in running means
 constexpr double kNoLimit = 1e9;       // a limit before the first answer moves it
-constexpr double kLimitRoom = 3;       // times what is out: how far a limit rises, so that bursts pass
+constexpr double kLimitRoom = 3;  // times what is out: how far a limit rises, so that bursts pass
 
 inline std::uint64_t mix(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
@@ -58,7 +58,8 @@
   }
 };
 
-struct Limit {  // on work out: moved by how close answers come to what they aim at, and by what is out
+struct Limit {  // on work out: moved by how close answers come to what they aim at, and by what is
+                // out
   double value = kNoLimit;
   void learn(double step, double off, double least, double out) {
     value = std::clamp(value * (1 + step * off), least, std::max(4 * least, kLimitRoom * out));
--- a/src/routing_policy/state.h
+++ b/src/routing_state/state.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "alderspur/router.h"
-#include "routing_policy/estimates.h"
+#include "routing_state/estimators.h"
 
 namespace alderspur {
 
@@ -18,10 +18,10 @@
   bool on_trial = false, was_silent = false, probing = false, proved = false;
   Time probed_at = 0, idle_until = 0, reset_at = 0;
   Time answered_at = 0;  // an attempt, last
-  Time due = 0;          // the first answer of those out: a large one in one piece is no silence before
-  Time silent_from = 0;  // nothing was heard from then on
-  int unheard = 0;       // probes failed in a row
-  double work_out = 0;   // sending seconds of the attempts out
+  Time due = 0;  // the first answer of those out: a large one in one piece is no silence before
+  Time silent_from = 0;             // nothing was heard from then on
+  int unheard = 0;                  // probes failed in a row
+  double work_out = 0;              // sending seconds of the attempts out
   bool cold = false, told = false;  // told: by the list; else only suspected after silence
   bool banned = false;              // by hand
   Time cold_since = 0, tokens_at = 0;
@@ -35,9 +35,10 @@
   Time joined = 0;
 };
 struct Object {
-  Time last = 0, widened = 0, warm_at = 0;  // last request, last widening, last time above shrinking
-  Time fetched = 0;                         // when a part last came from the source
-  std::uint64_t parts = 0;                  // which parts have been asked for, as bits
+  Time last = 0, widened = 0,
+       warm_at = 0;         // last request, last widening, last time above shrinking
+  Time fetched = 0;         // when a part last came from the source
+  std::uint64_t parts = 0;  // which parts have been asked for, as bits
   bool repeated = false;
   std::size_t width = 1;
   std::vector<Member> members;
@@ -58,7 +59,8 @@
   bool open = true, unseen = true, begun = false, stale_ok = false;
   std::vector<Attempt> attempts;
   std::vector<ServerId> bad_sources;
-  ServerId suspect, asked_again;  // a source that may have failed; the cache that is asked once more without
+  ServerId suspect,
+      asked_again;  // a source that may have failed; the cache that is asked once more without
 };
 struct Learned {         // of a class
   Mean size, hit, pace;  // KB; seconds of hits; elapsed over usual time
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -5,8 +5,8 @@
 #include <set>
 
 #include "consensus/applied_state.h"
-#include "toml/document.h"
 #include "net/connection.h"
+#include "toml/document.h"
 
 namespace alderspur::settings {
 namespace {
@@ -14,7 +14,9 @@
 constexpr core::Time kMilli = 1000, kSecond = 1'000'000, kHour = 3600 * kSecond;
 
 std::string path_in(const std::string& folder, const std::string& path) {
-  return std::filesystem::path(path).is_absolute() ? path : (std::filesystem::path(folder) / path).string();
+  return std::filesystem::path(path).is_absolute()
+             ? path
+             : (std::filesystem::path(folder) / path).string();
 }
 log::Level level_of(const std::string& word) {
   return word == "debug"     ? log::Level::debug
@@ -35,15 +37,16 @@
   if (const auto level = t.word("level", levels)) out.level = level_of(*level);
   if (const auto n = t.integer("per_second", 1, 10'000)) out.per_second = static_cast<int>(*n);
   auto by_subsystem = t.table("levels");
-  const std::vector<std::string_view> known = {"router", "membership", "signed", "xds", "routes", "cluster"};
+  const std::vector<std::string_view> known = {"router", "membership", "signed",
+                                               "xds",    "routes",     "cluster"};
   for (const auto& [name, level] : by_subsystem.texts()) {
     if (std::find(levels.begin(), levels.end(), level) == levels.end())
       findings.error("F003", by_subsystem.place(name), name + ": '" + level + "' is no level");
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       const auto near = diagnostics::nearest(name, known);
-      findings.error(
-          "F004", by_subsystem.place(name), "no subsystem is called " + name,
-          near.empty() ? "router, membership, signed, xds, routes, cluster" : "did you mean " + near + "?");
+      findings.error("F004", by_subsystem.place(name), "no subsystem is called " + name,
+                     near.empty() ? "router, membership, signed, xds, routes, cluster"
+                                  : "did you mean " + near + "?");
     }
     out.levels[name] = level_of(level);
   }
@@ -58,15 +61,17 @@
   if (const auto v = t.duration("half_life", 100 * kMilli, 24 * kHour)) d.half_life = *v;
   if (const auto v = t.duration("longest", 100 * kMilli, 24 * kHour)) d.longest = *v;
   if (d.reuse >= d.suppress)
-    findings.error("S002", t.place("reuse"), "reuse must be lower than suppress",
-                   "a server held out at " + std::to_string(d.suppress) + " would be let back at once");
+    findings.error(
+        "S002", t.place("reuse"), "reuse must be lower than suppress",
+        "a server held out at " + std::to_string(d.suppress) + " would be let back at once");
   if (d.longest < d.half_life)
     findings.error("S002", t.place("longest"), "longest is shorter than half_life",
                    "no penalty could reach suppress");
   t.finish();
 }
 
-Membership read_membership(toml::Table t, const std::string& folder, diagnostics::Findings& findings) {
+Membership read_membership(toml::Table t, const std::string& folder,
+                           diagnostics::Findings& findings) {
   Membership m;
   const auto authority = t.word("authority", {"board", "files", "both"}, true);
   if (authority)
@@ -82,8 +87,10 @@
   if (const auto v = t.real("most_out", 0, 1)) m.bounds.most_out = *v;
   if (const auto v = t.real("weight_step", 1.01, 100)) m.fleet.weight_step = *v;
   if (const auto v = t.duration("weight_every", 10 * kMilli, kHour)) m.fleet.weight_every = *v;
-  if (const auto v = t.size("most_bytes", 1024, 16 << 20)) m.limits.bytes = static_cast<std::size_t>(*v);
-  if (const auto v = t.integer("most_servers", 1, 100'000)) m.limits.servers = static_cast<std::size_t>(*v);
+  if (const auto v = t.size("most_bytes", 1024, 16 << 20))
+    m.limits.bytes = static_cast<std::size_t>(*v);
+  if (const auto v = t.integer("most_servers", 1, 100'000))
+    m.limits.servers = static_cast<std::size_t>(*v);
   if (const auto v = t.real("weight_least", 1e-6, 1e6)) m.limits.weight_least = *v;
   if (const auto v = t.real("weight_most", 1e-6, 1e9)) m.limits.weight_most = *v;
   read_damping(t.table("damping"), m.fleet.damping, findings);
@@ -95,7 +102,8 @@
   c.agreement = t.flag("enabled").value_or(true);
   c.voters = t.words("voters");
   const std::set<std::string> names(c.voters.begin(), c.voters.end());
-  if (c.voters.size() % 2 == 0 || c.voters.size() > consensus::kVotersMost || names.size() != c.voters.size())
+  if (c.voters.size() % 2 == 0 || c.voters.size() > consensus::kVotersMost ||
+      names.size() != c.voters.size())
     findings.error("S002", t.place("voters"), "voters are 1, 3, 5 or 7 different members",
                    "name the same ones in the settings of every router");
   if (c.agreement && c.state.empty())
@@ -104,7 +112,8 @@
   t.finish();
 }
 
-Cluster read_cluster(toml::Table t, const std::string& folder, diagnostics::Findings& findings, bool& enabled) {
+Cluster read_cluster(toml::Table t, const std::string& folder, diagnostics::Findings& findings,
+                     bool& enabled) {
   Cluster c;
   auto& m = c.membership;
   enabled = t.flag("enabled").value_or(true);
@@ -124,7 +133,8 @@
   if (const auto v = t.text("listen", true)) c.listen = *v, listens(t, *v, findings);
   if (const auto v = t.text("advertise")) {
     c.advertise = *v;
-    if (!net::parse_address(*v)) findings.error("S002", t.place("advertise"), "'" + *v + "' is no address");
+    if (!net::parse_address(*v))
+      findings.error("S002", t.place("advertise"), "'" + *v + "' is no address");
   }
   if (const auto v = t.text("secret", true)) c.secret = path_in(folder, *v);
   if (const auto v = t.text("state")) c.state = path_in(folder, *v);
@@ -139,7 +149,8 @@
   if (const auto v = t.duration("period", 50 * kMilli, 60 * kSecond)) {
     // All times of the rules keep their proportions.
     const double by = static_cast<double>(*v) / static_cast<double>(m.period);
-    for (auto* x : {&m.answer, &m.gossip, &m.reach, &m.refresh, &m.suspicion_least, &m.suspicion_most})
+    for (auto* x :
+         {&m.answer, &m.gossip, &m.reach, &m.refresh, &m.suspicion_least, &m.suspicion_most})
       *x = static_cast<core::Time>(static_cast<double>(*x) * by);
     m.period = *v;
   }
@@ -164,10 +175,11 @@
     k.finish();
     if (!id || !secret) continue;
     if (secret->size() < 16)
-      findings.error("S002", k.place("secret"), "the secret of key " + *id + " has under 16 characters",
-                     "use 32 random ones");
+      findings.error("S002", k.place("secret"),
+                     "the secret of key " + *id + " has under 16 characters", "use 32 random ones");
     for (const auto& other : s.keys)
-      if (other.id == *id) findings.error("S002", k.place("id"), "two keys are called " + *id, "rename one");
+      if (other.id == *id)
+        findings.error("S002", k.place("id"), "two keys are called " + *id, "rename one");
     s.keys.push_back({*id, *secret, until.value_or(0)});
   }
   for (auto& r : t.tables("route")) {
@@ -219,7 +231,8 @@
     if (const auto v = routes.text("file", true)) out.routes_file = path_in(folder, *v);
   routes.finish();
   auto membership = root.table("membership"), links = root.table("signed"), t = root.table("xds");
-  if (root.has("membership")) out.membership = read_membership(std::move(membership), folder, findings);
+  if (root.has("membership"))
+    out.membership = read_membership(std::move(membership), folder, findings);
   if (root.has("signed")) read_signed(std::move(links), out, findings);
   if (root.has("xds")) {
     config::Xds x;
@@ -250,13 +263,15 @@
     const auto it = std::find(classes.begin(), classes.end(), r.cls);
     if (it == classes.end()) {
       const auto near = diagnostics::nearest(r.cls, known);
-      findings.error("S002", r.place, "no class is called " + r.cls,
-                     near.empty() ? "the platform's JSON names the classes" : "did you mean " + near + "?");
+      findings.error(
+          "S002", r.place, "no class is called " + r.cls,
+          near.empty() ? "the platform's JSON names the classes" : "did you mean " + near + "?");
       continue;
     }
     const auto cls = static_cast<std::uint32_t>(it - classes.begin());
     if (config.settings.classes[cls].uncached) {
-      findings.error("S002", r.place, "class " + r.cls + " runs at the origin and cannot be fetched by links",
+      findings.error("S002", r.place,
+                     "class " + r.cls + " runs at the origin and cannot be fetched by links",
                      "name a class of kept objects");
       continue;
     }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,9 +1,9 @@
 // The operator's settings of `alderspur`: one TOML file, a section a subsystem, checked as a whole.
 //
-// What the platform gives (RELAY_CONFIG) stays JSON and is named by [router]. Paths are taken from the
-// settings file's own folder. A section that is absent leaves its subsystem off. Reading does no I/O and
-// reports every mistake of a file in one go: S001 no TOML, S002 a section that does not fit the others, and
-// F002 to F004 of form/document.h. docs/settings.md lists the keys.
+// What the platform gives (RELAY_CONFIG) stays JSON and is named by [router]. Paths are taken from
+// the settings file's own folder. A section that is absent leaves its subsystem off. Reading does
+// no I/O and reports every mistake of a file in one go: S001 no TOML, S002 a section that does not
+// fit the others, and F002 to F004 of form/document.h. docs/settings.md lists the keys.
 #pragma once
 
 #include <optional>
@@ -14,10 +14,10 @@
 #include "cluster/membership.h"
 #include "config/config.h"
 #include "diagnostics/diagnostics.h"
-#include "log/log.h"
 #include "endpoints/check.h"
 #include "endpoints/endpoint_set.h"
 #include "endpoints/list.h"
+#include "log/log.h"
 
 namespace alderspur::settings {
 
@@ -57,8 +57,8 @@
   std::vector<SignedRoute> routes;
   std::optional<config::Xds> xds;
   std::optional<Cluster> cluster;
-  std::string
-      routes_file;  // a program of the configuration language; the signed front then has no routes here
+  std::string routes_file;  // a program of the configuration language; the signed front then has no
+                            // routes here
 };
 
 // `folder` is that of the file, for the paths in it.
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -10,17 +10,22 @@
 namespace alderspur::signed_url {
 namespace {
 
-constexpr core::Time kNew = 150'000;  // what a client that has just come asks may still be on its way
+constexpr core::Time kNew =
+    150'000;  // what a client that has just come asks may still be on its way
 constexpr core::Time kIdle = 15'000'000, kHeadTime = 10'000'000, kWriteTime = 30'000'000;
-constexpr std::size_t kInputMost = 64 << 10;  // pipelined requests that wait their turn; more end the client
+constexpr std::size_t kInputMost =
+    64 << 10;  // pipelined requests that wait their turn; more end the client
 
 std::uint64_t mix(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
-// Why a token was turned away is told to the client in one word and never with any part of the token.
-int status_of(Check check) { return check == Check::good ? 200 : check == Check::missing ? 401 : 403; }
+// Why a token was turned away is told to the client in one word and never with any part of the
+// token.
+int status_of(Check check) {
+  return check == Check::good ? 200 : check == Check::missing ? 401 : 403;
+}
 
 }  // namespace
 
@@ -74,9 +79,11 @@
   net::Connection::Handler handler;
   handler.on_data = [this, raw](std::string_view bytes) { return take(*raw, bytes); };
   handler.on_written = [this, raw] { touch(*raw); };
-  // A client that closes has left. Its end of input is no different from a close, as with other proxies.
+  // A client that closes has left. Its end of input is no different from a close, as with other
+  // proxies.
   handler.on_close = [this, raw](net::Closed) { drop(*raw, false); };
-  raw->connection = std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
+  raw->connection =
+      std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   raw->place = clients_.size();
   raw->since = engine_.now();
   clients_.push_back(std::move(client));
@@ -88,7 +95,8 @@
   client.timeout = deadlines_.set(engine_.now() + time, [this, &client] { drop(client, true); });
 }
 
-// As at the platform's front: the turn's end costs nothing for connections that nothing happened on.
+// As at the platform's front: the turn's end costs nothing for connections that nothing happened
+// on.
 void HttpFront::touch(Client& client) {
   if (std::exchange(client.touched, true)) return;
   touched_.push_back(&client);
@@ -112,8 +120,10 @@
     respond(client, request.error);
     return static_cast<std::ptrdiff_t>(before);
   }
-  if (!client.head && request.method != http::Method::get) respond(client, 405);
-  else ask(client, request);
+  if (!client.head && request.method != http::Method::get)
+    respond(client, 405);
+  else
+    ask(client, request);
   return static_cast<std::ptrdiff_t>(before - bytes.size());
 }
 
@@ -144,14 +154,17 @@
   // Checked once, here: whatever expires later, the request runs to its one answer.
   std::string token;
   std::string_view text;
-  if (const auto pfx = query.starts_with("pfx=") ? 0 : query.find("&pfx="); pfx != std::string_view::npos)
+  if (const auto pfx = query.starts_with("pfx=") ? 0 : query.find("&pfx=");
+      pfx != std::string_view::npos)
     text = query.substr(pfx ? pfx + 1 : 0);
-  else if (query.find("&sig=") != std::string_view::npos) text = request.target;
+  else if (query.find("&sig=") != std::string_view::npos)
+    text = request.target;
   Check check = Check::missing;
   Claims claims;
   if (text.empty()) {
     auto given = request.authorization;
-    const bool bearer = given.size() > 7 && (given[0] | 32) == 'b' && given.substr(1, 6) == "earer ";
+    const bool bearer =
+        given.size() > 7 && (given[0] | 32) == 'b' && given.substr(1, 6) == "earer ";
     given = bearer ? given.substr(7) : http::cookie_value(request.cookie, settings_.cookie);
     if (!given.empty()) {
       check = Check::malformed;
--- a/src/signed_url/http_front.h
+++ b/src/signed_url/http_front.h
@@ -17,16 +17,17 @@
 
 class HttpFront : public core::Front {
  public:
-  // `clock` is the wall clock that links and tokens are checked against. With a guide the settings' routes
-  // are not looked at.
-  HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, const config::Config& config,
-            const config::Signed& settings, std::function<core::Time()> clock, Guide* guide = nullptr);
+  // `clock` is the wall clock that links and tokens are checked against. With a guide the settings'
+  // routes are not looked at.
+  HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+            const config::Config& config, const config::Signed& settings,
+            std::function<core::Time()> clock, Guide* guide = nullptr);
   ~HttpFront() override;
 
   void answer(core::Ticket ticket, const core::Answer& answer) override;
   void end_turn();
-  // Nobody new is taken beside those whose connect the kernel has completed; answers end their connections
-  // from now on, and who asks nothing goes by a lingering close.
+  // Nobody new is taken beside those whose connect the kernel has completed; answers end their
+  // connections from now on, and who asks nothing goes by a lingering close.
   void leave();
   bool idle() const;  // nothing is owed, and nobody has just come
   sockaddr_in address() const { return listener_.address(); }
@@ -36,7 +37,8 @@
   void accept(net::Fd fd);
   std::ptrdiff_t take(Client& client, std::string_view bytes);
   void ask(Client& client, const http::Request& request);
-  std::optional<Found> find(const http::Request& request, std::string_view path, std::string_view query);
+  std::optional<Found> find(const http::Request& request, std::string_view path,
+                            std::string_view query);
   void let_go(Client& client);
   void respond(Client& client, int status, const core::Answer& answer = {});
   void drop(Client& client, bool orderly);
--- a/src/signed_url/route_selector.h
+++ b/src/signed_url/route_selector.h
@@ -1,8 +1,8 @@
 // Who tells the signed front what a request is for, where a table of routes is in force.
 //
-// find() names class, object and part; admit() is asked after the token was checked, so that a forged link
-// takes no room from anybody; the Hold is kept until the request's one answer, and keeps the table that it
-// began under. The loop's thread only.
+// find() names class, object and part; admit() is asked after the token was checked, so that a
+// forged link takes no room from anybody; the Hold is kept until the request's one answer, and
+// keeps the table that it began under. The loop's thread only.
 #pragma once
 
 #include <memory>
--- a/src/signed_url/token.cpp
+++ b/src/signed_url/token.cpp
@@ -50,9 +50,9 @@
 
 std::string base64url(std::string_view bytes) {
   std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');
-  const int n =
-      EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
-                      reinterpret_cast<const unsigned char*>(bytes.data()), static_cast<int>(bytes.size()));
+  const int n = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
+                                reinterpret_cast<const unsigned char*>(bytes.data()),
+                                static_cast<int>(bytes.size()));
   out.resize(static_cast<std::size_t>(n));
   while (out.ends_with('=')) out.pop_back();
   for (char& c : out) c = c == '+' ? '-' : c == '/' ? '_' : c;
@@ -71,7 +71,8 @@
   in.append(padding, '=');
   std::string out(in.size() / 4 * 3, '\0');
   if (EVP_DecodeBlock(reinterpret_cast<unsigned char*>(out.data()),
-                      reinterpret_cast<const unsigned char*>(in.data()), static_cast<int>(in.size())) < 0)
+                      reinterpret_cast<const unsigned char*>(in.data()),
+                      static_cast<int>(in.size())) < 0)
     return {};
   out.resize(out.size() - padding);
   return out;
@@ -93,7 +94,8 @@
   const auto text = signed_text.substr(0, at), given = signed_text.substr(at + 5);
   const auto query = text.find('?');
   Fields f;
-  if (!f.read(query == std::string_view::npos ? text : text.substr(query + 1))) return Check::malformed;
+  if (!f.read(query == std::string_view::npos ? text : text.substr(query + 1)))
+    return Check::malformed;
   std::int64_t exp = 0, nbf = 0;
   if (!seconds(f.exp, exp) || (f.nbf.data() && !seconds(f.nbf, nbf))) return Check::malformed;
   const auto key = std::find_if(keys_.begin(), keys_.end(), [&](auto& k) { return k.id == f.kid; });
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -52,14 +52,16 @@
  public:
   template <class T>
   void number(T value) {
-    for (std::size_t i = 0; i < sizeof(T); ++i) out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+    for (std::size_t i = 0; i < sizeof(T); ++i)
+      out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
   }
   void u8(std::uint8_t v) { number(v); }
   void u16(std::uint16_t v) { number(v); }
   void u32(std::uint32_t v) { number(v); }
   void u64(std::uint64_t v) { number(v); }
   void span(al::Time v) {
-    u32(static_cast<std::uint32_t>(std::clamp<al::Time>(v, 0, std::numeric_limits<std::int32_t>::max())));
+    u32(static_cast<std::uint32_t>(
+        std::clamp<al::Time>(v, 0, std::numeric_limits<std::int32_t>::max())));
   }
   void store(al::ServerId id) {
     u32(static_cast<std::uint32_t>(id.value & 0xffffffff));
@@ -167,14 +169,17 @@
 std::pair<al::Settings, config::Names> read_settings(std::string_view text) {
   try {
     return config::read_settings(text);
-  } catch (const config::Error& e) { throw WireError(e.what()); }
+  } catch (const config::Error& e) {
+    throw WireError(e.what());
+  }
 }
 
 std::string Host::answer(const BatchHeader& header, std::string_view body) {
   Reader r(body);
   const auto now = static_cast<al::Time>(header.clock);
   std::vector<al::Action> actions;
-  std::map<std::uint32_t, Writer> replies;  // an instance that is killed later in the batch acts no more
+  std::map<std::uint32_t, Writer>
+      replies;  // an instance that is killed later in the batch acts no more
 
   for (std::uint32_t n = 0; n < header.records; ++n) {
     const auto code = r.u8();
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -27,7 +27,8 @@
 };
 BatchHeader read_header(std::string_view bytes);
 
-// Settings as the wire states them. Throws WireError if they are not a JSON object or lack a class list.
+// Settings as the wire states them. Throws WireError if they are not a JSON object or lack a class
+// list.
 std::pair<alderspur::Settings, config::Names> read_settings(std::string_view json);
 
 // Hosts the instances that the frames speak of. Instances share nothing but the numbered lists.
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -32,9 +32,11 @@
       throw simulator_adapter::WireError("input ends inside a batch header");
     }
     const auto header = simulator_adapter::read_header(head);
-    if (!read_exactly(body, header.length)) throw simulator_adapter::WireError("input ends inside a batch");
+    if (!read_exactly(body, header.length))
+      throw simulator_adapter::WireError("input ends inside a batch");
     const std::string reply = host.answer(header, body);
-    if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
+    if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() ||
+        std::fflush(stdout) != 0)
       throw simulator_adapter::WireError("cannot write the reply");
   }
 }
--- a/src/store/endpoint_state.cpp
+++ b/src/store/endpoint_state.cpp
@@ -11,9 +11,8 @@
 constexpr std::uint32_t kFormat = 1;
 
 template <class T, class U>
-flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<T>>> vector_of(flatbuffers::FlatBufferBuilder& b,
-                                                                           const std::vector<U>& from,
-                                                                           const auto& each) {
+flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<T>>> vector_of(
+    flatbuffers::FlatBufferBuilder& b, const std::vector<U>& from, const auto& each) {
   std::vector<flatbuffers::Offset<T>> out;
   out.reserve(from.size());
   for (const auto& x : from) out.push_back(each(x));
@@ -23,8 +22,8 @@
 
 bool usable(const endpoints::Listed& s, const endpoints::Snapshot& list) {
   const auto places = s.role == Role::cache ? list.points.size() : list.hubs.size();
-  return !s.name.empty() && core::plain_word(s.name) && s.place < places && std::isfinite(s.weight) &&
-         s.weight > 0;
+  return !s.name.empty() && core::plain_word(s.name) && s.place < places &&
+         std::isfinite(s.weight) && s.weight > 0;
 }
 
 std::shared_ptr<endpoints::Snapshot> list_of(const fb::State& state) {
@@ -60,7 +59,8 @@
 std::string encode(const MembershipState& state) {
   const auto& list = *state.list;
   flatbuffers::FlatBufferBuilder b(64 + list.servers.size() * 96);
-  const auto hubs = vector_of<flatbuffers::String>(b, list.hubs, [&](auto& h) { return b.CreateString(h); });
+  const auto hubs =
+      vector_of<flatbuffers::String>(b, list.hubs, [&](auto& h) { return b.CreateString(h); });
   const auto points = vector_of<fb::Point>(
       b, list.points, [&](auto& p) { return fb::CreatePoint(b, b.CreateString(p.name), p.hub); });
   const auto servers = vector_of<fb::Server>(b, list.servers, [&](const endpoints::Listed& s) {
@@ -70,19 +70,22 @@
   });
   const auto remembered =
       vector_of<fb::Remembered>(b, state.remembered, [&](const endpoints::Remembered& r) {
-        return fb::CreateRemembered(b, r.id.value, r.born, r.weight, r.penalty, r.penalty_at, r.held);
+        return fb::CreateRemembered(b, r.id.value, r.born, r.weight, r.penalty, r.penalty_at,
+                                    r.held);
       });
   const auto source = b.CreateString(list.source);
-  fb::FinishStateBuffer(b, fb::CreateState(b, kFormat, list.generation, source, list.taken, list.digest,
-                                           state.saved, hubs, points, servers, remembered));
+  fb::FinishStateBuffer(
+      b, fb::CreateState(b, kFormat, list.generation, source, list.taken, list.digest, state.saved,
+                         hubs, points, servers, remembered));
   return {reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()};
 }
 
 std::optional<MembershipState> decode(std::string_view payload, std::string& error) {
   // 100,000 servers make some 100,000 tables and 200,000 texts; the verifier counts tables only.
-  flatbuffers::Verifier verifier(reinterpret_cast<const std::uint8_t*>(payload.data()), payload.size(), 16,
-                                 2'000'000);
-  if (!fb::VerifyStateBuffer(verifier)) return error = "it is not the buffer of a state", std::nullopt;
+  flatbuffers::Verifier verifier(reinterpret_cast<const std::uint8_t*>(payload.data()),
+                                 payload.size(), 16, 2'000'000);
+  if (!fb::VerifyStateBuffer(verifier))
+    return error = "it is not the buffer of a state", std::nullopt;
   const auto* state = fb::GetState(payload.data());
   if (state->format() != kFormat)
     return error = "it has format " + std::to_string(state->format()) + ", not 1", std::nullopt;
@@ -92,9 +95,11 @@
   out.list = list;
   out.saved = state->saved();
   for (const auto* r : *state->remembered()) {
-    if (!std::isfinite(r->weight()) || !std::isfinite(r->penalty()) || r->weight() < 0 || r->penalty() < 0)
+    if (!std::isfinite(r->weight()) || !std::isfinite(r->penalty()) || r->weight() < 0 ||
+        r->penalty() < 0)
       continue;
-    out.remembered.push_back({{r->id()}, r->born(), r->weight(), r->penalty(), r->penalty_at(), r->held()});
+    out.remembered.push_back(
+        {{r->id()}, r->born(), r->weight(), r->penalty(), r->penalty_at(), r->held()});
   }
   return out;
 }
--- a/src/store/endpoint_state.h
+++ b/src/store/endpoint_state.h
@@ -1,7 +1,7 @@
 // Membership's last good state in a file: the list in force and what is remembered of its servers.
 //
-// encode() and decode() do no I/O. What comes from the disk is not trusted: it passes the checksum of
-// state_file.h, the FlatBuffers verifier, and the bounds of a list; its digest is reckoned anew.
+// encode() and decode() do no I/O. What comes from the disk is not trusted: it passes the checksum
+// of state_file.h, the FlatBuffers verifier, and the bounds of a list; its digest is reckoned anew.
 #pragma once
 
 #include <optional>
--- a/src/store/state_file.cpp
+++ b/src/store/state_file.cpp
@@ -61,7 +61,8 @@
   const std::string fresh = path + ".new";
   {
     // What an earlier process left half written under this name is overwritten.
-    Descriptor fd(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, 0640));
+    Descriptor fd(
+        ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, 0640));
     if (fd.get() < 0) return failed("cannot create", fresh);
     step(Step::opened);
     const auto half = payload.size() / 2;
@@ -94,7 +95,9 @@
   return replace(path, {reinterpret_cast<const char*>(&head), sizeof head}, payload, hook);
 }
 
-std::string write_text(const std::string& path, std::string_view text) { return replace(path, {}, text, {}); }
+std::string write_text(const std::string& path, std::string_view text) {
+  return replace(path, {}, text, {});
+}
 
 Loaded load_file(const std::string& path, std::size_t most) {
   Loaded out;
@@ -106,8 +109,8 @@
   }
   struct stat is {};
   Head head{};
-  if (::fstat(fd.get(), &is) < 0 || !S_ISREG(is.st_mode) || is.st_size < static_cast<off_t>(sizeof head) ||
-      static_cast<std::size_t>(is.st_size) > most) {
+  if (::fstat(fd.get(), &is) < 0 || !S_ISREG(is.st_mode) ||
+      is.st_size < static_cast<off_t>(sizeof head) || static_cast<std::size_t>(is.st_size) > most) {
     out.error = path + " is no state file";
     return out;
   }
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -2,9 +2,9 @@
 
 #include <stdexcept>
 
-// Danger: toml++ 3.3 meets some malformed keys with an assertion, which ends the program, and with NDEBUG
-// takes the same condition for granted, which is undefined. Both become an exception here. Guarded by the
-// properties of tests/membership_test.cpp, which found it.
+// Danger: toml++ 3.3 meets some malformed keys with an assertion, which ends the program, and with
+// NDEBUG takes the same condition for granted, which is undefined. Both become an exception here.
+// Guarded by the properties of tests/membership_test.cpp, which found it.
 #undef NDEBUG
 namespace alderspur::toml {
 [[noreturn]] void malformed() { throw std::logic_error("malformed key or value"); }
@@ -80,7 +80,8 @@
   return node_ ? tree(node_).get(key) : nullptr;
 }
 void Table::wrong(std::string_view key, std::string text, std::string mend) {
-  if (findings_) findings_->error("F003", place(key), std::string(key) + ": " + text, std::move(mend));
+  if (findings_)
+    findings_->error("F003", place(key), std::string(key) + ": " + text, std::move(mend));
 }
 
 std::optional<std::string> Table::text(std::string_view key, bool required) {
@@ -101,13 +102,15 @@
   const auto* list = n->as_array();
   if (!list) return wrong(key, "a list of texts in quotes is wanted here"), out;
   for (const auto& item : *list) {
-    if (const auto* s = item.as_string()) out.push_back(s->get());
-    else return wrong(key, "a list of texts in quotes is wanted here"), std::vector<std::string>();
+    if (const auto* s = item.as_string())
+      out.push_back(s->get());
+    else
+      return wrong(key, "a list of texts in quotes is wanted here"), std::vector<std::string>();
   }
   return out;
 }
-std::optional<std::int64_t> Table::integer(std::string_view key, std::int64_t least, std::int64_t most,
-                                           bool required) {
+std::optional<std::int64_t> Table::integer(std::string_view key, std::int64_t least,
+                                           std::int64_t most, bool required) {
   const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) {
     if (required && findings_)
@@ -147,8 +150,8 @@
   wrong(key, "true or false is wanted here");
   return {};
 }
-std::optional<std::int64_t> Table::measured(std::string_view key, std::int64_t least, std::int64_t most,
-                                            const Measure& measure) {
+std::optional<std::int64_t> Table::measured(std::string_view key, std::int64_t least,
+                                            std::int64_t most, const Measure& measure) {
   const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return {};
   const auto* s = n->as_string();
@@ -161,25 +164,29 @@
   }
   return static_cast<std::int64_t>(*v);
 }
-std::optional<std::int64_t> Table::duration(std::string_view key, std::int64_t least, std::int64_t most) {
+std::optional<std::int64_t> Table::duration(std::string_view key, std::int64_t least,
+                                            std::int64_t most) {
   return measured(key, least, most,
                   {parse_duration, duration_text, "a duration with its unit is wanted here",
                    R"(such as "250 ms" or "2 s")"});
 }
-std::optional<std::int64_t> Table::size(std::string_view key, std::int64_t least, std::int64_t most) {
+std::optional<std::int64_t> Table::size(std::string_view key, std::int64_t least,
+                                        std::int64_t most) {
   const auto bytes = [](std::int64_t n) { return std::to_string(n) + " B"; };
-  return measured(
-      key, least, most,
-      {parse_size, bytes, "a size with its unit is wanted here", R"(such as "64 MB" or "512 KiB")"});
+  return measured(key, least, most,
+                  {parse_size, bytes, "a size with its unit is wanted here",
+                   R"(such as "64 MB" or "512 KiB")"});
 }
-std::optional<std::string> Table::word(std::string_view key, const std::vector<std::string_view>& allowed,
+std::optional<std::string> Table::word(std::string_view key,
+                                       const std::vector<std::string_view>& allowed,
                                        bool required) {
   auto given = text(key, required);
   if (!given || std::find(allowed.begin(), allowed.end(), *given) != allowed.end()) return given;
   std::string all;
   for (const auto a : allowed) ((all += all.empty() ? "" : ", ") += a);
   const auto near = diagnostics::nearest(*given, allowed);
-  wrong(key, "'" + *given + "' is none of " + all, near.empty() ? "" : "did you mean '" + near + "'?");
+  wrong(key, "'" + *given + "' is none of " + all,
+        near.empty() ? "" : "did you mean '" + near + "'?");
   return {};
 }
 
@@ -187,7 +194,8 @@
   Table out;
   const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return out;
-  if (!n->is_table()) return wrong(key, "a table is wanted here", "[" + std::string(key) + "]"), out;
+  if (!n->is_table())
+    return wrong(key, "a table is wanted here", "[" + std::string(key) + "]"), out;
   out.node_ = n->as_table();
   out.origin_ = origin_;
   out.findings_ = findings_;
@@ -203,7 +211,8 @@
   for (const auto& e : *a) {
     if (!e.is_table()) {
       if (findings_)
-        findings_->error("F003", place_of(e.source(), *origin_), std::string(key) + ": not a table");
+        findings_->error("F003", place_of(e.source(), *origin_),
+                         std::string(key) + ": not a table");
       continue;
     }
     Table t;
@@ -218,7 +227,8 @@
   std::vector<std::pair<std::string, std::string>> out;
   if (!node_) return out;
   for (const auto& [k, v] : tree(node_)) {
-    if (const auto* s = v.as_string()) out.emplace_back(k.str(), s->get());
+    if (const auto* s = v.as_string())
+      out.emplace_back(k.str(), s->get());
     else if (findings_)
       findings_->error("F003", place_of(v.source(), *origin_), "a text in quotes is wanted here");
   }
@@ -240,12 +250,14 @@
   ::toml::table root;
 };
 
-Document::Document(std::string_view text, std::string file, Findings& findings, std::string_view code,
-                   std::uint32_t before)
+Document::Document(std::string_view text, std::string file, Findings& findings,
+                   std::string_view code, std::uint32_t before)
     : tree_(std::make_unique<Tree>()), origin_{std::move(file), before, 0}, findings_(findings) {
   if (const auto nul = text.find('\0'); nul != std::string_view::npos) {
-    const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(nul), '\n');
-    findings_.error(std::string(code), {origin_.file, static_cast<std::uint32_t>(line) + origin_.line, 0},
+    const auto line =
+        1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(nul), '\n');
+    findings_.error(std::string(code),
+                    {origin_.file, static_cast<std::uint32_t>(line) + origin_.line, 0},
                     "a NUL byte stands in the file", "it is binary, or was half written");
     return;
   }
--- a/src/toml/document.h
+++ b/src/toml/document.h
@@ -1,9 +1,11 @@
-// TOML documents read with findings instead of exceptions: each key is asked for once, with its type, its
-// unit and its bounds, and what nobody asked for is reported with the nearest key that is known.
+// TOML documents read with findings instead of exceptions: each key is asked for once, with its
+// type, its unit and its bounds, and what nobody asked for is reported with the nearest key that is
+// known.
 //
-// Source of the form: TOML 1.0.0, read by toml++. Durations and sizes are strings with a unit ("250 ms",
-// "64 MB"): a bare number is refused, since a value in milliseconds where seconds were meant reads just as
-// well. A Document owns the tree and must outlive its Tables. Not thread-safe; use one per thread.
+// Source of the form: TOML 1.0.0, read by toml++. Durations and sizes are strings with a unit ("250
+// ms", "64 MB"): a bare number is refused, since a value in milliseconds where seconds were meant
+// reads just as well. A Document owns the tree and must outlive its Tables. Not thread-safe; use
+// one per thread.
 #pragma once
 
 #include <cstdint>
@@ -31,18 +33,21 @@
   std::optional<std::string> text(std::string_view key, bool required = false);
   std::optional<std::int64_t> integer(std::string_view key, std::int64_t least, std::int64_t most,
                                       bool required = false);
-  std::optional<double> real(std::string_view key, double least, double most, bool required = false);
+  std::optional<double> real(std::string_view key, double least, double most,
+                             bool required = false);
   std::optional<bool> flag(std::string_view key);
   // Microseconds, from "250 ms", "2.5 s", "10 min", "6 h".
   std::optional<std::int64_t> duration(std::string_view key, std::int64_t least, std::int64_t most);
   // Bytes, from "64 MB", "16 MiB", "512 B".
   std::optional<std::int64_t> size(std::string_view key, std::int64_t least, std::int64_t most);
-  std::optional<std::string> word(std::string_view key, const std::vector<std::string_view>& allowed,
+  std::optional<std::string> word(std::string_view key,
+                                  const std::vector<std::string_view>& allowed,
                                   bool required = false);
   std::vector<std::string> words(std::string_view key);  // an array of texts
   Table table(std::string_view key);
-  std::vector<Table> tables(std::string_view key);           // [[key]]
-  std::vector<std::pair<std::string, std::string>> texts();  // all keys of a free table with text values
+  std::vector<Table> tables(std::string_view key);  // [[key]]
+  std::vector<std::pair<std::string, std::string>>
+  texts();  // all keys of a free table with text values
   // Reports every key that was not asked for. Call it last.
   void finish();
 
@@ -65,8 +70,8 @@
 
 class Document {
  public:
-  // Never throws on bad text: the finding says where it stops to be TOML, and root() is then empty. `before`
-  // is the number of the file's lines that stand before this text.
+  // Never throws on bad text: the finding says where it stops to be TOML, and root() is then empty.
+  // `before` is the number of the file's lines that stand before this text.
   Document(std::string_view text, std::string file, Findings& findings, std::string_view code,
            std::uint32_t before = 0);
   ~Document();
@@ -83,7 +88,8 @@
   bool read_ = false;
 };
 
-// "2.5 s" in microseconds, "64 MB" in bytes; nothing if the text has no number, no unit or another unit.
+// "2.5 s" in microseconds, "64 MB" in bytes; nothing if the text has no number, no unit or another
+// unit.
 std::optional<double> parse_duration(std::string_view text);
 std::optional<double> parse_size(std::string_view text);
 std::string duration_text(std::int64_t microseconds);
--- a/src/xds/eds.cpp
+++ b/src/xds/eds.cpp
@@ -13,10 +13,13 @@
 namespace al = ::alderspur;
 namespace {
 
-constexpr std::string_view kType = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+constexpr std::string_view kType =
+    "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-void text(Writer& w, std::string_view s) { w.String(s.data(), static_cast<rapidjson::SizeType>(s.size())); }
+void text(Writer& w, std::string_view s) {
+  w.String(s.data(), static_cast<rapidjson::SizeType>(s.size()));
+}
 
 void assignment(Writer& w, const std::string& cluster, const std::vector<al::Standing>& standings,
                 const std::function<std::string(al::ServerId)>& address) {
@@ -38,13 +41,16 @@
     const bool draining = s.server.status == al::Status::draining;
     w.Key("health_status"), text(w, draining ? "DRAINING" : s.usable ? "HEALTHY" : "UNHEALTHY");
     // In tenths: a finer share of a warming cache would make a new version with every poll.
-    w.Key("load_balancing_weight"), w.Uint(static_cast<unsigned>(std::max(1.0, std::round(s.share * 10))));
+    w.Key("load_balancing_weight"),
+        w.Uint(static_cast<unsigned>(std::max(1.0, std::round(s.share * 10))));
     w.EndObject();
   }
   w.EndArray(), w.EndObject(), w.EndArray(), w.EndObject();
 }
 
-std::string version_of(std::string_view resource) { return std::to_string(core::stable_hash(resource)); }
+std::string version_of(std::string_view resource) {
+  return std::to_string(core::stable_hash(resource));
+}
 
 }  // namespace
 
@@ -62,7 +68,8 @@
   if (j.HasParseError() || !j.IsObject()) return {400, {}};
   if (const auto type = member("type_url"); !type.empty() && type != kType) return {400, {}};
   bool named = true;
-  if (const auto names = j.FindMember("resource_names"); names != j.MemberEnd() && names->value.IsArray()) {
+  if (const auto names = j.FindMember("resource_names");
+      names != j.MemberEnd() && names->value.IsArray()) {
     named = names->value.Empty();
     for (const auto& n : names->value.GetArray()) named |= n.IsString() && cluster == n.GetString();
   }
--- a/src/xds/eds.h
+++ b/src/xds/eds.h
@@ -1,4 +1,5 @@
-// The endpoint discovery service of xDS (v3, REST with JSON): requests in, assignments out. No sockets.
+// The endpoint discovery service of xDS (v3, REST with JSON): requests in, assignments out. No
+// sockets.
 #pragma once
 
 #include <functional>
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -20,8 +20,8 @@
   bool dead = false, ending = false;
 };
 
-Server::Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, platform::Caches& caches,
-               const config::Xds& settings, std::size_t most_clients)
+Server::Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+               platform::Caches& caches, const config::Xds& settings, std::size_t most_clients)
     : loop_(loop),
       deadlines_(deadlines),
       engine_(engine),
@@ -41,7 +41,8 @@
   net::Connection::Handler handler;
   handler.on_data = [this, raw](std::string_view bytes) { return take(*raw, bytes); };
   handler.on_close = [this, raw](net::Closed) { drop(*raw); };
-  raw->connection = std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
+  raw->connection =
+      std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   raw->timeout = deadlines_.set(engine_.now() + kIdle, [this, raw] { drop(*raw); });
   clients_.push_back(std::move(client));
 }
@@ -77,8 +78,10 @@
   if (client.dead) return;
   client.dead = true;
   deadlines_.clear(client.timeout);
-  if (orderly) loop_.lingering().take(std::move(client.connection));
-  else client.connection->close();
+  if (orderly)
+    loop_.lingering().take(std::move(client.connection));
+  else
+    client.connection->close();
 }
 
 void Server::end_turn() {
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -13,8 +13,8 @@
 
 class Server {
  public:
-  Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, platform::Caches& caches,
-         const config::Xds& settings, std::size_t most_clients);
+  Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+         platform::Caches& caches, const config::Xds& settings, std::size_t most_clients);
   ~Server();
   void end_turn();
   void stop_listening() { listener_.stop(); }
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,4 +1,5 @@
-// What operators use: the figures, bans that hold, and the folder that two processes of a router share.
+// What operators use: the figures, bans that hold, and the folder that two processes of a router
+// share.
 #include <fcntl.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -9,10 +10,10 @@
 #include <memory>
 #include <random>
 
+#include "admin/admin_server.h"
+#include "admin/metrics.h"
 #include "hot_restart/shared_directory.h"
 #include "loopback.h"
-#include "admin/metrics.h"
-#include "admin/admin_server.h"
 #include "platform/edge_router.h"
 
 namespace {
@@ -30,7 +31,9 @@
     folder = ::mkdtemp(name);
   }
   ~Shared() override { std::filesystem::remove_all(folder); }
-  std::string file(const std::string& what) const { return folder + "/alderspur-127.0.0.1-4100" + what; }
+  std::string file(const std::string& what) const {
+    return folder + "/alderspur-127.0.0.1-4100" + what;
+  }
   Folder process() const { return Folder(folder, "127.0.0.1:4100"); }
   std::string folder;
 };
@@ -58,8 +61,8 @@
   EXPECT_TRUE(book.settled("a"));
 }
 
-// Any order of calls, saves that fail, and lists of others: what was called last for a name is in force until
-// a newer list, made with it, says otherwise.
+// Any order of calls, saves that fail, and lists of others: what was called last for a name is in
+// force until a newer list, made with it, says otherwise.
 TEST(BanBook, InAnyOrderTheLastCallOnANameHolds) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
@@ -93,7 +96,8 @@
         default:
           for (const auto& c : book.again()) jobs.push_back(c);
       }
-      for (const auto& [n, out] : last) ASSERT_EQ(book.in_force(n), out) << "seed " << seed << " step " << i;
+      for (const auto& [n, out] : last)
+        ASSERT_EQ(book.in_force(n), out) << "seed " << seed << " step " << i;
     }
   }
 }
@@ -105,8 +109,8 @@
   ASSERT_EQ(first.change({}, {"s-2", true}).error, "");
   const auto bans = first.change({}, {"s-3", true}).bans;
   EXPECT_EQ(bans.names, (std::set<std::string>{"s-1", "s-2", "s-3"}));
-  // The newest of the two files is spoilt in every way: what the one before held is still there, and whoever
-  // holds more in memory puts it back.
+  // The newest of the two files is spoilt in every way: what the one before held is still there,
+  // and whoever holds more in memory puts it back.
   const std::string newest = file(bans.serial % 2 ? ".bans.a" : ".bans.b");
   std::ifstream in(newest, std::ios::binary);
   const std::string whole{std::istreambuf_iterator<char>(in), {}};
@@ -160,7 +164,8 @@
   EXPECT_EQ(old.others().count, 1u);
 }
 
-// Whatever each wants, in any order, and read as late as it may be: what they act on is at most one router.
+// Whatever each wants, in any order, and read as late as it may be: what they act on is at most one
+// router.
 TEST_F(Shared, SharesNeverAddUpToMoreThanOne) {
   for (unsigned seed = 1; seed <= 60; ++seed) {
     std::mt19937 random(seed);
@@ -175,7 +180,9 @@
       const double wanted = static_cast<double>(random() % 1001) / 1000;
       if (wanted < words[i].share) {
         words[i].share = wanted;  // acted on before it is said
-        if (random() % 4) { ASSERT_EQ(all[i]->say(words[i]), ""); }
+        if (random() % 4) {
+          ASSERT_EQ(all[i]->say(words[i]), "");
+        }
       } else {
         ASSERT_EQ(all[i]->raise(words[i], wanted), "");
       }
@@ -201,8 +208,8 @@
   std::map<int, std::uint64_t> verdicts;
 };
 
-// Random orders of take, write, answer, withdraw, time passing, resets and leaving: the figures add up after
-// each.
+// Random orders of take, write, answer, withdraw, time passing, resets and leaving: the figures add
+// up after each.
 TEST(Figures, AddUpInAnyOrderOfEvents) {
   std::uint64_t all_served = 0, all_withdrawn = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
@@ -236,7 +243,8 @@
       } else if (pick == 4 && !front.open.empty()) {
         engine.hurry(*front.open.rbegin());
       } else if (pick == 5) {
-        engine.turned_away(random() % 2, random() % 2 ? core::Verdict::refused : core::Verdict::failed);
+        engine.turned_away(random() % 2,
+                           random() % 2 ? core::Verdict::refused : core::Verdict::failed);
       } else if (pick == 6) {
         now += static_cast<core::Time>(random() % 400'000);
         deadlines.sweep(now);
@@ -254,7 +262,8 @@
           << seed << ' ' << step;
       core::ClassCounters sum;
       for (const auto& k : engine.by_class())
-        sum.served += k.served, sum.refused += k.refused, sum.failed += k.failed, sum.sent += k.sent;
+        sum.served += k.served, sum.refused += k.refused, sum.failed += k.failed,
+            sum.sent += k.sent;
       ASSERT_EQ(sum.served, c.served);
       ASSERT_EQ(sum.refused, c.refused);
       ASSERT_EQ(sum.failed, c.failed);
@@ -283,9 +292,10 @@
   engine.turned_away(0, core::Verdict::refused);
   engine.run();
   const auto text = admin::figures(engine, {"asset"});
-  for (const char* line : {"\n# TYPE edge_relay_busy counter\nedge_relay_busy{tier=\"asset\"} 1\n",
-                           "\nedge_relay_inflight 0\n", "\nedge_relay_hosts_listed 2\n",
-                           "\nedge_relay_hosts_down 1\n", "\nedge_relay_backend_calls{tier=\"asset\"} 0\n"})
+  for (const char* line :
+       {"\n# TYPE edge_relay_busy counter\nedge_relay_busy{tier=\"asset\"} 1\n",
+        "\nedge_relay_inflight 0\n", "\nedge_relay_hosts_listed 2\n", "\nedge_relay_hosts_down 1\n",
+        "\nedge_relay_backend_calls{tier=\"asset\"} 0\n"})
     EXPECT_NE(text.find(line), std::string::npos) << line << "in\n" << text;
 }
 
@@ -293,8 +303,10 @@
   bool takes_clients() override { return true; }
   std::string figures() override { return "f 1\n"; }
   void ban(std::string_view id, bool, Done done) override {
-    if (id == "later") waits = std::move(done);
-    else done(id == "s-1" ? 200 : 404, std::string(id) + "\n");
+    if (id == "later")
+      waits = std::move(done);
+    else
+      done(id == "s-1" ? 200 : 404, std::string(id) + "\n");
   }
   Done waits;
 };
@@ -339,7 +351,9 @@
   EXPECT_EQ(status("PUT /control/ready" + end), 405);
   EXPECT_EQ(status("GET /control/caches/s-1/offline" + end), 405);
   EXPECT_EQ(status("PUT /control/caches/s-1/offline" + end), 200);
-  EXPECT_EQ(status("PUT /control/caches/s-1/online HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"), 200);
+  EXPECT_EQ(
+      status("PUT /control/caches/s-1/online HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"),
+      200);
   EXPECT_EQ(status("PUT /control/caches/s-2/online" + end), 404);
   EXPECT_EQ(status("PUT /control/caches//online" + end), 404);
   EXPECT_EQ(status("PUT /control/caches/online" + end), 404);
@@ -349,7 +363,8 @@
   EXPECT_EQ(status("GET /control/ready HTTP/1.1\r\nX: " + std::string(4000, 'x')), 431);
 }
 
-// Guards against a first send ahead of the first look, and against a yes to a ban that is on no disk.
+// Guards against a first send ahead of the first look, and against a yes to a ban that is on no
+// disk.
 TEST_F(Shared, AStartKnowsTheBansAndAYesIsOnTheDisk) {
   ASSERT_EQ(process().change({}, {"s-1", true}).error, "");
   core::Deadlines deadlines;
@@ -360,8 +375,8 @@
         loop, deadlines, net::unix_now, where, "127.0.0.1:4100",
         [](const std::string&, const std::string&) {},
         hot_restart::Twin::Hooks{[] { return hot_restart::Twin::Load{}; },
-                              [&](const BanChange& c) { told.push_back(c.name); },
-                              [](const hot_restart::Others&, double) {}});
+                                 [&](const BanChange& c) { told.push_back(c.name); },
+                                 [](const hot_restart::Others&, double) {}});
   };
   EXPECT_TRUE(twin(folder)->banned("s-1"));
   EXPECT_EQ(told, std::vector<std::string>{"s-1"});
@@ -374,34 +389,38 @@
   EXPECT_TRUE(lost->banned("s-2")) << "it binds all the same";
 }
 
-// Guards against a first word of the shared folder that meets members of the node not there yet: what the
-// memory held before decided whether the start crashed.
+// Guards against a first word of the shared folder that meets members of the node not there yet:
+// what the memory held before decided whether the start crashed.
 TEST_F(Shared, ANodeStartsWhateverItsMemoryHeldBefore) {
   const std::string file = folder + "/config.json";
   std::ofstream(file) << R"({"listen":"127.0.0.1:0","settings":{"azs":["edge"],"zone":0,
       "classes":[{"name":"asset","target":5000000,"points":1,"repeat":"safe"}]}})";
   auto config = config::read_file(file);
   config.operator_listen = "127.0.0.1:0", config.state_folder = folder;
-  const auto memory = std::make_unique<std::byte[]>(sizeof(platform::Node) + alignof(platform::Node));
+  const auto memory =
+      std::make_unique<std::byte[]>(sizeof(platform::Node) + alignof(platform::Node));
   void* at = memory.get();
   std::size_t room = sizeof(platform::Node) + alignof(platform::Node);
   std::memset(at, 0xff, room);
   ASSERT_TRUE(std::align(alignof(platform::Node), sizeof(platform::Node), at, room));
-  auto* node = new (at) platform::Node(std::move(config), [](const std::string&, const std::string&) {});
+  auto* node =
+      new (at) platform::Node(std::move(config), [](const std::string&, const std::string&) {});
   node->turn();
   node->~Node();
 }
 
 // Guards against clients that take the last descriptor: then above all, staff want an answer.
 TEST_F(Calls, AreAnsweredWhileTheProcessHasNoDescriptorsLeft) {
-  // One call before, and what a listener's pause holds: a sanitizer's first look at a type opens a pipe.
+  // One call before, and what a listener's pause holds: a sanitizer's first look at a type opens a
+  // pipe.
   { const std::shared_ptr<bool> held = std::make_shared<bool>(true), again = held; }
   ASSERT_EQ(status("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"), 200);
   const core::Time rest =
       net::unix_now() + 200'000;  // that one's descriptor is free again before the rest go
   until([&] { return net::unix_now() > rest; }, {});
   std::vector<std::unique_ptr<loopback::Socket>> calls;
-  for (int i = 0; i < 3; ++i) calls.push_back(caller("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"));
+  for (int i = 0; i < 3; ++i)
+    calls.push_back(caller("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"));
   rlimit before{};
   ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &before), 0);
   rlimit low = before;
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,4 +1,5 @@
-// Membership between routers on a simulated network. A check that fails prints its seed, which replays it.
+// Membership between routers on a simulated network. A check that fails prints its seed, which
+// replays it.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -90,10 +91,12 @@
   start_all(net, 3);
   ASSERT_TRUE(net.run_until([&] { return net.all_whole(); }, 8 * kSecond));
   net.lost = [](auto& a, auto& b) { return a == "at-n1" || b == "at-n1"; };
-  EXPECT_TRUE(net.run_until([&] { return net.member("n1").whole() == Whole::alone; }, 10 * kSecond));
+  EXPECT_TRUE(
+      net.run_until([&] { return net.member("n1").whole() == Whole::alone; }, 10 * kSecond));
 }
 
-// A hears B, B does not hear A: the others carry what does not come through, and nobody is held for failed.
+// A hears B, B does not hear A: the others carry what does not come through, and nobody is held for
+// failed.
 TEST_P(Cluster, AOneWayCutBetweenTwoIsBridgedByTheOthers) {
   start_all(net, 5);
   ASSERT_TRUE(net.run_until([&] { return net.all_whole(); }, 8 * kSecond));
@@ -103,8 +106,8 @@
   EXPECT_TRUE(net.agreed());
 }
 
-// Only neighbours hear each other. Nobody can be probed beyond one helper: who is not reached by any is
-// failed, and a chain of four still knows of each other through the middle.
+// Only neighbours hear each other. Nobody can be probed beyond one helper: who is not reached by
+// any is failed, and a chain of four still knows of each other through the middle.
 TEST_P(Cluster, InAChainOfThreeTheMiddleHoldsTheEndsTogether) {
   start_all(net, 3);
   ASSERT_TRUE(net.run_until([&] { return net.all_whole(); }, 8 * kSecond));
@@ -189,8 +192,8 @@
   EXPECT_TRUE(net.all_whole()) << "who left in order is missed by nobody";
 }
 
-// Old messages and rumours of one that is long forgotten do not bring it back; a message of a stranger alone
-// does not bring in anybody.
+// Old messages and rumours of one that is long forgotten do not bring it back; a message of a
+// stranger alone does not bring in anybody.
 TEST_P(Cluster, TheForgottenAreNotRevivedByWhatWasKeptOfThem) {
   start_all(net, 5);
   std::vector<std::pair<std::string, cluster::Message>> kept;
@@ -260,11 +263,11 @@
   EXPECT_GT(small, 1000);
 }
 
-// All of it, in a small case: three members; one of the first messages is lost, one comes late, and one
-// member starts anew at one of some moments. Properties, in each of the schedules: what a member holds of
-// another never goes back in (epoch, incarnation, state); nobody but the one that started anew is ever
-// failed; after quiet all are whole and know the new start. ALDERSPUR_EXPLORE widens it (10 by default: 10 x
-// 10 x 6 x 3 schedules).
+// All of it, in a small case: three members; one of the first messages is lost, one comes late, and
+// one member starts anew at one of some moments. Properties, in each of the schedules: what a
+// member holds of another never goes back in (epoch, incarnation, state); nobody but the one that
+// started anew is ever failed; after quiet all are whole and know the new start. ALDERSPUR_EXPLORE
+// widens it (10 by default: 10 x 10 x 6 x 3 schedules).
 TEST(ClusterExplored, WithOneLostOneLateAndOneRestartNothingGoesBackAndAllComeTogether) {
   const char* wide = std::getenv("ALDERSPUR_EXPLORE");
   const std::uint64_t most = wide ? std::strtoull(wide, nullptr, 10) : 24;
@@ -273,8 +276,8 @@
     for (std::uint64_t late = 0; late < most; ++late)
       for (network::Time at = 0; at < 600'000; at += 100'000)
         for (std::size_t who = 0; who < 3; ++who, ++schedules) {
-          SCOPED_TRACE("lost " + std::to_string(lost) + " late " + std::to_string(late) + " restart of " +
-                       name(who) + " after " + std::to_string(at) + " us");
+          SCOPED_TRACE("lost " + std::to_string(lost) + " late " + std::to_string(late) +
+                       " restart of " + name(who) + " after " + std::to_string(at) + " us");
           Network net(3);
           start_all(net, 3);
           ASSERT_TRUE(net.run_until([&] { return net.all_whole(); }, 8 * kSecond));
@@ -291,18 +294,23 @@
           net.way = [&]() -> network::Time { return message - 1 == late ? 900'000 : 1'000; };
           net.run(at);
           net.kill("at-" + name(who));
-          std::erase_if(held,
-                        [&](auto& e) { return e.first.first == "at-" + name(who); });  // it knows nothing
+          std::erase_if(held, [&](auto& e) {
+            return e.first.first == "at-" + name(who);
+          });  // it knows nothing
           net.start(name(who), {"at-n0", "at-n1", "at-n2"});
           const auto epoch = net.member(name(who)).self().epoch;
           const bool whole = net.run_until(
-              [&] { return net.now > static_cast<network::Time>(epoch) + 2'000'000 && net.all_whole(); },
+              [&] {
+                return net.now > static_cast<network::Time>(epoch) + 2'000'000 && net.all_whole();
+              },
               12 * kSecond);
           ASSERT_TRUE(whole);
           ASSERT_FALSE(back);
           ASSERT_FALSE(wrong);
           for (std::size_t i = 0; i < 3; ++i)
-            if (i != who) { ASSERT_EQ(net.member(name(i)).find(name(who))->member.who.epoch, epoch); }
+            if (i != who) {
+              ASSERT_EQ(net.member(name(i)).find(name(who))->member.who.epoch, epoch);
+            }
         }
   RecordProperty("schedules", static_cast<int>(schedules));
 }
--- a/tests/cluster/network.h
+++ b/tests/cluster/network.h
@@ -1,5 +1,5 @@
-// A network of many memberships in one process, on a clock of its own: every message passes a fault of the
-// test.
+// A network of many memberships in one process, on a clock of its own: every message passes a fault
+// of the test.
 #pragma once
 
 #include <functional>
@@ -33,13 +33,14 @@
       : random(seed), settings_(settings) {}
 
   // Starts, or starts anew, a process of that name. Epochs grow with the clock.
-  Node& start(const std::string& name, const std::vector<std::string>& seeds, std::string address = {},
-              std::uint64_t epoch = 0) {
+  Node& start(const std::string& name, const std::vector<std::string>& seeds,
+              std::string address = {}, std::uint64_t epoch = 0) {
     if (address.empty()) address = "at-" + name;
     nodes.erase(address);
     Node& n = nodes[address];
     n.address = address;
-    cluster::Identity self{name, address, "p", "1", epoch ? epoch : static_cast<std::uint64_t>(now + 1), 0};
+    cluster::Identity self{
+        name, address, "p", "1", epoch ? epoch : static_cast<std::uint64_t>(now + 1), 0};
     n.member = std::make_unique<cluster::Membership>(settings_, self, random());
     give(n, cluster::Start{seeds});
     return n;
@@ -72,12 +73,14 @@
   // All that run see exactly each other.
   bool agreed() {
     for (auto& [address, n] : nodes)
-      if (n.member->there() + 1 != nodes.size() || n.member->whole() == cluster::Whole::cut) return false;
+      if (n.member->there() + 1 != nodes.size() || n.member->whole() == cluster::Whole::cut)
+        return false;
     return true;
   }
   bool all_whole() {
     for (auto& [address, n] : nodes)
-      if (n.member->there() + 1 != nodes.size() || n.member->whole() != cluster::Whole::whole) return false;
+      if (n.member->there() + 1 != nodes.size() || n.member->whole() != cluster::Whole::whole)
+        return false;
     return true;
   }
 
@@ -101,7 +104,8 @@
  private:
   void give(Node& n, const cluster::Event& event) {
     if (n.stopped) {
-      if (n.held.size() < 500 && !std::holds_alternative<cluster::Tick>(event)) n.held.push_back(event);
+      if (n.held.size() < 500 && !std::holds_alternative<cluster::Tick>(event))
+        n.held.push_back(event);
       return;
     }
     std::vector<cluster::Action> actions;
@@ -124,19 +128,23 @@
       n.bytes += 150 + 90 * s->message.rumours.size();
       carried(s->address, s->message);
       if (lost(n.address, s->address)) return;
-      queue_.emplace(now + way(), [this, to = s->address, from = n.address, m = std::move(s->message)] {
-        deliver(to, cluster::Received{m, from});
-      });
+      queue_.emplace(now + way(),
+                     [this, to = s->address, from = n.address, m = std::move(s->message)] {
+                       deliver(to, cluster::Received{m, from});
+                     });
     } else if (auto* e = std::get_if<cluster::Exchange>(&action)) {
       // A connection: there and back, or not at all.
-      if (lost(n.address, e->address) || lost(e->address, n.address) || !nodes.contains(e->address)) return;
+      if (lost(n.address, e->address) || lost(e->address, n.address) || !nodes.contains(e->address))
+        return;
       if (nodes.at(e->address).stopped) return;
-      queue_.emplace(now + 2 * way(), [this, to = e->address, from = n.address, mine = n.member->picture()] {
-        if (!nodes.contains(to) || !nodes.contains(from) || nodes.at(to).stopped) return;
-        auto theirs = nodes.at(to).member->picture();
-        give(nodes.at(to), cluster::Exchanged{mine});
-        give(nodes.at(from), cluster::Exchanged{std::move(theirs)});
-      });
+      queue_.emplace(now + 2 * way(),
+                     [this, to = e->address, from = n.address, mine = n.member->picture()] {
+                       if (!nodes.contains(to) || !nodes.contains(from) || nodes.at(to).stopped)
+                         return;
+                       auto theirs = nodes.at(to).member->picture();
+                       give(nodes.at(to), cluster::Exchanged{mine});
+                       give(nodes.at(from), cluster::Exchanged{std::move(theirs)});
+                     });
     } else if (auto* c = std::get_if<cluster::Changed>(&action)) {
       changed(n, *c);
     } else if (auto* x = std::get_if<cluster::Conflict>(&action)) {
--- a/tests/cluster/rig.h
+++ b/tests/cluster/rig.h
@@ -1,9 +1,9 @@
-// Several processes of `alderspur run` on loopback, with a gate of the test on every link between two of
-// them.
+// Several processes of `alderspur run` on loopback, with a gate of the test on every link between
+// two of them.
 //
-// Each process has a loopback address of its own and tells the others its gate's; the gate knows the sender
-// by its address and passes datagrams and connections on as the fault of that ordered pair says. Everything
-// runs in the test's thread, in step(); waits are for a state within a bound.
+// Each process has a loopback address of its own and tells the others its gate's; the gate knows
+// the sender by its address and passes datagrams and connections on as the fault of that ordered
+// pair says. Everything runs in the test's thread, in step(); waits are for a state within a bound.
 #pragma once
 
 #include <arpa/inet.h>
@@ -52,8 +52,8 @@
   bool alone = false;                // with a list as where there are voters, but without them
   std::string servers;               // the list it starts with, where there are voters
   std::size_t routers = 0;           // told to each
-  std::string board;                 // its address, where there are voters or a list; none: no board
-  std::string obligations, domain;   // JSON members of the platform's settings, for cold servers
+  std::string board;                // its address, where there are voters or a list; none: no board
+  std::string obligations, domain;  // JSON members of the platform's settings, for cold servers
 };
 
 class Rig {
@@ -79,7 +79,8 @@
         std::ifstream log(file(i, "log"));
         std::string line, all;
         while (std::getline(log, line)) all += line + "\n";
-        fprintf(stderr, "--- n%zu\n%s", i, all.substr(all.size() > 3000 ? all.size() - 3000 : 0).c_str());
+        fprintf(stderr, "--- n%zu\n%s", i,
+                all.substr(all.size() > 3000 ? all.size() - 3000 : 0).c_str());
       }
     }
     std::filesystem::remove_all(folder_);
@@ -89,15 +90,17 @@
     std::filesystem::create_directories(file(i, ""));
     const std::size_t at = s.at == ~std::size_t{0} ? i : s.at;
     std::ofstream(file(i, "secret")) << s.secret << "\n";
-    if (!s.voters.empty() || s.alone) list(i, s);
+    if (!s.voters.empty() || s.alone)
+      list(i, s);
     else
-      std::ofstream(file(i, "config.json")) << R"({"name":"n)" << i << R"(","listen":")" << net_ << i + 1
-                                            << R"(:0","settings":{"azs":["edge"],"zone":0,
+      std::ofstream(file(i, "config.json")) << R"({"name":"n)" << i << R"(","listen":")" << net_
+                                            << i + 1 << R"(:0","settings":{"azs":["edge"],"zone":0,
             "classes":[{"name":"asset","target":5000000,"give-up":3000000,"points":1,"repeat":"safe"}]}})";
     std::ofstream toml(file(i, "settings.toml"));
-    toml << "[router]\nconfig = \"config.json\"\noperator = \"" << text(address(i + 1, 7001)) << "\"\n"
-         << "[cluster]\nname = \"" << s.cluster << "\"\nsecret = \"secret\"\nstate = \"state\"\nperiod = \""
-         << s.period << "\"\n"
+    toml << "[router]\nconfig = \"config.json\"\noperator = \"" << text(address(i + 1, 7001))
+         << "\"\n"
+         << "[cluster]\nname = \"" << s.cluster
+         << "\"\nsecret = \"secret\"\nstate = \"state\"\nperiod = \"" << s.period << "\"\n"
          << "listen = \"" << text(address(at + 1, 7002)) << "\"\nadvertise = \""
          << text(address(100 + at, 7002)) << "\"\n";
     if (!s.member.empty()) toml << "member = \"" << s.member << "\"\n";
@@ -116,14 +119,16 @@
   void list(std::size_t i, const Setup& s) {
     std::ofstream(file(i, "servers.toml")) << s.servers;
     std::ofstream(file(i, "config.json"))
-        << R"({"name":"n)" << i << R"(","listen":")" << text(address(i + 1, 7003)) << R"(","board":")"
-        << s.board << R"(","settings":{"azs":["hub","edge"],"zone":1,"shapes":["small","upper","origin"],)"
+        << R"({"name":"n)" << i << R"(","listen":")" << text(address(i + 1, 7003))
+        << R"(","board":")" << s.board
+        << R"(","settings":{"azs":["hub","edge"],"zone":1,"shapes":["small","upper","origin"],)"
         << s.obligations << R"(
           "replicas-of-me":)"
         << s.routers << R"(,"ceilings":{"max-attempts":3,"may-cancel":true,"retry-after":true,
           "max-retry-after":500000},"classes":[{"name":"asset","target":5000000,"give-up":3000000,"points":1,
           "repeat":"safe"}],"domain":{)"
-        << s.domain << R"("stream-kb-per-s":9000,"lifetime-by-class":[60000000],"instances-by-zone":[0,)"
+        << s.domain
+        << R"("stream-kb-per-s":9000,"lifetime-by-class":[60000000],"instances-by-zone":[0,)"
         << s.routers << R"(]}}})";
   }
   void start(std::size_t i) {
@@ -140,8 +145,8 @@
     ::setenv("LIAR_SHADOW", file(i, "shadow").c_str(), 1);
     ::setenv("LIAR_CONTROL", file(i, "control").c_str(), 1);
 #endif
-    ::execl(ALDERSPUR_PROGRAM, ALDERSPUR_PROGRAM, "run", "--settings", file(i, "settings.toml").c_str(),
-            nullptr);
+    ::execl(ALDERSPUR_PROGRAM, ALDERSPUR_PROGRAM, "run", "--settings",
+            file(i, "settings.toml").c_str(), nullptr);
     ::_exit(99);
   }
   void start_all() {
@@ -155,7 +160,8 @@
   void lie(std::size_t i, std::int64_t fault, std::int64_t clock = 0) {
     std::filesystem::create_directories(file(i, "shadow"));
     const std::int64_t words[2] = {fault, clock};
-    const int fd = ::open(file(i, "control").c_str(), O_RDWR | O_CREAT, 0600);  // in place: it is mapped
+    const int fd =
+        ::open(file(i, "control").c_str(), O_RDWR | O_CREAT, 0600);  // in place: it is mapped
     (void)!::pwrite(fd, words, sizeof words, 0);
     ::close(fd);
   }
@@ -163,7 +169,8 @@
   void lose_power(std::size_t i) {
     kill(i);
     const std::string state = file(i, "state"), shadow = file(i, "shadow");
-    for (const auto& e : std::filesystem::directory_iterator(state)) std::filesystem::remove(e.path());
+    for (const auto& e : std::filesystem::directory_iterator(state))
+      std::filesystem::remove(e.path());
     std::ifstream names(shadow + "/names");
     std::string inode, name;
     while (names >> inode >> name)
@@ -177,8 +184,9 @@
     return body == std::string::npos ? "" : in.substr(body + 4);
   }
   std::string put(std::size_t i, const std::string& target, const std::string& body) {
-    const auto in = call(address(i + 1, 7001), "PUT " + target + " HTTP/1.1\r\nHost: x\r\nContent-Length: " +
-                                                   std::to_string(body.size()) + "\r\n\r\n" + body);
+    const auto in =
+        call(address(i + 1, 7001), "PUT " + target + " HTTP/1.1\r\nHost: x\r\nContent-Length: " +
+                                       std::to_string(body.size()) + "\r\n\r\n" + body);
     const auto at = in.find("\r\n\r\n");
     return at == std::string::npos ? "" : in.substr(at + 4);
   }
@@ -231,7 +239,8 @@
       v.addresses[name] = m["address"].GetString();
       v.epochs[name] = m["epoch"].GetUint64();
     }
-    for (const auto& c : j["counts"].GetObject()) v.counts[c.name.GetString()] = c.value.GetUint64();
+    for (const auto& c : j["counts"].GetObject())
+      v.counts[c.name.GetString()] = c.value.GetUint64();
     return v;
   }
   // All of those see exactly each other, and say they are whole.
@@ -272,8 +281,11 @@
     counted_ = 0, lost_ = lost, late_one_ = late;
   }
   std::mt19937_64 random;
-  std::vector<std::pair<std::size_t, std::string>> carried;  // the last datagrams: to whom, and what
-  void inject(std::size_t to, const std::string& bytes) { gates_[to]->send(address(to + 1, 7002), bytes); }
+  std::vector<std::pair<std::size_t, std::string>>
+      carried;  // the last datagrams: to whom, and what
+  void inject(std::size_t to, const std::string& bytes) {
+    gates_[to]->send(address(to + 1, 7002), bytes);
+  }
 
  private:
   struct Process {
@@ -295,7 +307,8 @@
     Gate(const Gate&) = delete;
     Gate& operator=(const Gate&) = delete;
     void send(const sockaddr_in& to, const std::string& bytes) {
-      (void)!::sendto(udp, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+      (void)!::sendto(udp, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to),
+                      sizeof to);
     }
     int udp, tcp;
   };
@@ -317,7 +330,9 @@
     return net::parse_address(net_ + std::to_string(host) + ":" + std::to_string(port)).value();
   }
   static std::string text(const sockaddr_in& at) { return net::to_string(at); }
-  static std::size_t host_of(const sockaddr_in& at) { return (ntohl(at.sin_addr.s_addr) & 0xff) - 1; }
+  static std::size_t host_of(const sockaddr_in& at) {
+    return (ntohl(at.sin_addr.s_addr) & 0xff) - 1;
+  }
 
   void step() {
     if (on_step) on_step();
@@ -351,14 +366,19 @@
     if (carried.size() > 400) carried.erase(carried.begin(), carried.begin() + 200);
     const std::uint64_t number = counted_++;
     if (number == lost_ || f.cut || f.stall || random() % 100 < f.loss) return;
-    if (number == late_one_) return void(late_.push_back({net::unix_now() + 900'000, from, to, bytes}));
-    if (random() % 100 < f.corrupt) bytes[random() % bytes.size()] ^= static_cast<char>(1 + random() % 255);
+    if (number == late_one_)
+      return void(late_.push_back({net::unix_now() + 900'000, from, to, bytes}));
+    if (random() % 100 < f.corrupt)
+      bytes[random() % bytes.size()] ^= static_cast<char>(1 + random() % 255);
     const Time delay =
-        f.delay + (f.jitter ? static_cast<Time>(random() % static_cast<std::uint64_t>(f.jitter)) : 0);
+        f.delay +
+        (f.jitter ? static_cast<Time>(random() % static_cast<std::uint64_t>(f.jitter)) : 0);
     const std::size_t copies = random() % 100 < f.twice ? 2 : 1;
     for (std::size_t i = 0; i < copies; ++i) {
-      if (delay) late_.push_back({net::unix_now() + delay, from, to, bytes});
-      else gates_[from]->send(address(to + 1, 7002), bytes);
+      if (delay)
+        late_.push_back({net::unix_now() + delay, from, to, bytes});
+      else
+        gates_[from]->send(address(to + 1, 7002), bytes);
     }
   }
   void connection(int fd, std::size_t from, std::size_t to) {
@@ -386,13 +406,17 @@
       const ssize_t n = ::recv(p.fds[side], buffer, most, 0);
       if (f.rate && n > 0) p.next[side] = now + n * kSecond / static_cast<Time>(f.rate);
       if (n == 0 || (n < 0 && errno != EAGAIN)) open = false;
-      if (n > 0 && random() % 100 < f.corrupt) buffer[random() % static_cast<std::size_t>(n)] ^= 0x40;
+      if (n > 0 && random() % 100 < f.corrupt)
+        buffer[random() % static_cast<std::size_t>(n)] ^= 0x40;
       for (ssize_t sent = 0; n > 0 && sent < n;) {
-        const ssize_t k =
-            ::send(p.fds[1 - side], buffer + sent, static_cast<std::size_t>(n - sent), MSG_NOSIGNAL);
-        if (k < 0 && errno == EAGAIN) ::usleep(200);
-        else if (k < 0) break;
-        else sent += k;
+        const ssize_t k = ::send(p.fds[1 - side], buffer + sent, static_cast<std::size_t>(n - sent),
+                                 MSG_NOSIGNAL);
+        if (k < 0 && errno == EAGAIN)
+          ::usleep(200);
+        else if (k < 0)
+          break;
+        else
+          sent += k;
       }
     }
     if (!open) ::close(p.fds[0]), ::close(p.fds[1]);
@@ -407,9 +431,12 @@
       for (const Time end = net::unix_now() + kSecond; net::unix_now() < end; step()) {
         char buffer[65536];
         const ssize_t n = ::recv(fd, buffer, sizeof buffer, 0);
-        if (n > 0) in.append(buffer, static_cast<std::size_t>(n));
-        else if (n == 0 || errno != EAGAIN) break;
-        else ::usleep(300);
+        if (n > 0)
+          in.append(buffer, static_cast<std::size_t>(n));
+        else if (n == 0 || errno != EAGAIN)
+          break;
+        else
+          ::usleep(300);
       }
     }
     ::close(fd);
--- a/tests/cluster/rig_test.cpp
+++ b/tests/cluster/rig_test.cpp
@@ -74,8 +74,8 @@
   EXPECT_EQ(r.view(2).states["n1"], "alive");
 }
 
-// A stalled link takes connections and moves nothing: the exchange over it ends by its time, all others go
-// on.
+// A stalled link takes connections and moves nothing: the exchange over it ends by its time, all
+// others go on.
 TEST_F(RigTest, AStalledLinkHoldsUpNobodyElse) {
   Rig r(4);
   r.way(3, 0).stall = r.way(0, 3).stall = true;
@@ -111,8 +111,9 @@
 TEST_F(RigTest, LossSpoiltBytesCopiesAndDelaysFailNobody) {
   Rig r(5, 42);
   form(r);
-  r.each_way(
-      [](rig::Fault& f) { f.loss = 15, f.corrupt = 5, f.twice = 10, f.delay = 2'000, f.jitter = 20'000; });
+  r.each_way([](rig::Fault& f) {
+    f.loss = 15, f.corrupt = 5, f.twice = 10, f.delay = 2'000, f.jitter = 20'000;
+  });
   r.run(20 * kSecond);
   EXPECT_EQ(failures(r), 0u);
   EXPECT_TRUE(r.until([&] { return r.view(0).alive() == 4; }));
@@ -120,15 +121,16 @@
   EXPECT_NE(r.log(0).find("kind=spoilt"), std::string::npos);
 }
 
-// Everything of an earlier life, sent again, revives nobody; garbage, later versions and floods are dropped.
+// Everything of an earlier life, sent again, revives nobody; garbage, later versions and floods are
+// dropped.
 TEST_F(RigTest, ReplayedForeignAndSpoiltDatagramsChangeNothing) {
   Rig r(3);
   form(r);
   r.run(kSecond);
   const auto kept = r.carried;
   r.kill(2);
-  ASSERT_TRUE(
-      r.until([&] { return r.view(0).states["n2"] == "failed" && r.view(1).states["n2"] == "failed"; }));
+  ASSERT_TRUE(r.until(
+      [&] { return r.view(0).states["n2"] == "failed" && r.view(1).states["n2"] == "failed"; }));
   for (const auto& [to, bytes] : kept)
     if (to < 2) r.inject(to, bytes);
   auto later = kept[0].second, foreign = later;
@@ -168,9 +170,10 @@
   ASSERT_TRUE(r.until([&] { return r.whole({0, 1, 2}); }));
   r.start(3);
   ASSERT_TRUE(r.until([&] { return r.log(1).find("superseded") != std::string::npos; }));
+  EXPECT_TRUE(r.until(
+      [&] { return r.view(0).addresses["n1"] == r.gate(3) && r.view(0).states["n1"] == "alive"; }));
   EXPECT_TRUE(
-      r.until([&] { return r.view(0).addresses["n1"] == r.gate(3) && r.view(0).states["n1"] == "alive"; }));
-  EXPECT_TRUE(r.until([&] { return (r.log(0) + r.log(2)).find("two_of_one_name") != std::string::npos; }));
+      r.until([&] { return (r.log(0) + r.log(2)).find("two_of_one_name") != std::string::npos; }));
   EXPECT_TRUE(r.runs(1)) << "it goes on serving its clients";
 }
 
@@ -184,7 +187,8 @@
   r.start(2);
   EXPECT_TRUE(r.until([&] {
     auto v = r.view(0);
-    return v.states["n2"] == "alive" && v.addresses["n2"] == r.gate(3) && v.states["n3"] == "failed";
+    return v.states["n2"] == "alive" && v.addresses["n2"] == r.gate(3) &&
+           v.states["n3"] == "failed";
   }));
 }
 
@@ -221,14 +225,16 @@
   r.run(at * 1000);
   r.kill(who);
   r.start(who);
-  ASSERT_TRUE(r.until(
-      [&] { return r.whole(r.all()) && r.view((who + 1) % 3).epochs["n" + std::to_string(who)] > before; }));
+  ASSERT_TRUE(r.until([&] {
+    return r.whole(r.all()) && r.view((who + 1) % 3).epochs["n" + std::to_string(who)] > before;
+  }));
   for (const auto i : r.all())
     for (const auto& [name, state] : r.view(i).states)
       EXPECT_EQ(state, "alive") << "n" << i << " of " << name;
 }
 
-// Faults of all kinds, overlapping, drawn from a seed: then all is mended, and every view is whole and right.
+// Faults of all kinds, overlapping, drawn from a seed: then all is mended, and every view is whole
+// and right.
 TEST_F(RigTest, AfterADrawnScheduleAllViewsAreWhole) {
   rig::Schedule s = rig::drawn(20261202, 5, 20 * kSecond);
   if (const char* line = std::getenv("ALDERSPUR_SCHEDULE")) s = rig::read_schedule(line);
@@ -244,8 +250,9 @@
 }
 
 TEST(Schedule, WhatIsNoneIsNotRead) {
-  for (const char* line : {"", "3 processes", "3 processes: 5 dance 1;", "3 processes: 5 kill 3;",
-                           "3 processes: 5 cut 1;", "99 processes: 1 heal;", "3 processes: -1 heal;"})
+  for (const char* line :
+       {"", "3 processes", "3 processes: 5 dance 1;", "3 processes: 5 kill 3;",
+        "3 processes: 5 cut 1;", "99 processes: 1 heal;", "3 processes: -1 heal;"})
     EXPECT_TRUE(rig::read_schedule(line).steps.empty()) << line;
 }
 
@@ -255,8 +262,8 @@
   r.each_way([](rig::Fault&) {});
   for (std::size_t i = 0; i < 3; ++i) r.way(i, 3).rate = r.way(3, i).rate = 200;
   r.start_all();
-  ASSERT_TRUE(
-      r.until([&] { return r.view(0).alive() >= 2 && r.view(1).alive() >= 2 && r.view(2).alive() >= 2; }));
+  ASSERT_TRUE(r.until(
+      [&] { return r.view(0).alive() >= 2 && r.view(1).alive() >= 2 && r.view(2).alive() >= 2; }));
   EXPECT_TRUE(r.until([&] { return r.whole(r.all()); }));
   EXPECT_EQ(failures(r), 0u);
 }
@@ -267,7 +274,8 @@
   r.signal(2, SIGTERM);
   ASSERT_TRUE(r.until([&] { return !r.runs(2); }));
   EXPECT_EQ(r.code(2), 0);
-  EXPECT_TRUE(r.until([&] { return r.view(0).states["n2"] == "left" && r.view(1).states["n2"] == "left"; }));
+  EXPECT_TRUE(r.until(
+      [&] { return r.view(0).states["n2"] == "left" && r.view(1).states["n2"] == "left"; }));
   EXPECT_EQ(r.view(0).whole, "whole");
   EXPECT_EQ(failures(r), 0u);
 }
--- a/tests/cluster/schedule.h
+++ b/tests/cluster/schedule.h
@@ -1,8 +1,8 @@
-// A schedule of faults between processes as data: drawn from a seed, written as one line, read from one. A
-// check that fails prints the line; ALDERSPUR_SCHEDULE plays it again.
+// A schedule of faults between processes as data: drawn from a seed, written as one line, read from
+// one. A check that fails prints the line; ALDERSPUR_SCHEDULE plays it again.
 //
-// The form: "N processes: AT kill I; AT start I; AT stop I; AT go I; AT cut I J; AT oneway I J; AT stall I J;
-// AT loss PERCENT; AT heal", AT in milliseconds from the beginning.
+// The form: "N processes: AT kill I; AT start I; AT stop I; AT go I; AT cut I J; AT oneway I J; AT
+// stall I J; AT loss PERCENT; AT heal", AT in milliseconds from the beginning.
 #pragma once
 
 #include <algorithm>
@@ -27,7 +27,9 @@
   std::vector<Step> steps;
 };
 
-inline bool pair_of(const std::string& what) { return what == "cut" || what == "oneway" || what == "stall"; }
+inline bool pair_of(const std::string& what) {
+  return what == "cut" || what == "oneway" || what == "stall";
+}
 
 inline std::string written(const Schedule& s) {
   std::ostringstream out;
@@ -46,7 +48,8 @@
   Schedule s;
   std::istringstream in(line);
   std::string word;
-  if (!(in >> s.processes >> word) || word != "processes:" || s.processes < 2 || s.processes > 30) return {};
+  if (!(in >> s.processes >> word) || word != "processes:" || s.processes < 2 || s.processes > 30)
+    return {};
   for (std::string text; std::getline(in, text, ';');) {
     std::istringstream step(text);
     Step x;
@@ -55,7 +58,8 @@
                                                  "oneway", "stall", "loss", "heal"};
     const bool numbers = (x.what == "heal" || step >> x.a) && (!pair_of(x.what) || step >> x.b);
     const bool known = kWords.contains(x.what) && numbers;
-    const bool there = x.what == "loss" || x.what == "heal" || (x.a < s.processes && x.b < s.processes);
+    const bool there =
+        x.what == "loss" || x.what == "heal" || (x.a < s.processes && x.b < s.processes);
     if (!known || !there || x.at < 0) return {};
     x.at *= 1000;
     s.steps.push_back(std::move(x));
@@ -69,7 +73,8 @@
   Schedule s{processes, {}};
   std::set<std::size_t> dead, stopped;
   for (Time at = 0; at < time; at += 300'000 + static_cast<Time>(random() % 1'200'000)) {
-    const std::size_t a = random() % processes, b = (a + 1 + random() % (processes - 1)) % processes;
+    const std::size_t a = random() % processes,
+                      b = (a + 1 + random() % (processes - 1)) % processes;
     const auto add = [&](const char* what, std::size_t x = 0, std::size_t y = 0) {
       s.steps.push_back({at, what, x, y});
     };
@@ -119,7 +124,8 @@
       r.run(std::min<Time>(50'000, from + x.at - net::unix_now())), meanwhile();
     if (x.what == "kill" && dead.insert(x.a).second) stopped.erase(x.a), r.kill(x.a);
     if (x.what == "start" && dead.erase(x.a)) r.start(x.a);
-    if (x.what == "stop" && !dead.contains(x.a) && stopped.insert(x.a).second) r.signal(x.a, SIGSTOP);
+    if (x.what == "stop" && !dead.contains(x.a) && stopped.insert(x.a).second)
+      r.signal(x.a, SIGSTOP);
     if (x.what == "go" && stopped.contains(x.a)) go(x.a);
     if (x.what == "cut") r.cut({x.a}, {x.b});
     if (x.what == "oneway") r.way(x.a, x.b).cut = true;
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -1,8 +1,8 @@
 // The configuration language by its corpus, and properties of formatting.
 //
-// tests/lang/broken/*.alder say in lines "#! LINE CODE words" what must be found, all of it and nothing else;
-// tests/lang/good/*.alder must check without an error, and stand in their canonical form but where a file
-// NAME.formatted beside them says how they are to be formatted.
+// tests/lang/broken/*.alder say in lines "#! LINE CODE words" what must be found, all of it and
+// nothing else; tests/lang/good/*.alder must check without an error, and stand in their canonical
+// form but where a file NAME.formatted beside them says how they are to be formatted.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -40,7 +40,8 @@
 }
 std::string formatted(const std::string& text, diagnostics::Findings& findings) {
   config_language::Sources sources;
-  return config_language::format(config_language::parse(sources, sources.add("x.alder", text), findings));
+  return config_language::format(
+      config_language::parse(sources, sources.add("x.alder", text), findings));
 }
 config_language::Tree tree(config_language::Sources& sources, const std::string& text) {
   diagnostics::Findings ignored;
@@ -81,10 +82,13 @@
       said += line + "\n";
       EXPECT_NE(program.sources.render(x).find('^'), std::string::npos) << line;
       const auto it = std::find_if(expected.begin(), expected.end(), [&](auto& e) {
-        return e.code == x.code && e.line == x.place.line && line.find(e.words) != std::string::npos;
+        return e.code == x.code && e.line == x.place.line &&
+               line.find(e.words) != std::string::npos;
       });
-      if (it == expected.end()) ADD_FAILURE() << "not expected: " << line;
-      else expected.erase(it);
+      if (it == expected.end())
+        ADD_FAILURE() << "not expected: " << line;
+      else
+        expected.erase(it);
     }
     for (const auto& e : expected)
       ADD_FAILURE() << path.filename() << ": missing " << e.line << ' ' << e.code << ' ' << e.words
@@ -146,7 +150,8 @@
     std::vector<std::string> out;
     const auto star = pattern.find('*');
     for (const auto& [p, t] : files)
-      if (p.starts_with(pattern.substr(0, star)) && p.ends_with(pattern.substr(star + 1))) out.push_back(p);
+      if (p.starts_with(pattern.substr(0, star)) && p.ends_with(pattern.substr(star + 1)))
+        out.push_back(p);
     return out;
   }
   std::map<std::string, std::string> files;
@@ -170,11 +175,11 @@
 
 TEST(Includes, AFileIncludedTwiceIsReadOnceAndAPatternTakesAll) {
   Memory m;
-  m.files = {
-      {"main.alder", "include \"r/*.alder\"\ninclude \"shared.alder\"\ninclude \"./r/../shared.alder\"\n"},
-      {"r/1.alder", "include \"../shared.alder\"\nlet one = 1\n"},
-      {"r/2.alder", "let two = 2\n"},
-      {"shared.alder", "let all = 3\n"}};
+  m.files = {{"main.alder",
+              "include \"r/*.alder\"\ninclude \"shared.alder\"\ninclude \"./r/../shared.alder\"\n"},
+             {"r/1.alder", "include \"../shared.alder\"\nlet one = 1\n"},
+             {"r/2.alder", "let two = 2\n"},
+             {"shared.alder", "let all = 3\n"}};
   diagnostics::Findings f;
   const auto program = config_language::load("main.alder", m, f);
   EXPECT_TRUE(f.list().empty());
@@ -210,8 +215,8 @@
   EXPECT_FALSE(h.good());
 }
 
-// Random edits of good files: nothing crashes, and what parses formats to a tree that is the same, once and
-// for all.
+// Random edits of good files: nothing crashes, and what parses formats to a tree that is the same,
+// once and for all.
 RC_GTEST_PROP(Format, IsIdempotentAndKeepsTheMeaning, ()) {
   static const auto all = files("good");
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
@@ -222,8 +227,10 @@
       const auto at = below(text.size());
       static const std::string kBits[] = {"\n", "\n\n", " # c\n", "{", "}",   "[",  "]",
                                           ",",  ";",    "\"",     "=", "20%", "$x", "# d\n"};
-      if (random() % 3 == 0) text.erase(at, 1 + below(20));
-      else text.insert(at, kBits[below(std::size(kBits))]);
+      if (random() % 3 == 0)
+        text.erase(at, 1 + below(20));
+      else
+        text.insert(at, kBits[below(std::size(kBits))]);
     }
     diagnostics::Findings f;
     config_language::Sources sources;
--- a/tests/consensus/consensus_node_test.cpp
+++ b/tests/consensus/consensus_node_test.cpp
@@ -55,7 +55,8 @@
   const auto bad = w.propose("r4", "bad");
   ASSERT_TRUE(w.until([&] { return w.reply(bad) != nullptr; }));
   EXPECT_FALSE(w.reply(bad)->yes);
-  EXPECT_NE(w.reply(bad)->text.find("refused by r1: line 3"), std::string::npos) << w.reply(bad)->text;
+  EXPECT_NE(w.reply(bad)->text.find("refused by r1: line 3"), std::string::npos)
+      << w.reply(bad)->text;
   const auto good = w.propose("r4", "good");
   ASSERT_TRUE(w.until([&] { return w.reply(good) && w.all_act("good"); }));
   SOUND(w);
@@ -149,7 +150,8 @@
              });
     })) << i;
     const auto v = w.propose("r5", "after " + std::to_string(i));
-    ASSERT_TRUE(w.until([&] { return w.reply(v) && w.all_act("after " + std::to_string(i)); })) << i;
+    ASSERT_TRUE(w.until([&] { return w.reply(v) && w.all_act("after " + std::to_string(i)); }))
+        << i;
   }
   EXPECT_TRUE(w.until([&] {
     return std::all_of(first.begin(), first.end(),
@@ -173,8 +175,8 @@
     ASSERT_TRUE(w.until([&] {
       const auto l = w.leader();
       const auto* raft = w.at(1).agreement->raft();
-      return !l.empty() && raft && w.at(l).agreement->raft()->servers().size() == 3 && w.all_act("two") &&
-             w.at(1).agreement->view(0).part == Part::voter;
+      return !l.empty() && raft && w.at(l).agreement->raft()->servers().size() == 3 &&
+             w.all_act("two") && w.at(1).agreement->view(0).part == Part::voter;
     })) << seed;
     const auto three = w.propose("r3", "three");
     ASSERT_TRUE(w.until([&] { return w.reply(three) && w.all_act("three"); })) << seed;
@@ -213,12 +215,14 @@
     World w(seed, 5, 3);
     ASSERT_TRUE(w.begin_with("r4", "one"));
     const auto two = w.propose("r4", "two", {}, trial_at({"r1", "r4"}, 600 * kSecond, false));
-    ASSERT_TRUE(w.until([&] { return w.reply(two) && acts_on(w, 1, "two") && acts_on(w, 4, "two"); }))
-        << seed;
+    ASSERT_TRUE(w.until([&] {
+      return w.reply(two) && acts_on(w, 1, "two") && acts_on(w, 4, "two");
+    })) << seed;
     EXPECT_TRUE(w.reply(two)->yes && w.reply(two)->text == "on trial");
     w.run(10 * kSecond);
     for (const std::size_t i : {0u, 2u, 3u}) EXPECT_TRUE(acts_on(w, i, "one")) << seed << " r" << i;
-    for (const std::size_t i : {1u, 4u}) EXPECT_TRUE(acts_on(w, i, "two")) << "under a lease all the time";
+    for (const std::size_t i : {1u, 4u})
+      EXPECT_TRUE(acts_on(w, i, "two")) << "under a lease all the time";
     const auto other = w.propose("r3", "three");
     ASSERT_TRUE(w.until([&] { return w.reply(other) != nullptr; }));
     EXPECT_FALSE(w.reply(other)->yes) << "one at a time";
@@ -256,7 +260,8 @@
     ASSERT_TRUE(w.begin_with("r4", "one"));
     w.propose("r4", "two", {}, trial_at({"r3"}, 600 * kSecond, false));
     ASSERT_TRUE(w.until([&] { return acts_on(w, 3, "two"); }));
-    for (std::size_t i = 0; i < 5; ++i) w.load(World::name(i), 50, i == 3 || everywhere ? 0.3 : 0.01);
+    for (std::size_t i = 0; i < 5; ++i)
+      w.load(World::name(i), 50, i == 3 || everywhere ? 0.3 : 0.01);
     w.run(6 * kSecond);
     EXPECT_EQ(acts_on(w, 3, "two"), everywhere) << w.stands();
     EXPECT_EQ(w.at(3).acting.version.number, everywhere ? 2u : 3u);
@@ -326,7 +331,8 @@
   const auto none = w.propose("r3", "one", {}, trial_at({"r3"}, kSecond, true));
   ASSERT_TRUE(w.until([&] { return w.reply(none) != nullptr; }));
   EXPECT_NE(w.reply(none)->text.find("go back to"), std::string::npos) << w.reply(none)->text;
-  const auto many = w.propose("r3", "one", {}, trial_at(std::vector<std::string>(8, "r1"), kSecond, true));
+  const auto many =
+      w.propose("r3", "one", {}, trial_at(std::vector<std::string>(8, "r1"), kSecond, true));
   ASSERT_TRUE(w.until([&] { return w.reply(many) != nullptr; }));
   EXPECT_FALSE(w.reply(many)->yes);
   SOUND(w);
@@ -347,7 +353,8 @@
     EXPECT_TRUE(w.at(4).acting.careful);
     w.at(1).disk.fails = w.at(4).disk.fails = false;
     ASSERT_TRUE(w.until([&] {
-      return w.all_act("two") && w.at(1).agreement->view(0).part == Part::voter && !w.leader().empty();
+      return w.all_act("two") && w.at(1).agreement->view(0).part == Part::voter &&
+             !w.leader().empty();
     })) << seed
         << w.stands();
     SOUND(w);
@@ -383,14 +390,14 @@
   }
   w.start("r2");
   ASSERT_TRUE(w.until([&] {
-    return w.at(2).agreement->raft() &&
-           w.at(2).agreement->ledger().in_force().number == static_cast<std::uint64_t>(versions) + 121;
+    return w.at(2).agreement->raft() && w.at(2).agreement->ledger().in_force().number ==
+                                            static_cast<std::uint64_t>(versions) + 121;
   }));
   SOUND(w);
 }
 
-// Whatever is lost, stopped, cut or lied about in whatever order: nothing that must hold is broken, and once
-// all is well again, all act on one version.
+// Whatever is lost, stopped, cut or lied about in whatever order: nothing that must hold is broken,
+// and once all is well again, all act on one version.
 TEST(Agreement, MixedSchedulesBreakNothingAndEndInOnePicture) {
   const std::size_t seeds = 24 * more();
   std::size_t in_force = 0;
@@ -410,7 +417,8 @@
           if (w.up(n) && random() % 3 == 0)
             w.propose(n, "v" + std::to_string(++value), {},
                       trial_at({o}, static_cast<Time>(1 + random() % 4) * kSecond, random() % 2));
-          else if (w.up(n)) w.propose(n, "v" + std::to_string(++value));
+          else if (w.up(n))
+            w.propose(n, "v" + std::to_string(++value));
           break;
         case 3:
           if (w.up(n)) stopped.erase(n), w.kill(n);
--- a/tests/consensus/explored_test.cpp
+++ b/tests/consensus/explored_test.cpp
@@ -33,11 +33,12 @@
   return h;
 }
 
-// Two voters, two followers, two versions; one of the four is killed at one of some moments of the second and
-// comes back sooner or later; one cut begins at one of some moments and ends by itself. Properties, at all
-// times: at most one leads; nobody goes back; nobody under a lease acts on an older version for over T;
-// shares never pass what is to be shared; after all is well again all act on one. A schedule that fails is
-// printed, and plays again as it was. ALDERSPUR_EXPLORE=4 has 16 times as many.
+// Two voters, two followers, two versions; one of the four is killed at one of some moments of the
+// second and comes back sooner or later; one cut begins at one of some moments and ends by itself.
+// Properties, at all times: at most one leads; nobody goes back; nobody under a lease acts on an
+// older version for over T; shares never pass what is to be shared; after all is well again all act
+// on one. A schedule that fails is printed, and plays again as it was. ALDERSPUR_EXPLORE=4 has 16
+// times as many.
 TEST(AgreementExplored, OneCrashAndOneCutAtAnyMomentBreakNothing) {
   const std::vector<std::set<std::string>> cuts = {{"r0"},       {"r1"},       {"r2"},      {"r3"},
                                                    {"r0", "r1"}, {"r0", "r2"}, {"r0", "r3"}};
@@ -70,7 +71,8 @@
                                          {cut + 2'000'000, [&] { w.heal(); }}};
             std::sort(events.begin(), events.end(), [](auto& a, auto& b) { return a.at < b.at; });
             for (const auto& e : events) {
-              while (w.now < from + e.at) w.run(std::min<Time>(20'000, from + e.at - w.now)), look();
+              while (w.now < from + e.at)
+                w.run(std::min<Time>(20'000, from + e.at - w.now)), look();
               e.then();
             }
             const auto* said = w.reply(two);
@@ -104,18 +106,22 @@
   const auto change = [](std::int64_t a, std::int64_t b, std::uint64_t base, std::uint64_t n) {
     return Operation{K::change, a, b, base, n, false};
   };
-  EXPECT_TRUE(history::linear({change(0, 10, 0, 1), read(11, 12, 1), change(13, 20, 1, 2), read(14, 19, 1)}));
+  EXPECT_TRUE(history::linear(
+      {change(0, 10, 0, 1), read(11, 12, 1), change(13, 20, 1, 2), read(14, 19, 1)}));
   EXPECT_TRUE(history::linear({change(0, 10, 0, 1), read(5, 6, 0), read(7, 8, 1)}));
   EXPECT_FALSE(history::linear({change(0, 10, 0, 1), read(11, 12, 0)}))
       << "read after its answer, and not there";
-  EXPECT_FALSE(history::linear({change(0, 10, 0, 1), read(5, 6, 1), read(7, 8, 0)})) << "it went back";
+  EXPECT_FALSE(history::linear({change(0, 10, 0, 1), read(5, 6, 1), read(7, 8, 0)}))
+      << "it went back";
   EXPECT_FALSE(history::linear({change(0, 10, 0, 1), change(0, 10, 0, 2)})) << "both from one base";
-  EXPECT_TRUE(history::linear({change(0, history::kNever, 0, 0), read(5, 6, 3), change(7, 9, 3, 4)}));
-  EXPECT_FALSE(history::linear({change(8, history::kNever, 0, 0), read(5, 6, 3)})) << "before it was called";
+  EXPECT_TRUE(
+      history::linear({change(0, history::kNever, 0, 0), read(5, 6, 3), change(7, 9, 3, 4)}));
+  EXPECT_FALSE(history::linear({change(8, history::kNever, 0, 0), read(5, 6, 3)}))
+      << "before it was called";
 }
 
-// Two clients that propose and read, each at whichever router, while routers are killed, stopped and cut off.
-// Reads count where the router says that it leads: nobody else promises the newest.
+// Two clients that propose and read, each at whichever router, while routers are killed, stopped
+// and cut off. Reads count where the router says that it leads: nobody else promises the newest.
 TEST(History, WhatTwoClientsSawOfProposalsAndReadsHasAnOrder) {
   const std::size_t seeds = 12 * more();
   std::size_t yes = 0, reads = 0;
@@ -145,8 +151,8 @@
       if (!w.up(n) || w.routers().at(n).stopped) return;
       auto& r = w.routers().at(n);
       if (r.agreement->leads(w.clock(r))) {
-        all.push_back(
-            {Operation::Kind::read, w.now, w.now, 0, r.agreement->ledger().in_force().number, false});
+        all.push_back({Operation::Kind::read, w.now, w.now, 0,
+                       r.agreement->ledger().in_force().number, false});
         c.known = all.back().number, ++reads;
       }
       if (random() % 3) return;
--- a/tests/consensus/faulty_disk.cpp
+++ b/tests/consensus/faulty_disk.cpp
@@ -1,9 +1,11 @@
-// A disk that lies, and a wall clock that jumps: preloaded into a process of the program by the rig.
+// A disk that lies, and a wall clock that jumps: preloaded into a process of the program by the
+// rig.
 //
-// Files under LIAR_FOLDER are watched. The real files always get what is written; what would be left after a
-// loss of power is kept beside them in LIAR_SHADOW: a copy of each file as of its last true sync (by inode),
-// and the names as of the last true sync of the folder. The rig puts that back. LIAR_CONTROL is a file of two
-// numbers of 64 bits, looked at on each call: the fault, and how far the wall clock is off, in microseconds.
+// Files under LIAR_FOLDER are watched. The real files always get what is written; what would be
+// left after a loss of power is kept beside them in LIAR_SHADOW: a copy of each file as of its last
+// true sync (by inode), and the names as of the last true sync of the folder. The rig puts that
+// back. LIAR_CONTROL is a file of two numbers of 64 bits, looked at on each call: the fault, and
+// how far the wall clock is off, in microseconds.
 #include <dirent.h>
 #include <dlfcn.h>
 #include <errno.h>
@@ -21,7 +23,14 @@
 
 namespace {
 
-enum Fault : std::int64_t { honest = 0, unsynced = 1, sync_fails = 2, full = 3, hangs = 4, read_fails = 5 };
+enum Fault : std::int64_t {
+  honest = 0,
+  unsynced = 1,
+  sync_fails = 2,
+  full = 3,
+  hangs = 4,
+  read_fails = 5
+};
 
 const volatile std::int64_t* control() {
   static const volatile std::int64_t* at = [] {
--- a/tests/consensus/fleet.h
+++ b/tests/consensus/fleet.h
@@ -1,11 +1,11 @@
-// A fleet of processes of the program that agree on versions, with stand-in boxes that count what they get
-// and clients that come and go: for stories and for measurements.
+// A fleet of processes of the program that agree on versions, with stand-in boxes that count what
+// they get and clients that come and go: for stories and for measurements.
 #pragma once
 
 #include <gtest/gtest.h>
 
-#include "consensus/version.h"
 #include "cluster/rig.h"
+#include "consensus/version.h"
 #include "loopback.h"
 
 namespace fleet {
@@ -28,8 +28,9 @@
     for (const char c : which) {
       if (c == 'p' || c == 'q') {
         out += std::string("[[server]]\nid = \"s-") + c +
-               "\"\nrole = \"parent\"\nhub = \"hub\"\naddress = \"127.0.0.1:" + (c == 'p' ? "9" : "10") +
-               "\"\nweight = " + std::to_string(weight_) + "\nstate = \"in_service\"\ncell = 0\n";
+               "\"\nrole = \"parent\"\nhub = \"hub\"\naddress = \"127.0.0.1:" +
+               (c == 'p' ? "9" : "10") + "\"\nweight = " + std::to_string(weight_) +
+               "\nstate = \"in_service\"\ncell = 0\n";
         continue;
       }
       const bool draining = c >= 'A' && c <= 'C';
@@ -47,14 +48,16 @@
     r->on_step = [this] { step(); };
     clients_.resize(n);
     rig::Setup s;
-    s.voters = std::move(voters), s.servers = servers(first_), s.routers = n, s.obligations = obligations_;
+    s.voters = std::move(voters), s.servers = servers(first_), s.routers = n,
+    s.obligations = obligations_;
     s.alone = alone_, s.domain = domain_;
     for (std::size_t i = 0; i < n; ++i) {
       if (with_boards_) s.board = boards_.emplace_back().address();
       r->configure(i, s);
     }
     r->start_all();
-    return r->until([&] { return r->whole(r->all()); }) && (alone_ || r->until([&] { return leader() < n; }));
+    return r->until([&] { return r->whole(r->all()); }) &&
+           (alone_ || r->until([&] { return leader() < n; }));
   }
   struct View {
     bool answered = false, leads = false, careful = true;
@@ -69,8 +72,10 @@
     j.Parse(r->get(i, "/control/versions").c_str());
     if (j.HasParseError() || !j.IsObject() || !j.HasMember("acting")) return v;
     v.answered = true, v.leads = j["leads"].GetBool(), v.acting = j["acting"]["number"].GetUint64();
-    v.careful = std::string(j["acting"]["state"].GetString()) == "careful", v.heard = j["heard"].GetUint64();
-    v.part = j["part"].GetString(), v.leader = j["leader"].GetString(), v.share = j["share_all"].GetDouble();
+    v.careful = std::string(j["acting"]["state"].GetString()) == "careful",
+    v.heard = j["heard"].GetUint64();
+    v.part = j["part"].GetString(), v.leader = j["leader"].GetString(),
+    v.share = j["share_all"].GetDouble();
     return v;
   }
   std::size_t leader() {
@@ -156,11 +161,13 @@
       std::snprintf(id, sizeof id, "%016llx",
                     static_cast<unsigned long long>(++asked_ * 0x9e3779b97f4a7c15ULL));
       c.sent[c.next + 1] = now;
-      c.socket->write(loopback::request(static_cast<unsigned>(++c.next), "asset",
-                                        {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}}));
+      c.socket->write(
+          loopback::request(static_cast<unsigned>(++c.next), "asset",
+                            {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}}));
     }
   }
-  struct Board {  // a stand-in notice board of one router: takes its watch, says what the story says
+  struct Board {  // a stand-in notice board of one router: takes its watch, says what the story
+                  // says
     Board() { ::listen(fd = loopback::bound(at), 8), ::fcntl(fd, F_SETFL, O_NONBLOCK); }
     ~Board() { ::close(fd); }
     Board(const Board&) = delete;
@@ -193,9 +200,10 @@
   Time last_[kBoxes] = {};
   std::uint64_t got_[kBoxes] = {};
   bool with_boards_ = false;
-  std::deque<Board> boards_;                    // by router
-  std::map<std::string, std::string> limited_;  // items asked for with a bound on their age, in milliseconds
-  std::uint64_t filled_by_q_ = 0;               // fetches that name parent q as their source
+  std::deque<Board> boards_;  // by router
+  std::map<std::string, std::string>
+      limited_;                    // items asked for with a bound on their age, in milliseconds
+  std::uint64_t filled_by_q_ = 0;  // fetches that name parent q as their source
   bool broken_[kBoxes] = {};
   std::vector<Client> clients_;
   std::uint64_t asked_ = 0, served = 0, refused = 0;
--- a/tests/consensus/history.h
+++ b/tests/consensus/history.h
@@ -1,6 +1,7 @@
-// Judges what clients saw of a register that is changed by compare-and-set: of versions, whose number in
-// force is the register. An operation has the time of its call and of its answer; the search is that of Wing
-// and Gong (1993): is there an order of single moments, each within its operation, that explains all answers?
+// Judges what clients saw of a register that is changed by compare-and-set: of versions, whose
+// number in force is the register. An operation has the time of its call and of its answer; the
+// search is that of Wing and Gong (1993): is there an order of single moments, each within its
+// operation, that explains all answers?
 #pragma once
 
 #include <algorithm>
@@ -18,8 +19,9 @@
 
 struct Operation {
   enum class Kind { read, change } kind = Kind::read;
-  Moment called = 0, answered = kNever;  // kNever: no answer; it may have happened at any time, or not
-  std::uint64_t base = 0;                // of a change
+  Moment called = 0,
+         answered = kNever;  // kNever: no answer; it may have happened at any time, or not
+  std::uint64_t base = 0;    // of a change
   std::uint64_t number = 0;  // what was read, or what the change became; 0 of one without an answer
   bool no = false;           // a change that was refused: it did not happen
 };
@@ -27,9 +29,11 @@
 inline std::string word(const std::vector<Operation>& all) {
   std::string out;
   for (const auto& o : all)
-    out += (o.kind == Operation::Kind::read ? "read " : "change from " + std::to_string(o.base) + " to ") +
-           std::to_string(o.number) + (o.no ? " refused" : "") + " [" + std::to_string(o.called / 1000) +
-           ", " + (o.answered == kNever ? "-" : std::to_string(o.answered / 1000)) + "] ms\n";
+    out += (o.kind == Operation::Kind::read ? "read "
+                                            : "change from " + std::to_string(o.base) + " to ") +
+           std::to_string(o.number) + (o.no ? " refused" : "") + " [" +
+           std::to_string(o.called / 1000) + ", " +
+           (o.answered == kNever ? "-" : std::to_string(o.answered / 1000)) + "] ms\n";
   return out;
 }
 
@@ -53,8 +57,10 @@
       if (o.kind == Operation::Kind::read ? o.number != at : o.base != at) continue;
       // What a change without an answer became is told by whoever read it: any number above.
       std::vector<std::uint64_t> to{o.number};
-      if (o.kind == Operation::Kind::read) to = {at};
-      else if (o.answered == kNever) to = later(at);
+      if (o.kind == Operation::Kind::read)
+        to = {at};
+      else if (o.answered == kNever)
+        to = later(at);
       for (const auto next : to) {
         done_[i] = true;
         if (linear(next)) return true;
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -1,4 +1,5 @@
-// A voter's disk, spoilt in every way that a file can be: it is believed as it was written, or not at all.
+// A voter's disk, spoilt in every way that a file can be: it is believed as it was written, or not
+// at all.
 #include "consensus/log_store.h"
 
 #include <gtest/gtest.h>
@@ -35,8 +36,10 @@
   void fill() {
     Disk d(folder);
     ASSERT_EQ(d.load().error, "");
-    Store append{
-        Store::Kind::append, 1, {{1, 3, "voters"}, {2, 1, std::string(900, 'x')}, {2, 1, "three"}}, {}};
+    Store append{Store::Kind::append,
+                 1,
+                 {{1, 3, "voters"}, {2, 1, std::string(900, 'x')}, {2, 1, "three"}},
+                 {}};
     for (const Store& s :
          {Store{Store::Kind::term, 2, {}, {}}, Store{Store::Kind::vote, 77, {}, {}}, append,
           Store{Store::Kind::snapshot, 1, {}, Snapshot{2, 2, {1, {{"a", 1}, {"b", 1}}}, "ledger"}},
@@ -78,8 +81,10 @@
     Disk d(folder);
     const auto l = d.load();
     ++(l.error.empty() ? same_still : seen);
-    if (l.error.empty()) EXPECT_TRUE(same(l.saved)) << what;
-    else EXPECT_TRUE(l.spoilt) << what;
+    if (l.error.empty())
+      EXPECT_TRUE(same(l.saved)) << what;
+    else
+      EXPECT_TRUE(l.spoilt) << what;
     EXPECT_TRUE(l.error.empty() || l.saved.pristine()) << what << ": nothing of it is believed";
   };
   const auto restore = [&] {
@@ -129,16 +134,18 @@
 
 // ---- The careful union of lists
 
-endpoints::SnapshotPtr list(const std::string& servers) {  // "a" in service, "A" draining, weights by digits
+endpoints::SnapshotPtr list(
+    const std::string& servers) {  // "a" in service, "A" draining, weights by digits
   std::string text = "format = 1\ngeneration = 3\nservers = " + std::to_string(servers.size() / 2) +
                      "\n[[hub]]\nname = \"h\"\n[[point]]\nname = \"p\"\nhub = \"h\"\n";
   for (std::size_t i = 0; i + 1 < servers.size(); i += 2) {
     const bool draining = servers[i] < 'a';
     const char id = static_cast<char>(draining ? servers[i] - 'A' + 'a' : servers[i]);
-    text += std::string("[[server]]\nid = \"") + id +
-            "\"\nrole = \"cache\"\npoint = \"p\"\naddress = \"127.0.0.1:" + std::to_string(4000 + id) +
-            "\"\nweight = " + servers[i + 1] + ".0\nstate = \"" + (draining ? "draining" : "in_service") +
-            "\"\ncell = 0\n";
+    text +=
+        std::string("[[server]]\nid = \"") + id +
+        "\"\nrole = \"cache\"\npoint = \"p\"\naddress = \"127.0.0.1:" + std::to_string(4000 + id) +
+        "\"\nweight = " + servers[i + 1] + ".0\nstate = \"" +
+        (draining ? "draining" : "in_service") + "\"\ncell = 0\n";
   }
   diagnostics::Findings findings;
   auto read = endpoints::read_list(text, "list", 0, {}, findings);
@@ -150,7 +157,8 @@
   for (const char id : std::string("abcdef"))
     for (const auto& x : s.servers)
       if (x.name[0] == id)
-        out += std::string(1, x.state == endpoints::State::draining ? static_cast<char>(id - 32) : id) +
+        out += std::string(
+                   1, x.state == endpoints::State::draining ? static_cast<char>(id - 32) : id) +
                std::to_string(static_cast<int>(x.weight));
   return out;
 }
@@ -160,7 +168,8 @@
   EXPECT_EQ(shown(unite({list("a1b4"), list("a4b4d4")})), "a1b4") << "a new one not yet";
   EXPECT_EQ(shown(unite({list("a4B4"), list("a4b4")})), "a4B4");
   EXPECT_EQ(shown(unite({list("a4b4"), list("a4B4"), list("a4b4")})), "a4B4");
-  EXPECT_EQ(shown(unite({list("a4b4"), list("c4d4")})), "c4d4") << "a place is not left without any";
+  EXPECT_EQ(shown(unite({list("a4b4"), list("c4d4")})), "c4d4")
+      << "a place is not left without any";
   const auto text = written(unite({list("a4b4c4"), list("a2b4")}), 41);
   diagnostics::Findings findings;
   const auto again = endpoints::read_list(text, "list", 0, {}, findings);
--- a/tests/consensus/versions_test.cpp
+++ b/tests/consensus/versions_test.cpp
@@ -1,10 +1,11 @@
-// Versions agreed by several processes of the program, with faults between them and under their disks, judged
-// by what the stand-in boxes receive and by each process's own view.
+// Versions agreed by several processes of the program, with faults between them and under their
+// disks, judged by what the stand-in boxes receive and by each process's own view.
 #include "fleet.h"
 
 namespace {
 
-using fleet::kBound, fleet::kFull, fleet::kHangs, fleet::kHonest, fleet::kSyncFails, fleet::kUnsynced;
+using fleet::kBound, fleet::kFull, fleet::kHangs, fleet::kHonest, fleet::kSyncFails,
+    fleet::kUnsynced;
 using rig::kSecond;
 using rig::Time;
 namespace consensus = alderspur::consensus;
@@ -46,7 +47,8 @@
   for (int round = 0; round < 4; ++round) {
     const auto old = leader();
     ASSERT_LT(old, 5u);
-    const auto nonce = r->put(4, "/control/versions", consensus::encode({{"servers", servers(lists[round])}}));
+    const auto nonce =
+        r->put(4, "/control/versions", consensus::encode({{"servers", servers(lists[round])}}));
     r->run(round * 15'000);  // offered, agreed, in force: whatever it has come to
     r->kill(old);
     std::string word;
@@ -207,11 +209,12 @@
   const auto three = propose_until(3, "ab");
   EXPECT_GT(three, two) << said;
   r->lie(2, kHonest);
-  EXPECT_TRUE(r->until([&] { return all_act(three, r->all()) && view(2).part == "voter"; }, 40 * kSecond));
+  EXPECT_TRUE(
+      r->until([&] { return all_act(three, r->all()) && view(2).part == "voter"; }, 40 * kSecond));
 }
 
-// Half of the routers, the leader among them, are gone at once: what they might do is done by the others, and
-// not before their leases have run out.
+// Half of the routers, the leader among them, are gone at once: what they might do is done by the
+// others, and not before their leases have run out.
 TEST_F(Versions, TheSharesOfHalfThatWereKilledAreUsedAgainAndNeverTwice) {
   ASSERT_NO_FATAL_FAILURE(begin(6, {0, 1, 2}));
   loading = true;
@@ -238,8 +241,8 @@
   EXPECT_LE(most, 0.8501);
 }
 
-// A list that holds for one router first: taken back by a word, by the failures that router sees, and let go
-// on.
+// A list that holds for one router first: taken back by a word, by the failures that router sees,
+// and let go on.
 TEST_F(Versions, ATrialHoldsForTheNamedRouterOnlyAndIsTakenBackByHarm) {
   ASSERT_NO_FATAL_FAILURE(begin(4, {0, 1, 2}));
   ASSERT_EQ(propose(3, "abc"), 1u) << said;
@@ -247,7 +250,8 @@
   ASSERT_TRUE(r->until([&] { return all_act(1, r->all()); }));
   const auto rule = [&](const std::string& what) {
     const auto nonce = r->put(0, "/control/versions/rollout", what);
-    r->until([&] { return (said = word_on(0, nonce)).starts_with("yes") || said.starts_with("no"); });
+    r->until(
+        [&] { return (said = word_on(0, nonce)).starts_with("yes") || said.starts_with("no"); });
     return said.starts_with("yes");
   };
   ASSERT_EQ(propose(3, "ab", "?first=n3&hold=600&harm=0.5"), 2u) << said;
@@ -287,16 +291,19 @@
   EXPECT_GT(served, before + 60) << "its clients too";
   EXPECT_TRUE(view(2).careful) << "it holds nothing that it could not keep";
   r->lie(2, kHonest);
-  EXPECT_TRUE(r->until([&] { return all_act(two, r->all()) && view(2).part == "voter"; }, 40 * kSecond));
+  EXPECT_TRUE(
+      r->until([&] { return all_act(two, r->all()) && view(2).part == "voter"; }, 40 * kSecond));
 }
 
-// A box that has just started may be sent, by all routers together, a stated part of what it can do. Half of
-// the routers are killed while it warms up, the leader among them. The box counts: never more than its
-// budget, and within the stated time four fifths of it again, by the others alone.
+// A box that has just started may be sent, by all routers together, a stated part of what it can
+// do. Half of the routers are killed while it warms up, the leader among them. The box counts:
+// never more than its budget, and within the stated time four fifths of it again, by the others
+// alone.
 TEST_F(Versions, AColdBoxGetsNoMoreThanItsBudgetAndItIsUsedAgainWithHalfOfTheRoutersGone) {
   constexpr double kFrom = 0.2, kSpan = 60, kUsed = 0.75, kBurst = 0.25,
                    kSending = 90.0 / 9000;  // s an answer
-  obligations_ = R"("weights":"nominal","obligations":{"cold-from":0.2,"cold":60000000,"fall":1000000},)";
+  obligations_ =
+      R"("weights":"nominal","obligations":{"cold-from":0.2,"cold":60000000,"fall":1000000},)";
   first_ = "ab", weight_ = 1;
   ASSERT_NO_FATAL_FAILURE(begin(6, {0, 1, 2}));
   loading = true;
@@ -315,9 +322,11 @@
     const Time from = net::unix_now();
     r->run(time);
     const double s = static_cast<double>(net::unix_now() - from) / 1e6;
-    return std::pair(static_cast<double>(got_[2] - got) / s, budget(from + (net::unix_now() - from) / 2));
+    return std::pair(static_cast<double>(got_[2] - got) / s,
+                     budget(from + (net::unix_now() - from) / 2));
   };
-  // What is saved up for a burst, and the one request that each may overdraw, come on top in a short window.
+  // What is saved up for a burst, and the one request that each may overdraw, come on top in a
+  // short window.
   const auto within = [&](const std::pair<double, double>& c, double s) {
     EXPECT_LE(c.first, c.second * (1 + kBurst / s) + 6 / s);
     return c.first / c.second;
@@ -351,8 +360,8 @@
     r->lie(static_cast<std::size_t>(i % 4), kHonest, i % 2 ? 5 * kHour : -2 * kHour);
     r->run(400'000);
   }
-  EXPECT_TRUE(
-      r->until([&] { return leader() < 4 && all_act(1, r->all()) && r->whole(r->all()); }, 5 * kSecond));
+  EXPECT_TRUE(r->until([&] { return leader() < 4 && all_act(1, r->all()) && r->whole(r->all()); },
+                       5 * kSecond));
   const auto before = served;
   r->run(kSecond);
   EXPECT_GT(served, before + 30);
