--- a/tests/consensus/world.h
+++ b/tests/consensus/world.h
@@ -1,6 +1,6 @@
-// Many agreements in one process on a clock of the test: a network with faults between each two, clocks that
-// run at different rates, and disks that keep, lose, fail or hang. What must always hold is checked at each
-// step; the first breach stops the play and says seed and time.
+// Many agreements in one process on a clock of the test: a network with faults between each two,
+// clocks that run at different rates, and disks that keep, lose, fail or hang. What must always
+// hold is checked at each step; the first breach stops the play and says seed and time.
 #pragma once
 
 #include <functional>
@@ -110,8 +110,8 @@
   }
   void heal() { ways_.clear(); }
 
-  std::uint64_t propose(const std::string& n, const std::string& text, std::optional<std::uint64_t> base = {},
-                        Trial trial = {}) {
+  std::uint64_t propose(const std::string& n, const std::string& text,
+                        std::optional<std::uint64_t> base = {}, Trial trial = {}) {
     Proposal p;
     p.nonce = random() | 1, p.content = {{"servers", text}}, p.author = n, p.base = base;
     p.trial = std::move(trial);
@@ -130,7 +130,9 @@
     give(routers_.at(n), p);
     return p.nonce;
   }
-  void load(const std::string& n, double weight, double bad) { give(routers_.at(n), Load{weight, bad}); }
+  void load(const std::string& n, double weight, double bad) {
+    give(routers_.at(n), Load{weight, bad});
+  }
   const Settled* reply(std::uint64_t nonce) {
     for (auto& [n, r] : routers_)
       for (const auto& s : r.replies)
@@ -164,7 +166,8 @@
   bool all_act(const std::string& text) {
     for (auto& [n, r] : routers_) {
       if (!r.agreement || r.stopped) continue;
-      if (r.acting.careful || !r.acting.content || r.acting.content->at("servers") != text) return false;
+      if (r.acting.careful || !r.acting.content || r.acting.content->at("servers") != text)
+        return false;
     }
     return true;
   }
@@ -181,8 +184,8 @@
   // How everybody stands, for a check that failed.
   std::string stands() {
     std::string out = "now " + std::to_string(now) + " queue " + std::to_string(queue_.size()) +
-                      (queue_.empty() ? "" : " first " + std::to_string(queue_.begin()->first)) + broken +
-                      "\n";
+                      (queue_.empty() ? "" : " first " + std::to_string(queue_.begin()->first)) +
+                      broken + "\n";
     for (auto& [n, r] : routers_) {
       out += n + (r.stopped ? " stopped" : "");
       if (!r.agreement) {
@@ -191,18 +194,22 @@
       }
       const auto v = r.agreement->view(clock(r));
       out += std::string(" ") + word(v.part) + (v.leads ? " leads" : "") + " acts on " +
-             std::to_string(v.acting.version.number) + (v.acting.careful ? " with care" : "") + ", leader " +
-             v.leader + ", term " + std::to_string(v.term) + ", log " + std::to_string(v.log);
+             std::to_string(v.acting.version.number) + (v.acting.careful ? " with care" : "") +
+             ", leader " + v.leader + ", term " + std::to_string(v.term) + ", log " +
+             std::to_string(v.log);
       if (v.pending)
-        out += ", pending " + std::to_string(v.pending->number) + (v.pending_agreed ? " agreed" : "");
+        out +=
+            ", pending " + std::to_string(v.pending->number) + (v.pending_agreed ? " agreed" : "");
       for (const auto& b : v.behind) out += ", behind " + b;
       if (r.agreement->raft())
         for (const auto& [s, role] : r.agreement->raft()->servers())
           out += " " + s + ":" + std::to_string(role);
       out += " " + v.trouble + "\n";
-      for (std::size_t i = r.reports.size() > 4 ? r.reports.size() - 4 : 0; i < r.reports.size(); ++i)
+      for (std::size_t i = r.reports.size() > 4 ? r.reports.size() - 4 : 0; i < r.reports.size();
+           ++i)
         out += "    " + r.reports[i] + "\n";
-      for (const auto& s : r.replies) out += "    reply " + std::to_string(s.number) + " " + s.text + "\n";
+      for (const auto& s : r.replies)
+        out += "    reply " + std::to_string(s.number) + " " + s.text + "\n";
     }
     return out;
   }
@@ -223,7 +230,8 @@
   void later(Time in, std::function<void()> then) { queue_.emplace(now + in, std::move(then)); }
   void breach(const std::string& what) {
     if (broken.empty())
-      broken = "seed " + std::to_string(seed_) + " at " + std::to_string(now / 1000) + " ms: " + what;
+      broken =
+          "seed " + std::to_string(seed_) + " at " + std::to_string(now / 1000) + " ms: " + what;
   }
   void give(Router& r, const Event& e) {
     if (!r.agreement) return;
@@ -235,7 +243,8 @@
   }
   void arm(Router& r) {
     const Time next = r.agreement->next();
-    const Time in = std::max<Time>(static_cast<Time>(static_cast<double>(next - clock(r)) / r.rate), 0) + 100;
+    const Time in =
+        std::max<Time>(static_cast<Time>(static_cast<double>(next - clock(r)) / r.rate), 0) + 100;
     later(std::min<Time>(in, 10 * kSecond), [this, &r, g = r.generation, next] {
       if (r.generation == g && r.agreement && !r.stopped && clock(r) >= next &&
           r.agreement->next() <= clock(r))
@@ -269,10 +278,13 @@
         break;
       case Store::Kind::snapshot: {
         s.snapshot = p.snapshot;
-        const auto keep_from = p.value ? p.snapshot->index - std::min(p.snapshot->index, p.value) + 1 : ~0ULL;
-        if (p.value == 0) s.entries.clear(), s.start = p.snapshot->index + 1;
+        const auto keep_from =
+            p.value ? p.snapshot->index - std::min(p.snapshot->index, p.value) + 1 : ~0ULL;
+        if (p.value == 0)
+          s.entries.clear(), s.start = p.snapshot->index + 1;
         else
-          while (s.start < keep_from && !s.entries.empty()) s.entries.erase(s.entries.begin()), ++s.start;
+          while (s.start < keep_from && !s.entries.empty())
+            s.entries.erase(s.entries.begin()), ++s.start;
         break;
       }
       case Store::Kind::reset:
@@ -318,7 +330,8 @@
     ++frames, bytes += s.bytes.size();
     const Way& w = ways_[{r.name, s.to}];
     if (!routers_.contains(s.to) || w.cut || random() % 100 < w.loss) return;
-    const Time in = w.delay + static_cast<Time>(random() % static_cast<std::uint64_t>(w.jitter + 1));
+    const Time in =
+        w.delay + static_cast<Time>(random() % static_cast<std::uint64_t>(w.jitter + 1));
     later(in, [this, from = r.name, to = s.to, bytes = s.bytes] {
       if (!ways_[{from, to}].cut) give(routers_.at(to), Frame{from, bytes});
     });
--- a/tests/embed/embed.cpp
+++ b/tests/embed/embed.cpp
@@ -25,7 +25,8 @@
   for (const auto& action : actions) {
     if (const auto* send = std::get_if<al::Send>(&action)) {
       ++sent;
-      std::printf("ask server %llu, fill from %llu\n", static_cast<unsigned long long>(send->server.value),
+      std::printf("ask server %llu, fill from %llu\n",
+                  static_cast<unsigned long long>(send->server.value),
                   static_cast<unsigned long long>(send->fill ? send->fill->source.value : 0));
     } else if (const auto* timer = std::get_if<al::SetTimer>(&action)) {
       std::printf("wake at %lld us\n", static_cast<long long>(timer->at));
--- a/tests/endpoints_test.cpp
+++ b/tests/endpoints_test.cpp
@@ -1,4 +1,5 @@
-// Membership without I/O: the written form, its checks, merging, damping, weights. Tables and properties.
+// Membership without I/O: the written form, its checks, merging, damping, weights. Tables and
+// properties.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -6,10 +7,10 @@
 #include <limits>
 #include <random>
 
-#include "toml/document.h"
 #include "endpoints/check.h"
 #include "endpoints/endpoint_set.h"
 #include "endpoints/list.h"
+#include "toml/document.h"
 
 namespace {
 
@@ -30,8 +31,8 @@
                   "[[point]]\nname = \"edge-2\"\nhub = \"hub\"\n";
   for (const auto& s : servers)
     t += "[[server]]\nid = \"" + s.id + "\"\nrole = \"" + s.role + "\"\n" +
-         (s.role == "cache" ? "point" : "hub") + " = \"" + s.place + "\"\naddress = \"" + s.address +
-         "\"\nweight = " + s.weight + "\nstate = \"" + s.state + "\"\ncell = 0\n";
+         (s.role == "cache" ? "point" : "hub") + " = \"" + s.place + "\"\naddress = \"" +
+         s.address + "\"\nweight = " + s.weight + "\nstate = \"" + s.state + "\"\ncell = 0\n";
   return t;
 }
 std::vector<Spec> usual() {
@@ -40,7 +41,8 @@
           {"c", "127.0.0.1:3", "in_service", "4.0", "edge-2"},
           {"o", "127.0.0.1:9", "in_service", "10", "hub", "origin"}};
 }
-SnapshotPtr read(const std::string& text, diagnostics::Findings& f, const Snapshot* in_force = nullptr) {
+SnapshotPtr read(const std::string& text, diagnostics::Findings& f,
+                 const Snapshot* in_force = nullptr) {
   auto r = read_list(text, "servers.toml", kStart, {}, f);
   if (!r.list) return nullptr;
   check_alone(*r.list, f);
@@ -68,8 +70,12 @@
     std::uint32_t line;
     std::string says;
   };
-  const auto with = [&](const std::string& what, const std::string& to) { return replaced(fine, what, to); };
-  const auto six = [&](std::vector<Spec> v, const std::string& head = "") { return text_of(6, v, head); };
+  const auto with = [&](const std::string& what, const std::string& to) {
+    return replaced(fine, what, to);
+  };
+  const auto six = [&](std::vector<Spec> v, const std::string& head = "") {
+    return text_of(6, v, head);
+  };
   auto twice = usual(), shared = usual(), emptied = usual(), no_origin = usual(), half = usual();
   twice.push_back({"a", "127.0.0.1:4"});
   shared[1].address = shared[0].address;
@@ -118,7 +124,8 @@
     ASSERT_NE(of_code, f.list().end()) << c.name << ": " << diagnostics::to_string(f.list()[0]);
     const auto& first = *of_code;
     EXPECT_EQ(first.place.line, c.line) << c.name << ": " << diagnostics::to_string(first);
-    EXPECT_NE(diagnostics::to_string(first).find(c.says), std::string::npos) << diagnostics::to_string(first);
+    EXPECT_NE(diagnostics::to_string(first).find(c.says), std::string::npos)
+        << diagnostics::to_string(first);
     EXPECT_EQ(first.place.file, "servers.toml") << c.name;
   }
   diagnostics::Findings f;
@@ -145,7 +152,8 @@
   EXPECT_EQ(cut->digest, whole->digest);
 }
 
-// Read side by side in parts a large list must give what it gives as a whole, findings and lines included.
+// Read side by side in parts a large list must give what it gives as a whole, findings and lines
+// included.
 TEST(List, PartsReadSideBySideGiveTheSame) {
   std::vector<Spec> v = usual();
   for (int i = 0; i < 300; ++i)
@@ -164,11 +172,15 @@
     ASSERT_TRUE(limits.in_parts(text.size()));
     const auto b = read_list(text, "s", kStart, limits, four);
     ASSERT_EQ(a.list == nullptr, b.list == nullptr);
-    if (a.list) { EXPECT_EQ(a.list->digest, b.list->digest); }
+    if (a.list) {
+      EXPECT_EQ(a.list->digest, b.list->digest);
+    }
     ASSERT_EQ(one.list().size(), four.list().size());
     for (std::size_t i = 0; i < one.list().size(); ++i)
       EXPECT_EQ(diagnostics::to_string(one.list()[i]), diagnostics::to_string(four.list()[i]));
-    if (a.list) { EXPECT_EQ(a.list->servers[100].line, b.list->servers[100].line); }
+    if (a.list) {
+      EXPECT_EQ(a.list->servers[100].line, b.list->servers[100].line);
+    }
   }
 }
 
@@ -228,8 +240,8 @@
       {member(R, 4, 0), member(R, 4, 0, "127.0.0.1:2"), G, 4, 0, Reason::places_differ},
   };
   for (const auto& c : cases) {
-    const auto m =
-        merge(Authority::both, {c.board ? &*c.board : nullptr, c.files ? &*c.files : nullptr, true, true});
+    const auto m = merge(Authority::both, {c.board ? &*c.board : nullptr,
+                                           c.files ? &*c.files : nullptr, true, true});
     ASSERT_TRUE(m);
     EXPECT_EQ(m->member.server.status, c.status) << word(c.reason);
     EXPECT_EQ(m->member.server.weight, c.weight) << word(c.reason);
@@ -284,8 +296,10 @@
   EXPECT_GT(free, 20 * kSecond);
   for (int i = 0; i < 100; ++i) f.left(free, s);
   EXPECT_TRUE(f.held(free, s));
-  EXPECT_LE(f.free_at(free, s), free + s.longest + kSecond / 1000) << "never for longer than the bound";
-  EXPECT_EQ(f.penalty(free - 50 * kSecond, s), f.penalty(free, s)) << "a clock that steps back adds nothing";
+  EXPECT_LE(f.free_at(free, s), free + s.longest + kSecond / 1000)
+      << "never for longer than the bound";
+  EXPECT_EQ(f.penalty(free - 50 * kSecond, s), f.penalty(free, s))
+      << "a clock that steps back adds nothing";
 }
 
 // A fleet fed by files, with what it told kept as a consumer would keep it.
@@ -294,8 +308,9 @@
   SnapshotPtr list(const std::vector<Spec>& servers, Time now) {
     diagnostics::Findings f;
     ++generation;
-    auto next = read_list(text_of(generation, servers, "confirm = " + std::to_string(generation) + "\n"),
-                          "servers.toml", now, {}, f);
+    auto next =
+        read_list(text_of(generation, servers, "confirm = " + std::to_string(generation) + "\n"),
+                  "servers.toml", now, {}, f);
     EXPECT_TRUE(next.list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
     Offer o{next.list, fleet.in_force(), difference(fleet.in_force().get(), *next.list), {}, {}};
     zones_of(*next.list, {"hub", "edge-1", "edge-2"}, o.point_zones, o.hub_zones, f);
@@ -418,7 +433,8 @@
   Fed f;
   auto v = usual();
   f.list(v, kStart);
-  for (int i = 0; i < 2500; ++i) v.push_back({"n" + std::to_string(i), "127.0.1.1:" + std::to_string(i + 1)});
+  for (int i = 0; i < 2500; ++i)
+    v.push_back({"n" + std::to_string(i), "127.0.1.1:" + std::to_string(i + 1)});
   v[0].state = "draining";
   f.list(v, kStart + kSecond);
   EXPECT_EQ(f.told["a"].status, Status::draining);
@@ -437,7 +453,8 @@
   auto member = [](const char* id, const char* at, std::uint32_t zone) {
     return Member{{server_id(id), Role::cache, {zone}, {0}, Status::ready, 4, 0}, id, at};
   };
-  f.fleet.board(true, {member("a", "127.0.0.1:1", 1), member("b", "127.0.0.1:3", 1)}, kStart + kSecond);
+  f.fleet.board(true, {member("a", "127.0.0.1:1", 1), member("b", "127.0.0.1:3", 1)},
+                kStart + kSecond);
   f.pull();
   EXPECT_EQ(f.told["a"].status, Status::ready);
   EXPECT_EQ(f.told["b"].status, Status::gone) << "another address";
@@ -445,8 +462,8 @@
   EXPECT_EQ(f.fleet.reason(server_id("c")), Reason::not_on_board);
 }
 
-// After any edits: what was told is what the list in force and the board say, once nothing is due; and it
-// never runs ahead: nothing is ready that the list in force does not have in service.
+// After any edits: what was told is what the list in force and the board say, once nothing is due;
+// and it never runs ahead: nothing is ready that the list in force does not have in service.
 RC_GTEST_PROP(Fleet, AfterAnyEditsItComesToWhatTheListSays, ()) {
   Fed f;
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
@@ -486,10 +503,12 @@
     RC_ASSERT(told.weight == s.weight);
     RC_ASSERT(told.status == (s.state == State::in_service ? Status::ready : Status::draining));
   }
-  for (const auto& [name, s] : f.told) RC_ASSERT(list->find(server_id(name)) || s.status == Status::gone);
+  for (const auto& [name, s] : f.told)
+    RC_ASSERT(list->find(server_id(name)) || s.status == Status::gone);
 }
 
-// Random edits of the text itself: whatever is taken passes all checks, and reading it twice is no change.
+// Random edits of the text itself: whatever is taken passes all checks, and reading it twice is no
+// change.
 RC_GTEST_PROP(List, WhateverIsTakenPassesAllChecksAndReadsTheSameTwice, ()) {
   static const std::string fine = text_of(5, usual());
   static const auto in_force = good(fine);
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -1,5 +1,5 @@
-// Where two events cross, at the sockets: each story makes the order certain by what the stand-ins do. The
-// list of crossings, and what must happen at each, is docs/crossings.md.
+// Where two events cross, at the sockets: each story makes the order certain by what the stand-ins
+// do. The list of crossings, and what must happen at each, is docs/crossings.md.
 #include <algorithm>
 #include <string>
 
@@ -101,9 +101,11 @@
   std::unique_ptr<loopback::Socket> watch_;
 };
 
-// ---- Clients that leave -----------------------------------------------------------------------------
+// ---- Clients that leave
+// -----------------------------------------------------------------------------
 
-// Guards against a client's cancel, or its end, waiting unread behind answers that it does not take.
+// Guards against a client's cancel, or its end, waiting unread behind answers that it does not
+// take.
 TEST_F(Crossing, ACancelIsHeardFromAClientThatTakesNoAnswers) {
   auto c = client(front->address());
   watched.clear();  // it reads nothing
@@ -134,7 +136,8 @@
            request(2, "asset", {{"item", object(2)}}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
   EXPECT_EQ(fetch()->fields["name"], object(2));
-  c->write(loopback::withdraw(1) + loopback::withdraw(77));  // of what has ended, and of what never was
+  c->write(loopback::withdraw(1) +
+           loopback::withdraw(77));  // of what has ended, and of what never was
   answer_all("bytes");
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
   settle();
@@ -218,8 +221,8 @@
   EXPECT_EQ(engine->held(), 0u);
 }
 
-// Guards against two attempts out under one id, when a request comes again while it is still open. Where a
-// repeat would do harm it is not told that it may try again.
+// Guards against two attempts out under one id, when a request comes again while it is still open.
+// Where a repeat would do harm it is not told that it may try again.
 class Again : public Crossing, public ::testing::WithParamInterface<bool> {
  protected:
   void SetUp() override {
@@ -242,12 +245,14 @@
   ASSERT_TRUE(until([&] { return engine->counters().sent == 2; })) << "over, it is free again";
 }
 
-// Guards against the largest requests being cut off where the way is slow; who says nothing more is.
+// Guards against the largest requests being cut off where the way is slow; who says nothing more
+// is.
 TEST_F(Crossing, ALargeRequestThatComesSlowlyIsTaken) {
   auto slow = client(front->address()), stops = client(front->address());
   const std::string all = request(1, "plan-accept", {{"unique", kKey}}, std::string(40'000, 'w'));
   stops->write(all.substr(0, 20'000));
-  for (std::size_t at = 0; at < all.size(); at += 10'000) {  // five parts, over the 2 s of one that stops
+  for (std::size_t at = 0; at < all.size();
+       at += 10'000) {  // five parts, over the 2 s of one that stops
     slow->write(all.substr(at, 10'000));
     until([&, end = net::unix_now() + 700'000] { return net::unix_now() > end; });
   }
@@ -257,7 +262,8 @@
   EXPECT_EQ(fetch()->body.size(), 40'000u);
 }
 
-// ---- Closing ----------------------------------------------------------------------------------------
+// ---- Closing
+// ----------------------------------------------------------------------------------------
 
 // Guards against a close over unread bytes: it resets the connection, and answers go with it.
 TEST_F(Crossing, ACloseOverUnreadBytesEndsInOrderAndTakesNoAnswerAlong) {
@@ -276,7 +282,8 @@
     stay.push_back(client(front->address()));
     stay.back()->write("\xc1");
   }
-  ASSERT_TRUE(until([&] { return std::all_of(stay.begin(), stay.end(), [](auto& s) { return s->ended; }); }));
+  ASSERT_TRUE(until(
+      [&] { return std::all_of(stay.begin(), stay.end(), [](auto& s) { return s->ended; }); }));
   EXPECT_EQ(loop.lingering().size(), 64u);
   auto c = client(front->address());
   c->write(request(1, "asset", {}));
@@ -300,7 +307,8 @@
   ASSERT_TRUE(until([&] { return http->idle(); }));
 }
 
-// ---- The list, and sends that wait ------------------------------------------------------------------
+// ---- The list, and sends that wait
+// ------------------------------------------------------------------
 
 // Guards against a send that was decided before a drain and leaves after it.
 TEST_F(Dialing, ADrainHeardWhileAConnectHangsBindsWhatWaitsForIt) {
@@ -337,8 +345,8 @@
   EXPECT_EQ(answers(c->in)[0].error, "Busy");
 }
 
-// Guards against commands that wait in the queue of a connection whose cache does not read: judged when they
-// were queued, they would leave after a drain.
+// Guards against commands that wait in the queue of a connection whose cache does not read: judged
+// when they were queued, they would leave after a drain.
 class Roomy : public Crossing {
  protected:
   void SetUp() override {
@@ -360,8 +368,10 @@
     clients.push_back(client(front->address()));
     for (int i = 0; i < 30; ++i) {
       ++asked;
-      std::string all = request(asked, "plan-accept", {{"unique", kKey}, {"item", object(asked)}}, body);
-      ASSERT_TRUE(until([&] { return all.erase(0, clients.back()->write_some(all)), all.empty(); }));
+      std::string all =
+          request(asked, "plan-accept", {{"unique", kKey}, {"item", object(asked)}}, body);
+      ASSERT_TRUE(
+          until([&] { return all.erase(0, clients.back()->write_some(all)), all.empty(); }));
     }
     ASSERT_TRUE(until([&] { return engine->counters().taken == asked; }));
   }
@@ -392,8 +402,9 @@
   while (box[1].count("fetch") == 0) {  // an object whose first cache is the one that answers
     ASSERT_LT(++n, 20u);
     c->write(request(n, "plan-accept", {{"unique", kKey}, {"item", object(n)}}));
-    until(
-        [&, end = net::unix_now() + 100'000] { return box[1].count("fetch") > 0 || net::unix_now() > end; });
+    until([&, end = net::unix_now() + 100'000] {
+      return box[1].count("fetch") > 0 || net::unix_now() > end;
+    });
   }
   const auto sent = engine->counters().sent;
   box[1].stop();  // it may have run; the next attempt waits for the other's connect
@@ -452,7 +463,8 @@
   EXPECT_EQ(box[0].count("fetch"), 0u);
 }
 
-// ---- Connections to caches --------------------------------------------------------------------------
+// ---- Connections to caches
+// --------------------------------------------------------------------------
 
 // Guards against a command that crosses the cache's idle close, which is due: it might have run.
 class ShortIdle : public Crossing {
@@ -469,14 +481,16 @@
   const Command first = *fetch();
   answer_all("bytes");
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
-  const auto nearly = net::unix_now() + 350'000;  // over four fifths of the time since it was last used
+  const auto nearly =
+      net::unix_now() + 350'000;  // over four fifths of the time since it was last used
   ASSERT_TRUE(until([&] { return net::unix_now() > nearly; }));
   c->write(request(2, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
   EXPECT_NE(fetch()->from, first.from);
 }
 
-// Guards against an answer that comes byte by byte for ever: what is behind it must not wait for it.
+// Guards against an answer that comes byte by byte for ever: what is behind it must not wait for
+// it.
 TEST_F(Crossing, AnAnswerThatNeverEndsIsGivenUpAndWhatIsBehindItMovesOn) {
   auto c = client(front->address());
   c->write(request(1, "asset", {{"ram", "9"}}) + request(2, "asset", {{"ram", "9"}}));
@@ -492,7 +506,8 @@
   for (const auto& a : answers(c->in)) EXPECT_EQ(a.body, "whole");
 }
 
-// A start that is told while a connect hangs: what waited counts against the new process, and is no failure.
+// A start that is told while a connect hangs: what waited counts against the new process, and is no
+// failure.
 TEST_F(Dialing, AStartToldWhileAConnectHangsGivesBackWhatWaitsForIt) {
   auto c = client(front->address());
   ask(*c);
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,5 @@
-// Two processes of the program, one replacing the other under load, with the answers of each request counted
-// at the client and the requests of each server at its box.
+// Two processes of the program, one replacing the other under load, with the answers of each
+// request counted at the client and the requests of each server at its box.
 #include <fcntl.h>
 #include <sys/file.h>
 
@@ -73,7 +73,8 @@
       }
     }
     EXPECT_TRUE(p.operators.sin_port);
-    EXPECT_TRUE(run_until([&] { return call(p, "GET /control/ready").starts_with("HTTP/1.1 200"); }));
+    EXPECT_TRUE(
+        run_until([&] { return call(p, "GET /control/ready").starts_with("HTTP/1.1 200"); }));
     return p;
   }
   std::string call(const Process& p, const std::string& what) {
@@ -125,8 +126,10 @@
     if (!c.socket->ended) return;
     c.socket.reset();
     for (const auto& [number, was] : std::exchange(c.open, {})) {
-      if (net::unix_now() - was.at > kCrossing) ++lost;
-      else ++again, ask(c, was.id);
+      if (net::unix_now() - was.at > kCrossing)
+        ++lost;
+      else
+        ++again, ask(c, was.id);
     }
   }
   void step() {
@@ -145,7 +148,8 @@
         ++got_[&b - box_];
         const auto item = command.fields["name"];
         if (!command.fields["agelim"].empty()) limited_[item] = command.fields["agelim"];
-        return Box::answer(command, "served", large_.contains(item) ? std::string(240'000, 'x') : "bytes"),
+        return Box::answer(command, "served",
+                           large_.contains(item) ? std::string(240'000, 'x') : "bytes"),
                true;
       });
     }
@@ -174,12 +178,14 @@
   void finish() {  // every request has come to its end
     asking = false;
     EXPECT_TRUE(run_until([&] {
-      return std::all_of(std::begin(clients_), std::end(clients_), [](auto& c) { return c.open.empty(); });
+      return std::all_of(std::begin(clients_), std::end(clients_),
+                         [](auto& c) { return c.open.empty(); });
     }));
     EXPECT_EQ(served + busy + failed + lost, asked);
   }
   static std::string request(unsigned number, const std::string& id) {
-    return loopback::request(number, "asset", {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}});
+    return loopback::request(number, "asset",
+                             {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}});
   }
   static std::string id_of(int n) {
     char id[17];
@@ -209,8 +215,8 @@
   std::uint64_t asked = 0, served = 0, busy = 0, failed = 0, lost = 0, again = 0, refused = 0;
 };
 
-// Guards against connections left in a queue that nobody reads, requests lost with the old process, and
-// figures that do not begin at 0 or do not add up over both.
+// Guards against connections left in a queue that nobody reads, requests lost with the old process,
+// and figures that do not begin at 0 or do not add up over both.
 TEST_F(Replace, UnderLoadLosesNothingAndTheFiguresOfBothAddUp) {
   auto old = start();
   run_for(400'000);
@@ -220,7 +226,8 @@
   EXPECT_GT(figure(before, "edge_relay_success{tier=\"asset\"}"), 50u);
   old.program->signal(SIGTERM);
   std::uint64_t by_old = 0;
-  ASSERT_TRUE(run_until([&] { return old.program->ended(); }, 3'600'000)) << "SIGKILL would have come";
+  ASSERT_TRUE(run_until([&] { return old.program->ended(); }, 3'600'000))
+      << "SIGKILL would have come";
   for (std::string line = old.program->line(); !line.empty(); line = old.program->line())
     if (const auto at = line.find("| served "); at != std::string::npos)
       by_old = std::stoull(line.substr(at + 9));
@@ -267,11 +274,12 @@
   auto next = start();
   EXPECT_TRUE(call(old, "PUT /control/caches/s-1/offline").starts_with("HTTP/1.1 200"));
   ASSERT_TRUE(run_until(
-      [&] { return figure(call(next, "GET /control/counters"), "edge_relay_hosts_down") == 1; }, 1'000'000))
+      [&] { return figure(call(next, "GET /control/counters"), "edge_relay_hosts_down") == 1; },
+      1'000'000))
       << "the grace is 1 s";
   EXPECT_TRUE(call(next, "PUT /control/caches/s-1/online").starts_with("HTTP/1.1 200"));
-  EXPECT_TRUE(
-      run_until([&] { return figure(call(old, "GET /control/counters"), "edge_relay_hosts_down") == 0; }));
+  EXPECT_TRUE(run_until(
+      [&] { return figure(call(old, "GET /control/counters"), "edge_relay_hosts_down") == 0; }));
 }
 
 // Guards against an old process that has sent its clients away and then finds nobody there.
@@ -304,7 +312,8 @@
   finish();
   EXPECT_EQ(failed, 0u);
   EXPECT_LE(lost, 40u);  // those open at the killed one
-  EXPECT_GT(figure(call(next, "GET /control/counters"), "edge_relay_success{tier=\"asset\"}"), 100u);
+  EXPECT_GT(figure(call(next, "GET /control/counters"), "edge_relay_success{tier=\"asset\"}"),
+            100u);
   next.program->signal(SIGTERM);
   EXPECT_EQ(next.program->exit_code(), 0);
 }
@@ -312,7 +321,8 @@
 TEST_F(Replace, SpoiltContentOfTheSharedFolderIsSaidOnceAndTheStartGoesOn) {
   std::string key = net::to_string(at_);
   std::replace(key.begin(), key.end(), ':', '-');
-  for (const char* what : {".bans.a", ".bans.b", ".lock", ".place0", ".place1", ".place2", ".place3"})
+  for (const char* what :
+       {".bans.a", ".bans.b", ".lock", ".place0", ".place1", ".place2", ".place3"})
     std::ofstream(shared_ + "/alderspur-" + key + what) << "garbage of a later version \xff";
   auto one = start();
   run_for(200'000);
@@ -323,8 +333,8 @@
   EXPECT_EQ(lost + failed, 0u);
 }
 
-// One of the two files of bans cut off anywhere, as by a process that was killed half-way on a disk that
-// does not keep its order: the start goes on, and the ban holds by the other one.
+// One of the two files of bans cut off anywhere, as by a process that was killed half-way on a disk
+// that does not keep its order: the start goes on, and the ban holds by the other one.
 TEST_F(Replace, ABanHoldsOverAStartFromAFileCutOffAnywhere) {
   asking = false;
   std::string key = net::to_string(at_);
@@ -332,8 +342,8 @@
   {
     auto first = start();
     for (const char* id : {"s-0", "s-1"})
-      EXPECT_TRUE(
-          call(first, std::string("PUT /control/caches/") + id + "/offline").starts_with("HTTP/1.1 200"));
+      EXPECT_TRUE(call(first, std::string("PUT /control/caches/") + id + "/offline")
+                      .starts_with("HTTP/1.1 200"));
     EXPECT_TRUE(call(first, "PUT /control/caches/s-1/online").starts_with("HTTP/1.1 200"));
   }
   std::size_t starts = 0;
@@ -397,7 +407,8 @@
   run_for(300'000);
   std::string key = net::to_string(at_);
   std::replace(key.begin(), key.end(), ':', '-');
-  const net::Fd lock(::open((shared_ + "/alderspur-" + key + ".lock").c_str(), O_RDWR | O_CREAT, 0600));
+  const net::Fd lock(
+      ::open((shared_ + "/alderspur-" + key + ".lock").c_str(), O_RDWR | O_CREAT, 0600));
   ASSERT_EQ(::flock(lock.get(), LOCK_EX), 0);  // as one that was stopped in the middle of a change
   const auto before = served;
   const auto ban = call(one, "PUT /control/caches/s-0/offline");
@@ -413,21 +424,23 @@
   EXPECT_EQ(lost + failed, 0u);
 }
 
-// A purge that one of the two has heard and the other not yet: each asks for no older copy from when it is
-// told, and the new one is told by the number that its own settings begin with.
-// A cache drains while one process hands over to the other: under load neither sends it anything once told.
+// A purge that one of the two has heard and the other not yet: each asks for no older copy from
+// when it is told, and the new one is told by the number that its own settings begin with. A cache
+// drains while one process hands over to the other: under load neither sends it anything once told.
 TEST_F(Replace, ADrainBetweenBindsBoth) {
   open_board();
   auto old = start();
   run_for(100'000);
   auto next = start();
   ASSERT_TRUE(run_until([&] {
-    return watchers_.size() == 2 && watchers_[0]->in == "watch 1\n" && watchers_[1]->in == "watch 1\n";
+    return watchers_.size() == 2 && watchers_[0]->in == "watch 1\n" &&
+           watchers_[1]->in == "watch 1\n";
   }));
   ASSERT_GT(got_[0], 0u) << "both caches are asked";
   old.program->signal(SIGTERM);
   for (auto& w : watchers_)
-    w->write(R"({"rev":2,"pool":{"complete":false,"members":[{"id":"s-0","host_port":")" + box_[0].address() +
+    w->write(R"({"rev":2,"pool":{"complete":false,"members":[{"id":"s-0","host_port":")" +
+             box_[0].address() +
              R"(","locality":"edge","flavor":"small","phase":"terminating","size":4}]}})"
              "\n");
   run_for(500'000);  // what was out when they were told comes to its end
@@ -485,8 +498,8 @@
   EXPECT_EQ(lost + failed, 0u);
 }
 
-// Guards against an old process that leaves its address to a successor which has died since: nobody would
-// listen there until another is started.
+// Guards against an old process that leaves its address to a successor which has died since: nobody
+// would listen there until another is started.
 TEST_F(Replace, ASuccessorKilledWhileTheOldOneLeavesGivesTheAddressBack) {
   auto old = start();
   run_for(200'000);
@@ -499,7 +512,8 @@
   EXPECT_TRUE(run_until([&] { return (fd = connected()) >= 0; }, 2'000'000))
       << "with clients it serves for 3.5 s";
   if (fd >= 0) ::close(fd);
-  ASSERT_TRUE(run_until([&] { return old.program->ended(); }, 3'600'000)) << "SIGKILL would have come";
+  ASSERT_TRUE(run_until([&] { return old.program->ended(); }, 3'600'000))
+      << "SIGKILL would have come";
   EXPECT_EQ(old.program->exit_code(), 0);
   EXPECT_EQ(failed, 0u);
 }
@@ -518,8 +532,8 @@
       << "of 160, all there for one";
 }
 
-// Guards against connections that the kernel has completed for the old listener and that nobody has taken,
-// since all places are in use: closed with it, they would be reset and their requests lost.
+// Guards against connections that the kernel has completed for the old listener and that nobody has
+// taken, since all places are in use: closed with it, they would be reset and their requests lost.
 TEST_F(Replace, WhatTheOldListenerHoldsIsAnsweredBeforeItCloses) {
   sockets_ = 128;
   asking = false;
@@ -546,8 +560,9 @@
       << answered << " of " << clients.size();
 }
 
-// Guards against figures that are true only at rest: read while the load runs, over both processes, they lie
-// between what the client had counted before the call and what it can have been given by its end.
+// Guards against figures that are true only at rest: read while the load runs, over both processes,
+// they lie between what the client had counted before the call and what it can have been given by
+// its end.
 TEST_F(Replace, FiguresReadUnderLoadAgreeWithTheClientsOwnCount) {
   auto old = start();
   Process next;
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -1,5 +1,5 @@
-// Mangled input to every codec: no crash, no read out of bounds, nothing taken beyond what came. The same
-// seeds each time, so that the verdict never changes.
+// Mangled input to every codec: no crash, no read out of bounds, nothing taken beyond what came.
+// The same seeds each time, so that the verdict never changes.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -26,7 +26,8 @@
     std::string s = good;
     for (unsigned n = random() % 4; n-- > 0;) s[random() % s.size()] = static_cast<char>(random());
     if (random() % 3 == 0) s.resize(random() % (s.size() + 1));
-    if (random() % 5 == 0) s.insert(random() % (s.size() + 1), s.substr(0, random() % (s.size() + 1)));
+    if (random() % 5 == 0)
+      s.insert(random() % (s.size() + 1), s.substr(0, random() % (s.size() + 1)));
     const std::vector<char> exact(s.begin(), s.end());
     read({exact.data(), exact.size()});
   }
@@ -43,7 +44,8 @@
       if (platform::next_call(bytes, call) != platform::Parsed::whole) break;
       if (!platform::to_demand(call, {true, true, 0}, demand)) continue;
       ++whole;
-      EXPECT_EQ((std::string(demand.id) += demand.object_text).find_first_of(" ,=\r\n"), std::string::npos);
+      EXPECT_EQ((std::string(demand.id) += demand.object_text).find_first_of(" ,=\r\n"),
+                std::string::npos);
     }
   });
   EXPECT_GT(whole, 100);
@@ -52,8 +54,9 @@
 // Guards against lengths and counts that claim what can never come: each ends at its header.
 TEST(Mangled, ClaimsOfMoreThanAMessageEndAtOnce) {
   using namespace std::string_literals;
-  for (const auto& claim : {"\xc6\x03\x93\x87\x00"s, "\xdb\xff\xff\xff\xff"s, "\xdd\xff\xff\xff\xff"s,
-                            "\xdf\xff\xff\xff\xff"s, "\xc9\x7f\xff\xff\xff"s, "\xc1"s}) {
+  for (const auto& claim :
+       {"\xc6\x03\x93\x87\x00"s, "\xdb\xff\xff\xff\xff"s, "\xdd\xff\xff\xff\xff"s,
+        "\xdf\xff\xff\xff\xff"s, "\xc9\x7f\xff\xff\xff"s, "\xc1"s}) {
     const std::string message =
         "\x94\x00\x01\xa5"
         "asset" +
@@ -65,16 +68,18 @@
 }
 
 TEST(Mangled, CachesAnswers) {
-  mangle("9b1f served sum=ab,t0=1764576000000,rep=inflight:7;x1:0.5 5\r\nbytes\r\np1 green - 0\r\n\r\n",
-         [](std::string_view bytes) {
-           platform::LineAnswer a;
-           for (auto before = bytes.size() + 1; bytes.size() < before;) {
-             before = bytes.size();
-             if (platform::next_answer(bytes, a) != platform::Parsed::whole) break;
-             platform::report_of(a.report);
-             EXPECT_LE(a.body.size(), 240'000u);
-           }
-         });
+  mangle(
+      "9b1f served sum=ab,t0=1764576000000,rep=inflight:7;x1:0.5 5\r\nbytes\r\np1 green - "
+      "0\r\n\r\n",
+      [](std::string_view bytes) {
+        platform::LineAnswer a;
+        for (auto before = bytes.size() + 1; bytes.size() < before;) {
+          before = bytes.size();
+          if (platform::next_answer(bytes, a) != platform::Parsed::whole) break;
+          platform::report_of(a.report);
+          EXPECT_LE(a.body.size(), 240'000u);
+        }
+      });
 }
 
 TEST(Mangled, HttpHeadsAndTokens) {
@@ -86,11 +91,13 @@
   ASSERT_EQ(checker.check("/asset/7f3a9c21e0b4d655/0", link, 100, claims), signed_url::Check::good);
   mangle(link, [&](std::string_view bytes) {
     if (bytes == link) return;
-    EXPECT_NE(checker.check("/asset/7f3a9c21e0b4d655/0", bytes, 100, claims), signed_url::Check::good)
+    EXPECT_NE(checker.check("/asset/7f3a9c21e0b4d655/0", bytes, 100, claims),
+              signed_url::Check::good)
         << bytes;
     signed_url::from_base64url(bytes);
   });
-  mangle("GET " + link + " HTTP/1.1\r\nHost: x\r\nCookie: a=b; alderspur=c\r\nIf-None-Match: \"t\"\r\n\r\n",
+  mangle("GET " + link +
+             " HTTP/1.1\r\nHost: x\r\nCookie: a=b; alderspur=c\r\nIf-None-Match: \"t\"\r\n\r\n",
          [](std::string_view bytes) {
            http::Request request;
            const auto before = bytes.size();
@@ -103,18 +110,22 @@
 
 TEST(Mangled, NoticesSettingsAndDiscovery) {
   const config::Names names;
-  mangle(R"({"rev":41,"pool":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:1","size":4}]},
+  mangle(
+      R"({"rev":41,"pool":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:1","size":4}]},
          "flush":{"asset":"7f3a","ms":1764576000123}})",
-         [&](std::string_view bytes) { config::read_notice(bytes, names); });
+      [&](std::string_view bytes) { config::read_notice(bytes, names); });
   mangle(
       R"({"limits":{"sockets":64},"settings":{"classes":[{"name":"a","target":1e6}],"ceilings":{"max-attempts":3}}})",
       [](std::string_view bytes) {
         try {
           config::read(bytes);
-        } catch (const config::Error&) {}
+        } catch (const config::Error&) {
+        }
       });
   mangle(R"({"type_url":"","version_info":"1","resource_names":["c"]})",
-         [](std::string_view bytes) { xds::discover(bytes, "c", {}, [](auto) { return std::string(); }); });
+         [](std::string_view bytes) {
+           xds::discover(bytes, "c", {}, [](auto) { return std::string(); });
+         });
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -39,13 +39,15 @@
   EXPECT_TRUE(first.admitted);
   EXPECT_EQ(l.ask({rate("pool p", 10, 1)}, 40'000).retry_after, 60'000);
   EXPECT_TRUE(l.ask({rate("pool p", 10, 1)}, 100'000).admitted);
-  EXPECT_FALSE(l.ask({rate("pool p", 10, 1)}, 50'000).admitted) << "a clock that steps back brings no tokens";
+  EXPECT_FALSE(l.ask({rate("pool p", 10, 1)}, 50'000).admitted)
+      << "a clock that steps back brings no tokens";
 }
 
 TEST(Limits, ARequestThatOneGateRefusesCostsTheOthersNothing) {
   Limits l;
   auto a = l.ask({full("route r", 1)}, 0);
-  for (int i = 0; i < 5; ++i) EXPECT_FALSE(l.ask({rate("pool p", 1, 1), full("route r", 1)}, 0).admitted);
+  for (int i = 0; i < 5; ++i)
+    EXPECT_FALSE(l.ask({rate("pool p", 1, 1), full("route r", 1)}, 0).admitted);
   EXPECT_EQ(l.in_flight("pool p"), 0u);
   EXPECT_TRUE(l.ask({rate("pool p", 1, 1)}, 0).admitted) << "its token is still there";
   EXPECT_EQ(l.counters("route r").refused_full, 5u);
@@ -92,8 +94,8 @@
   EXPECT_GE(further, 10'000 / 10 - 20);
 }
 
-// Whatever comes and goes: never more at once than allowed, never more in any window than rate and burst
-// give, and in the end nothing is out.
+// Whatever comes and goes: never more at once than allowed, never more in any window than rate and
+// burst give, and in the end nothing is out.
 RC_GTEST_PROP(Limits, HoldOverAnyTrafficAndConserveWhatTheyGive, ()) {
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   const std::uint32_t most = 1 + random() % 8, burst = 1 + random() % 5;
@@ -114,7 +116,8 @@
     if (v.admitted) held.push_back(std::move(v.permit)), admitted.push_back(now);
     RC_ASSERT(held.size() <= most);
     RC_ASSERT(l.in_flight("g") == held.size() && l.in_flight("h") == held.size());
-    for (std::size_t from = admitted.size() > 40 ? admitted.size() - 40 : 0; from < admitted.size(); ++from) {
+    for (std::size_t from = admitted.size() > 40 ? admitted.size() - 40 : 0; from < admitted.size();
+         ++from) {
       const double window = static_cast<double>(now - admitted[from]) / kSecond;
       RC_ASSERT(static_cast<double>(admitted.size() - from) <= burst + window * a_second + 1e-6);
     }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -20,8 +20,8 @@
 #include "core/engine.h"
 #include "net/loop.h"
 #include "platform/discovery_client.h"
-#include "platform/upstream_pool.h"
 #include "platform/rpc_front.h"
+#include "platform/upstream_pool.h"
 #include "signed_url/http_front.h"
 
 namespace loopback {
@@ -66,7 +66,8 @@
 
 inline int bound(sockaddr_in& at) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
-  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);  // so that its address can be taken up again
+  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on,
+               sizeof on);  // so that its address can be taken up again
   at = {};
   at.sin_family = AF_INET;
   at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -108,15 +109,16 @@
     for (auto& c : connections) {
       if (!reads) break;
       c->poll();
-      while (take(*c)) {}
+      while (take(*c)) {
+      }
     }
   }
   bool reads = true;  // false: what comes stays in the kernel
   static void answer(const Command& c, const std::string& word, const std::string& body = {},
                      std::string fields = {}) {
     if (fields.empty()) fields = word == "served" ? dated("t") : "-";
-    c.from->write(c.id + ' ' + word + ' ' + fields + ' ' + std::to_string(body.size()) + "\r\n" + body +
-                  "\r\n");
+    c.from->write(c.id + ' ' + word + ' ' + fields + ' ' + std::to_string(body.size()) + "\r\n" +
+                  body + "\r\n");
   }
   std::size_t count(const std::string& word) const {
     return static_cast<std::size_t>(
@@ -172,7 +174,8 @@
 inline void str(msgpack_packer* p, const std::string& s) {
   msgpack_pack_str_with_body(p, s.data(), s.size());
 }
-inline std::string request(unsigned id, const std::string& cls, std::map<std::string, std::string> fields,
+inline std::string request(unsigned id, const std::string& cls,
+                           std::map<std::string, std::string> fields,
                            const std::string& body = {}) {
   char txn[17];  // new with every request of a client
   std::snprintf(txn, sizeof txn, "9b1f03aa5c7e2%03x", 0xd40 + id);
@@ -198,16 +201,22 @@
   std::vector<Got> out;
   msgpack_unpacked m;
   msgpack_unpacked_init(&m);
-  for (std::size_t at = 0; msgpack_unpack_next(&m, in.data(), in.size(), &at) == MSGPACK_UNPACK_SUCCESS;) {
+  for (std::size_t at = 0;
+       msgpack_unpack_next(&m, in.data(), in.size(), &at) == MSGPACK_UNPACK_SUCCESS;) {
     const auto* a = m.data.via.array.ptr;
-    const auto text = [](const msgpack_object& o) { return std::string(o.via.bin.ptr, o.via.bin.size); };
+    const auto text = [](const msgpack_object& o) {
+      return std::string(o.via.bin.ptr, o.via.bin.size);
+    };
     Got g;
     g.id = a[1].via.u64;
     const auto& pair = a[2].type == MSGPACK_OBJECT_NIL ? a[3] : a[2];
-    if (a[2].type != MSGPACK_OBJECT_NIL) g.error = text(pair.via.array.ptr[0]);
-    else if (pair.via.array.ptr[0].type == MSGPACK_OBJECT_BIN) g.body = text(pair.via.array.ptr[0]);
+    if (a[2].type != MSGPACK_OBJECT_NIL)
+      g.error = text(pair.via.array.ptr[0]);
+    else if (pair.via.array.ptr[0].type == MSGPACK_OBJECT_BIN)
+      g.body = text(pair.via.array.ptr[0]);
     const auto& map = pair.via.array.ptr[1].via.map;
-    for (std::uint32_t i = 0; i < map.size; ++i) g.fields[text(map.ptr[i].key)] = text(map.ptr[i].val);
+    for (std::uint32_t i = 0; i < map.size; ++i)
+      g.fields[text(map.ptr[i].key)] = text(map.ptr[i].val);
     out.push_back(g);
   }
   msgpack_unpacked_destroy(&m);
@@ -219,7 +228,8 @@
     msgpack_pack_array(p, 1), msgpack_pack_unsigned_int(p, id);
   });
 }
-// Two caches, one origin, both fronts; time limits of many seconds so that a slow machine changes nothing.
+// Two caches, one origin, both fronts; time limits of many seconds so that a slow machine changes
+// nothing.
 class Story : public ::testing::Test {
  protected:
   std::string settings =
@@ -233,28 +243,32 @@
         "upper-kind":-1,"merges-fills":true,"instances-by-zone":[0,1],"purge-settles":6000000,
         "stream-kb-per-s":9000}})";
 
-  void set(const std::string& name, const std::string& from, const std::string& to) {  // before SetUp()
+  void set(const std::string& name, const std::string& from,
+           const std::string& to) {  // before SetUp()
     const auto was = '"' + name + "\":" + from;
     settings.replace(settings.find(was), was.size(), '"' + name + "\":" + to);
   }
 
   void SetUp() override {
-    const auto member = [](const std::string& id, const Box& b, const char* zone, const char* kind) {
+    const auto member = [](const std::string& id, const Box& b, const char* zone,
+                           const char* kind) {
       return R"({"id":")" + id + R"(","host_port":")" + b.address() + R"(","locality":")" + zone +
-             R"(","flavor":")" + kind + R"(","cell":0,"phase":"in_service","size":4,"up_since_ms":0})";
+             R"(","flavor":")" + kind +
+             R"(","cell":0,"phase":"in_service","size":4,"up_since_ms":0})";
     };
-    config =
-        config::read(R"({"name":"n","seed":"7","known":{"rev":1,"notices":[{"rev":1,"pool":{"complete":true,
-      "members":[)" + member("s-a", box[0], "edge", "small") +
-                     "," + member("s-b", box[1], "edge", "small") + "," +
-                     member("s-o", origin, "hub", "origin") + "]}}]}," + settings + "}");
+    config = config::read(
+        R"({"name":"n","seed":"7","known":{"rev":1,"notices":[{"rev":1,"pool":{"complete":true,
+      "members":[)" +
+        member("s-a", box[0], "edge", "small") + "," + member("s-b", box[1], "edge", "small") +
+        "," + member("s-o", origin, "hub", "origin") + "]}}]}," + settings + "}");
     config.settings.may_probe = probing;
     config.sockets = 128;  // 64 clients
     config.board = net::to_string(board_at_);
     links.enabled = true;
     links.listen = "127.0.0.1:0";
     links.skew_s = 60;  // wide: a slow machine changes nothing
-    links.keys = {{"old", "an old secret of the tests", 0}, {"new", "a new secret of the tests", 0}};
+    links.keys = {{"old", "an old secret of the tests", 0},
+                  {"new", "a new secret of the tests", 0}};
     links.routes = {{"/asset/", 0, link_limit}};
     engine = std::make_unique<core::Engine>(config.settings, config.seed, deadlines, net::unix_now);
     caches = std::make_unique<platform::Caches>(loop, deadlines, *engine, config);
@@ -262,10 +276,11 @@
     pool = std::make_unique<platform::DirectPool>(*caches, *engine);
     board = std::make_unique<platform::Board>(loop, deadlines, *engine, *pool, config);
     engine->run();
-    front = std::make_unique<platform::RpcFront>(loop, deadlines, *engine, *net::parse_address("127.0.0.1:0"),
-                                                 config);
-    http = std::make_unique<signed_url::HttpFront>(loop, deadlines, *engine, config, links,
-                                                    [this] { return net::unix_now() + skew * 1'000'000; });
+    front = std::make_unique<platform::RpcFront>(loop, deadlines, *engine,
+                                                 *net::parse_address("127.0.0.1:0"), config);
+    http = std::make_unique<signed_url::HttpFront>(loop, deadlines, *engine, config, links, [this] {
+      return net::unix_now() + skew * 1'000'000;
+    });
     loop.on_turn([this] {
       deadlines.sweep(engine->now());
       engine->run();
@@ -347,12 +362,12 @@
   }
   // One event: a server and its state; `complete`: the list is this one server.
   static std::string event(int rev, const std::string& id, const std::string& address,
-                           const std::string& phase, bool complete = false, const char* zone = "edge",
-                           const char* kind = "small") {
-    return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":)" + (complete ? "true" : "false") +
-           R"(,"members":[{"id":")" + id + R"(","host_port":")" + address + R"(","locality":")" + zone +
-           R"(","flavor":")" + kind + R"(","cell":0,"phase":")" + phase +
-           "\",\"size\":4,\"up_since_ms\":0}]}}\n";
+                           const std::string& phase, bool complete = false,
+                           const char* zone = "edge", const char* kind = "small") {
+    return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":)" +
+           (complete ? "true" : "false") + R"(,"members":[{"id":")" + id + R"(","host_port":")" +
+           address + R"(","locality":")" + zone + R"(","flavor":")" + kind +
+           R"(","cell":0,"phase":")" + phase + "\",\"size\":4,\"up_since_ms\":0}]}}\n";
   }
   int board_fd_ = -1;
 };
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -34,9 +34,10 @@
   const Command got = *fetch();
   EXPECT_EQ(got.id, "9b1f03aa5c7e2d41");
   EXPECT_EQ(got.body, "pay\r\nme");
-  const std::map<std::string, std::string> want{{"lane", "plan-accept"}, {"name", "7f3a9c21e0b4d655"},
-                                                {"piece", "3"},          {"dedupe", kKey},
-                                                {"next", "s-o"},         {"cached", "ab"}};
+  const std::map<std::string, std::string> want{
+      {"lane", "plan-accept"}, {"name", "7f3a9c21e0b4d655"},
+      {"piece", "3"},          {"dedupe", kKey},
+      {"next", "s-o"},         {"cached", "ab"}};
   for (const auto& [k, v] : want) EXPECT_EQ(got.fields.at(k), v) << k;
   EXPECT_LT(std::stoi(got.fields.at("ttl")), 20000);
   const std::string body(240'000, 'x');
@@ -45,7 +46,8 @@
   EXPECT_EQ(answers(c->in)[0].body, body);
   c->write(request(2, "asset", {{"seen", "ab"}}));
   ASSERT_TRUE(until([&] { return fetches() == 2; }));
-  Box::answer(got.id == fetch(2)->id ? *fetch(1) : *fetch(2), "still_good", {}, loopback::dated("ab"));
+  Box::answer(got.id == fetch(2)->id ? *fetch(1) : *fetch(2), "still_good", {},
+              loopback::dated("ab"));
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
   EXPECT_EQ(answers(c->in)[1].fields["current"], "1");
 }
@@ -54,7 +56,8 @@
   auto c = client(front->address());
   box[0].stop();
   for (unsigned i = 1; i <= 4; ++i) {
-    c->write(request(i, "plan-accept", {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}}));
+    c->write(request(i, "plan-accept",
+                     {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}}));
     ASSERT_TRUE(until([&] { return box[1].count("fetch") == i; }));
     Box::answer(box[1].commands.back(), "served", "ok");
     ASSERT_TRUE(until([&] { return answers(c->in).size() == i; }));
@@ -74,7 +77,8 @@
   EXPECT_EQ(engine->counters().late_answers, 1u);
 }
 
-// Guards against a late answer of the attempt given up passing for the next one's under the same id.
+// Guards against a late answer of the attempt given up passing for the next one's under the same
+// id.
 TEST_F(Platform, ALostConnectionEndsAllItsAttemptsAndTheRetryIsTheOnlyOneOut) {
   auto c = client(front->address());
   for (unsigned i = 1; i <= 3; ++i) c->write(request(i, "asset", {}));
@@ -83,8 +87,9 @@
   Box& second = &first == &box[0] ? box[1] : box[0];
   const auto before = second.count("fetch");
   first.stop();
-  ASSERT_TRUE(until(
-      [&] { return second.count("fetch") == 3 || engine->counters().refused + second.count("fetch") >= 3; }));
+  ASSERT_TRUE(until([&] {
+    return second.count("fetch") == 3 || engine->counters().refused + second.count("fetch") >= 3;
+  }));
   for (const auto& cmd : second.commands) Box::answer(cmd, "served", "again");
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 3; }));
   EXPECT_GE(second.count("fetch"), before);
@@ -92,7 +97,8 @@
   EXPECT_EQ(answers(c->in).size(), 3u);
 }
 
-// Guards against caches being sent what they can't read or use: they would close, on others' requests too.
+// Guards against caches being sent what they can't read or use: they would close, on others'
+// requests too.
 TEST_F(Platform, AnUnreadableFrameClosesItsConnectionOnlyAndBadFieldsGetAnAnswer) {
   auto bad = client(front->address()), good = client(front->address());
   bad->write("\xc1garbage");
@@ -139,10 +145,12 @@
   for (const auto& a : answers(c->in)) EXPECT_EQ(a.error + a.fields.at("later"), "Busy500");
 }
 
-// Guards against clients that hold a place and say nothing, or only half of it, or that asked once and stay.
+// Guards against clients that hold a place and say nothing, or only half of it, or that asked once
+// and stay.
 TEST_F(Platform, SilentAndHalfSpeakingClientsAreEndedAndIdleOnesGiveWay) {
   const auto started = net::unix_now();
-  auto silent = client(front->address()), half = client(front->address()), idle = client(front->address());
+  auto silent = client(front->address()), half = client(front->address()),
+       idle = client(front->address());
   half->write(request(1, "asset", {}).substr(0, 30));
   idle->write(request(1, "no-such-class", {}));
   ASSERT_TRUE(until([&] { return silent->ended && half->ended; }));
@@ -159,16 +167,16 @@
   EXPECT_GE(std::count_if(many.begin(), many.end(), [](auto& m) { return m->ended; }), 6);
 }
 
-// Guards against passing on what is spoilt: lines without a length, without tag and date, with lengths that
-// don't fit, confirmations of a copy that the client never named.
+// Guards against passing on what is spoilt: lines without a length, without tag and date, with
+// lengths that don't fit, confirmations of a copy that the client never named.
 TEST_F(Platform, ASpoiltAnswerFailsTheAttemptAndClosesTheConnection) {
   auto c = client(front->address());
   std::size_t asked = 0;
   unsigned id = 0;
   for (const std::string spoilt :
        {"served - twelve\r\n", "served - 0\r\n", "served sum=t,t0=1764576000000\r\n",
-        "still_good sum=t,t0=1 0\r\n", "served sum=t,t0=1 3000000000\r\n", "served sum=t,t0=1 3\r\nbytes\r\n",
-        "good\r\n"}) {
+        "still_good sum=t,t0=1 0\r\n", "served sum=t,t0=1 3000000000\r\n",
+        "served sum=t,t0=1 3\r\nbytes\r\n", "good\r\n"}) {
     c->write(request(++id, "asset", {}));
     ASSERT_TRUE(until([&] { return fetches() == asked + 1; }));
     const auto last = [&] {
@@ -188,7 +196,8 @@
   }
 }
 
-// Guards against the second copy of a failed answer passing for the answer to the request's next attempt.
+// Guards against the second copy of a failed answer passing for the answer to the request's next
+// attempt.
 TEST_F(Platform, ASecondCopyOfAFailedAnswerEndsNothing) {
   alderspur::FleetUpdate gone;
   gone.servers = {config.notices[0].members[1].server};
@@ -222,7 +231,8 @@
   }
 };
 
-// Guards against connections that stay open and are of no further use: after half an answer, or after none.
+// Guards against connections that stay open and are of no further use: after half an answer, or
+// after none.
 TEST_F(Watched, ASilentConnectionCostsItsRequestsAnAttemptButNotTheBoxItsGoodName) {
   for (const bool half : {true, false}) {
     for (auto& b : box) b.commands.clear();
@@ -231,7 +241,8 @@
     ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == 2; }));
     const Command first = *fetch(1), second = *fetch(2);
     ASSERT_EQ(first.from, second.from);
-    if (half) first.from->write(first.id + " served " + loopback::dated("t") + " 100\r\nhalf of it");
+    if (half)
+      first.from->write(first.id + " served " + loopback::dated("t") + " 100\r\nhalf of it");
     ASSERT_TRUE(until_but(first.from, [&] { return fetches() == 4; }));
     for (std::size_t i = 3; i <= 4; ++i) {
       EXPECT_EQ(&box_of(*fetch(i)), &box_of(first));
@@ -276,8 +287,8 @@
   EXPECT_EQ(engine->counters().late_answers, late) << "each word was waited for";
 }
 
-// Guards against a probe on every connection whose one request takes long, as most do where many routers
-// share the work.
+// Guards against a probe on every connection whose one request takes long, as most do where many
+// routers share the work.
 TEST_F(Watched, AConnectionIsNotAskedForAWordWhileItsSilenceIsUsual) {
   std::uint64_t early = 0;
   for (unsigned i = 1; i <= 6; ++i) {
@@ -295,7 +306,8 @@
   EXPECT_LE(engine->counters().probes, early + 1) << "the other four waited as the first did";
 }
 
-// Guards against the same for a large answer, which a box gives in one piece after its own sending time.
+// Guards against the same for a large answer, which a box gives in one piece after its own sending
+// time.
 TEST_F(Watched, AConnectionIsNotAskedForAWordWhileALargeAnswerIsDue) {
   auto c = client(front->address());
   c->write(request(1, "asset", {{"ram", "90000"}}));  // ten seconds at the top pace
@@ -309,7 +321,8 @@
 TEST_F(Platform, ABusyBoxIsSentRequestsOnSeveralConnections) {
   auto c = client(front->address());
   for (unsigned i = 1; i <= 30; ++i) {
-    c->write(request(i, "asset", {{"ram", "9"}, {"txn", "00000000000000" + std::to_string(10 + i)}}));
+    c->write(
+        request(i, "asset", {{"ram", "9"}, {"txn", "00000000000000" + std::to_string(10 + i)}}));
     ASSERT_TRUE(until([&] { return fetches() == i; }));
   }
   std::map<loopback::Socket*, int> open;
@@ -331,7 +344,8 @@
   EXPECT_EQ(answers(c->in)[0].body, "still here");
 }
 
-// Guards against a fleet that dials its board in step, again and again, after it has ended all connections.
+// Guards against a fleet that dials its board in step, again and again, after it has ended all
+// connections.
 TEST(Board, AHundredRoutersThatLoseItTogetherDialSpreadOverTheTime) {
   std::vector<std::mt19937_64> routers;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) routers.emplace_back(seed);
@@ -343,19 +357,22 @@
       EXPECT_LE(at[i], (round + 1) * 350'000);
       ++in_10_ms[at[i] / 10'000];
     }
-    for (const auto& [slot, n] : in_10_ms) EXPECT_LE(n, 15) << "of 100 in one 10 ms, round " << round;
+    for (const auto& [slot, n] : in_10_ms)
+      EXPECT_LE(n, 15) << "of 100 in one 10 ms, round " << round;
   }
   std::mt19937_64 once(7), again(7);
-  EXPECT_EQ(alderspur::platform::pause_before_dial(once), alderspur::platform::pause_before_dial(again));
+  EXPECT_EQ(alderspur::platform::pause_before_dial(once),
+            alderspur::platform::pause_before_dial(again));
 }
 
 TEST_F(Platform, TheBoardIsWatchedFromTheLastNumberHeldAndADrainBindsAtOnce) {
   auto w = watcher();
   ASSERT_TRUE(until([&] { return w->in == "watch 1\n"; }));
   const auto gone = [&](int rev, const char* id, Box& b) {
-    return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":false,"members":[{"id":")" + id +
-           R"(","host_port":")" + b.address() +
-           "\",\"locality\":\"edge\",\"flavor\":\"small\",\"cell\":0,\"phase\":\"terminating\",\"size\":4,"
+    return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":false,"members":[{"id":")" +
+           id + R"(","host_port":")" + b.address() +
+           "\",\"locality\":\"edge\",\"flavor\":\"small\",\"cell\":0,\"phase\":\"terminating\","
+           "\"size\":4,"
            "\"up_since_ms\":0}]}}\n";
   };
   w->write(gone(2, "s-a", box[0]) + "2\nnot json\n");
@@ -372,12 +389,13 @@
   ASSERT_TRUE(until([&] { return again->in == "watch 2\n"; }));
 }
 
-// Guards against a crowd of useless requests, or for the status only, each on a connection of its own that
-// stays: those that can be used must be taken up at once.
-// Guards against a spoilt feed: what cannot be read or used costs one line a kind and nothing else.
+// Guards against a crowd of useless requests, or for the status only, each on a connection of its
+// own that stays: those that can be used must be taken up at once. Guards against a spoilt feed:
+// what cannot be read or used costs one line a kind and nothing else.
 TEST_F(Platform, ABoardOfBadNoticesEmptiesNoListAndFillsNoLog) {
   std::vector<std::string> lines;
-  engine->complaints().on_say([&](const std::string& event, const std::string&) { lines.push_back(event); });
+  engine->complaints().on_say(
+      [&](const std::string& event, const std::string&) { lines.push_back(event); });
   auto w = watcher();
   const auto member = [](const char* id, const std::string& address, const char* phase) {
     return R"({"id":")" + std::string(id) + R"(","host_port":")" + address +
@@ -385,15 +403,17 @@
            R"(","size":4,"up_since_ms":0})";
   };
   const auto listing = [](int rev, const std::string& members) {
-    return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":false,"members":[)" + members +
-           "]}}\n";
+    return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":false,"members":[)" +
+           members + "]}}\n";
   };
   for (int i = 0; i < 500; ++i) w->write(i % 2 ? "{\"rev\":\n" : "\x01 no json at all\n");
   w->write("{\"rev\":2,\"pool\":{\"complete\":true,\"members\":\"none\"}}\n");
-  w->write(listing(2, member("s-a", "nowhere", "in_service") + ',' + member("s-a", "nowhere", "in_service") +
-                          ',' + member("s-x", "256.1.1.1:70000", "in_service")));
+  w->write(listing(2, member("s-a", "nowhere", "in_service") + ',' +
+                          member("s-a", "nowhere", "in_service") + ',' +
+                          member("s-x", "256.1.1.1:70000", "in_service")));
   w->write(listing(3, member("s-y", box[0].address(), "asleep")));
-  w->write(listing(3, member("s-b", box[1].address(), "terminated")));  // a repeat tells nothing new
+  w->write(
+      listing(3, member("s-b", box[1].address(), "terminated")));  // a repeat tells nothing new
   settle();
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "bad_notice"), 1);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "bad_address"), 1);
@@ -417,8 +437,9 @@
   core::Complaints complaints;
   std::vector<std::string> lines;
   complaints.about(core::Complaint::answer, 1, "nobody listens yet");
-  complaints.on_say(
-      [&](const std::string& event, const std::string& text) { lines.push_back(event + ' ' + text); });
+  complaints.on_say([&](const std::string& event, const std::string& text) {
+    lines.push_back(event + ' ' + text);
+  });
   const core::Time second = 1'000'000;
   for (int i = 0; i < 1000; ++i)
     complaints.about(core::Complaint::notice, second + i * 1000, "\x1b[2J" + std::string(500, 'x'));
@@ -441,7 +462,8 @@
     bad.push_back(loopback::dial(front->address()));
     bad.back()->write(request(1, i % 2 ? "no-such-class" : "status", {}));
     if (i % 16 != 15) continue;
-    ASSERT_TRUE(until([&] { return engine->counters().bad_requests == (static_cast<unsigned>(i) + 1) / 2; }));
+    ASSERT_TRUE(until(
+        [&] { return engine->counters().bad_requests == (static_cast<unsigned>(i) + 1) / 2; }));
   }
   auto last = client(front->address());
   last->write(request(1, "asset", {{"item", "0000000000000002"}, {"txn", "0000000000000001"}}));
@@ -450,7 +472,8 @@
   EXPECT_FALSE(usual->ended);
 }
 
-// Guards against a listener that spins, or forgets its clients, once all places are taken by open requests.
+// Guards against a listener that spins, or forgets its clients, once all places are taken by open
+// requests.
 TEST_F(Platform, ClientsBeyondTheBudgetWaitUntilOthersLeave) {
   std::vector<std::unique_ptr<loopback::Socket>> clients;
   for (int i = 0; i < 64; ++i) {
@@ -490,10 +513,12 @@
   quick->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 25; }));
   for (auto& b : box)
-    if (!b.commands.empty() && b.commands.back().from) Box::answer(b.commands.back(), "served", "quick");
+    if (!b.commands.empty() && b.commands.back().from)
+      Box::answer(b.commands.back(), "served", "quick");
   ASSERT_TRUE(until([&] { return answers(quick->in).size() == 1; }));
   watched.push_back(slow.get());
-  ASSERT_TRUE(until([&] { return slow->in.size() > 24 * body.size() && answers(slow->in).size() == 24; }));
+  ASSERT_TRUE(
+      until([&] { return slow->in.size() > 24 * body.size() && answers(slow->in).size() == 24; }));
   for (const auto& a : answers(slow->in)) EXPECT_EQ(a.body, body);
 }
 
@@ -516,8 +541,9 @@
   caches->update(member);
   auto c = client(front->address());
   for (unsigned i = 1; i <= 6; ++i)
-    c->write(request(i, "plan-accept",
-                     {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}, {"limit", limit}}));
+    c->write(request(
+        i, "plan-accept",
+        {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}, {"limit", limit}}));
   std::size_t answered = 0;
   ASSERT_TRUE(until([&] {
     for (; answered < box[1].commands.size(); ++answered)
@@ -602,8 +628,8 @@
   EXPECT_EQ(recorder.answers.size(), 1u);
 }
 
-// Found on days with 300 routers: the next attempt reached a cache, or the same one by another connection,
-// before the abort of the one before had arrived.
+// Found on days with 300 routers: the next attempt reached a cache, or the same one by another
+// connection, before the abort of the one before had arrived.
 TEST_F(Core, TheNextAttemptLeavesOnlyWhenTheAbortOfTheOneBeforeMustHaveArrived) {
   for (const auto result : {alderspur::Result::cancelled, alderspur::Result::reset}) {
     recorder.sent.clear();
@@ -636,7 +662,8 @@
   }
 }
 
-// A client leaves in the turn in which its attempt fails, or in the 50 ms before the next one may leave.
+// A client leaves in the turn in which its attempt fails, or in the 50 ms before the next one may
+// leave.
 TEST_F(Core, ForAClientThatHasLeftNoNextAttemptBegins) {
   for (const bool ended_its_side : {false, true})
     for (const bool in_the_turn : {true, false}) {
@@ -647,8 +674,10 @@
       engine->written(recorder.sent[0]);
       const auto result = in_the_turn ? alderspur::Result::full : alderspur::Result::reset;
       engine->reply(recorder.sent[0], {result, false, {}, {}, 0, {}});
-      if (ended_its_side) engine->begin_no_more(ticket), time += in_the_turn ? 50'000 : 0;
-      else engine->withdraw(ticket);
+      if (ended_its_side)
+        engine->begin_no_more(ticket), time += in_the_turn ? 50'000 : 0;
+      else
+        engine->withdraw(ticket);
       engine->run();
       time += 50'000;
       deadlines.sweep(time);
@@ -677,7 +706,8 @@
 
 TEST(Lines, AnswersAreTakenWhateverTheCuts) {
   const std::string all =
-      "a served sum=f,t0=17 3\r\nxyz\r\nb not_here - 0\r\n\r\np1 green rep=inflight:7;x1:0.5 0\r\n\r\n";
+      "a served sum=f,t0=17 3\r\nxyz\r\nb not_here - 0\r\n\r\np1 green rep=inflight:7;x1:0.5 "
+      "0\r\n\r\n";
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
     std::string buffer;
     std::vector<std::string> got;
--- a/tests/process.h
+++ b/tests/process.h
@@ -16,14 +16,17 @@
 
 class Program {
  public:
-  // `shared`: the folder of a router whose processes replace each other; `operators`: where they call.
-  // `pipe`: the configuration comes through a pipe, and the start waits until configure() is called.
+  // `shared`: the folder of a router whose processes replace each other; `operators`: where they
+  // call. `pipe`: the configuration comes through a pipe, and the start waits until configure() is
+  // called.
   explicit Program(const std::string& config, const std::string& shared = {},
                    const std::string& operators = {}, bool pipe = false) {
     char name[] = "/tmp/alderspur-test-XXXXXX";
     folder_ = ::mkdtemp(name);
-    if (pipe) EXPECT_EQ(::mkfifo((folder_ + "/config.json").c_str(), 0600), 0);
-    else configure(config);
+    if (pipe)
+      EXPECT_EQ(::mkfifo((folder_ + "/config.json").c_str(), 0600), 0);
+    else
+      configure(config);
     int ends[2];
     EXPECT_EQ(::pipe(ends), 0);
     pid_ = ::fork();
@@ -84,7 +87,8 @@
     return pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   }
   void signal(int number) { ::kill(pid_, number); }
-  void stop() {  // and it has stopped: what arrives from now on is ready all at once when it goes on
+  void
+  stop() {  // and it has stopped: what arrives from now on is ready all at once when it goes on
     signal(SIGSTOP);
     siginfo_t is{};
     EXPECT_EQ(::waitid(P_PID, static_cast<id_t>(pid_), &is, WSTOPPED), 0);
@@ -102,13 +106,14 @@
 };
 
 // One cache and one class. `give_up` in microseconds.
-inline std::string config_with(const Box& box, const std::string& board = {}, std::int64_t give_up = 0,
-                               int sockets = 1024) {
+inline std::string config_with(const Box& box, const std::string& board = {},
+                               std::int64_t give_up = 0, int sockets = 1024) {
   return R"({"listen":"127.0.0.1:0","board":")" + board + R"(","limits":{"sockets":)" +
          std::to_string(sockets) +
          R"(},"known":{"rev":1,"notices":[{"rev":1,"pool":{"complete":true,"members":[
     {"id":"s","host_port":")" +
-         box.address() + R"(","locality":"edge","flavor":"small","phase":"in_service","size":4}]}}]},
+         box.address() +
+         R"(","locality":"edge","flavor":"small","phase":"in_service","size":4}]}}]},
     "settings":{"azs":["edge"],"zone":0,"shapes":["small"],"ceilings":{"max-attempts":2,"may-cancel":true},
     "classes":[{"name":"asset","target":5000000,"give-up":)" +
          std::to_string(give_up) + R"(,"points":1,"repeat":"safe"}]}})";
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -14,8 +14,8 @@
 using loopback::Program;
 
 TEST(Process, ABadConfigurationEndsTheStartWithOnePlainLine) {
-  for (const std::string bad :
-       {"{", R"({"settings":{"classes":[]}})", R"({"listen":"nowhere","settings":{"classes":[{}]}})"}) {
+  for (const std::string bad : {"{", R"({"settings":{"classes":[]}})",
+                                R"({"listen":"nowhere","settings":{"classes":[{}]}})"}) {
     Program p(bad);
     EXPECT_EQ(p.line().rfind("alderspur: ", 0), 0u);
     EXPECT_EQ(p.line(), "");
@@ -24,10 +24,12 @@
 }
 
 using loopback::config_with;
-const std::string kRequest = loopback::request(1, "asset", {}), kOther = loopback::request(2, "asset", {});
+const std::string kRequest = loopback::request(1, "asset", {}),
+                  kOther = loopback::request(2, "asset", {});
 using loopback::until;
 
-// Guards against a reload that ends the process, drops what it holds, or leaves it watching a dead board.
+// Guards against a reload that ends the process, drops what it holds, or leaves it watching a dead
+// board.
 TEST(Process, OnSighupTheWatchMovesToTheNewBoardAndNothingElseIsLost) {
   Box box;
   sockaddr_in boards[2];
@@ -52,7 +54,8 @@
   ASSERT_TRUE(until([&] { return renewed.in == "watch 2\n"; }, box, {&renewed}));
   ASSERT_TRUE(until([&] { return old.ended; }, box, {&old}));
   Box::answer(box.commands[0], "served", "bytes");
-  ASSERT_TRUE(until([&] { return client->in.find("bytes") != std::string::npos; }, box, {client.get()}));
+  ASSERT_TRUE(
+      until([&] { return client->in.find("bytes") != std::string::npos; }, box, {client.get()}));
   EXPECT_EQ(box.connections.size(), 1u);
   p.signal(SIGTERM);
   EXPECT_EQ(p.exit_code(), 0);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -33,7 +33,8 @@
            "\n[[hub]]\nname = \"hub\"\n[[point]]\nname = \"edge\"\nhub = \"hub\"\n";
   }
   static std::string list(int generation, const std::string& state, const std::string& weight) {
-    return head(generation, 2) + server("s-1", 1, state, weight) + server("s-2", 2, "in_service", "4.0");
+    return head(generation, 2) + server("s-1", 1, state, weight) +
+           server("s-2", 2, "in_service", "4.0");
   }
   void write(const std::string& name, const std::string& text) const {
     std::ofstream(folder + "/" + name, std::ios::binary) << text;
@@ -50,7 +51,8 @@
     FILE* out = ::popen(command.c_str(), "r");
     said.clear();
     char buffer[4096];
-    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, out)) > 0;) said.append(buffer, n);
+    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, out)) > 0;)
+      said.append(buffer, n);
     const int status = ::pclose(out);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
@@ -63,7 +65,8 @@
   EXPECT_EQ(run("--help"), 0);
   EXPECT_EQ(run("check --help"), 0);
   EXPECT_TRUE(says("Example:"));
-  for (const char* usage : {"", "chek a.toml", "check", "run", "diff a.toml", "check --colour a.toml"})
+  for (const char* usage :
+       {"", "chek a.toml", "check", "run", "diff a.toml", "check --colour a.toml"})
     EXPECT_EQ(run(usage), 2) << usage;
   EXPECT_EQ(run("check a.toml b.toml"), 0) << said;
   write("bad.toml", list(1, "in_sevrice", "4.0"));
@@ -86,7 +89,8 @@
   EXPECT_EQ(run("diff --json a.toml b.toml"), 1);
   EXPECT_TRUE(says(R"("weighted":["s-1"])")) << said;
   write("order.toml", "# another order, the same list\n" + head(3, 2) +
-                          server("s-2", 2, "in_service", "4.0") + server("s-1", 1, "in_service", "4.0"));
+                          server("s-2", 2, "in_service", "4.0") +
+                          server("s-1", 1, "in_service", "4.0"));
   EXPECT_EQ(run("diff a.toml order.toml"), 0) << said;
 }
 
@@ -105,9 +109,10 @@
   fs::create_directory(folder + "/d");
   write("d/one.toml", server("s-1", 1, "in_service", "4.0"));
   write("d/two.toml", server("s-2", 2, "in_service", "4.0"));
-  write("d/manifest.toml", head(1, 2) +
-                               "[[piece]]\nfile = \"one.toml\"\ndigest = \"xxh3:0000000000000000\"\n"
-                               "[[piece]]\nfile = \"two.toml\"\ndigest = \"xxh3:0000000000000000\"\n");
+  write("d/manifest.toml",
+        head(1, 2) +
+            "[[piece]]\nfile = \"one.toml\"\ndigest = \"xxh3:0000000000000000\"\n"
+            "[[piece]]\nfile = \"two.toml\"\ndigest = \"xxh3:0000000000000000\"\n");
   EXPECT_EQ(run("check d"), 1);
   EXPECT_EQ(run("seal d"), 0) << said;
   EXPECT_EQ(run("check d"), 0) << said;
@@ -119,7 +124,8 @@
 
 TEST_F(Program, FilesOfTheLanguageAreCheckedFormattedComparedAndExplained) {
   const std::string good =
-      "class a {\n  repeat = safe\n  deadline = 1 s\n}\n\nroute r {\n  path = \"/r/{o}\"\n  class = a\n}\n";
+      "class a {\n  repeat = safe\n  deadline = 1 s\n}\n\nroute r {\n  path = \"/r/{o}\"\n  class "
+      "= a\n}\n";
   write("good.alder", good);
   write("ugly.alder", "class a{repeat=safe;deadline=1000ms}\n\nroute r{path=\"/r/{o}\";class=a}");
   write("bad.alder", "class a {\n  repeat = sage\n  deadline = 1000\n}\n");
@@ -149,13 +155,15 @@
   EXPECT_EQ(run("run --settings absent.toml"), 1);
   write("alderspur.toml", "[router]\nconfg = \"config.json\"\n");
   EXPECT_EQ(run("run --settings alderspur.toml"), 1);
-  EXPECT_TRUE(says("alderspur.toml:2:1: error F004: the key confg is not known (did you mean config?)"))
+  EXPECT_TRUE(
+      says("alderspur.toml:2:1: error F004: the key confg is not known (did you mean config?)"))
       << said;
   write("config.json",
         R"({"listen":"127.0.0.1:0","known":{"rev":0,"notices":[]},"settings":{"azs":["hub","edge"],
     "zone":1,"shapes":["small"],"classes":[{"name":"asset","points":1,"repeat":"safe"}]}})");
   const std::string good =
-      "[router]\nconfig = \"config.json\"\n[membership]\nauthority = \"files\"\nlist = \"l.toml\"\n";
+      "[router]\nconfig = \"config.json\"\n[membership]\nauthority = \"files\"\nlist = "
+      "\"l.toml\"\n";
   write("alderspur.toml", good);
   EXPECT_EQ(run("run --settings alderspur.toml"), 1);
   EXPECT_TRUE(says("no usable list of servers")) << said;
@@ -168,7 +176,8 @@
   EXPECT_EQ(run("check alderspur.toml"), 0) << said;
   write("alderspur.toml", good + "[routes]\nfile = \"main.alder\"\n");
   const std::string program =
-      "class asset {\n  repeat = safe\n  deadline = 1 s\n}\npool p {\n  role = cache\n  point = \"edge\"\n}\n"
+      "class asset {\n  repeat = safe\n  deadline = 1 s\n}\npool p {\n  role = cache\n  point = "
+      "\"edge\"\n}\n"
       "route r {\n  path = \"/r/{object}\"\n  class = asset\n  pool = p\n}\n";
   write("main.alder", program);
   EXPECT_EQ(run("check alderspur.toml"), 0) << said;
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -1,5 +1,5 @@
-// Bans by hand and purge floors that routers keep alike: what merging guarantees, and copies on a simulated
-// network. A check that fails prints its seed, which replays it.
+// Bans by hand and purge floors that routers keep alike: what merging guarantees, and copies on a
+// simulated network. A check that fails prints its seed, which replays it.
 #include "replication/replica.h"
 
 #include <gtest/gtest.h>
@@ -28,9 +28,12 @@
   for (int step = 0; step < 60; ++step) {
     const std::size_t i = random() % n;
     const auto server = "s-" + std::to_string(random() % 4);
-    if (random() % 3 == 0) all[i].ban(author(i), {server, "c", step});
-    else if (random() % 2) all[i].lift(server);
-    else all[i].join(all[random() % n]);
+    if (random() % 3 == 0)
+      all[i].ban(author(i), {server, "c", step});
+    else if (random() % 2)
+      all[i].lift(server);
+    else
+      all[i].join(all[random() % n]);
   }
   return all;
 }
@@ -216,14 +219,16 @@
   }
   bool all_out(const std::string& server, bool out) {
     return std::all_of(nodes.begin(), nodes.end(), [&](auto& n) {
-      return !n.second.replica ||
-             (n.second.out.contains(server) == out && n.second.replica->bans().banned(server) == out);
+      return !n.second.replica || (n.second.out.contains(server) == out &&
+                                   n.second.replica->bans().banned(server) == out);
     });
   }
   std::mt19937_64 random;
   std::map<std::string, Node> nodes;
   std::multimap<Time, std::pair<std::string, Frame>> queue;
-  std::function<bool(const std::string&, const std::string&)> lost = [](auto&, auto&) { return false; };
+  std::function<bool(const std::string&, const std::string&)> lost = [](auto&, auto&) {
+    return false;
+  };
   Time now = 1'000'000'000;
   std::uint64_t bytes = 0, frames = 0;
 };
@@ -234,10 +239,14 @@
     net.run(2 * kSecond);
     net.ban("r3", "s-1");
     net.purge("r4", 77);
-    ASSERT_TRUE(net.until([&] { return net.all_out("s-1", true) && net.all_equal(); }, 4 * kSecond)) << seed;
-    for (auto& [name, node] : net.nodes) ASSERT_TRUE(name == "r4" || node.forbidden[77] > 0) << name;
+    ASSERT_TRUE(net.until([&] { return net.all_out("s-1", true) && net.all_equal(); }, 4 * kSecond))
+        << seed;
+    for (auto& [name, node] : net.nodes)
+      ASSERT_TRUE(name == "r4" || node.forbidden[77] > 0) << name;
     net.lift("r20", "s-1");
-    ASSERT_TRUE(net.until([&] { return net.all_out("s-1", false) && net.all_equal(); }, 4 * kSecond)) << seed;
+    ASSERT_TRUE(
+        net.until([&] { return net.all_out("s-1", false) && net.all_equal(); }, 4 * kSecond))
+        << seed;
   }
 }
 
@@ -248,7 +257,9 @@
     net.run(2 * kSecond);
     net.ban("r0", "s-1");
     for (std::uint64_t i = 0; i < 50; ++i) net.purge("r" + std::to_string(i % 20), i);
-    ASSERT_TRUE(net.until([&] { return net.all_out("s-1", true) && net.all_equal(); }, 15 * kSecond)) << seed;
+    ASSERT_TRUE(
+        net.until([&] { return net.all_out("s-1", true) && net.all_equal(); }, 15 * kSecond))
+        << seed;
   }
 }
 
@@ -265,9 +276,12 @@
     EXPECT_TRUE(net.nodes["r0"].out.contains("s-1"));
     EXPECT_FALSE(net.nodes["r5"].out.contains("s-1"));
     net.lost = [](auto&, auto&) { return false; };
-    ASSERT_TRUE(net.until([&] { return net.all_out("s-1", true) && net.all_equal(); }, 6 * kSecond)) << seed;
+    ASSERT_TRUE(net.until([&] { return net.all_out("s-1", true) && net.all_equal(); }, 6 * kSecond))
+        << seed;
     net.lift("r5", "s-1");
-    ASSERT_TRUE(net.until([&] { return net.all_out("s-1", false) && net.all_equal(); }, 6 * kSecond)) << seed;
+    ASSERT_TRUE(
+        net.until([&] { return net.all_out("s-1", false) && net.all_equal(); }, 6 * kSecond))
+        << seed;
   }
 }
 
@@ -283,7 +297,8 @@
   EXPECT_GT(net.nodes["r7"].replica->floors().size(), 0u);
 }
 
-// Away for a thousand purges, a ban and a lift: back without a memory, caught up at once, and it knows when.
+// Away for a thousand purges, a ban and a lift: back without a memory, caught up at once, and it
+// knows when.
 TEST(Replica, WhoWasAwayIsCaughtUpByTheDifferenceAndSaysSoOnlyThen) {
   Net net(6, 5);
   net.ban("r0", "s-1");
@@ -317,8 +332,8 @@
   EXPECT_TRUE(net.nodes["r0"].replica->caught_up());
 }
 
-// Others of an earlier program are there and never answer; or changes never rest, so that no two copies are
-// the same at any moment. A router that waits for the word would never be ready.
+// Others of an earlier program are there and never answer; or changes never rest, so that no two
+// copies are the same at any moment. A router that waits for the word would never be ready.
 TEST(Replica, AmongSilentOrBusyOthersItIsCaughtUpAfterAWhile) {
   Net silent(11, 4);
   silent.lost = [](auto& a, auto&) { return a != "r0"; };
@@ -336,7 +351,8 @@
   busy.back("r3");
   load(4 * kSecond);
   EXPECT_TRUE(busy.nodes["r3"].replica->caught_up());
-  EXPECT_GE(busy.nodes["r3"].replica->floors().size() + 50, busy.nodes["r0"].replica->floors().size());
+  EXPECT_GE(busy.nodes["r3"].replica->floors().size() + 50,
+            busy.nodes["r0"].replica->floors().size());
 }
 
 TEST(Replica, FramesThatAreNoneAreCountedAndChangeNothing) {
@@ -355,8 +371,8 @@
   EXPECT_GT(net.nodes["r1"].replica->counts().refused, 2000u);
 }
 
-// Whatever is lost, cut, killed and called in whatever order: after quiet all copies are equal, what each
-// router was told is what its copy says, and nothing that was forbidden is allowed again.
+// Whatever is lost, cut, killed and called in whatever order: after quiet all copies are equal,
+// what each router was told is what its copy says, and nothing that was forbidden is allowed again.
 TEST(Replica, AfterAnyScheduleAndQuietAllCopiesAreEqualAndNothingForbiddenIsLost) {
   for (std::uint64_t seed = 1; seed <= 60 * more(); ++seed) {
     const std::size_t n = 3 + seed % 6;
@@ -366,7 +382,8 @@
     net.lost = [&](auto& a, auto& b) { return cut.contains({a, b}) || net.random() % 100 < loss; };
     std::set<std::string> dead;
     for (int step = 0; step < 40; ++step) {
-      const auto a = "r" + std::to_string(net.random() % n), b = "r" + std::to_string(net.random() % n);
+      const auto a = "r" + std::to_string(net.random() % n),
+                 b = "r" + std::to_string(net.random() % n);
       const auto server = "s-" + std::to_string(net.random() % 3);
       const auto pick = net.random() % 9;
       if (pick < 2 && !dead.contains(a)) net.ban(a, server);
@@ -384,7 +401,8 @@
     ASSERT_TRUE(net.until([&] { return net.all_equal(); }, 20 * kSecond)) << "seed " << seed;
     for (auto& [name, node] : net.nodes) {
       const auto held = node.replica->bans().servers();
-      ASSERT_EQ(node.out, std::set<std::string>(held.begin(), held.end())) << "seed " << seed << " " << name;
+      ASSERT_EQ(node.out, std::set<std::string>(held.begin(), held.end()))
+          << "seed " << seed << " " << name;
     }
     for (std::uint64_t id = 0; id < 30; ++id) {
       Time most = 0;
--- a/tests/replication/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -1,5 +1,5 @@
-// Bans by hand kept alike by several processes of the program, with faults between them, judged by what the
-// stand-in boxes receive and by each process's own view.
+// Bans by hand kept alike by several processes of the program, with faults between them, judged by
+// what the stand-in boxes receive and by each process's own view.
 #include "consensus/fleet.h"
 
 namespace {
@@ -76,7 +76,8 @@
   ASSERT_TRUE(r->until([&] { return r->view(0).alive() == 1 && r->view(3).alive() == 1; }));
   hand(3, "online");
   ASSERT_TRUE(r->until([&] { return banned_at({2, 3}, false); }, 15 * kSecond));
-  hand(1, "online"), hand(1, "offline");  // a ban of its own, which the lift over there has not seen
+  hand(1, "online"),
+      hand(1, "offline");  // a ban of its own, which the lift over there has not seen
   r->run(kSecond);
   r->cut({0, 1}, {2, 3}, false);
   ASSERT_TRUE(r->until([&] { return r->whole(r->all()) && banned_at(r->all(), true); }));
@@ -86,8 +87,8 @@
   EXPECT_TRUE(r->until([&] { return banned_at(r->all(), false); }, 15 * kSecond));
 }
 
-// A purge that the board of one router tells, and of nobody else: a request anywhere asks for no older copy,
-// also after the one that heard it has died, and at one that was away.
+// A purge that the board of one router tells, and of nobody else: a request anywhere asks for no
+// older copy, also after the one that heard it has died, and at one that was away.
 TEST_F(Replicated, APurgeHeardByOneRouterBindsAllAndOutlivesIt) {
   with_boards_ = true;
   ASSERT_NO_FATAL_FAILURE(begin(3));
@@ -99,8 +100,8 @@
   const auto asks = [&](std::size_t router) {  // with what bound on the copy's age, in milliseconds
     limited_.erase(item);
     auto s = loopback::dial(r->clients(router));
-    s->write(
-        loopback::request(1, "asset", {{"txn", item}, {"item", item}, {"limit", "3000"}, {"ram", "90"}}));
+    s->write(loopback::request(1, "asset",
+                               {{"txn", item}, {"item", item}, {"limit", "3000"}, {"ram", "90"}}));
     r->until([&] { return s->poll(), !loopback::answers(s->in).empty(); }, 10 * kSecond);
     return limited_.contains(item) ? std::stoi(limited_[item]) : 0;
   };
@@ -113,7 +114,8 @@
   EXPECT_LT(bound, 60'000);
 }
 
-// Whoever made a ban dies; one that was away while it was lifted comes back with the ban on its disk.
+// Whoever made a ban dies; one that was away while it was lifted comes back with the ban on its
+// disk.
 TEST_F(Replicated, ABanOutlivesItsAuthorAndALiftReachesWhoWasAway) {
   ASSERT_NO_FATAL_FAILURE(begin(4));
   hand(0, "offline");
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -100,8 +100,8 @@
     }
     now = end;
   }
-  RequestId ask(std::uint64_t object, std::uint32_t cls = 0, double size = 100, std::uint32_t part = 0,
-                std::uint32_t group = 5) {
+  RequestId ask(std::uint64_t object, std::uint32_t cls = 0, double size = 100,
+                std::uint32_t part = 0, std::uint32_t group = 5) {
     const RequestId id{next++};
     tell(Request{id, {object}, {group}, {cls}, part, size, 5 * second, false});
     return id;
@@ -118,8 +118,8 @@
     o.elapsed = elapsed;
     return o;
   }
-  std::vector<Action> end(RequestId id, Result result, Note note = Note::none, std::uint32_t attempt = 0,
-                          Time elapsed = 100 * ms) {
+  std::vector<Action> end(RequestId id, Result result, Note note = Note::none,
+                          std::uint32_t attempt = 0, Time elapsed = 100 * ms) {
     return tell(outcome(id, result, note, attempt, elapsed));
   }
   std::uint64_t serve(std::uint64_t object, double size = 100, std::uint32_t part = 0) {
@@ -140,7 +140,8 @@
   std::uint64_t next = 1;
 };
 
-// ---- The mechanism ---------------------------------------------------------------------------------
+// ---- The mechanism
+// ---------------------------------------------------------------------------------
 
 TEST(Rendezvous, AnObjectKeepsItsHomeAndOnlyALostHomesObjectsMove) {
   Bed a;
@@ -149,10 +150,14 @@
   for (std::uint64_t o = 1; o <= 60; ++o)
     used.insert(home[o] = a.serve(o, 100, static_cast<std::uint32_t>(o)));
   EXPECT_EQ(used.size(), 4u);
-  for (std::uint64_t o = 1; o <= 60; ++o) EXPECT_EQ(a.serve(o, 100, 99), home[o]) << "parts share the home";
-  Bed b(site(), {cache(1), cache(2), cache(3), upstream(20, Role::parent), upstream(30, Role::origin)});
+  for (std::uint64_t o = 1; o <= 60; ++o)
+    EXPECT_EQ(a.serve(o, 100, 99), home[o]) << "parts share the home";
+  Bed b(site(),
+        {cache(1), cache(2), cache(3), upstream(20, Role::parent), upstream(30, Role::origin)});
   for (std::uint64_t o = 1; o <= 60; ++o) {
-    if (home[o] != 4) { EXPECT_EQ(b.serve(o), home[o]); }
+    if (home[o] != 4) {
+      EXPECT_EQ(b.serve(o), home[o]);
+    }
   }
 }
 
@@ -194,12 +199,13 @@
   EXPECT_EQ(by.size(), 1u);
 }
 
-// Worked numbers. Four caches with BW = 3000 each; an object adds x to its home's. S = (3000 + x) / 3000,
-// W = 1 - a = 3000 / (3000 + x), T = 0.25 W; its share x / (3000 + x) passes T above x = 750.
+// Worked numbers. Four caches with BW = 3000 each; an object adds x to its home's. S = (3000 + x) /
+// 3000, W = 1 - a = 3000 / (3000 + x), T = 0.25 W; its share x / (3000 + x) passes T above x = 750.
 TEST(HotSet, TheThresholdFollowsThePagesFormula) {
   Bed bed;
   std::map<std::uint64_t, int> given;
-  for (std::uint64_t o = 1; o < 4000; ++o) {  // each small object is served three times: no share of its own
+  for (std::uint64_t o = 1; o < 4000;
+       ++o) {  // each small object is served three times: no share of its own
     const auto id = bed.ask(o);
     const auto home = bed.sends[id][0].server.value;
     if (given[home] == 10) {
@@ -215,7 +221,8 @@
   }
   ASSERT_EQ(given[1] + given[2] + given[3] + given[4], 40);
   const std::uint64_t hot = 99999, home = bed.serve(hot);
-  for (int i = 2; i <= 8; ++i) EXPECT_EQ(bed.serve(hot), home) << "x is at most 700 before request " << i;
+  for (int i = 2; i <= 8; ++i)
+    EXPECT_EQ(bed.serve(hot), home) << "x is at most 700 before request " << i;
   EXPECT_NE(bed.serve(hot), home) << "x = 800: the set has its second cache";
 }
 TEST(HotSet, OrdinaryObjectsKeepOneHome) {
@@ -229,7 +236,8 @@
   for (auto& [o, h] : homes) EXPECT_EQ(h.size(), 1u) << o;
 }
 
-// ---- The five rules --------------------------------------------------------------------------------
+// ---- The five rules
+// --------------------------------------------------------------------------------
 
 TEST(Answers, ExactlyOneWhateverHappens) {
   Bed bed;
@@ -251,8 +259,8 @@
 TEST(Answers, EmptyFleetRefusesAtOnceWithAdvice) {
   Bed bed(site(), {});
   std::vector<Action> actions;
-  actions =
-      bed.tell(Request{{50}, {1}, {0}, {0}, 0, std::numeric_limits<double>::quiet_NaN(), second, false});
+  actions = bed.tell(
+      Request{{50}, {1}, {0}, {0}, 0, std::numeric_limits<double>::quiet_NaN(), second, false});
   bool refused = false;
   for (auto& a : actions)
     if (auto* r = std::get_if<Refuse>(&a)) refused = r->retry_after > 0;
@@ -356,11 +364,13 @@
   EXPECT_EQ(bed.answers[id], 1);
 }
 
-// Work sent to a server in any span of the fall window, against what it can then do. 100 KB = 0.1 s.
+// Work sent to a server in any span of the fall window, against what it can then do. 100 KB = 0.1
+// s.
 double sent_to(Bed& bed, std::uint64_t server, bool as_source) {
   double n = 0;
   for (auto& [id, sends] : bed.sends)
-    for (auto& s : sends) n += (as_source ? s.fill->source.value : s.server.value) == server ? 0.1 : 0;
+    for (auto& s : sends)
+      n += (as_source ? s.fill->source.value : s.server.value) == server ? 0.1 : 0;
   return n;
 }
 TEST(Cold, ABurstDoesNotSpendMoreThanAColdCacheCanDo) {
@@ -376,11 +386,12 @@
   EXPECT_LT(sent_to(bed, 1, false), 2.4);
   EXPECT_GT(sent_to(bed, 1, false), 0.3);
 }
-// Many routers, each seeing a sliver, and one server that restarts. Gives what all of them that have been
-// told together send in any span: its largest part of the rule's limit (multiple x capacity at its lowest x
-// window, in sending seconds), and by how many calls of mean work it passes the plain budget of N calls (one
-// x capacity x window) and chance, 2 x root of N + 2. Stirred: some routers see several times the mean, and
-// seven in ten start anew a second later. Late: each hears of the start when it does, up to 2 s later.
+// Many routers, each seeing a sliver, and one server that restarts. Gives what all of them that
+// have been told together send in any span: its largest part of the rule's limit (multiple x
+// capacity at its lowest x window, in sending seconds), and by how many calls of mean work it
+// passes the plain budget of N calls (one x capacity x window) and chance, 2 x root of N + 2.
+// Stirred: some routers see several times the mean, and seven in ten start anew a second later.
+// Late: each hears of the start when it does, up to 2 s later.
 struct Sum {
   double part = 0, over = -1e9;
 };
@@ -396,8 +407,8 @@
   for (auto& x : servers) x.weight = told && x.role != Role::origin ? capacity : 1;
   std::vector<Bed> beds;
   for (std::size_t i = 0; i < routers; ++i) beds.emplace_back(s, servers, 1000 + 77 * i);
-  // All together ask for as much as warm servers carry at six tenths of their capacity; each a request at a
-  // time.
+  // All together ask for as much as warm servers carry at six tenths of their capacity; each a
+  // request at a time.
   const double work = told ? 0.2 : 0.1, rate = 0.6 * capacity * (parent ? 2 : 4) / work;
   std::vector<std::pair<Time, double>> sent;
   double due = 0;
@@ -431,9 +442,11 @@
     }
     for (due += rate * 0.005; due >= 1; --due) {
       pick = pick * 6364136223846793005ULL + 1442695040888963407ULL;
-      const double u = static_cast<double>(pick >> 33) / 2147483648.0;  // squared: a tenth see a third of it
-      const std::size_t at =
-          stirred ? static_cast<std::size_t>(u * u * static_cast<double>(routers)) : (pick >> 33) % routers;
+      const double u =
+          static_cast<double>(pick >> 33) / 2147483648.0;  // squared: a tenth see a third of it
+      const std::size_t at = stirred
+                                 ? static_cast<std::size_t>(u * u * static_cast<double>(routers))
+                                 : (pick >> 33) % routers;
       Bed& b = beds[at];
       const auto id = b.ask(pick >> 20, 0, told ? 1000 * work : 0);
       if (b.sends[id].empty()) continue;
@@ -449,7 +462,8 @@
     for (std::size_t k = i; k < sent.size() && sent[k].first <= sent[i].first + s.fall_window; ++k)
       sum += sent[k].second;
     const double from = parent ? s.parent_cold_from : s.cache_cold_from;
-    const double grown = static_cast<double>(sent[i].first - born) / static_cast<double>(20 * second);
+    const double grown =
+        static_cast<double>(sent[i].first - born) / static_cast<double>(20 * second);
     const double budget = (from + (1 - from) * grown) * capacity * 1.5, calls = budget / work;
     most.part = std::max(most.part, sum / (2 * budget));
     most.over = std::max(most.over, sum / work - (calls + 2 * std::sqrt(calls) + 2));
@@ -479,14 +493,15 @@
     EXPECT_GT(std::min(parent, box), 0.1) << told;
   }
 }
-// Guards against routers that each round a small share up, from twenty or thirty of them on; with told sizes,
-// and where the budget is a guess by what warm servers carry.
+// Guards against routers that each round a small share up, from twenty or thirty of them on; with
+// told sizes, and where the budget is a guess by what warm servers carry.
 class Fleets : public ::testing::TestWithParam<std::tuple<std::size_t, How>> {};
 TEST_P(Fleets, SumOnAColdServerStaysWithinItsBudgetAndChance) {
   const auto [routers, how] = GetParam();
   for (const bool parent : {true, false})
     for (const auto& [told, capacity] : {std::pair{true, 40}, {true, 6}, {false, 40}, {false, 6}}) {
-      SCOPED_TRACE((parent ? "parent of " : "cache of ") + std::to_string(capacity) + (told ? ", told" : ""));
+      SCOPED_TRACE((parent ? "parent of " : "cache of ") + std::to_string(capacity) +
+                   (told ? ", told" : ""));
       const auto sum = most_sent(routers, told, parent, capacity, how);
       EXPECT_LE(sum.over, 0);
       EXPECT_GT(sum.part, capacity > 10 ? 0.1 : 0.04) << "and it is used";
@@ -494,7 +509,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Cold, Fleets,
                          ::testing::Combine(::testing::Values(3, 20, 30, 300),
-                                            ::testing::Values(How::plain, How::stirred, How::late)));
+                                            ::testing::Values(How::plain, How::stirred,
+                                                              How::late)));
 
 TEST(Cold, FillsCountAgainstAColdParent) {
   Bed bed;
@@ -558,7 +574,8 @@
   EXPECT_FALSE(bed.sends[id][1].fill->join);
 }
 
-// ---- Trouble ----------------------------------------------------------------------------------------
+// ---- Trouble
+// ----------------------------------------------------------------------------------------
 
 TEST(Health, ACacheThatErrsFastDrawsNothing) {
   Bed bed;
@@ -591,7 +608,8 @@
       ASSERT_FALSE(bed.sends[id].empty());
       if (home == 0) home = bed.sends[id][0].server.value;
       EXPECT_EQ(bed.sends[id][0].server.value, home) << "the cache stays in";
-      for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) bed.end(id, result, Note::source_refused, k);
+      for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
+        bed.end(id, result, Note::source_refused, k);
       EXPECT_EQ(bed.answers[id], 1);
     }
     EXPECT_NE(bed.sends[bed.ask(1)][0].fill->source, bed.sends[RequestId{1}][0].fill->source);
@@ -617,7 +635,8 @@
   std::size_t attempts = 0;
   for (int i = 0; i < 500; ++i) {
     const auto id = bed.ask(static_cast<std::uint64_t>(i));
-    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) bed.end(id, Result::full, Note::none, k);
+    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
+      bed.end(id, Result::full, Note::none, k);
     attempts += bed.sends[id].size();
     EXPECT_EQ(bed.answers[id], 1);
   }
@@ -684,10 +703,10 @@
   for (int i = 0; i < 3; ++i) run(100 * ms);
   EXPECT_LT(run(100 * ms), 30);
 }
-// Guards against blaming caches for a dead source where answers carry no notes: every cache looked sick, the
-// next one was asked to fill from the same source, and the door shut.
-// Guards against a door that stays shut because fetches take their time however little is out: the caches
-// behind it would never fill again.
+// Guards against blaming caches for a dead source where answers carry no notes: every cache looked
+// sick, the next one was asked to fill from the same source, and the door shut. Guards against a
+// door that stays shut because fetches take their time however little is out: the caches behind it
+// would never fill again.
 TEST(Admission, WhatAnswersTakeAtTheLeastWorkKeepsNobodyOut) {
   Bed bed;
   std::multimap<Time, RequestId> due;
@@ -725,8 +744,9 @@
   EXPECT_EQ(refused, 0);
   EXPECT_LE(to_dead_late, 6);
 }
-// Guards against a cache, or a parent, that fails half of what it is sent and hides behind the other end of
-// its fills: each error might be the source's, and asking once more succeeds often enough.
+// Guards against a cache, or a parent, that fails half of what it is sent and hides behind the
+// other end of its fills: each error might be the source's, and asking once more succeeds often
+// enough.
 TEST(Health, WhoFailsHalfStandsOutAmongItsPeersWhicheverEndItIs) {
   for (const ServerId failing : {ServerId{2}, ServerId{20}}) {
     Bed bed;
@@ -749,8 +769,8 @@
     EXPECT_LE(refused, 3);
   }
 }
-// Guards against a silent cache or parent holding its requests to their deadlines where no second copy may
-// go.
+// Guards against a silent cache or parent holding its requests to their deadlines where no second
+// copy may go.
 TEST(Health, ASilentCacheIsProbedAndWhatItHoldsMovesOn) {
   Bed bed(probing_site());
   const auto id = bed.ask(1);
@@ -766,8 +786,8 @@
   ASSERT_EQ(bed.sends[id].size(), 2u);
   EXPECT_NE(bed.sends[id][1].server, silent);
 }
-// Guards against taking lost connections, as spoilt answers cause them, for a sick cache: all of a point's
-// caches would be out. The request they cost goes to the same cache once more.
+// Guards against taking lost connections, as spoilt answers cause them, for a sick cache: all of a
+// point's caches would be out. The request they cost goes to the same cache once more.
 TEST(Health, ALostConnectionIsAskedAboutAndPutsNoCacheOutByItself) {
   Bed bed(probing_site());
   ServerId home{};
@@ -775,7 +795,9 @@
     bed.advance(4 * second);
     const auto id = bed.ask(1);
     ASSERT_EQ(bed.sends[id].size(), 1u);
-    if (i > 0) { EXPECT_EQ(bed.sends[id][0].server, home); }
+    if (i > 0) {
+      EXPECT_EQ(bed.sends[id][0].server, home);
+    }
     home = bed.sends[id][0].server;
     bed.end(id, Result::reset);
     EXPECT_GE(bed.probes[home], i + 1);
@@ -784,7 +806,8 @@
     bed.tell(Probed{home, true, ms, {}});
     bed.end(id, Result::ok, Note::none, 1);
   }
-  // Where it happens to one cache only, again and again, that one is out however well its probes go.
+  // Where it happens to one cache only, again and again, that one is out however well its probes
+  // go.
   for (int i = 0; i < 40; ++i) {
     bed.advance(20 * ms);
     bed.serve(static_cast<std::uint64_t>(100 + i));
@@ -848,8 +871,8 @@
   }
   EXPECT_EQ(probes, 0);
 }
-// Guards against a probe for each slow answer where a router has one request at a cache at a time; a cache
-// that says nothing for longer than is usual is still found.
+// Guards against a probe for each slow answer where a router has one request at a cache at a time;
+// a cache that says nothing for longer than is usual is still found.
 TEST(Fleet, CachesAreLookedAtAfterAnUnusualSilenceOnly) {
   auto s = probing_site();
   int probes = 0, found = 0;
@@ -875,10 +898,10 @@
   EXPECT_LE(probes, 400) << "4,000 requests; a look at 300 ms would be one for each";
   EXPECT_EQ(found, 100);
 }
-// Guards against a door set by a few slow answers: of a location's sizes, which are told, each router knows
-// its part, and what lies far below that is no crowd however slow some fills are.
-// Guards against a probe for every large answer: caches give theirs in one piece, and where a router has one
-// request at a cache at a time nothing else tells that it lives.
+// Guards against a door set by a few slow answers: of a location's sizes, which are told, each
+// router knows its part, and what lies far below that is no crowd however slow some fills are.
+// Guards against a probe for every large answer: caches give theirs in one piece, and where a
+// router has one request at a cache at a time nothing else tells that it lives.
 TEST(Fleet, ACacheIsNotSilentWhileItsAnswersOwnSendingLasts) {
   Bed bed(probing_site());
   const auto id = bed.ask(1, 0, 3000);  // three seconds at the top pace
@@ -898,16 +921,19 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Bed bed(s, servers, seed);
     for (std::uint64_t o = 1; o <= 200; ++o) {
-      const auto id = bed.ask(o, 0, o % 10 == 0 ? 1200 : 200);  // of 48 transfers, 6 are this router's
+      const auto id =
+          bed.ask(o, 0, o % 10 == 0 ? 1200 : 200);  // of 48 transfers, 6 are this router's
       refused += bed.answers[id];
       bed.advance(120 * ms);
       if (o > 2 && bed.answers[RequestId{id.value - 2}] == 0)
-        bed.end(RequestId{id.value - 2}, Result::ok, Note::none, 0, o % 4 == 0 ? 2 * second : 300 * ms);
+        bed.end(RequestId{id.value - 2}, Result::ok, Note::none, 0,
+                o % 4 == 0 ? 2 * second : 300 * ms);
     }
   }
   EXPECT_LE(refused, 40) << "of 4,000";
 }
-// Guards against writes waiting, and failing, in the queue of a full parent that can only pass them on.
+// Guards against writes waiting, and failing, in the queue of a full parent that can only pass them
+// on.
 TEST(Fleet, WritesAreFilledFromTheOriginItself) {
   auto s = site();
   s.classes[2].uncached = true;
@@ -920,7 +946,8 @@
   }
 }
 // Guards against a hundred routers that all go on asking one origin for what a purge has made void
-// everywhere: together they keep out no more than the origin bears, whatever each of them sees of it.
+// everywhere: together they keep out no more than the origin bears, whatever each of them sees of
+// it.
 TEST(Fleet, WhatAPurgeMadeVoidIsFetchedByAllTogetherNoFasterThanTheOriginBears) {
   for (const std::uint32_t routers : {3u, 100u}) {
     auto s = site();
@@ -936,7 +963,9 @@
         if (bed.answers[id] || bed.sends[id].empty()) continue;
         const bool held = bed.sends[id][0].fill->held_only;
         bed.end(id, held ? Result::miss : Result::full, Note::none, 0, 60 * ms);
-        if (held) { EXPECT_EQ(bed.sends[id].size(), 1u) << "nobody else holds it either"; }
+        if (held) {
+          EXPECT_EQ(bed.sends[id].size(), 1u) << "nobody else holds it either";
+        }
       }
       for (std::uint64_t o = 100; o < 140; ++o) {
         const auto id = bed.ask(o, 0, 200);
@@ -949,8 +978,8 @@
     EXPECT_GT(held_only, 0);
   }
 }
-// Guards against a parent with a full queue passing for lost at every router: it is spared for a while and,
-// being the same process, takes its whole part again as soon as it says that it is well.
+// Guards against a parent with a full queue passing for lost at every router: it is spared for a
+// while and, being the same process, takes its whole part again as soon as it says that it is well.
 TEST(Fleet, AParentThatSaysItIsFullIsSparedAndNotHeldForCold) {
   ServerId parent;
   auto bed = with_late_fill(parent);
@@ -972,11 +1001,14 @@
     ASSERT_EQ(fills_by(bed, parent, 100, 140), 0);
     bed.advance(2 * second);
     bed.tell(Probed{parent, true, 2 * second, {}, up, true, true});
-    if (up > 10 * second) EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
-    else EXPECT_LT(fills_by(bed, parent, 200, 300), 20) << "it may be a new one: cold";
+    if (up > 10 * second)
+      EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
+    else
+      EXPECT_LT(fills_by(bed, parent, 200, 300), 20) << "it may be a new one: cold";
   }
 }
-// Guards against holding requests on a point whose caches are all known to be out: probes find them again.
+// Guards against holding requests on a point whose caches are all known to be out: probes find them
+// again.
 TEST(Health, WhereProbesWatchALostPointItsRequestsAreRefusedAtOnce) {
   Bed bed(probing_site());
   for (std::uint64_t o = 1; o <= 40; ++o) {
@@ -1005,8 +1037,8 @@
   }
   EXPECT_EQ(refused, 0);
 }
-// A location's routers each see a sliver; each alone under a floor for one router, all would never refuse
-// together.
+// A location's routers each see a sliver; each alone under a floor for one router, all would never
+// refuse together.
 std::size_t admitted_together(std::uint32_t routers) {
   auto s = site();
   s.routers = routers;
@@ -1026,11 +1058,13 @@
 }
 TEST(Admission, ManyRoutersOfALocationRefuseTogetherAboutAsMuchAsOne) {
   EXPECT_GE(admitted_together(1), 3u);
-  EXPECT_LE(admitted_together(12), 12 * 2u);  // each keeps room for a request or two, not for a whole floor
+  EXPECT_LE(admitted_together(12),
+            12 * 2u);  // each keeps room for a request or two, not for a whole floor
 }
 TEST(Patience, ARouterThatHearsLittleTakesSlowCachesForSlowNotForSilent) {
   Bed bed;
-  for (std::uint64_t o = 1; o < 60; ++o) {  // everything takes twice the aim: that is how it is today
+  for (std::uint64_t o = 1; o < 60;
+       ++o) {  // everything takes twice the aim: that is how it is today
     const auto id = bed.ask(o);
     bed.advance(1400 * ms);
     if (bed.answers[id] || bed.sends[id].size() > 1) continue;
@@ -1079,8 +1113,8 @@
   ASSERT_FALSE(bed.sends[seen].empty());
   EXPECT_FALSE(bed.sends[seen][0].fill->held_only);
 }
-// Guards against answers that never come closing the door to fills for good, where no note tells of those
-// that do: every new object would be asked for in vain first.
+// Guards against answers that never come closing the door to fills for good, where no note tells of
+// those that do: every new object would be asked for in vain first.
 TEST(Origin, WithoutNotesLostAnswersDoNotHoldBackFills) {
   Bed bed;
   for (std::uint64_t o = 1; o <= 300; ++o) {
@@ -1100,14 +1134,18 @@
   bed.serve(1);  // the test that it passes; it may have restarted unseen
   for (int i = 0; i < 20; ++i) EXPECT_EQ(bed.serve(static_cast<std::uint64_t>(i)), 1u);
 }
-// ---- Odd fleets and reports --------------------------------------------------------------------------
+// ---- Odd fleets and reports
+// --------------------------------------------------------------------------
 
 // Whatever the fleet, each request has one final answer by its deadline.
 void expect_answers(Bed& bed) {
   for (std::uint64_t o = 1; o <= 30; ++o) {
     const auto id = bed.ask(o);
-    if (!bed.sends[id].empty()) bed.end(id, Result::ok, Note::hit);
-    else { EXPECT_EQ(bed.answers[id], 1) << "given up at once"; }
+    if (!bed.sends[id].empty())
+      bed.end(id, Result::ok, Note::hit);
+    else {
+      EXPECT_EQ(bed.answers[id], 1) << "given up at once";
+    }
     bed.advance(20 * ms);
   }
   const auto silent = bed.ask(99);
@@ -1181,7 +1219,8 @@
   EXPECT_EQ(run(), run());
 }
 
-// Guards against a ban that the next list, a new address or a restart takes back, and against a full welcome.
+// Guards against a ban that the next list, a new address or a restart takes back, and against a
+// full welcome.
 TEST(Bans, HoldWhateverTheListSaysAndEndColdWithTheCallBack) {
   Bed bed;
   bed.tell(Ban{{1}, true});
@@ -1253,15 +1292,17 @@
   };
   const double one = sent({1}), two = sent({0.5, 0.5}), uneven = sent({0.9, 0.1});
   EXPECT_GT(one, 20);
-  EXPECT_LT(two, 1.25 * one);  // one send more for each cache and process: a budget may be overdrawn by one
+  EXPECT_LT(
+      two,
+      1.25 * one);  // one send more for each cache and process: a budget may be overdrawn by one
   EXPECT_LT(uneven, 1.25 * one);
   EXPECT_GT(two, 0.6 * one);
   EXPECT_GT(sent({1, 1}), 1.6 * one) << "without shares they would pass it";
 }
 
-// Guards against a told number of routers being believed for ever: with half of ten lost, the five that are
-// left would use half of what a cold cache may be asked for, and with five unknown ones beside them half
-// more.
+// Guards against a told number of routers being believed for ever: with half of ten lost, the five
+// that are left would use half of what a cold cache may be asked for, and with five unknown ones
+// beside them half more.
 TEST(Twins, LeasedPartsStandForTheToldNumberOfRouters) {
   auto told = site();
   told.routers = 10;
@@ -1281,7 +1322,8 @@
     }
     return static_cast<double>(n);
   };
-  const double all = sent(10, {}), half = sent(5, {}), leased = sent(5, {0.17, 0.17, 0.17, 0.17, 0.17});
+  const double all = sent(10, {}), half = sent(5, {}),
+               leased = sent(5, {0.17, 0.17, 0.17, 0.17, 0.17});
   const double uneven = sent(4, {0.5, 0.2, 0.1, 0.05}), twice = sent(20, {});
   const double whole = sent(1, {1});  // what one that is alone may send
   EXPECT_LT(half, 0.7 * all);
@@ -1291,12 +1333,13 @@
   EXPECT_GT(twice, whole) << "told numbers that are wrong pass the budget";
 }
 
-// Guards against the debts that spread a fleet's first sends being forgiven where no other process has had
-// them.
+// Guards against the debts that spread a fleet's first sends being forgiven where no other process
+// has had them.
 TEST(Twins, OneThatIsAloneStartsAsIfNothingHadBeenSaid) {
   const auto first = [](const std::vector<Event>& said, std::uint64_t seed) {
     Bed bed(site(), {}, seed);
-    bed.tell(FleetUpdate{true, false, {cache(1, Status::ready, bed.now), upstream(30, Role::origin)}});
+    bed.tell(
+        FleetUpdate{true, false, {cache(1, Status::ready, bed.now), upstream(30, Role::origin)}});
     for (const auto& e : said) bed.tell(e);
     bed.advance(10 * ms);
     return bed.sends.contains(bed.ask(1, 0, 200));
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -1,4 +1,5 @@
-// Routes in service over loopback: the signed front goes by a table that is swapped, and by its limits.
+// Routes in service over loopback: the signed front goes by a table that is swapped, and by its
+// limits.
 #include "app/routes.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +19,8 @@
 class RoutesInService : public ::testing::Test {
  protected:
   static constexpr const char* kClasses =
-      "class asset {\n  repeat = safe\n  deadline = 2 s\n}\nclass video {\n  repeat = safe\n  deadline = 2 "
+      "class asset {\n  repeat = safe\n  deadline = 2 s\n}\nclass video {\n  repeat = safe\n  "
+      "deadline = 2 "
       "s\n}\n";
 
   void SetUp() override {
@@ -41,12 +43,14 @@
   }
   static std::string route(const std::string& name, const std::string& path, const std::string& cls,
                            const std::string& more = "") {
-    return "route " + name + " {\n  path = \"" + path + "\"\n  class = " + cls + "\n" + more + "}\n";
+    return "route " + name + " {\n  path = \"" + path + "\"\n  class = " + cls + "\n" + more +
+           "}\n";
   }
   void start() {
-    auto config = config::read(R"({"name":"n","seed":"7","listen":"127.0.0.1:0","known":{"rev":1,"notices":[
+    auto config =
+        config::read(R"({"name":"n","seed":"7","listen":"127.0.0.1:0","known":{"rev":1,"notices":[
       {"rev":1,"pool":{"complete":true,"members":[{"id":"s","host_port":")" +
-                               box.address() + R"(","locality":"edge","flavor":"small","cell":0,
+                     box.address() + R"(","locality":"edge","flavor":"small","cell":0,
         "phase":"in_service","size":4,"up_since_ms":0}]}}]},
       "settings":{"azs":["edge"],"zone":0,"shapes":["small"],"replicas-of-me":1,
       "ceilings":{"dial-timeout":5000000,"idle-close":30000000,"max-attempts":2,"may-cancel":true,
@@ -55,11 +59,13 @@
         {"name":"video","target":5000000,"give-up":30000000,"points":1,"repeat":"safe"}],
       "domain":{"lifetime-by-class":[60000000,0],"stale-for":[0,0],"uncached":[false,false]}}})");
     config.sockets = 512;
-    log = std::make_unique<log::Log>(log::Settings{}, [this](const std::string& l) { lines.push_back(l); });
+    log = std::make_unique<log::Log>(log::Settings{},
+                                     [this](const std::string& l) { lines.push_back(l); });
     node = std::make_unique<platform::Node>(std::move(config), [](auto&, auto&) {});
     routes = std::make_unique<app::Routes>(*node, file, *log);
-    front = std::make_unique<signed_url::HttpFront>(node->loop(), node->deadlines(), node->engine(),
-                                                     node->config(), links, net::unix_now, routes.get());
+    front =
+        std::make_unique<signed_url::HttpFront>(node->loop(), node->deadlines(), node->engine(),
+                                                node->config(), links, net::unix_now, routes.get());
     node->add({[this] { front->end_turn(); }, {}, {}});
     node->loop().on_turn([this] { node->turn(); });
   }
@@ -74,16 +80,19 @@
     return false;
   }
   // Asks on a connection of its own.
-  loopback::Socket& ask(const std::string& path, bool forged = false, const std::string& headers = "") {
+  loopback::Socket& ask(const std::string& path, bool forged = false,
+                        const std::string& headers = "") {
     const auto text = path + "?exp=" + std::to_string(net::unix_now() / 1'000'000 + 60) + "&kid=k";
     auto sig = signed_url::signature({"k", "a secret of the tests", 0}, text);
     if (forged) sig[3] = sig[3] == 'A' ? 'B' : 'A';
     clients.push_back(loopback::dial(front->address()));
-    clients.back()->write("GET " + text + "&sig=" + sig + " HTTP/1.1\r\nHost: h.example\r\n" + headers +
-                          "\r\n");
+    clients.back()->write("GET " + text + "&sig=" + sig + " HTTP/1.1\r\nHost: h.example\r\n" +
+                          headers + "\r\n");
     return *clients.back();
   }
-  static int status(const loopback::Socket& s) { return s.in.size() > 12 ? std::stoi(s.in.substr(9, 3)) : 0; }
+  static int status(const loopback::Socket& s) {
+    return s.in.size() > 12 ? std::stoi(s.in.substr(9, 3)) : 0;
+  }
   int answered(loopback::Socket& s) {
     EXPECT_TRUE(until([&] { return status(s) > 0; }));
     return status(s);
@@ -133,13 +142,14 @@
   EXPECT_EQ(answered(ask("/a/zz")), 404);
 }
 
-// Three routes change their meaning while requests are under way: none is lost, each ends by the table it
-// began under, and a program that does not check changes nothing.
+// Three routes change their meaning while requests are under way: none is lost, each ends by the
+// table it began under, and a program that does not check changes nothing.
 TEST_F(RoutesInService, ATableIsSwappedWholeUnderRequests) {
   const auto version = [&](const char* cls, const char* most) {
     std::string t;
     for (const char* n : {"x", "y", "z"})
-      t += route(n, std::string("/") + n + "/{object}", cls, std::string("  max-in-flight = ") + most + "\n");
+      t += route(n, std::string("/") + n + "/{object}", cls,
+                 std::string("  max-in-flight = ") + most + "\n");
     return t;
   };
   write(version("asset", "100"));
@@ -148,7 +158,8 @@
   std::vector<loopback::Socket*> asked;
   std::size_t swaps = 0;
   for (int round = 0; round < 12; ++round) {
-    for (const char* n : {"x", "y", "z"}) asked.push_back(&ask(std::string("/") + n + "/" + object));
+    for (const char* n : {"x", "y", "z"})
+      asked.push_back(&ask(std::string("/") + n + "/" + object));
     const auto fetches = asked.size();
     ASSERT_TRUE(until([&] { return box.count("fetch") == fetches; }));
     // All three of one round were decided by one table.
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,4 +1,5 @@
-// The table of routes: precedence by a table of cases, and against a plain linear matcher on random programs.
+// The table of routes: precedence by a table of cases, and against a plain linear matcher on random
+// programs.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -45,14 +46,15 @@
 }
 
 TEST(Routing, TheMoreSpecificRouteHolds) {
-  const auto t = table(route("all", "/*") + route("item", "/v/{o}/{part}") + route("first", "/v/{o}/0") +
-                       route("fixed", "/v/x/{part}") + route("below", "/v/*") +
-                       route("posted", "/v/{o}/{part}", "  method = POST\n") +
-                       route("beta", "/v/{o}/{part}", "  header \"x-tier\" = \"beta\"\n") +
-                       route("here", "/v/x/{part}", "  host = \"a.example\"\n") +
-                       route("sub", "/s", "  host = \"*.example\"\n") +
-                       route("deep", "/s", "  host = \"*.b.example\"\n") + "when point \"q\" {\n" +
-                       route("at-q", "/v/{o}/{part}") + "}\n");
+  const auto t =
+      table(route("all", "/*") + route("item", "/v/{o}/{part}") + route("first", "/v/{o}/0") +
+            route("fixed", "/v/x/{part}") + route("below", "/v/*") +
+            route("posted", "/v/{o}/{part}", "  method = POST\n") +
+            route("beta", "/v/{o}/{part}", "  header \"x-tier\" = \"beta\"\n") +
+            route("here", "/v/x/{part}", "  host = \"a.example\"\n") +
+            route("sub", "/s", "  host = \"*.example\"\n") +
+            route("deep", "/s", "  host = \"*.b.example\"\n") + "when point \"q\" {\n" +
+            route("at-q", "/v/{o}/{part}") + "}\n");
   const struct {
     const char *host, *path, *method, *point, *wanted;
   } cases[] = {
@@ -107,7 +109,8 @@
 
 TEST(Routing, PoolsAreTheServersInServiceThatTheyName) {
   const auto t = table(
-      "pool edge {\n  role = cache\n  point = [\"e1\", \"e2\"]\n  weight-least = 2\n}\npool one {\n  role = "
+      "pool edge {\n  role = cache\n  point = [\"e1\", \"e2\"]\n  weight-least = 2\n}\npool one "
+      "{\n  role = "
       "cache\n"
       "  cell = [1, 2]\n}\npool mid {\n  role = parent\n  hub = \"n\"\n}\n" +
       route("r", "/r", "  pool = edge\n") + route("s", "/s", "  pool = one\n") +
@@ -144,7 +147,8 @@
   EXPECT_EQ(ids(2), (std::vector<std::string>{"m"}));
 }
 
-// What the table finds is what a walk over all routes finds that compares them by the stated precedence.
+// What the table finds is what a walk over all routes finds that compares them by the stated
+// precedence.
 const routing::Route* linear(const routing::Table& t, const Question& q) {
   std::vector<std::string> parts;
   for (std::size_t at = 1; at <= q.path.size();) {
@@ -177,8 +181,10 @@
       ++i;
     }
     fits &= rest || i == parts.size();
-    fits &= r.methods.empty() || std::find(r.methods.begin(), r.methods.end(), q.method) != r.methods.end();
-    fits &= r.points.empty() || std::find(r.points.begin(), r.points.end(), q.point) != r.points.end();
+    fits &= r.methods.empty() ||
+            std::find(r.methods.begin(), r.methods.end(), q.method) != r.methods.end();
+    fits &=
+        r.points.empty() || std::find(r.points.begin(), r.points.end(), q.point) != r.points.end();
     if (!fits) continue;
     rank.resize(12, -1);
     rank.push_back(static_cast<int>(!r.methods.empty()) + static_cast<int>(!r.points.empty()));
@@ -216,7 +222,8 @@
   One loader(text);
   diagnostics::Findings f;
   const auto program = config_language::load("main.alder", loader, f);
-  const auto meaning = config_language::check(program, f);  // routes that hide others are part of it
+  const auto meaning =
+      config_language::check(program, f);  // routes that hide others are part of it
   const routing::Table t(meaning, program.sources);
   for (int i = 0; i < 60; ++i) {
     const auto host = pick({"h.x", "z.y", "g.h.x", "other"}), p = path(false),
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -100,8 +100,10 @@
     diagnostics::Findings f;
     auto s = settings::read(text, "a.toml", "", f);
     settings::resolve(s, with_classes(), f);
-    const auto it = std::find_if(f.list().begin(), f.list().end(), [&](auto& x) { return x.code == c.code; });
-    ASSERT_NE(it, f.list().end()) << c.with << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
+    const auto it =
+        std::find_if(f.list().begin(), f.list().end(), [&](auto& x) { return x.code == c.code; });
+    ASSERT_NE(it, f.list().end()) << c.with
+                                  << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
     const auto said = diagnostics::to_string(*it);
     EXPECT_NE(said.find(c.says), std::string::npos) << said;
     EXPECT_EQ(it->place.line, c.line) << said;
@@ -121,17 +123,21 @@
 TEST(Log, RecordsHaveStableFieldsInBothForms) {
   Lines l;
   auto text = l.log({});
-  text.record("membership", log::Level::info, "list_taken",
-              {{"generation", 7}, {"share", 0.5}, {"ok", true}, {"change", "2 added\nlevel=error"}});
+  text.record(
+      "membership", log::Level::info, "list_taken",
+      {{"generation", 7}, {"share", 0.5}, {"ok", true}, {"change", "2 added\nlevel=error"}});
   EXPECT_EQ(l.out.at(0),
-            "time=2025-12-01T08:00:00.000000Z level=info subsystem=membership event=list_taken generation=7 "
+            "time=2025-12-01T08:00:00.000000Z level=info subsystem=membership event=list_taken "
+            "generation=7 "
             "share=0.5 ok=true change=\"2 added\\nlevel=error\"");
   log::Settings s;
   s.form = log::Form::json;
   auto json = l.log(s);
-  json.record("membership", log::Level::error, "list_refused", {{"reason", "a \"b\"\x01"}, {"n", 3}});
-  EXPECT_EQ(l.out.at(1), R"({"time":"2025-12-01T08:00:00.000000Z","level":"error","subsystem":"membership",)"
-                         R"("event":"list_refused","reason":"a \"b\"\u0001","n":3})");
+  json.record("membership", log::Level::error, "list_refused",
+              {{"reason", "a \"b\"\x01"}, {"n", 3}});
+  EXPECT_EQ(l.out.at(1),
+            R"({"time":"2025-12-01T08:00:00.000000Z","level":"error","subsystem":"membership",)"
+            R"("event":"list_refused","reason":"a \"b\"\u0001","n":3})");
 }
 
 TEST(Log, OneKindIsBoundedInASecondAndSaysWhatItHeldBack) {
@@ -153,8 +159,9 @@
 }
 
 TEST(Log, WhatLooksLikeASecretIsBlottedOut) {
-  for (const std::string secret : {"/asset/1/0?exp=1&kid=k&sig=SeCrEt", "Authorization: Bearer SeCrEt",
-                                   "secret=SeCrEt; x", "a token=SeCrEt", "SIG=SeCrEt&SIG=SeCrEt"}) {
+  for (const std::string secret :
+       {"/asset/1/0?exp=1&kid=k&sig=SeCrEt", "Authorization: Bearer SeCrEt", "secret=SeCrEt; x",
+        "a token=SeCrEt", "SIG=SeCrEt&SIG=SeCrEt"}) {
     const auto out = log::blotted(secret);
     EXPECT_EQ(out.find("SeCrEt"), std::string::npos) << out;
   }
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,4 +1,5 @@
-// Where the end of the process crosses something else, and its start a signal. The program as a process.
+// Where the end of the process crosses something else, and its start a signal. The program as a
+// process.
 #include <csignal>
 
 #include "process.h"
@@ -34,8 +35,8 @@
   sockaddr_in at{};
 };
 
-// Guards against clients that rest until the router ends them: lost by a reset, or holding up the end; and
-// against requests that are read after the end has begun and sent on.
+// Guards against clients that rest until the router ends them: lost by a reset, or holding up the
+// end; and against requests that are read after the end has begun and sent on.
 TEST_F(Ending, RestingClientsAreEndedInOrderAndLateRequestsRefusedAtOnce) {
   start(config_with(box));
   const auto busy = client(), rests = client(), half = client();
@@ -62,7 +63,8 @@
   EXPECT_EQ(program->exit_code(), 0) << "though its clients keep their side open";
 }
 
-// Everything is ready in the one turn in which the signal is heard: the process sleeps while it arrives.
+// Everything is ready in the one turn in which the signal is heard: the process sleeps while it
+// arrives.
 TEST_F(Ending, WhateverIsReadyInTheTurnOfTheSignalIsHeard) {
   sockaddr_in board{};
   const int listener = loopback::bound(board);
@@ -80,8 +82,8 @@
   half->write(asks(21).substr(20) + asks(22).substr(0, 20));
   const auto comes = client();
   comes->write(asks(31));
-  watch.write("{\"rev\":2,\"flush\":{\"collection\":17,\"ms\":" + std::to_string(net::unix_now() / 1000) +
-              "}}\n{\"rev\":3,\"flu");
+  watch.write("{\"rev\":2,\"flush\":{\"collection\":17,\"ms\":" +
+              std::to_string(net::unix_now() / 1000) + "}}\n{\"rev\":3,\"flu");
   program->configure("{");
   program->signal(SIGHUP);
   program->signal(SIGTERM);
@@ -94,8 +96,8 @@
   for (const auto& c : box.commands)
     if (c.word == "fetch") Box::answer(c, "served", "bytes");
   const auto all = {first.get(), second.get(), half.get(), comes.get()};
-  ASSERT_TRUE(
-      wait([&] { return std::all_of(all.begin(), all.end(), [](auto* s) { return s->ended; }); }, all));
+  ASSERT_TRUE(wait(
+      [&] { return std::all_of(all.begin(), all.end(), [](auto* s) { return s->ended; }); }, all));
   EXPECT_EQ(answers(first->in).size(), 2u);
   for (auto* s : {second.get(), half.get(), comes.get()}) EXPECT_EQ(answers(s->in).size(), 1u);
   for (auto* s : all) {
@@ -107,8 +109,8 @@
   ::close(listener);
 }
 
-// Guards against a hung cache holding an answer until the process is killed: 0.7 s and the longest time that
-// a client waits, 3 s at most, after the signal.
+// Guards against a hung cache holding an answer until the process is killed: 0.7 s and the longest
+// time that a client waits, 3 s at most, after the signal.
 TEST_F(Ending, WhatAHungCacheHoldsIsAnsweredAheadOfTheKill) {
   start(config_with(box));
   const auto c = client();
@@ -199,7 +201,8 @@
   ::close(listener);
 }
 
-// Idle clients on all places, and the board away: when it is back it is dialed, and a new client is served.
+// Idle clients on all places, and the board away: when it is back it is dialed, and a new client is
+// served.
 TEST(Descriptors, IdleClientsKeepNeitherTheBoardNorCachesNorNewClientsOut) {
   Box box;
   sockaddr_in board{};
--- a/tests/signed_test.cpp
+++ b/tests/signed_test.cpp
@@ -1,4 +1,5 @@
-// The signed front over loopback: links and tokens, one answer each across expiry, skew and a dying box.
+// The signed front over loopback: links and tokens, one answer each across expiry, skew and a dying
+// box.
 #include <algorithm>
 #include <sstream>
 
@@ -17,7 +18,8 @@
   static constexpr const char* kPath = "/asset/7f3a9c21e0b4d655/0";
   std::int64_t now() const { return net::unix_now() / 1'000'000; }
   std::string sign(const std::string& text, std::size_t key = 1) {
-    return text + "&sig=" + signed_url::signature({links.keys[key].id, links.keys[key].secret, 0}, text);
+    return text +
+           "&sig=" + signed_url::signature({links.keys[key].id, links.keys[key].secret, 0}, text);
   }
   std::string link(std::int64_t exp, std::int64_t nbf = 0, std::size_t key = 1) {
     return sign(std::string(kPath) + "?set=17&ram=80&nbf=" + std::to_string(nbf) +
@@ -29,7 +31,9 @@
   }
   static std::size_t answers(const loopback::Socket& s) {
     std::size_t n = 0;
-    for (auto at = s.in.find("HTTP/1.1 "); at != std::string::npos; at = s.in.find("HTTP/1.1 ", at + 1)) ++n;
+    for (auto at = s.in.find("HTTP/1.1 "); at != std::string::npos;
+         at = s.in.find("HTTP/1.1 ", at + 1))
+      ++n;
     return n;
   }
   // Sends one request on its own connection and plays the box; returns the status.
@@ -84,10 +88,13 @@
   };
   const auto good = token("/asset/7f3a9c21e0b4d655");
   EXPECT_EQ(status(get(std::string(kPath) + "?" + good)), 200);
-  EXPECT_EQ(status(get(kPath, "Authorization: Bearer " + signed_url::base64url(good) + "\r\n")), 200);
-  EXPECT_EQ(status(get(kPath, "Cookie: a=b; alderspur=" + signed_url::base64url(good) + "\r\n")), 200);
+  EXPECT_EQ(status(get(kPath, "Authorization: Bearer " + signed_url::base64url(good) + "\r\n")),
+            200);
+  EXPECT_EQ(status(get(kPath, "Cookie: a=b; alderspur=" + signed_url::base64url(good) + "\r\n")),
+            200);
   EXPECT_EQ(status(get(kPath, "Cookie: alderspur=nonsense!\r\n")), 403);
-  EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/asset/7f3a"))), 403) << "prefixes end at a slash";
+  EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/asset/7f3a"))), 403)
+      << "prefixes end at a slash";
   EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/video/"))), 403);
 }
 
@@ -154,7 +161,9 @@
 
 TEST_F(Signed, PlainHttpMistakesGetTheirStatus) {
   EXPECT_EQ(status("nonsense\r\n\r\n"), 400);
-  EXPECT_EQ(status("POST " + link(now() + 60) + " HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"), 405);
+  EXPECT_EQ(
+      status("POST " + link(now() + 60) + " HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"),
+      405);
   EXPECT_EQ(status(get("/asset/short/0")), 404);
   EXPECT_EQ(status(get("/asset/../deploy/signed.json")), 404);
   EXPECT_EQ(status(get(link(now() + 60), "X: " + std::string(9000, 'x') + "\r\n")), 431);
@@ -163,7 +172,8 @@
   EXPECT_NE(last_.find("Content-Length: 5"), std::string::npos);
 }
 
-// Guards against a client whose end is not heard behind what it has piled up: not read, it would wait there.
+// Guards against a client whose end is not heard behind what it has piled up: not read, it would
+// wait there.
 TEST_F(Signed, WhoPilesUpRequestsBehindAnOpenOneIsEndedWithinBounds) {
   for (const bool much : {false, true}) {
     auto c = client(http->address());
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -1,8 +1,8 @@
 // The wire: hand-made frames both ways.
-#include "simulator_adapter/codec.h"
-
 #include <gtest/gtest.h>
 
+#include "simulator_adapter/codec.h"
+
 namespace {
 
 using namespace alderspur;
@@ -23,7 +23,8 @@
   return out;
 }
 std::string hello(std::uint32_t who, const std::string& json) {
-  return le<std::uint8_t>(1) + le(who) + le<std::uint64_t>(42) + le<std::uint32_t>(json.size()) + json;
+  return le<std::uint8_t>(1) + le(who) + le<std::uint64_t>(42) + le<std::uint32_t>(json.size()) +
+         json;
 }
 const char* const kSettings =
     R"({"zone":1,"classes":[{"name":"a","target":500000,"give-up":6000000,"repeat":"safe",
@@ -42,8 +43,9 @@
     "0a9011f2 b413 0000 01 0000 01 0000c03f 0000000000000000"
     "0a9011f3 b413 0000 02 0000 01 0000c03f 0000000000000000");
 const std::string kMembers = bytes("02 03000000 02 29000000 00000000");
-const std::string kDemand =
-    bytes("03 03000000 c4913a5dc2bd0b00 00004040 00002044 80a90300 0000 0000 0000 00003041 640ad2557c3bf091");
+const std::string kDemand = bytes(
+    "03 03000000 c4913a5dc2bd0b00 00004040 00002044 80a90300 0000 0000 0000 00003041 "
+    "640ad2557c3bf091");
 
 TEST(Codec, EmptyBatch) {
   simulator_adapter::Host host;
@@ -77,7 +79,8 @@
   EXPECT_THROW(simulator_adapter::read_settings("{"), simulator_adapter::WireError);
   EXPECT_THROW(simulator_adapter::read_settings("[]"), simulator_adapter::WireError);
   EXPECT_THROW(simulator_adapter::read_settings("{\"classes\":3}"), simulator_adapter::WireError);
-  EXPECT_NO_THROW(simulator_adapter::read_settings(R"({"classes":[{"target":"soon"},7],"ceilings":[],"domain":null})"));
+  EXPECT_NO_THROW(simulator_adapter::read_settings(
+      R"({"classes":[{"target":"soon"},7],"ceilings":[],"domain":null})"));
 }
 TEST(Codec, EveryTruncationIsAPlainError) {
   const std::string body = hello(3, kSettings) + kCensus + kMembers + kDemand;
@@ -88,7 +91,8 @@
   simulator_adapter::Host host;
   EXPECT_THROW(answer(host, 4, body + "x"), simulator_adapter::WireError);
   EXPECT_THROW(answer(host, 1, bytes("ff 03000000")), simulator_adapter::WireError);
-  EXPECT_THROW(answer(host, 1, bytes("02 03000000 02 29000000 07000000")), simulator_adapter::WireError);
+  EXPECT_THROW(answer(host, 1, bytes("02 03000000 02 29000000 07000000")),
+               simulator_adapter::WireError);
 }
 TEST(Codec, AHugeListLengthEndsPlainly) {
   simulator_adapter::Host host;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,5 @@
-// The state that outlives the process: whole or not at all, whatever ends the writer or spoils the file.
+// The state that outlives the process: whole or not at all, whatever ends the writer or spoils the
+// file.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -64,7 +65,8 @@
   EXPECT_TRUE(endpoints::difference(saved.list.get(), *back.state->list).empty());
 }
 
-// Kill -9 at each step of the write: the old content is there or the new one, and the next write goes well.
+// Kill -9 at each step of the write: the old content is there or the new one, and the next write
+// goes well.
 TEST_F(Store, AKillAtAnyStepLeavesTheOldOrTheNew) {
   ASSERT_EQ(store::save(path, state(1, 50)), "");
   std::uint64_t before = 1, next = 2;
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,4 +1,5 @@
-// Watched lists in service: a writer that injects faults, stand-in boxes that count, a router in between.
+// Watched lists in service: a writer that injects faults, stand-in boxes that count, a router in
+// between.
 #include <gtest/gtest.h>
 #include <sys/inotify.h>
 #include <sys/stat.h>
@@ -12,8 +13,8 @@
 #include <thread>
 
 #include "app/endpoint_controller.h"
-#include "loopback.h"
 #include "endpoints/list.h"
+#include "loopback.h"
 #include "store/endpoint_state.h"
 
 namespace {
@@ -22,8 +23,8 @@
 namespace fs = std::filesystem;
 using loopback::Box;
 
-// Three boxes and an origin; a router whose servers come from a watched path; a client that asks all the
-// time.
+// Three boxes and an origin; a router whose servers come from a watched path; a client that asks
+// all the time.
 class Watched : public ::testing::Test {
  protected:
   static constexpr core::Time kWithin = 1'000'000;
@@ -55,9 +56,9 @@
     return t + server({"o", &origin, "in_service", {}}, "origin", "hub = \"hub\"");
   }
   static std::string server(const Entry& e, const char* role, const char* place) {
-    return "[[server]]\nid = \"" + e.id + "\"\nrole = \"" + role + "\"\n" + place + "\naddress = \"" +
-           (e.address.empty() ? e.box->address() : e.address) + "\"\nweight = 4.0\nstate = \"" + e.state +
-           "\"\ncell = 0\n";
+    return "[[server]]\nid = \"" + e.id + "\"\nrole = \"" + role + "\"\n" + place +
+           "\naddress = \"" + (e.address.empty() ? e.box->address() : e.address) +
+           "\"\nweight = 4.0\nstate = \"" + e.state + "\"\ncell = 0\n";
   }
   static void write(const std::string& to, const std::string& text) {
     std::ofstream(to, std::ios::binary | std::ios::trunc) << text;
@@ -77,7 +78,8 @@
       "classes":[{"name":"asset","target":5000000,"give-up":30000000,"points":1,"repeat":"safe"}],
       "domain":{"lifetime-by-class":[60000000],"stale-for":[0],"uncached":[false],"source-kind":1,
         "upper-kind":-1,"instances-by-zone":[0,1],"purge-settles":6000000,"stream-kb-per-s":9000}}})");
-    log = std::make_unique<log::Log>(log::Settings{}, [this](const std::string& l) { lines.push_back(l); });
+    log = std::make_unique<log::Log>(log::Settings{},
+                                     [this](const std::string& l) { lines.push_back(l); });
     node = std::make_unique<platform::Node>(
         std::move(config), [](auto&, auto&) {},
         [&](platform::Node& n) {
@@ -122,7 +124,8 @@
       char txn[17], item[17];
       std::snprintf(txn, sizeof txn, "%016zx", asked);
       std::snprintf(item, sizeof item, "%016zx", asked * 7919);
-      client->write(loopback::request(static_cast<unsigned>(asked), "asset", {{"txn", txn}, {"item", item}}));
+      client->write(
+          loopback::request(static_cast<unsigned>(asked), "asset", {{"txn", txn}, {"item", item}}));
     }
     for (auto* b : {&box[0], &box[1], &box[2], &origin, &stranger}) {
       b->poll();
@@ -144,7 +147,9 @@
     return std::any_of(lines.begin(), lines.end(),
                        [&](auto& l) { return l.find(what) != std::string::npos; });
   }
-  bool in_force(std::uint64_t generation) { return keeper->fleet().in_force()->generation == generation; }
+  bool in_force(std::uint64_t generation) {
+    return keeper->fleet().in_force()->generation == generation;
+  }
   // The change acts within a second: by the log's figures and by the first request to the box.
   core::Time change(const std::function<void()>& what, std::uint64_t generation) {
     const core::Time begun = net::unix_now();
@@ -234,7 +239,8 @@
   const auto with = list(2, {{"a", &box[0]}, {"b", &box[1]}, {"x", &stranger}});
   // Cut at every line, in place, each left long enough to be judged.
   std::size_t cuts = 0;
-  for (std::size_t at = with.find('\n'); at + 1 < with.size(); at = with.find('\n', at + 1), ++cuts) {
+  for (std::size_t at = with.find('\n'); at + 1 < with.size();
+       at = with.find('\n', at + 1), ++cuts) {
     write(path, with.substr(0, at + 1));
     if (cuts % 4 == 0) for_a_while(90'000);
   }
@@ -249,7 +255,8 @@
       {"an unknown zone",
        [&] {
          auto t = with;
-         for (std::size_t i; (i = t.find("\"edge\"")) != std::string::npos;) t.replace(i, 6, "\"egde\"");
+         for (std::size_t i; (i = t.find("\"edge\"")) != std::string::npos;)
+           t.replace(i, 6, "\"egde\"");
          return t;
        }()},
   };
@@ -308,8 +315,9 @@
   settings.bounds.most_out = 1;
   rename_in(list(1, {{"a", &box[0]}, {"b", &box[1]}, {"c", &box[2]}}));
   start();
-  ASSERT_TRUE(until(
-      [&] { return box[0].count("fetch") > 3 && box[1].count("fetch") > 3 && box[2].count("fetch") > 3; }));
+  ASSERT_TRUE(until([&] {
+    return box[0].count("fetch") > 3 && box[1].count("fetch") > 3 && box[2].count("fetch") > 3;
+  }));
   // Taken back, handed on: the address of b goes to a new id.
   EXPECT_LT(change(
                 [&] {
@@ -407,8 +415,8 @@
   keeper = nullptr;
 }
 
-// The watching threads run without the right to read what only root may: theirs alone, by the raw system
-// call.
+// The watching threads run without the right to read what only root may: theirs alone, by the raw
+// system call.
 TEST_F(Watched, AFileThatMayNoLongerBeReadLeavesItsListInForce) {
   if (::geteuid() != 0) GTEST_SKIP() << "needs the right to become somebody else";
   rename_in(list(1, {{"a", &box[0]}}));
@@ -425,25 +433,29 @@
 
 TEST_F(Watched, WithBothABoxThatOnlyTheFilesListIsNotAsked) {
   const auto member = [](const char* id, const Box& b, const char* zone, const char* kind) {
-    return R"({"id":")" + std::string(id) + R"(","host_port":")" + b.address() + R"(","locality":")" + zone +
-           R"(","flavor":")" + kind + R"(","cell":0,"phase":"in_service","size":4,"up_since_ms":0})";
+    return R"({"id":")" + std::string(id) + R"(","host_port":")" + b.address() +
+           R"(","locality":")" + zone + R"(","flavor":")" + kind +
+           R"(","cell":0,"phase":"in_service","size":4,"up_since_ms":0})";
   };
-  notices = R"({"rev":1,"pool":{"complete":true,"members":[)" + member("a", box[0], "edge", "small") + "," +
-            member("b", box[1], "edge", "small") + "," + member("o", origin, "hub", "origin") + "]}}";
+  notices = R"({"rev":1,"pool":{"complete":true,"members":[)" +
+            member("a", box[0], "edge", "small") + "," + member("b", box[1], "edge", "small") +
+            "," + member("o", origin, "hub", "origin") + "]}}";
   settings.fleet.authority = endpoints::Authority::both;
   rename_in(list(1, {{"a", &box[0]}, {"b", &box[1]}, {"x", &stranger}}));
   start();
   ASSERT_TRUE(until([&] { return box[0].count("fetch") > 3 && box[1].count("fetch") > 3; }));
-  EXPECT_LT(change(
-                [&] {
-                  rename_in(list(2, {{"a", &box[0], "draining"}, {"b", &box[1]}, {"x", &stranger}}));
-                },
-                2),
-            kWithin);
+  EXPECT_LT(
+      change(
+          [&] {
+            rename_in(list(2, {{"a", &box[0], "draining"}, {"b", &box[1]}, {"x", &stranger}}));
+          },
+          2),
+      kWithin);
   for_a_while(50'000);
   const auto drained = box[0].count("fetch");
   for_a_while(300'000);
-  EXPECT_EQ(box[0].count("fetch"), drained) << "the files' drain holds though the board says in service";
+  EXPECT_EQ(box[0].count("fetch"), drained)
+      << "the files' drain holds though the board says in service";
   EXPECT_TRUE(stranger.connections.empty());
   all_answered();
 }
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -1,4 +1,5 @@
-// Discovery over loopback: a stand-in proxy polls for the endpoints and follows the router's decisions.
+// Discovery over loopback: a stand-in proxy polls for the endpoints and follows the router's
+// decisions.
 #include <rapidjson/document.h>
 
 #include <algorithm>
@@ -18,8 +19,10 @@
     server = std::make_unique<xds::Server>(loop, deadlines, *engine, *caches, settings, 4);
     proxy = client(server->address());
   }
-  static std::string post(const std::string& body, const std::string& path = "/v3/discovery:endpoints") {
-    return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: " +
+  static std::string post(const std::string& body,
+                          const std::string& path = "/v3/discovery:endpoints") {
+    return "POST " + path +
+           " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: " +
            std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   // The next whole response; its status, with the JSON in `body`.
