--- a/bench/cluster/membership_sim.cpp
+++ b/bench/cluster/membership_sim.cpp
@@ -58,7 +58,7 @@
       std::size_t know = 0;
       network::Time earliest = 0, latest = 0;
       net.changed = [&](auto&, const cluster::Changed& c) {
-        if (c.now.who.name != victim || c.now.state != cluster::State::failed) return;
+        if (c.now.identity.name != victim || c.now.state != cluster::State::failed) return;
         if (!know++) earliest = net.now;
         latest = net.now;
       };
--- a/bench/endpoints_bench.cpp
+++ b/bench/endpoints_bench.cpp
@@ -98,7 +98,7 @@
   state.SetComplexityN(state.range(0));
 }
 void Encode(benchmark::State& state) {
-  const store::MembershipState s{
+  const store::EndpointState s{
       list_of(text_of(static_cast<std::size_t>(state.range(0)), 1, 0)), {}, 1};
   std::size_t size = 0;
   for (auto _ : state) size = store::encode(s).size();
--- a/include/alderspur/router.h
+++ b/include/alderspur/router.h
@@ -45,60 +45,65 @@
 // ---- Settings, given once at start
 // -----------------------------------------------------------------
 
-enum class Repeat { safe, keyed, unsafe };      // may a request of this class run more than once?
+enum class Idempotency {
+  idempotent,
+  idempotent_with_key,
+  not_idempotent
+};                                              // may a request of this class run more than once?
 enum class DedupScope { all, location, cell };  // keyed: which caches drop repeats of each other
 enum class WeightKind { none, nominal, rough, live };  // what Server::weight means
 
 struct ClassSettings {
-  Time target = 0;         // answers within it (plus stretch x own sending time) earn all
-  double aim_stretch = 0;  // see target
-  double worth = 1;        // of an answer in time
-  Repeat repeat = Repeat::safe;
+  Time latency_objective = 0;  // answers within it (plus stretch x own sending time) earn all
+  double latency_objective_stretch = 0;  // see target
+  double priority_weight = 1;            // of an answer in time
+  Idempotency idempotency = Idempotency::idempotent;
   DedupScope dedup_scope = DedupScope::all;
-  Time dedup_window = 0;  // keyed: how long repeats are dropped
-  bool uncached = false;  // runs at the origin, never kept
-  Time fresh = 0;         // fresh time of a copy, 0: until purged
-  Time stale_grace = 0;   // how much older a copy may be when asked for
+  Time dedup_window = 0;      // keyed: how long repeats are dropped
+  bool never_cached = false;  // runs at the origin, never kept
+  Time fresh_time = 0;        // fresh time of a copy, 0: until purged
+  Time stale_grace_time = 0;  // how much older a copy may be when asked for
 };
 
 struct Settings {
   LocationId location{};
-  std::uint32_t routers = 1;  // of this tier, all locations
-  std::vector<std::uint32_t> routers_by_location;
+  std::uint32_t router_count = 1;  // of this tier, all locations
+  std::vector<std::uint32_t> router_count_by_location;
   std::vector<ClassSettings> classes;
   std::uint32_t max_attempts = 1;
-  bool may_cancel = false, may_probe = false;
-  bool retry_after = false;  // clients receive the advice
+  bool may_cancel = false, health_checks_allowed = false;
+  bool sends_retry_after = false;  // clients receive the advice
   Time max_retry_after = 0;
-  bool must_ask_for_fleet = false;  // fleet changes come only after Subscribe or Refresh
-  double cache_cold_from = 1;
-  Time cache_cold = 0, fall_window = 0;
-  double parent_cold_from = 1;
-  Time parent_cold = 0;
-  Time purge_settles = 0;
+  bool must_subscribe_to_endpoints = false;  // fleet changes come only after Subscribe or Refresh
+  double cache_slow_start_fraction = 1;
+  Time cache_slow_start_time = 0, overload_window = 0;
+  double parent_slow_start_fraction = 1;
+  Time parent_slow_start_time = 0;
+  Time purge_propagation_time = 0;
   double stream_kb_per_s = 0;  // top pace of one answer; the unit of weights
   WeightKind weights = WeightKind::none;
   bool can_join_fills = false;
-  bool can_go_straight = false;  // parents and the origin take attempts too
-  bool has_fills = false;        // caches can be told to fill what they lack
+  bool can_bypass_caches = false;  // parents and the origin take attempts too
+  bool has_fills = false;          // caches can be told to fill what they lack
 };
 
 // ---- Events
 // -----------------------------------------------------------------------------------------
 
 enum class Role { cache, parent, origin };
-enum class Status { gone, ready, draining };
+enum class ServerStatus { gone, ready, draining };
 
 struct Server {
   ServerId id{};
   Role role = Role::cache;
   LocationId location{};
   CellId cell{};
-  Status status = Status::gone;
+  ServerStatus status = ServerStatus::gone;
   double weight = 1;
-  Time born = 0;  // last start, 0: long ago
+  Time started_at = 0;  // last start, 0: long ago
 };
-struct FleetUpdate {  // full: replaces the list; otherwise only what changed; failed: a call failed
+struct EndpointUpdate {  // full: replaces the list; otherwise only what changed; failed: a call
+                         // failed
   bool full = false, failed = false;
   std::vector<Server> servers;
 };
@@ -106,76 +111,76 @@
   RequestId id{};
   ObjectId object{};
   GroupId group{};
-  ClassId cls{};
+  ClassId class_id{};
   std::uint32_t part = 0;
   double size_kb = 0;
-  Time budget = 0;
-  bool write = false;
+  Time time_budget = 0;
+  bool is_write = false;
 };
 // withheld: it waited to be sent and may not be any more (see may_send); nothing ran, nobody is to
 // blame.
-enum class Result {
+enum class AttemptResult {
   ok,
   error,
-  full,
+  overloaded,
   timeout,
   connect_failed,
   reset,
   cancelled,
-  moot,
+  already_finished,
   miss,
-  withheld
+  not_sent
 };
-enum class Note {  // what a cache says of the copy or of the fill
+enum class FillOutcome {  // what a cache says of the copy or of the fill
   none,
   hit,
   filled,
   filled_by_origin,
-  joined,
-  stale,
+  joined_fill,
+  served_stale,
   source_refused,
   source_unreachable,
   source_lacks,
-  fills_full,
+  fill_limit_reached,
   origin_failed
 };
-struct Report {  // negative: not told
-  double inflight = -1, utilization = -1, link_or_fetches = -1;
+struct LoadReport {  // negative: not told
+  double in_flight = -1, utilization = -1, link_or_fill_utilization = -1;
 };
-struct Outcome {  // exactly one for each Send
+struct AttemptOutcome {  // exactly one for each Send
   RequestId id{};
   AttemptNo attempt{};
   ServerId server{};
-  Result result = Result::ok;
-  Note note = Note::none;
+  AttemptResult result = AttemptResult::ok;
+  FillOutcome fill_outcome = FillOutcome::none;
   bool finished = false;  // the client has its final answer; if unset, one is still owed
   Time elapsed = 0;
   Time first_byte = 0;  // from the source, or until the fill failed
-  Report report{};
+  LoadReport report{};
 };
-struct StreamBegun {
+struct ResponseStarted {
   RequestId id{};
   AttemptNo attempt{};
 };
-struct ClientLeft {
+struct ClientGone {
   RequestId id{};
-  bool owed = false;  // it is still there, but we leave: the final answer is owed now
+  bool response_owed = false;  // it is still there, but we leave: the final answer is owed now
 };
 struct Purge {  // of an object, or of a whole group where object is absent
   std::optional<ObjectId> object;
   GroupId group{};
-  Time since = 0;  // how long ago
+  Time age = 0;  // how long ago
 };
-struct Probed {
+struct HealthCheckResult {
   ServerId server{};
   bool ok = false;  // well and not full
   Time elapsed = 0;
-  Report report{};
-  Time up = 0;         // how long the connection that it came by has been up; 0: not told
-  bool lives = false;  // it said so itself, ok or not: full, perhaps, but not silent
-  bool late = false;   // told as failed before, when its time was up: here is its word after all
+  LoadReport report{};
+  Time connection_age = 0;  // how long the connection that it came by has been up; 0: not told
+  bool is_alive = false;    // it said so itself, ok or not: full, perhaps, but not silent
+  bool is_late = false;  // told as failed before, when its time was up: here is its word after all
 };
-struct TimerDue {
+struct TimerExpired {
   TimerId timer{};
 };
 // By hand, whatever the list says and whether or not the server is on it: nothing more goes there,
@@ -183,19 +188,19 @@
 // anew.
 struct Ban {
   ServerId server{};
-  bool out = false;
+  bool is_banned = false;
 };
 // Another process acts as this same router beside us, one taking over from the other: this is our
 // part of the router's cold budgets. `door`: what the other has found its limit on sending seconds
 // out to be, taken over where we have found none yet; 0: not told.
-struct Twins {
-  double share = 1, door = 0;
+struct BudgetShare {
+  double process_share = 1, concurrency_limit = 0;
   // This router's part of what all routers may do together, and of what those of its location may:
   // in place of their told numbers; 0: not told.
-  double all = 0, here = 0;
+  double fleet_share = 0, location_share = 0;
 };
-using Event = std::variant<FleetUpdate, Request, Outcome, StreamBegun, ClientLeft, Purge, Probed,
-                           TimerDue, Ban, Twins>;
+using Event = std::variant<EndpointUpdate, Request, AttemptOutcome, ResponseStarted, ClientGone,
+                           Purge, HealthCheckResult, TimerExpired, Ban, BudgetShare>;
 
 // ---- Actions
 // ----------------------------------------------------------------------------------------
@@ -204,12 +209,12 @@
 // `fill` unset it is a plain look. The caller ends the attempt with Result::timeout after
 // `timeout`.
 struct Fill {
-  ServerId source{};       // the server itself: fill nothing
-  std::uint32_t keep = 0;  // 0: pass through; 1 to 3: the rank at which the copy is kept
-  Time max_age = 0;        // 0: the class's fresh time
-  bool join = false;       // a fill under way will do
-  bool held_only = false;  // the source gives only what it holds
-  bool renew = false;      // serve an ageing copy and fetch it anew behind
+  ServerId source{};             // the server itself: fill nothing
+  std::uint32_t cache_rank = 0;  // 0: pass through; 1 to 3: the rank at which the copy is kept
+  Time max_age = 0;              // 0: the class's fresh time
+  bool may_join = false;         // a fill under way will do
+  bool cached_only = false;      // the source gives only what it holds
+  bool refresh_in_background = false;  // serve an ageing copy and fetch it anew behind
 };
 struct Send {
   RequestId id{};
@@ -217,7 +222,7 @@
   Time timeout = 0;
   std::optional<Fill> fill;
 };
-struct Refuse {
+struct Reject {
   RequestId id{};
   Time retry_after = 0;
 };  // final: nothing ran that a retry could double
@@ -228,7 +233,7 @@
   RequestId id{};
   AttemptNo attempt{};
 };  // its outcome still comes
-struct Probe {
+struct HealthCheck {
   ServerId server{};
 };
 struct SetTimer {
@@ -236,13 +241,13 @@
   Time at = 0;
 };                    // answer with TimerDue at that time or later
 struct Subscribe {};  // to fleet changes; answered by a FleetUpdate
-using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, SetTimer, Subscribe>;
+using Action = std::variant<Send, Reject, Fail, Cancel, HealthCheck, SetTimer, Subscribe>;
 
 // How a cache on the list stands with the router now, for others to follow its decisions.
-struct Standing {
+struct EndpointStatus {
   Server server;
-  bool usable = false;  // ready, neither banned nor put out for its health
-  double share = 0;     // of the traffic, in units of weight: less while it is cold
+  bool is_usable = false;       // ready, neither banned nor put out for its health
+  double effective_weight = 0;  // of the traffic, in units of weight: less while it is cold
 };
 
 class Router {
@@ -258,8 +263,8 @@
   // Servers drain, sources go, the time in which a repeat is harmless runs out. If not:
   // Result::withheld.
   bool may_send(Time now, RequestId id, AttemptNo attempt) const;
-  std::vector<Standing> standings(Time now);
-  double door() const;  // the limit on sending seconds out; 0: none found yet
+  std::vector<EndpointStatus> endpoint_statuses(Time now);
+  double concurrency_limit() const;  // the limit on sending seconds out; 0: none found yet
 
  private:
   class Impl;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -13,15 +13,15 @@
 
 }  // namespace
 
-struct Front::Caller {
+struct AdminServer::Caller {
   std::uint64_t number = 0;
   std::unique_ptr<net::Connection> connection;
   core::Deadlines::Key timeout{};
   bool called = false, answered = false, dead = false;
 };
 
-Front::Front(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen, Desk& desk,
-             std::function<core::Time()> now)
+AdminServer::AdminServer(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen,
+                         AdminHandler& desk, std::function<core::Time()> now)
     : loop_(loop),
       deadlines_(deadlines),
       desk_(desk),
@@ -31,13 +31,13 @@
           [this](net::Fd fd) { accept(std::move(fd)); }) {
   listener_.keep_spare();
 }
-Front::~Front() {
+AdminServer::~AdminServer() {
   for (auto& c : callers_) drop(*c);
 }
 
 // Danger: callers that open a connection and say nothing would keep those out that have something
 // to say.
-bool Front::make_room() {
+bool AdminServer::make_room() {
   const auto alive =
       std::count_if(callers_.begin(), callers_.end(), [](auto& c) { return !c->dead; });
   if (static_cast<std::size_t>(alive) < kCallersMost) return true;
@@ -49,7 +49,7 @@
   return false;
 }
 
-void Front::accept(net::Fd fd) {
+void AdminServer::accept(net::Fd fd) {
   auto caller = std::make_unique<Caller>();
   Caller* raw = caller.get();
   raw->number = ++last_;
@@ -66,7 +66,7 @@
   callers_.push_back(std::move(caller));
 }
 
-std::ptrdiff_t Front::take(Caller& caller, std::string_view bytes) {
+std::ptrdiff_t AdminServer::take(Caller& caller, std::string_view bytes) {
   const auto all = static_cast<std::ptrdiff_t>(bytes.size());
   if (caller.called) return all;  // one call a connection
   http::Request request;
@@ -76,7 +76,7 @@
   return all;
 }
 
-void Front::call(Caller& caller, const http::Request& request) {
+void AdminServer::call(Caller& caller, const http::Request& request) {
   if (request.error) return respond(caller, request.error, "not a request that can be read\n");
   const auto path = request.target.substr(0, request.target.find('?'));
   const bool ready = path == "/control/ready", counters = path == "/control/counters";
@@ -114,13 +114,14 @@
   });
 }
 
-Front::Caller* Front::find(std::uint64_t number) {
+AdminServer::Caller* AdminServer::find(std::uint64_t number) {
   for (auto& c : callers_)
     if (c->number == number && !c->dead) return c.get();
   return nullptr;
 }
 
-void Front::respond(Caller& caller, int status, std::string_view text, std::string_view allow) {
+void AdminServer::respond(Caller& caller, int status, std::string_view text,
+                          std::string_view allow) {
   if (caller.dead || caller.answered) return;
   caller.answered = true;
   http::Answer a;
@@ -132,16 +133,16 @@
   caller.connection->write(http::response_head(a), text);
 }
 
-void Front::drop(Caller& caller, bool orderly) {
+void AdminServer::drop(Caller& caller, bool orderly) {
   if (std::exchange(caller.dead, true)) return;
-  deadlines_.clear(caller.timeout);
+  deadlines_.cancel(caller.timeout);
   if (orderly)
     loop_.lingering().take(std::move(caller.connection));
   else
     caller.connection->close();
 }
 
-void Front::end_turn() {
+void AdminServer::end_turn() {
   for (auto& c : callers_) {
     if (c->dead) continue;
     c->connection->end_turn();
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -23,10 +23,10 @@
 constexpr core::Time kCallTime = 3'000'000, kDiskTime = 700'000;  // a caller waits 1 s
 
 // What stands behind the calls.
-class Desk {
+class AdminHandler {
  public:
   using Done = std::function<void(int status, std::string text)>;  // once, perhaps later
-  virtual ~Desk() = default;
+  virtual ~AdminHandler() = default;
   virtual bool takes_clients() = 0;
   virtual std::string figures() = 0;
   virtual std::string cluster() { return {}; }  // JSON; empty: there is none
@@ -41,11 +41,11 @@
   virtual void ban(std::string_view id, bool out, Done done) = 0;
 };
 
-class Front {
+class AdminServer {
  public:
-  Front(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen, Desk& desk,
-        std::function<core::Time()> now);
-  ~Front();
+  AdminServer(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen,
+              AdminHandler& desk, std::function<core::Time()> now);
+  ~AdminServer();
   void end_turn();
   sockaddr_in address() const { return listener_.address(); }
 
@@ -61,7 +61,7 @@
 
   net::Loop& loop_;
   core::Deadlines& deadlines_;
-  Desk& desk_;
+  AdminHandler& desk_;
   std::function<core::Time()> now_;
   std::uint64_t last_ = 0;
   std::vector<std::unique_ptr<Caller>> callers_;  // kCallersMost at most, beside those just dropped
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -10,9 +10,9 @@
 void family(std::string& out, const char* name, const char* help, const core::Engine& engine,
             const std::vector<std::string>& classes, std::uint64_t core::ClassCounters::*count) {
   head(out, name, "counter", help);
-  for (std::size_t i = 0; i < classes.size() && i < engine.by_class().size(); ++i)
+  for (std::size_t i = 0; i < classes.size() && i < engine.class_counters().size(); ++i)
     ((((out += name) += "{tier=\"") += classes[i]) += "\"} ") +=
-        std::to_string(engine.by_class()[i].*count) += '\n';
+        std::to_string(engine.class_counters()[i].*count) += '\n';
 }
 void gauge(std::string& out, const char* name, const char* help, std::size_t value) {
   head(out, name, "gauge", help);
@@ -25,14 +25,16 @@
   using C = core::ClassCounters;
   std::string out;
   family(out, "edge_relay_success", "Requests served.", engine, classes, &C::served);
-  family(out, "edge_relay_busy", "Requests refused.", engine, classes, &C::refused);
+  family(out, "edge_relay_busy", "Requests refused.", engine, classes, &C::rejected);
   family(out, "edge_relay_failure", "Requests failed.", engine, classes, &C::failed);
   family(out, "edge_relay_backend_calls", "Attempts written whole to caches.", engine, classes,
-         &C::sent);
-  gauge(out, "edge_relay_inflight", "Requests taken and not yet ended.", engine.held());
-  const auto census = engine.census();
+         &C::forwarded);
+  gauge(out, "edge_relay_inflight", "Requests taken and not yet ended.",
+        engine.open_request_count());
+  const auto census = engine.count_endpoints();
   gauge(out, "edge_relay_hosts_listed", "Caches on the list.", census.listed);
-  gauge(out, "edge_relay_hosts_down", "Caches on the list that are avoided now.", census.down);
+  gauge(out, "edge_relay_hosts_down", "Caches on the list that are avoided now.",
+        census.unavailable);
   return out;
 }
 
--- a/src/admin/router_admin_handler.cpp
+++ b/src/admin/router_admin_handler.cpp
@@ -14,9 +14,11 @@
 
 }  // namespace
 
-RouterDesk::RouterDesk(core::Deadlines& deadlines, core::Engine& engine,
-                       const platform::Caches& caches, hot_restart::Twin& twin,
-                       const std::vector<std::string>& classes, std::function<bool()> leaving)
+RouterAdminHandler::RouterAdminHandler(core::Deadlines& deadlines, core::Engine& engine,
+                                       const platform::UpstreamPool& caches,
+                                       hot_restart::HotRestartCoordinator& twin,
+                                       const std::vector<std::string>& classes,
+                                       std::function<bool()> leaving)
     : deadlines_(deadlines),
       engine_(engine),
       caches_(caches),
@@ -25,17 +27,17 @@
       leaving_(std::move(leaving)),
       since_(engine.now()) {}
 
-bool RouterDesk::takes_clients() {
+bool RouterAdminHandler::takes_clients() {
   if (may_be_ready_ && !may_be_ready_()) return false;
   return !leaving_() && (twin_.said() || engine_.now() > since_ + kSayTime);
 }
 
-std::string RouterDesk::figures() { return admin::figures(engine_, classes_); }
+std::string RouterAdminHandler::figures() { return admin::figures(engine_, classes_); }
 
-void RouterDesk::ban(std::string_view id, bool out, Done done) {
+void RouterAdminHandler::ban(std::string_view id, bool out, Done done) {
   const std::string name(id);
-  const bool banned = core::plain_word(id) && twin_.banned(name);
-  if (!banned && (!core::plain_word(id) || !caches_.listed(config::server_id(id))))
+  const bool banned = core::is_plain_word(id) && twin_.banned(name);
+  if (!banned && (!core::is_plain_word(id) || !caches_.listed(config::server_id(id))))
     return done(404, "no such cache\n");
   if (banned != out && twin_.full())
     return done(503, "too many changes wait for the disk, call again\n");
@@ -48,7 +50,7 @@
   auto waiting = std::make_shared<Waiting>(Waiting{std::move(done), {}});
   const auto end = [this, waiting, yes](const std::string& error) {
     if (!waiting->done) return;
-    deadlines_.clear(waiting->timeout);
+    deadlines_.cancel(waiting->timeout);
     const auto answer = std::exchange(waiting->done, {});
     if (error.empty())
       answer(200, yes);
--- a/src/admin/router_admin_handler.h
+++ b/src/admin/router_admin_handler.h
@@ -12,11 +12,11 @@
 
 namespace alderspur::admin {
 
-class RouterDesk : public Desk {
+class RouterAdminHandler : public AdminHandler {
  public:
-  RouterDesk(core::Deadlines& deadlines, core::Engine& engine, const platform::Caches& caches,
-             hot_restart::Twin& twin, const std::vector<std::string>& classes,
-             std::function<bool()> leaving);
+  RouterAdminHandler(core::Deadlines& deadlines, core::Engine& engine,
+                     const platform::UpstreamPool& caches, hot_restart::HotRestartCoordinator& twin,
+                     const std::vector<std::string>& classes, std::function<bool()> leaving);
 
   bool takes_clients() override;
   std::string figures() override;
@@ -41,8 +41,8 @@
  private:
   core::Deadlines& deadlines_;
   core::Engine& engine_;
-  const platform::Caches& caches_;
-  hot_restart::Twin& twin_;
+  const platform::UpstreamPool& caches_;
+  hot_restart::HotRestartCoordinator& twin_;
   const std::vector<std::string>& classes_;
   std::function<bool()> leaving_;
   std::function<std::string()> view_;
--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -33,16 +33,17 @@
   return secret;
 }
 
-void who(Writer& w, const cluster::Rumour& r) {
-  text(w, "name", r.who.name), text(w, "address", r.who.address), text(w, "point", r.who.point);
-  text(w, "version", r.who.version);
-  w.Key("epoch"), w.Uint64(r.who.epoch), w.Key("incarnation"), w.Uint(r.incarnation);
-  w.Key("share"), w.Double(r.who.share), text(w, "state", cluster::word(r.state));
+void who(Writer& w, const cluster::GossipUpdate& r) {
+  text(w, "name", r.identity.name), text(w, "address", r.identity.address),
+      text(w, "point", r.identity.point);
+  text(w, "version", r.identity.version);
+  w.Key("epoch"), w.Uint64(r.identity.epoch), w.Key("incarnation"), w.Uint(r.incarnation);
+  w.Key("share"), w.Double(r.identity.share), text(w, "state", cluster::word(r.state));
 }
 
 }  // namespace
 
-std::string cluster_view(const cluster::Membership& m, const cluster::LinkCounts& link,
+std::string cluster_view(const cluster::Membership& m, const cluster::TransportCounters& link,
                          core::Time now, const std::function<void(Writer&)>& more) {
   rapidjson::StringBuffer out;
   Writer w(out);
@@ -87,9 +88,10 @@
   return std::string(out.GetString(), out.GetSize()) + "\n";
 }
 
-ClusterPart::ClusterPart(platform::Node& node, const settings::Cluster& s, log::Log& log)
+ClusterService::ClusterService(platform::EdgeRouter& node, const settings::Cluster& s,
+                               log::Log& log)
     : node_(node), log_(log) {
-  cluster::LinkSettings link;
+  cluster::TransportSettings link;
   link.cluster = s.name, link.listen = s.listen, link.seeds = s.seeds, link.advertise = s.advertise,
   link.membership = s.membership;
   link.secret = read_secret(s.secret);
@@ -101,7 +103,7 @@
     throw config::Error("this member of the cluster has no name: set [cluster] member");
   self.epoch = cluster::next_epoch(s.state, net::unix_now(), error);
   if (!error.empty()) log.record(kName, log::Level::warning, "epoch_unusable", {{"reason", error}});
-  cluster::Link::Hooks hooks;
+  cluster::ClusterTransport::Hooks hooks;
   hooks.frame = [this](const std::string& from, std::string_view frame) {
     if (frame.starts_with(kReplica)) return replica_ ? replica_(from, frame.substr(1)) : void();
     if (frame_) frame_(from, frame);
@@ -111,8 +113,8 @@
     log_.record(
         kName, c.now.state == cluster::State::failed ? log::Level::warning : log::Level::info,
         "member",
-        {{"name", c.now.who.name},
-         {"address", c.now.who.address},
+        {{"name", c.now.identity.name},
+         {"address", c.now.identity.address},
          {"state", cluster::word(c.now.state)},
          {"before", c.before ? cluster::word(*c.before) : "unknown"},
          {"by", c.now.by},
@@ -131,7 +133,7 @@
   };
   std::random_device random;
   const std::uint64_t seed = (static_cast<std::uint64_t>(random()) << 32) ^ random();
-  link_ = std::make_unique<cluster::Link>(
+  link_ = std::make_unique<cluster::ClusterTransport>(
       node.loop(), node.deadlines(), [&node] { return node.engine().now(); }, link, self, seed,
       std::move(hooks));
   log.record(kName, log::Level::info, "listening",
@@ -141,23 +143,23 @@
   node.on_cluster([this] { return view(); });
 }
 
-std::string ClusterPart::view() const {
+std::string ClusterService::view() const {
   return cluster_view(link_->membership(), link_->counts(), node_.engine().now(), more_);
 }
 
-void ClusterPart::send_replica(const std::string& to, std::string_view frame) {
+void ClusterService::send_replica(const std::string& to, std::string_view frame) {
   link_->send_frame(to, kReplica + std::string(frame));
 }
 
-void ClusterPart::on_members(std::function<void(const std::vector<std::string>&)> then) {
+void ClusterService::on_members(std::function<void(const std::vector<std::string>&)> then) {
   members_.push_back(std::move(then));
   tell_members();
 }
-void ClusterPart::tell_members() {
+void ClusterService::tell_members() {
   if (members_.empty() || !link_) return;
   std::vector<std::string> names;
   for (const auto& s : link_->membership().members())
-    if (s.member.state <= cluster::State::suspect) names.push_back(s.member.who.name);
+    if (s.member.state <= cluster::State::suspect) names.push_back(s.member.identity.name);
   for (const auto& then : members_) then(names);
 }
 
--- a/src/app/cluster_service.h
+++ b/src/app/cluster_service.h
@@ -14,15 +14,16 @@
 namespace alderspur::app {
 
 // The view as JSON, as GET /control/cluster gives it; docs/cluster.md explains its fields.
-std::string cluster_view(const cluster::Membership& membership, const cluster::LinkCounts& counts,
-                         core::Time now, const std::function<void(Writer&)>& more = {});
+std::string cluster_view(const cluster::Membership& membership,
+                         const cluster::TransportCounters& counts, core::Time now,
+                         const std::function<void(Writer&)>& more = {});
 
-class ClusterPart {
+class ClusterService {
  public:
   // Reads the secret and makes a new epoch. Throws config::Error with one plain line.
-  ClusterPart(platform::Node& node, const settings::Cluster& settings, log::Log& log);
+  ClusterService(platform::EdgeRouter& node, const settings::Cluster& settings, log::Log& log);
   std::string view() const;
-  const cluster::Link& link() const { return *link_; }
+  const cluster::ClusterTransport& link() const { return *link_; }
   void send_frame(const std::string& to, std::string_view frame) { link_->send_frame(to, frame); }
   void on_frame(std::function<void(const std::string& from, std::string_view frame)> then) {
     frame_ = std::move(then);
@@ -37,13 +38,13 @@
   void on_members(std::function<void(const std::vector<std::string>&)> then);
 
  private:
-  platform::Node& node_;
+  platform::EdgeRouter& node_;
   log::Log& log_;
   void tell_members();
   std::function<void(const std::string&, std::string_view)> frame_, replica_;
   std::vector<std::function<void(const std::vector<std::string>&)>> members_;
   std::function<void(Writer&)> more_;
-  std::unique_ptr<cluster::Link> link_;
+  std::unique_ptr<cluster::ClusterTransport> link_;
 };
 
 struct Asked {
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -26,12 +26,12 @@
 }
 
 // In one bounded read: what was kept, whatever of it is whole.
-Begin load(const std::string& folder, Disk& disk) {
+Begin load(const std::string& folder, LogStore& disk) {
   Begin out;
   std::error_code ignored;
   std::filesystem::create_directories(folder, ignored);
   if (const auto kept = store::load_file(folder + "/agree.kept", 1 << 20); kept.payload)
-    out.kept = decode_kept(*kept.payload).value_or(Kept{});
+    out.kept = decode_kept(*kept.payload).value_or(PersistedState{});
   const auto take = [&](const std::string& digest) {
     if (digest.empty() || out.contents.size() >= kLoadedMost) return;
     if (const auto c = store::load_file(content_path(folder, digest), kContentMost + 4096);
@@ -53,22 +53,22 @@
 
 }  // namespace
 
-AgreePart::AgreePart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& s,
-                     Files files, log::Log& log)
+ConsensusService::ConsensusService(platform::EdgeRouter& node, ClusterService& cluster,
+                                   const settings::Cluster& s, Files files, log::Log& log)
     : node_(node),
       cluster_(cluster),
       files_(std::move(files)),
       log_(log),
-      unleased_(kReserve / 2 / std::max(kRoutersLeast, node.config().settings.routers)),
+      unleased_(kReserve / 2 / std::max(kRoutersLeast, node.config().settings.router_count)),
       folder_(s.state),
-      disk_(std::make_shared<Disk>(s.state)),
+      disk_(std::make_shared<LogStore>(s.state)),
       random_(std::random_device{}()),
       wakeup_(node.loop()) {
-  AgreementSettings settings;
+  ConsensusSettings settings;
   const auto& self = cluster.link().membership().self();
   settings.name = self.name, settings.point = self.point, settings.epoch = self.epoch;
   settings.voters = s.voters;
-  agreement_ = std::make_unique<Agreement>(settings, random_());
+  agreement_ = std::make_unique<ConsensusNode>(settings, random_());
   cluster_.on_frame([this](const std::string& from, std::string_view bytes) {
     handle(Frame{from, std::string(bytes)});
   });
@@ -80,15 +80,15 @@
   measure();
   begin();
 }
-AgreePart::~AgreePart() {
-  if (due_) node_.deadlines().clear(*due_);
-  if (measure_) node_.deadlines().clear(*measure_);
+ConsensusService::~ConsensusService() {
+  if (due_) node_.deadlines().cancel(*due_);
+  if (measure_) node_.deadlines().cancel(*measure_);
 }
-bool AgreePart::settle() {
+bool ConsensusService::settle() {
   return log_writer_.settle(kSettle) && writer_.settle(kSettle) && checker_.settle(kSettle);
 }
 
-void AgreePart::begin() {
+void ConsensusService::begin() {
   log_writer_.submit([this, disk = disk_, folder = folder_] {
     wakeup_.post([this, begin = load(folder, *disk)] {
       if (begin.spoilt) log_.record(kName, log::Level::error, "log_spoilt", {{"folder", folder_}});
@@ -100,15 +100,15 @@
 
 // ---- Events and actions
 
-void AgreePart::handle(const consensus::Event& event) {
+void ConsensusService::handle(const consensus::Event& event) {
   std::vector<consensus::Action> actions;
   agreement_->handle(net::steady_now(), event, actions);
   for (auto& a : actions) carry_out(a);
   arm();
 }
 
-void AgreePart::arm() {
-  if (due_) node_.deadlines().clear(*due_), due_.reset();
+void ConsensusService::arm() {
+  if (due_) node_.deadlines().cancel(*due_), due_.reset();
   const Time next = agreement_->next();
   if (next == std::numeric_limits<Time>::max()) return;
   const Time in = std::max<Time>(0, next - net::steady_now());
@@ -118,7 +118,7 @@
   });
 }
 
-void AgreePart::carry_out(consensus::Action& action) {
+void ConsensusService::carry_out(consensus::Action& action) {
   if (auto* s = std::get_if<SendFrame>(&action)) return cluster_.send_frame(s->to, s->bytes);
   if (auto* p = std::get_if<Put>(&action)) return put(std::move(*p));
   if (auto* w = std::get_if<Write>(&action)) return write(std::move(*w));
@@ -138,7 +138,7 @@
   }
 }
 
-void AgreePart::put(Put p) {
+void ConsensusService::put(Put p) {
   const auto number = p.number;
   const bool given = log_writer_.submit([this, disk = disk_, p = std::move(p)] {
     const auto error = disk->write(p.store);
@@ -152,7 +152,7 @@
   if (!given) wakeup_.post([this, number] { handle(Stored{number, false}); });
 }
 
-void AgreePart::write(Write w) {
+void ConsensusService::write(Write w) {
   const auto digest = w.digest;
   const bool given = writer_.submit([this, folder = folder_, w = std::move(w)] {
     const auto error = store::replace_file(content_path(folder, w.digest), w.bytes);
@@ -165,7 +165,7 @@
   if (!given) wakeup_.post([this, digest] { handle(Written{digest, false}); });
 }
 
-void AgreePart::keep(const Keep& k) {
+void ConsensusService::keep(const Keep& k) {
   writer_.submit([folder = folder_, text = encode(k.kept)] {
     // Of an older one a later start is careful until it has heard the newest.
     (void)store::replace_file(folder + "/agree.kept", text);
@@ -173,7 +173,7 @@
 }
 
 // By the checkers that the settings' own files pass.
-void AgreePart::check(const Check& c) {
+void ConsensusService::check(const Check& c) {
   checker_.submit([this, folder = folder_, &config = node_.config(), c] {
     std::string reason;
     for (const auto& [name, text] : *c.content) {
@@ -204,22 +204,23 @@
 
 // ---- Acting
 
-void AgreePart::act(const Acting& a) {
-  const bool version = a.version.number != acting_.version.number || a.careful != acting_.careful ||
-                       a.heard != acting_.heard;
+void ConsensusService::act(const ActiveVersion& a) {
+  const bool version = a.version.number != acting_.version.number ||
+                       a.is_conservative != acting_.is_conservative || a.heard != acting_.heard;
   acting_ = a;
   const bool share = a.share_all > 0;
   node_.cluster_share(share ? a.share_all : unleased_, share ? a.share_point : unleased_);
   if (!version) return;
   if (a.version.number != judged_)
     judged_ = a.version.number, bad_part_ = 0;  // what ends from here on is its own
-  log_.record(
-      kName, log::Level::info, "acts",
-      {{"version", a.version.number}, {"careful", a.careful ? 1 : 0}, {"heard", a.heard.size()}});
+  log_.record(kName, log::Level::info, "acts",
+              {{"version", a.version.number},
+               {"careful", a.is_conservative ? 1 : 0},
+               {"heard", a.heard.size()}});
   write_files();
 }
 
-void AgreePart::write_files() {
+void ConsensusService::write_files() {
   if (!acting_.content || (files_.servers.empty() && files_.routes.empty())) return;
   if (std::exchange(writing_, true)) {
     again_ = true;
@@ -251,9 +252,10 @@
 }
 
 // What this router takes, for its share.
-void AgreePart::measure() {
+void ConsensusService::measure() {
   const auto& c = node_.engine().counters();
-  const auto taken = c.taken, ended = c.served + c.refused + c.failed, bad = c.refused + c.failed;
+  const auto taken = c.admitted, ended = c.served + c.rejected + c.failed,
+             bad = c.rejected + c.failed;
   if (ended > ended_) {
     const double part = static_cast<double>(bad - bad_) / static_cast<double>(ended - ended_);
     bad_part_ += 0.3 * (part - bad_part_);
@@ -268,7 +270,8 @@
 
 // ---- Operators
 
-admin::Desk::Told AgreePart::told(std::string_view what, std::string_view query, std::string body) {
+admin::AdminHandler::Told ConsensusService::told(std::string_view what, std::string_view query,
+                                                 std::string body) {
   if (body.empty() && what.empty()) return {200, view()};
   if (body.empty() && what.starts_with("/proposals/")) {
     const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
@@ -288,8 +291,8 @@
   return {404, "no such call\n"};
 }
 
-admin::Desk::Told AgreePart::propose(std::string_view what, std::string_view query,
-                                     const std::string& body) {
+admin::AdminHandler::Told ConsensusService::propose(std::string_view what, std::string_view query,
+                                                    const std::string& body) {
   Proposal p;
   p.nonce = random_() >> 1 | 1;
   if (const auto nonce =
@@ -333,7 +336,7 @@
   return {202, std::to_string(p.nonce) + "\n"};
 }
 
-std::string AgreePart::view() const {
+std::string ConsensusService::view() const {
   return versions_view(agreement_->view(net::steady_now()), agreement_->book(), net::steady_now());
 }
 
--- a/src/app/consensus_service.h
+++ b/src/app/consensus_service.h
@@ -22,9 +22,10 @@
 namespace alderspur::app {
 
 // As GET /control/versions gives it; docs/versions.md explains its fields.
-std::string versions_view(const consensus::View& view, const consensus::Book& book, core::Time now);
+std::string versions_view(const consensus::View& view, const consensus::LeaseTable& book,
+                          core::Time now);
 
-class AgreePart {
+class ConsensusService {
  public:
   struct Files {
     std::string servers,
@@ -32,9 +33,9 @@
     std::function<void()> look;                 // they may have changed
     std::function<std::uint64_t()> generation;  // of the list of servers in force
   };
-  AgreePart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& settings,
-            Files files, log::Log& log);
-  ~AgreePart();
+  ConsensusService(platform::EdgeRouter& node, ClusterService& cluster,
+                   const settings::Cluster& settings, Files files, log::Log& log);
+  ~ConsensusService();
   // False: a disk hangs, and the process can only be ended by _exit().
   bool settle();
 
@@ -47,22 +48,23 @@
   void write(consensus::Write write);
   void keep(const consensus::Keep& keep);
   void check(const consensus::Check& check);
-  void act(const consensus::Acting& acting);
+  void act(const consensus::ActiveVersion& acting);
   void write_files();
   void measure();
-  admin::Desk::Told told(std::string_view what, std::string_view query, std::string body);
+  admin::AdminHandler::Told told(std::string_view what, std::string_view query, std::string body);
   std::string view() const;
-  admin::Desk::Told propose(std::string_view what, std::string_view query, const std::string& body);
+  admin::AdminHandler::Told propose(std::string_view what, std::string_view query,
+                                    const std::string& body);
 
-  platform::Node& node_;
-  ClusterPart& cluster_;
+  platform::EdgeRouter& node_;
+  ClusterService& cluster_;
   const Files files_;
   log::Log& log_;
   const double unleased_;  // the part of a router without a lease, of 1
   const std::string folder_;
-  std::shared_ptr<consensus::Disk> disk_;  // on its worker's thread only
-  std::unique_ptr<consensus::Agreement> agreement_;
-  consensus::Acting acting_;
+  std::shared_ptr<consensus::LogStore> disk_;  // on its worker's thread only
+  std::unique_ptr<consensus::ConsensusNode> agreement_;
+  consensus::ActiveVersion acting_;
   bool writing_ = false, again_ = false;
   std::deque<consensus::Settled> settled_;  // what became of this router's proposals, the last few
   std::optional<core::Deadlines::Key> due_, measure_;
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -29,7 +29,7 @@
 }  // namespace
 
 // What the worker judges by. The list in force is written by the loop only, between two looks.
-struct Keeper::Shared {
+struct EndpointController::Shared {
   settings::Membership settings;
   std::vector<std::string> zones;
   endpoints::SnapshotPtr in_force() const {
@@ -43,15 +43,16 @@
   mutable std::mutex mutex;
   endpoints::SnapshotPtr list;  // guarded by mutex
 };
-struct Keeper::Judged {
-  std::optional<endpoints::Offer> offer;
+struct EndpointController::Judged {
+  std::optional<endpoints::CandidateList> offer;
   bool unchanged = false;
   std::string refusal;  // the first finding
   std::size_t findings = 0;
   core::Time took = 0;
 };
 
-Keeper::Keeper(platform::Node& node, const settings::Membership& settings, log::Log& log)
+EndpointController::EndpointController(platform::EdgeRouter& node,
+                                       const settings::Membership& settings, log::Log& log)
     : node_(node),
       settings_(settings),
       log_(log),
@@ -68,7 +69,7 @@
     watcher_ = std::make_unique<file_watch::Watcher>(
         node_.loop(), node_.deadlines(), wakeup_, reader_, w,
         [limits = settings_.limits](const std::string& text) { return piece_names(text, limits); },
-        [this, shared = shared_](file_watch::Look&& look) -> file_watch::Apply {
+        [this, shared = shared_](file_watch::LookResult&& look) -> file_watch::Apply {
           return [this, judged = std::make_shared<Judged>(judge(*shared, std::move(look)))] {
             take(*judged);
           };
@@ -76,14 +77,14 @@
   }
   begin(now);
 }
-Keeper::~Keeper() {
-  if (step_) node_.deadlines().clear(*step_);
-  if (save_) node_.deadlines().clear(*save_);
+EndpointController::~EndpointController() {
+  if (step_) node_.deadlines().cancel(*step_);
+  if (save_) node_.deadlines().cancel(*save_);
 }
 
 // What an earlier process had in force counts as in force: a list may not go back behind it, and
 // whoever is new against it is cold.
-std::optional<endpoints::Offer> Keeper::begin_with_state(core::Time now) {
+std::optional<endpoints::CandidateList> EndpointController::begin_with_state(core::Time now) {
   if (settings_.state.empty()) return {};
   std::error_code ignored;
   std::filesystem::create_directories(settings_.state, ignored);
@@ -93,7 +94,7 @@
       log_.record(kName, log::Level::warning, "state_unusable", {{"reason", restored.error}});
     return {};
   }
-  endpoints::Offer offer{
+  endpoints::CandidateList offer{
       restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}, {}};
   diagnostics::Findings findings;
   zones_of(*offer.list, shared_->zones, offer.point_zones, offer.hub_zones, findings);
@@ -108,14 +109,14 @@
   return offer;
 }
 
-void Keeper::begin(core::Time now) {
+void EndpointController::begin(core::Time now) {
   if (!watcher_) return;
   const auto kept = begin_with_state(now);
   shared_->bring(fleet_.in_force());
   const auto look = watcher_->first(kFirst);
   Judged judged;
   if (look)
-    judged = judge(*shared_, file_watch::Look(*look));
+    judged = judge(*shared_, file_watch::LookResult(*look));
   else
     judged.refusal = settings_.list + " has not settled";
   if (judged.offer || judged.unchanged) {
@@ -139,10 +140,11 @@
   serving_ = true;
 }
 
-Keeper::Judged Keeper::judge(const Shared& shared, file_watch::Look&& look) {
+EndpointController::Judged EndpointController::judge(const Shared& shared,
+                                                     file_watch::LookResult&& look) {
   Judged out;
   const core::Time begun = net::unix_now();
-  if (look.sight == file_watch::Sight::unreadable) {
+  if (look.sight == file_watch::Observation::unreadable) {
     out.refusal = look.error;
     return out;
   }
@@ -161,7 +163,7 @@
     check_change(in_force.get(), *list, s.bounds, findings);
   }
   if (list && findings.good()) {
-    endpoints::Offer offer{list, in_force, difference(in_force.get(), *list), {}, {}};
+    endpoints::CandidateList offer{list, in_force, difference(in_force.get(), *list), {}, {}};
     zones_of(*list, shared.zones, offer.point_zones, offer.hub_zones, findings);
     out.unchanged = in_force && in_force->generation == list->generation;
     if (findings.good() && !out.unchanged) out.offer = std::move(offer);
@@ -175,7 +177,7 @@
   return out;
 }
 
-void Keeper::take(const Judged& judged) {
+void EndpointController::take(const Judged& judged) {
   if (judged.unchanged) {
     last_refusal_.clear();
     return;
@@ -213,7 +215,8 @@
   save_soon();
 }
 
-void Keeper::pool(bool complete, const std::vector<config::Member>& members) {
+void EndpointController::update_endpoints(bool complete,
+                                          const std::vector<config::Member>& members) {
   if (settings_.fleet.authority == endpoints::Authority::files) return;
   fleet_.board(complete, members, node_.engine().now());
   push();
@@ -221,13 +224,13 @@
 
 // Connections hear of a server before the core does, and departures come before whoever takes their
 // place.
-void Keeper::push() {
+void EndpointController::push() {
   auto changes = fleet_.take();
-  FleetUpdate update;
+  EndpointUpdate update;
   update.servers.reserve(changes.size());
   for (const auto& c : changes) {
     if (!concerns(c.member.server)) continue;
-    node_.caches().update(c.member);
+    node_.upstream_pool().update(c.member);
     update.servers.push_back(c.member.server);
     if (serving_ &&
         (c.reason == endpoints::Reason::flapping || c.reason == endpoints::Reason::places_differ))
@@ -236,14 +239,14 @@
     if (!serving_ || !log_.enabled(kName, log::Level::debug)) continue;
     log_.record(kName, log::Level::debug, "server",
                 {{"id", c.member.name},
-                 {"status", c.member.server.status == Status::ready      ? "ready"
-                            : c.member.server.status == Status::draining ? "draining"
-                                                                         : "gone"},
+                 {"status", c.member.server.status == ServerStatus::ready      ? "ready"
+                            : c.member.server.status == ServerStatus::draining ? "draining"
+                                                                               : "gone"},
                  {"weight", c.member.server.weight},
                  {"why", endpoints::word(c.reason)}});
   }
   if (!update.servers.empty()) {
-    node_.engine().fleet(std::move(update));
+    node_.engine().update_endpoints(std::move(update));
     save_soon();
   }
   arm();
@@ -252,20 +255,20 @@
 // Caches of other points are asked by nobody here: a list of a hundred thousand must not make every
 // update of the module's view, and every sweep, as long as itself. One that leaves our point is
 // still told of.
-bool Keeper::concerns(const Server& s) {
+bool EndpointController::concerns(const Server& s) {
   const bool ours = s.role != Role::cache || s.location == node_.config().settings.location;
-  if (ours && s.status != Status::gone) return passed_.insert(s.id.value), true;
+  if (ours && s.status != ServerStatus::gone) return passed_.insert(s.id.value), true;
   return passed_.erase(s.id.value) > 0;
 }
 
-void Keeper::held_since(core::Time begun) {
+void EndpointController::held_since(core::Time begun) {
   counters_.longest_apply = std::max(counters_.longest_apply, net::unix_now() - begun);
 }
 
-void Keeper::arm() {
+void EndpointController::arm() {
   const core::Time next = fleet_.next();
   if (step_ && step_at_ <= next) return;
-  if (step_) node_.deadlines().clear(*step_), step_.reset();
+  if (step_) node_.deadlines().cancel(*step_), step_.reset();
   if (next == std::numeric_limits<core::Time>::max()) return;
   step_at_ = next;
   step_ = node_.deadlines().set(next, [this] {
@@ -277,15 +280,15 @@
   });
 }
 
-void Keeper::start() {
+void EndpointController::start() {
   if (watcher_) watcher_->start();
   save_soon();
 }
-void Keeper::look() {
+void EndpointController::look() {
   if (watcher_) watcher_->look_now();
 }
 
-void Keeper::save_soon() {
+void EndpointController::save_soon() {
   if (settings_.state.empty() || save_ || saving_) return;
   save_ = node_.deadlines().set(net::unix_now() + kSaveEvery, [this] {
     save_.reset();
@@ -293,10 +296,10 @@
   });
 }
 
-void Keeper::save() {
+void EndpointController::save() {
   if (saving_ || !fleet_.in_force()) return;
   const core::Time now = net::unix_now();
-  store::MembershipState state{fleet_.in_force(), fleet_.remembered(now), now};
+  store::EndpointState state{fleet_.in_force(), fleet_.remembered(now), now};
   saving_ = writer_.submit([this, state = std::move(state), path = state_path(settings_.state)] {
     const auto error = store::save(path, state);
     wakeup_.post([this, error] {
@@ -308,7 +311,7 @@
   });
 }
 
-void Keeper::finish() {
+void EndpointController::finish() {
   if (settings_.state.empty()) return;
   writer_.drain();
   saving_ = false;
@@ -316,7 +319,7 @@
   writer_.drain();
 }
 
-std::string Keeper::summary() const {
+std::string EndpointController::summary() const {
   const auto& c = fleet_.counters();
   const auto& list = fleet_.in_force();
   return "generation " + std::to_string(list ? list->generation : 0) + ", known " +
--- a/src/app/endpoint_controller.h
+++ b/src/app/endpoint_controller.h
@@ -22,32 +22,33 @@
 
 namespace alderspur::app {
 
-struct KeeperCounters {
+struct EndpointControllerCounters {
   std::uint64_t taken = 0, refused = 0, unreadable = 0, saved = 0, save_failed = 0;
   core::Time longest_apply = 0;  // microseconds that the loop was held by one list
 };
 
-class Keeper : public platform::PoolSink {
+class EndpointController : public platform::EndpointSink {
  public:
   // Chooses the list to start from: the files', else the last good state. Throws config::Error
   // where authority needs files and there is neither.
-  Keeper(platform::Node& node, const settings::Membership& settings, log::Log& log);
-  ~Keeper() override;
+  EndpointController(platform::EdgeRouter& node, const settings::Membership& settings,
+                     log::Log& log);
+  ~EndpointController() override;
 
-  void pool(bool complete, const std::vector<config::Member>& members) override;
+  void update_endpoints(bool complete, const std::vector<config::Member>& members) override;
   void start();   // watching; once the node is complete
   void look();    // SIGHUP
   void finish();  // writes the state, waits for it
   std::string summary() const;
-  const KeeperCounters& counters() const { return counters_; }
-  const endpoints::Fleet& fleet() const { return fleet_; }
+  const EndpointControllerCounters& counters() const { return counters_; }
+  const endpoints::EndpointSet& fleet() const { return fleet_; }
 
  private:
   struct Judged;
   struct Shared;
-  std::optional<endpoints::Offer> begin_with_state(core::Time now);
+  std::optional<endpoints::CandidateList> begin_with_state(core::Time now);
   void begin(core::Time now);
-  static Judged judge(const Shared& shared, file_watch::Look&& look);
+  static Judged judge(const Shared& shared, file_watch::LookResult&& look);
   void take(const Judged& judged);
   void push();
   bool concerns(const Server& server);
@@ -56,17 +57,17 @@
   void save_soon();
   void save();
 
-  platform::Node& node_;
+  platform::EdgeRouter& node_;
   const settings::Membership settings_;
   log::Log& log_;
-  endpoints::Fleet fleet_;
+  endpoints::EndpointSet fleet_;
   std::shared_ptr<Shared> shared_;
   std::optional<core::Deadlines::Key> step_, save_;
   core::Time step_at_ = 0;
   std::string last_refusal_;
   std::unordered_set<std::uint64_t> passed_;  // servers that connections and core know of
   bool saving_ = false, serving_ = false;
-  KeeperCounters counters_;
+  EndpointControllerCounters counters_;
   // Last, so that they end first: their jobs use what stands above.
   net::Wakeup wakeup_;
   file_watch::Worker reader_, writer_;
--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-ReplicaPart::ReplicaPart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& s,
-                         log::Log& log)
+ReplicationService::ReplicationService(platform::EdgeRouter& node, ClusterService& cluster,
+                                       const settings::Cluster& s, log::Log& log)
     : node_(node),
       cluster_(cluster),
       log_(log),
       path_(s.state.empty() ? std::string() : s.state + "/replica.bans"),
-      settles_(node.config().settings.purge_settles),
+      settles_(node.config().settings.purge_propagation_time),
       wakeup_(node.loop()) {
   ReplicaSettings settings;
   const auto& self = cluster.link().membership().self();
@@ -54,14 +54,14 @@
                   error = loaded.absent ? "" : loaded.error] { begin(payload, error); });
   });
 }
-ReplicaPart::~ReplicaPart() {
-  if (due_) node_.deadlines().clear(*due_);
+ReplicationService::~ReplicationService() {
+  if (due_) node_.deadlines().cancel(*due_);
 }
-bool ReplicaPart::settle() { return writer_.settle(kSettle); }
+bool ReplicationService::settle() { return writer_.settle(kSettle); }
 
 // Danger: what the file cannot tell is taken from the bans that this router holds, as new ones. So
 // a ban may hold that was lifted while it was away, and none is forgotten.
-void ReplicaPart::begin(std::optional<std::string> kept, const std::string& error) {
+void ReplicationService::begin(std::optional<std::string> kept, const std::string& error) {
   Loaded loaded;
   const bool whole = kept && Bans::decode(*kept, loaded.bans);
   if (!error.empty() || (kept && !whole))
@@ -80,7 +80,7 @@
 }
 
 // By hand, here; what was made elsewhere comes in by Bind and is no call.
-void ReplicaPart::called(const hot_restart::BanChange& change) {
+void ReplicationService::called(const hot_restart::BanChange& change) {
   if (binding_) return;
   if (!begun_) return early_.push_back(change);
   if (change.out)
@@ -89,7 +89,7 @@
     handle(CallLift{change.name});
 }
 
-void ReplicaPart::handle(const replication::Event& event) {
+void ReplicationService::handle(const replication::Event& event) {
   std::vector<replication::Action> actions;
   replica_->handle(net::steady_now(), event, actions);
   for (const auto& a : actions) carry_out(a);
@@ -98,8 +98,8 @@
   arm();
 }
 
-void ReplicaPart::arm() {
-  if (due_) node_.deadlines().clear(*due_);
+void ReplicationService::arm() {
+  if (due_) node_.deadlines().cancel(*due_);
   const core::Time in = std::max<core::Time>(1000, replica_->next() - net::steady_now());
   due_ = node_.deadlines().set(node_.engine().now() + in, [this] {
     due_.reset();
@@ -107,7 +107,7 @@
   });
 }
 
-void ReplicaPart::carry_out(const replication::Action& action) {
+void ReplicationService::carry_out(const replication::Action& action) {
   if (const auto* s = std::get_if<replication::SendFrame>(&action))
     return cluster_.send_replica(s->to, s->bytes);
   if (const auto* b = std::get_if<Bind>(&action)) {
@@ -124,7 +124,7 @@
   node_.engine().purge(object, f.object ? 0 : static_cast<std::uint32_t>(f.id), f.at);
 }
 
-void ReplicaPart::save() {
+void ReplicationService::save() {
   if (path_.empty() || !begun_ || saving_ || replica_->bans().digest() == saved_) return;
   const auto digest = replica_->bans().digest();
   saving_ = writer_.submit([this, path = path_, digest, text = replica_->bans().encode()] {
@@ -140,7 +140,7 @@
   });
 }
 
-void ReplicaPart::view(Writer& w) const {
+void ReplicationService::view(Writer& w) const {
   const auto& c = replica_->counts();
   w.Key("replica"), w.StartObject();
   w.Key("caught_up"), w.Bool(begun_ && replica_->caught_up());
--- a/src/app/replication_service.h
+++ b/src/app/replication_service.h
@@ -20,11 +20,11 @@
 
 namespace alderspur::app {
 
-class ReplicaPart {
+class ReplicationService {
  public:
-  ReplicaPart(platform::Node& node, ClusterPart& cluster, const settings::Cluster& settings,
-              log::Log& log);
-  ~ReplicaPart();
+  ReplicationService(platform::EdgeRouter& node, ClusterService& cluster,
+                     const settings::Cluster& settings, log::Log& log);
+  ~ReplicationService();
   bool settle();  // false: the disk hangs, and the process can only be ended by _exit()
 
  private:
@@ -36,8 +36,8 @@
   void save();
   void view(Writer& w) const;
 
-  platform::Node& node_;
-  ClusterPart& cluster_;
+  platform::EdgeRouter& node_;
+  ClusterService& cluster_;
   log::Log& log_;
   const std::string path_;  // empty: nothing is kept
   const core::Time settles_;
--- a/src/app/routes.cpp
+++ b/src/app/routes.cpp
@@ -29,7 +29,7 @@
       out->classes.push_back(static_cast<std::uint32_t>(it - names.begin()));
       if (it == names.end())
         found.error("S002", r.place, "the router's configuration has no class " + r.cls);
-      else if (config.settings.classes[out->classes.back()].uncached)
+      else if (config.settings.classes[out->classes.back()].never_cached)
         found.error("S002", r.place,
                     "class " + r.cls + " runs at the origin and cannot be fetched by links");
       const auto named = [&](const char* capture) {
@@ -58,7 +58,7 @@
   limits::Permit permit;
 };
 
-Routes::Routes(platform::Node& node, std::string file, log::Log& log)
+Routes::Routes(platform::EdgeRouter& node, std::string file, log::Log& log)
     : node_(node), file_(std::move(file)), log_(log), wakeup_(node.loop()) {
   std::vector<std::string> findings;
   table_ = compile(file_, node.config(), findings);
--- a/src/app/routes.h
+++ b/src/app/routes.h
@@ -32,10 +32,10 @@
 TablePtr compile(const std::string& file, const config::Config& config,
                  std::vector<std::string>& findings);
 
-class Routes : public signed_url::Guide {
+class Routes : public signed_url::RouteSelector {
  public:
   // Throws config::Error where the file does not check: there is nothing to go on from.
-  Routes(platform::Node& node, std::string file, log::Log& log);
+  Routes(platform::EdgeRouter& node, std::string file, log::Log& log);
   ~Routes() override;
   void reload();  // SIGHUP
 
@@ -49,7 +49,7 @@
   class Held;
   void take(TablePtr table, const std::vector<std::string>& findings);
 
-  platform::Node& node_;
+  platform::EdgeRouter& node_;
   const std::string file_;
   log::Log& log_;
   limits::Limits limits_;
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -32,19 +32,19 @@
   const auto say = [&log](const std::string& event, const std::string& text) {
     log.record("router", log::Level::info, event, {{"text", text}});
   };
-  Keeper* keeper = nullptr;
-  platform::Node::MakeSink make_sink;
+  EndpointController* keeper = nullptr;
+  platform::EdgeRouter::MakeEndpointSink make_sink;
   if (settings.membership)
-    make_sink = [&](platform::Node& node) {
-      auto made = std::make_unique<Keeper>(node, *settings.membership, log);
+    make_sink = [&](platform::EdgeRouter& node) {
+      auto made = std::make_unique<EndpointController>(node, *settings.membership, log);
       keeper = made.get();
       return made;
     };
-  platform::Node node(std::move(config), say, make_sink);
+  platform::EdgeRouter node(std::move(config), say, make_sink);
   node.config_path = settings.config;
   node.on_counters([&] {
-    std::vector<log::Field> fields{{"open", node.engine().held()},
-                                   {"links", node.caches().links()}};
+    std::vector<log::Field> fields{{"open", node.engine().open_request_count()},
+                                   {"links", node.upstream_pool().links()}};
     for (const auto& [name, value] : core::fields(node.engine().counters()))
       fields.emplace_back(name, value);
     log.record("router", log::Level::info, "counters", fields);
@@ -64,30 +64,30 @@
   std::unique_ptr<xds::Server> discovery;
   if (settings.xds) {
     discovery = std::make_unique<xds::Server>(node.loop(), node.deadlines(), node.engine(),
-                                              node.caches(), *settings.xds, kProxiesMost);
+                                              node.upstream_pool(), *settings.xds, kProxiesMost);
     node.add({[&] { discovery->end_turn(); }, [&] { discovery->stop_listening(); }, {}});
     log.record("xds", log::Level::info, "listening",
                {{"address", net::to_string(discovery->address())}});
   }
-  std::unique_ptr<ClusterPart> cluster;
-  if (settings.cluster) cluster = std::make_unique<ClusterPart>(node, *settings.cluster, log);
-  std::unique_ptr<ReplicaPart> replica;
+  std::unique_ptr<ClusterService> cluster;
+  if (settings.cluster) cluster = std::make_unique<ClusterService>(node, *settings.cluster, log);
+  std::unique_ptr<ReplicationService> replica;
   if (cluster && settings.cluster->replicate)
-    replica = std::make_unique<ReplicaPart>(node, *cluster, *settings.cluster, log);
-  std::unique_ptr<AgreePart> versions;
+    replica = std::make_unique<ReplicationService>(node, *cluster, *settings.cluster, log);
+  std::unique_ptr<ConsensusService> versions;
   if (cluster && settings.cluster->agreement) {
-    AgreePart::Files files{settings.membership ? settings.membership->list : std::string(),
-                           settings.routes_file,
-                           [&] {
-                             if (keeper) keeper->look();
-                             if (routes) routes->reload();
-                           },
-                           [&]() -> std::uint64_t {
-                             const auto list = keeper ? keeper->fleet().in_force() : nullptr;
-                             return list ? list->generation : 0;
-                           }};
-    versions =
-        std::make_unique<AgreePart>(node, *cluster, *settings.cluster, std::move(files), log);
+    ConsensusService::Files files{settings.membership ? settings.membership->list : std::string(),
+                                  settings.routes_file,
+                                  [&] {
+                                    if (keeper) keeper->look();
+                                    if (routes) routes->reload();
+                                  },
+                                  [&]() -> std::uint64_t {
+                                    const auto list = keeper ? keeper->fleet().in_force() : nullptr;
+                                    return list ? list->generation : 0;
+                                  }};
+    versions = std::make_unique<ConsensusService>(node, *cluster, *settings.cluster,
+                                                  std::move(files), log);
   }
   if (keeper) {
     keeper->start();
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -29,11 +29,11 @@
 
 }  // namespace
 
-std::string versions_view(const View& v, const Book& book, Time now) {
+std::string versions_view(const View& v, const LeaseTable& book, Time now) {
   rapidjson::StringBuffer out;
   Writer w(out);
   w.StartObject();
-  version(w, "acting", v.acting.version, v.acting.careful ? "careful" : "leased");
+  version(w, "acting", v.acting.version, v.acting.is_conservative ? "careful" : "leased");
   w.Key("lease_ms"), w.Int64(v.lease_left / 1000);
   w.Key("heard"), w.Uint64(v.acting.heard.size());
   w.Key("share_all"), w.Double(v.acting.share_all), w.Key("share_point"),
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -9,10 +9,10 @@
   p.array(6).text(i.name).text(i.address).text(i.point).text(i.version).number(i.epoch).real(
       i.share);
 }
-void pack(Packer& p, const std::vector<Rumour>& all) {
+void pack(Packer& p, const std::vector<GossipUpdate>& all) {
   p.array(all.size());
   for (const auto& r : all) {
-    pack(p.array(4), r.who);
+    pack(p.array(4), r.identity);
     p.number(r.incarnation).number(static_cast<std::uint64_t>(r.state)).text(r.by);
   }
 }
@@ -23,13 +23,13 @@
   good = good && r.good;
   return i;
 }
-std::vector<Rumour> rumours(Reader& from, std::size_t most) {
-  std::vector<Rumour> out;
+std::vector<GossipUpdate> rumours(Reader& from, std::size_t most) {
+  std::vector<GossipUpdate> out;
   const auto n = from.array(most);
   for (std::uint32_t k = 0; k < n; ++k) {
     Reader r = from.item(k, 4);
-    Rumour x;
-    x.who = who(Reader(r.next(), 6), r.good);
+    GossipUpdate x;
+    x.identity = who(Reader(r.next(), 6), r.good);
     x.incarnation = static_cast<std::uint32_t>(r.number(0xffffffff));
     x.state = static_cast<State>(r.number(static_cast<std::uint64_t>(State::left)));
     x.by = r.text();
@@ -64,31 +64,31 @@
   return r.good ? std::optional(std::move(m)) : std::nullopt;
 }
 
-std::string encode(const Picture& picture) {
+std::string encode(const MembershipSnapshot& picture) {
   Packer p;
   p.array(3).number(picture.asked).number(picture.ask);
   return pack(p, picture.members), p.take();
 }
 
-std::optional<Picture> decode_picture(std::string_view bytes) {
+std::optional<MembershipSnapshot> decode_picture(std::string_view bytes) {
   const Unpacked u(bytes);
   if (!u.good) return {};
   Reader r(u.m.data, 3);
-  Picture p;
+  MembershipSnapshot p;
   p.asked = r.number(), p.ask = r.number();
   p.members = rumours(r, kMembersMost + 1);
   return r.good ? std::optional(std::move(p)) : std::nullopt;
 }
 
-std::string encode(const Hello& h) {
+std::string encode(const Handshake& h) {
   Packer p;
   return p.array(4).text("channel").number(h.asked).number(h.epoch).text(h.name).take();
 }
-std::optional<Hello> decode_hello(std::string_view bytes) {
+std::optional<Handshake> decode_hello(std::string_view bytes) {
   const Unpacked u(bytes);
   if (!u.good) return {};
   Reader r(u.m.data, 4);
-  Hello h;
+  Handshake h;
   if (r.text() != "channel") return {};
   h.asked = r.number(), h.epoch = r.number(), h.name = r.text();
   return r.good && !h.name.empty() ? std::optional(std::move(h)) : std::nullopt;
--- a/src/cluster/codec.h
+++ b/src/cluster/codec.h
@@ -21,20 +21,20 @@
 
 // A whole picture, by a connection of its own. `asked` repeats what the other side drew, so that a
 // picture kept from an earlier exchange is none; `ask` is what this side has drawn.
-struct Picture {
+struct MembershipSnapshot {
   std::uint64_t asked = 0, ask = 0;
-  std::vector<Rumour> members;
+  std::vector<GossipUpdate> members;
 };
-std::string encode(const Picture& picture);
-std::optional<Picture> decode_picture(std::string_view bytes);
+std::string encode(const MembershipSnapshot& picture);
+std::optional<MembershipSnapshot> decode_picture(std::string_view bytes);
 
 // The first word of a channel, in place of a picture: who speaks on it, with what the called side
 // drew.
-struct Hello {
+struct Handshake {
   std::uint64_t asked = 0, epoch = 0;
   std::string name;
 };
-std::string encode(const Hello& hello);
-std::optional<Hello> decode_hello(std::string_view bytes);
+std::string encode(const Handshake& hello);
+std::optional<Handshake> decode_hello(std::string_view bytes);
 
 }  // namespace alderspur::cluster
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -37,8 +37,10 @@
   return kWords[static_cast<std::size_t>(whole)];
 }
 
-bool overrides(const Rumour& a, const Rumour& b) {
-  const auto rank = [](const Rumour& r) { return std::tuple(r.who.epoch, r.incarnation, r.state); };
+bool overrides(const GossipUpdate& a, const GossipUpdate& b) {
+  const auto rank = [](const GossipUpdate& r) {
+    return std::tuple(r.identity.epoch, r.incarnation, r.state);
+  };
   return rank(a) > rank(b);
 }
 
@@ -174,7 +176,7 @@
   // Danger: what somebody says who may be dead, in a message kept from his life, would revive
   // others that are.
   const auto sender = members_.find(m.from.name);
-  if (sender != members_.end() && sender->second.seen.member.who.epoch == m.from.epoch)
+  if (sender != members_.end() && sender->second.seen.member.identity.epoch == m.from.epoch)
     for (const auto& r : m.rumours)
       if (!out_of_it_) merge(r);
   if (out_of_it_) return;
@@ -195,7 +197,7 @@
 
 // ---- Probing
 
-Rumour Membership::myself() const {
+GossipUpdate Membership::myself() const {
   return {self_, incarnation_, leaving_ ? State::left : State::alive, {}};
 }
 
@@ -233,7 +235,7 @@
     std::shuffle(order_.begin(), order_.end(), random_);
     for (std::size_t i = 0; i < order_.size(); ++i) order_[i]->place = i;
   }
-  const Identity who = order_[at_++]->seen.member.who;
+  const Identity who = order_[at_++]->seen.member.identity;
   const auto number = ask(who.name, who.epoch, who.address, true);
   wake(set_.answer * (1 + doubt_), Wake::help, {}, number);
 }
@@ -243,7 +245,7 @@
   if (q == questions_.end()) return;
   const auto target = members_.find(q->second.name);
   if (target == members_.end()) return void(questions_.erase(q));
-  const Identity& who = target->second.seen.member.who;
+  const Identity& who = target->second.seen.member.identity;
   // Once more ourselves too: of a message and its answer a third is lost where a fifth of all
   // messages is, and each suspicion that need not be takes the place of other news.
   Message again = message(Message::Kind::ping, number);
@@ -251,11 +253,11 @@
   send(who.address, std::move(again), who.name);
   for (Member* h : some(set_.helpers, q->second.name)) {
     Message m = message(Message::Kind::ask, number);
-    m.to = h->seen.member.who.name, m.to_epoch = h->seen.member.who.epoch;
+    m.to = h->seen.member.identity.name, m.to_epoch = h->seen.member.identity.epoch;
     m.target = q->second.name, m.target_epoch = q->second.epoch;
     m.target_address = who.address;
     ++q->second.helpers, ++counts_.asks;
-    send(h->seen.member.who.address, std::move(m));
+    send(h->seen.member.identity.address, std::move(m));
   }
   const Time rest = std::max(set_.answer, set_.period - set_.answer);
   wake(rest * (1 + doubt_), Wake::verdict, {}, number);
@@ -270,7 +272,7 @@
   // Helpers that do not even say that they have nothing: the fault may be ours.
   if (q.helpers > 0 && q.nacks < q.helpers) doubt(q.nacks == 0 ? 1 : 0);
   const auto m = members_.find(q.name);
-  if (m != members_.end() && m->second.seen.member.who.epoch == q.epoch) suspect(q.name);
+  if (m != members_.end() && m->second.seen.member.identity.epoch == q.epoch) suspect(q.name);
 }
 
 void Membership::answered(const Message& m) {
@@ -290,7 +292,7 @@
   if (q.periodic) doubt(-1);
   if (helped) return;
   // It is there now, as whoever it says: an unknown one or a new start comes in here.
-  const Rumour r{m.from, m.incarnation, State::alive, {}};
+  const GossipUpdate r{m.from, m.incarnation, State::alive, {}};
   const auto known = members_.find(m.from.name);
   const bool back = known != members_.end() && !is_there(known->second.seen.member.state);
   if (known == members_.end() || overrides(r, known->second.seen.member)) merge(r);
@@ -301,13 +303,13 @@
 
 void Membership::meet(const Message& m, const std::string& from) {
   const auto it = members_.find(m.from.name);
-  if (it != members_.end() && it->second.seen.member.who.epoch == m.from.epoch) {
+  if (it != members_.end() && it->second.seen.member.identity.epoch == m.from.epoch) {
     it->second.seen.heard = now_;
     return;
   }
-  if (it != members_.end() && it->second.seen.member.who.epoch > m.from.epoch) {
+  if (it != members_.end() && it->second.seen.member.identity.epoch > m.from.epoch) {
     ++counts_.conflicts;
-    act(Conflict{m.from, it->second.seen.member.who});
+    act(Conflict{m.from, it->second.seen.member.identity});
     return send(from, message(Message::Kind::gossip, 0), m.from.name);
   }
   if (questions_.size() < kQuestionsMost && m.kind != Message::Kind::ack) {
@@ -318,10 +320,10 @@
 
 // ---- News
 
-void Membership::merge(const Rumour& r) {
-  if (!usable(r.who) || r.by.size() > kWordMost) return void(++counts_.refused);
-  if (r.who.name == self_.name) return merge_self(r);
-  const auto it = members_.find(r.who.name);
+void Membership::merge(const GossipUpdate& r) {
+  if (!usable(r.identity) || r.by.size() > kWordMost) return void(++counts_.refused);
+  if (r.identity.name == self_.name) return merge_self(r);
+  const auto it = members_.find(r.identity.name);
   if (it == members_.end()) {
     // Danger: kept anew by each who had forgotten it, what is long dead would be told of for ever.
     if (!is_there(r.state)) return;
@@ -330,22 +332,22 @@
   }
   Member& m = it->second;
   if (overrides(r, m.seen.member)) return take(r);
-  const bool same =
-      r.who.epoch == m.seen.member.who.epoch && r.incarnation == m.seen.member.incarnation;
+  const bool same = r.identity.epoch == m.seen.member.identity.epoch &&
+                    r.incarnation == m.seen.member.incarnation;
   if (same && r.state == State::suspect && m.seen.member.state == State::suspect) confirm(m, r);
 }
 
-void Membership::merge_self(const Rumour& r) {
-  if (r.who.epoch > self_.epoch && is_there(r.state)) {
+void Membership::merge_self(const GossipUpdate& r) {
+  if (r.identity.epoch > self_.epoch && is_there(r.state)) {
     out_of_it_ = true;
-    return act(Superseded{r.who});
+    return act(Superseded{r.identity});
   }
   // A former self, started by a clock that was ahead and dead since: we come after it.
-  if (r.who.epoch > self_.epoch) {
-    self_.epoch = r.who.epoch + 1, incarnation_ = 1;
+  if (r.identity.epoch > self_.epoch) {
+    self_.epoch = r.identity.epoch + 1, incarnation_ = 1;
     return spread(myself());
   }
-  if (r.who.epoch < self_.epoch || r.state == State::alive || leaving_ ||
+  if (r.identity.epoch < self_.epoch || r.state == State::alive || leaving_ ||
       r.incarnation < incarnation_)
     return;
   // We are accused, or held for gone: said to be wrong, and a reason to doubt our own speed.
@@ -355,16 +357,16 @@
   spread(myself());
 }
 
-void Membership::take(const Rumour& r) {
-  const auto [it, fresh] = members_.try_emplace(r.who.name);
+void Membership::take(const GossipUpdate& r) {
+  const auto [it, fresh] = members_.try_emplace(r.identity.name);
   Member& m = it->second;
   const auto before = fresh ? std::nullopt : std::optional(m.seen.member.state);
-  const bool new_start = !fresh && m.seen.member.who.epoch != r.who.epoch;
+  const bool new_start = !fresh && m.seen.member.identity.epoch != r.identity.epoch;
   // Held for there a moment ago, and now started elsewhere: two processes, or a move that nobody
   // announced.
-  if (new_start && is_there(*before) && m.seen.member.who.address != r.who.address) {
+  if (new_start && is_there(*before) && m.seen.member.identity.address != r.identity.address) {
     ++counts_.conflicts;
-    act(Conflict{m.seen.member.who, r.who});
+    act(Conflict{m.seen.member.identity, r.identity});
   }
   if (before && is_there(*before)) strike(m);
   failed_ -= before == State::failed;
@@ -376,7 +378,7 @@
   if (is_there(r.state)) enlist(m);
   failed_ += r.state == State::failed;
   suspects_ += r.state == State::suspect;
-  if (!is_there(r.state)) wake(set_.forget + 1, Wake::forget, r.who.name);
+  if (!is_there(r.state)) wake(set_.forget + 1, Wake::forget, r.identity.name);
   if (r.state == State::suspect) {
     m.suspected = now_;
     m.suspecters.insert(r.by);
@@ -397,7 +399,7 @@
 
 // Every independent suspicion shortens the time that is left, and is passed on until there are
 // enough.
-void Membership::confirm(Member& m, const Rumour& r) {
+void Membership::confirm(Member& m, const GossipUpdate& r) {
   if (m.suspecters.size() > set_.helpers || !m.suspecters.insert(r.by).second) return;
   m.verdict = m.suspected + patience(m);
   await(m);
@@ -416,7 +418,7 @@
 void Membership::suspect(const std::string& name) {
   const auto it = members_.find(name);
   if (it == members_.end() || !is_there(it->second.seen.member.state)) return;
-  Rumour r = it->second.seen.member;
+  GossipUpdate r = it->second.seen.member;
   const bool already = r.state == State::suspect;
   r.state = State::suspect;
   r.by = self_.name;
@@ -428,22 +430,22 @@
 // Towards the end of a suspicion each that holds it asks the suspect, which costs a member two
 // messages a death.
 void Membership::await(const Member& m) {
-  wake(m.verdict - kCalls * set_.answer - now_, Wake::suspicion, m.seen.member.who.name);
+  wake(m.verdict - kCalls * set_.answer - now_, Wake::suspicion, m.seen.member.identity.name);
 }
 
 void Membership::expire(Member& m) {
-  const auto& name = m.seen.member.who.name;
+  const auto& name = m.seen.member.identity.name;
   if (m.seen.member.state != State::suspect || !m.verdict) return;
   if (now_ < m.verdict - kCalls * set_.answer) return await(m);
   if (m.called && now_ < m.called + set_.answer)
     return wake(m.called + set_.answer - now_, Wake::suspicion, name);
   if (m.calls < kCalls) {
     ++m.calls, m.called = now_;
-    call(m.seen.member.who, m.seen.member.who.epoch);
+    call(m.seen.member.identity, m.seen.member.identity.epoch);
     return wake(set_.answer, Wake::suspicion, name);
   }
   if (now_ < m.verdict) return wake(m.verdict - now_, Wake::suspicion, name);
-  Rumour r = m.seen.member;
+  GossipUpdate r = m.seen.member;
   r.state = State::failed;
   r.by = self_.name;
   ++counts_.failures;
@@ -460,16 +462,16 @@
 
 // ---- Gossip
 
-void Membership::spread(const Rumour& r) {
-  auto& n = news_[r.who.name];
-  fresh_.erase({n.sent, r.who.name});
+void Membership::spread(const GossipUpdate& r) {
+  auto& n = news_[r.identity.name];
+  fresh_.erase({n.sent, r.identity.name});
   n.rumour = r;
   n.sent = 0;
-  fresh_.insert({0, r.who.name});
+  fresh_.insert({0, r.identity.name});
 }
 
 // `about` first: whoever is held for suspect or gone must hear it from us to refute it.
-void Membership::pick(std::vector<Rumour>& into, const std::string& about) {
+void Membership::pick(std::vector<GossipUpdate>& into, const std::string& about) {
   if (!about.empty()) {
     const auto m = members_.find(about);
     if (m != members_.end() && m->second.seen.member.state != State::alive)
@@ -500,7 +502,7 @@
     const auto peers = some(1, {});
     if (peers.empty()) return;
     ++counts_.gossips;
-    send(peers[0]->seen.member.who.address, message(Message::Kind::gossip, 0));
+    send(peers[0]->seen.member.identity.address, message(Message::Kind::gossip, 0));
   }
 }
 
@@ -516,12 +518,12 @@
     m.rumours.push_back(it->second.seen.member);
     refreshed_ = it->first;
   }
-  act(Send{peers[0]->seen.member.who.address, std::move(m)});
+  act(Send{peers[0]->seen.member.identity.address, std::move(m)});
   // Danger: hundreds that start at once, or two halves that meet, have hundreds of news, six a
   // message.
   if (fresh_.size() <= kStorm || now_ < exchanged_ + set_.reach) return;
   exchanged_ = now_;
-  act(Exchange{peers[0]->seen.member.who.address});
+  act(Exchange{peers[0]->seen.member.identity.address});
 }
 
 // Nobody probes the failed: without this two halves of a fleet would never find each other again.
@@ -539,7 +541,7 @@
     if (it == members_.end()) it = members_.begin();
     const auto& r = it->second.seen.member;
     if (r.state != State::failed) continue;
-    return call(r.who, 0);
+    return call(r.identity, 0);
   }
 }
 
@@ -549,7 +551,7 @@
   std::vector<Member*> out;
   for (std::size_t tries = 0; tries < 3 * n + 3 && out.size() < n && !order_.empty(); ++tries) {
     Member* m = order_[draw(order_.size())];
-    if (m->seen.member.who.name != but && std::find(out.begin(), out.end(), m) == out.end())
+    if (m->seen.member.identity.name != but && std::find(out.begin(), out.end(), m) == out.end())
       out.push_back(m);
   }
   return out;
@@ -558,7 +560,7 @@
 // A new one comes to a place drawn, so that a wave of them is not probed in the order of its
 // coming.
 void Membership::enlist(Member& m) {
-  at_addresses_.insert(m.seen.member.who.address);
+  at_addresses_.insert(m.seen.member.identity.address);
   m.place = order_.size();
   order_.push_back(&m);
   const std::size_t to = draw(order_.size());
@@ -567,14 +569,14 @@
   m.place = to;
 }
 void Membership::strike(Member& m) {
-  at_addresses_.erase(at_addresses_.find(m.seen.member.who.address));
+  at_addresses_.erase(at_addresses_.find(m.seen.member.identity.address));
   order_.back()->place = m.place;
   std::swap(order_[m.place], order_.back());
   order_.pop_back();
 }
 
-std::vector<Rumour> Membership::picture() const {
-  std::vector<Rumour> out{myself()};
+std::vector<GossipUpdate> Membership::picture() const {
+  std::vector<GossipUpdate> out{myself()};
   for (const auto& [name, m] : members_) out.push_back(m.seen.member);
   return out;
 }
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -52,14 +52,14 @@
 enum class State : std::uint8_t { alive, suspect, failed, left };
 const char* word(State state);
 
-struct Rumour {
-  Identity who;
+struct GossipUpdate {
+  Identity identity;
   std::uint32_t incarnation = 0;
   State state = State::alive;
   std::string by;  // who suspects
 };
 // True if `a` says more than `b` of the same name.
-bool overrides(const Rumour& a, const Rumour& b);
+bool overrides(const GossipUpdate& a, const GossipUpdate& b);
 
 struct Message {
   enum class Kind : std::uint8_t { ping, ack, ask, nack, gossip };  // ask: ping somebody for me
@@ -71,7 +71,7 @@
   std::uint64_t to_epoch = 0;          // 0: any
   std::string target, target_address;  // of an `ask`
   std::uint64_t target_epoch = 0;
-  std::vector<Rumour> rumours;
+  std::vector<GossipUpdate> rumours;
 };
 
 struct MembershipSettings {
@@ -96,7 +96,7 @@
   std::string from;  // the address it came from
 };
 struct Exchanged {  // a whole picture, of whoever was asked for one or asked us
-  std::vector<Rumour> picture;
+  std::vector<GossipUpdate> picture;
 };
 struct Tick {};
 struct Leave {};
@@ -110,7 +110,7 @@
   std::string address;
 };
 struct Changed {
-  Rumour now;
+  GossipUpdate now;
   std::optional<State> before;  // empty: it was not known
 };
 struct Conflict {  // an older process goes on under the name of a newer one
@@ -133,7 +133,7 @@
 const char* word(Whole whole);
 
 struct Seen {
-  Rumour member;
+  GossipUpdate member;
   Time since = 0;  // in this state
   Time heard = 0;  // a word of its own, last; 0: never
 };
@@ -150,7 +150,7 @@
   Time next() const;  // when a Tick is due
 
   // All that is known, ourselves first.
-  std::vector<Rumour> picture() const;
+  std::vector<GossipUpdate> picture() const;
   std::vector<Seen> members() const;  // others
   const Seen* find(std::string_view name) const;
   Whole whole() const;
@@ -194,7 +194,7 @@
     bool periodic = false;
   };
   struct News {
-    Rumour rumour;
+    GossipUpdate rumour;
     std::size_t sent = 0;
   };
   using Members = std::map<std::string, Member, std::less<>>;
@@ -221,21 +221,21 @@
   void refresh();
   void answered(const Message& m);
   void meet(const Message& m, const std::string& from);
-  void merge(const Rumour& r);
-  void merge_self(const Rumour& r);
-  void confirm(Member& m, const Rumour& r);
-  void take(const Rumour& r);
+  void merge(const GossipUpdate& r);
+  void merge_self(const GossipUpdate& r);
+  void confirm(Member& m, const GossipUpdate& r);
+  void take(const GossipUpdate& r);
   void suspect(const std::string& name);
   void call(const Identity& who, std::uint64_t epoch);
   void await(const Member& m);
   void expire(Member& m);
   void enlist(Member& m);
   void strike(Member& m);
-  void spread(const Rumour& r);
-  void pick(std::vector<Rumour>& into, const std::string& about);
+  void spread(const GossipUpdate& r);
+  void pick(std::vector<GossipUpdate>& into, const std::string& about);
   void doubt(int by);
   Time patience(const Member& m) const;
-  Rumour myself() const;
+  GossipUpdate myself() const;
   std::vector<Member*> some(std::size_t n, const std::string& but);
   std::uint64_t draw(std::uint64_t below);
 
--- a/src/cluster_transport/channels.cpp
+++ b/src/cluster_transport/channels.cpp
@@ -9,40 +9,40 @@
 
 // The called side: an exchange has turned out to be a channel. Danger: a former process of that
 // name, stopped for a while, may still speak; what is known to have come after it holds.
-bool Link::open(Peer& peer, std::string_view payload) {
+bool ClusterTransport::open(Peer& peer, std::string_view payload) {
   const auto hello = decode_hello(payload);
   if (!hello || peer.caller || peer.said || hello->asked != peer.drawn) return false;
   const Seen* known = membership_->find(hello->name);
-  if (known && hello->epoch < known->member.who.epoch) return false;
+  if (known && hello->epoch < known->member.identity.epoch) return false;
   peer.is_channel = peer.said = true;
   peer.name = hello->name;
   --exchanges_;
   peer.used = now_();
-  deadlines_.clear(peer.timeout);
+  deadlines_.cancel(peer.timeout);
   watch(peer);
   return true;
 }
 
 // The calling side: the other has drawn its number; what waited goes out behind our name.
-bool Link::answer(Peer& peer, std::uint64_t asked) {
+bool ClusterTransport::answer(Peer& peer, std::uint64_t asked) {
   if (std::exchange(peer.said, true)) return false;
   write(peer,
-        seal_.seal(encode(Hello{asked, membership_->self().epoch, membership_->self().name})));
+        seal_.seal(encode(Handshake{asked, membership_->self().epoch, membership_->self().name})));
   for (const auto& frame : std::exchange(peer.waiting, {})) write(peer, peer.seal->seal(frame));
   peer.waiting_bytes = 0;
   return true;
 }
 
-void Link::write(Peer& peer, std::string_view sealed) {
+void ClusterTransport::write(Peer& peer, std::string_view sealed) {
   const std::uint32_t size = htonl(static_cast<std::uint32_t>(sealed.size()));
   counts_.bytes_out += sealed.size();
   peer.connection->write({reinterpret_cast<const char*>(&size), sizeof size}, sealed);
 }
 
-Link::Peer* Link::channel(const std::string& to) {
+ClusterTransport::Peer* ClusterTransport::channel(const std::string& to) {
   const Seen* member = membership_->find(to);
   if (!member || member->member.state == State::left) return nullptr;
-  const auto& address = member->member.who.address;
+  const auto& address = member->member.identity.address;
   if (const auto it = out_.find(to); it != out_.end()) {
     if (it->second->address == address && !it->second->dead) return it->second;
     drop(*it->second);
@@ -67,7 +67,7 @@
   return raw;
 }
 
-void Link::send_frame(const std::string& to, std::string_view frame) {
+void ClusterTransport::send_frame(const std::string& to, std::string_view frame) {
   Peer* peer = channel(to);
   const bool room =
       peer && frame.size() < kFrameMost &&
@@ -86,12 +86,12 @@
 
 // Danger: a link may take what is written and never move it, or never come up: seen by what has
 // left.
-void Link::watch(Peer& peer) {
+void ClusterTransport::watch(Peer& peer) {
   peer.moved = peer.connection->written_total();
   peer.timeout = deadlines_.set(now_() + kStalled, [this, &peer] { look_at(peer); });
 }
 
-void Link::look_at(Peer& peer) {
+void ClusterTransport::look_at(Peer& peer) {
   const bool owes =
       peer.connection->unwritten() > 0 || !peer.waiting.empty() || (peer.caller && !peer.said);
   if ((owes && peer.connection->written_total() == peer.moved) || now_() > peer.used + kUnused)
--- a/src/cluster_transport/peer.h
+++ b/src/cluster_transport/peer.h
@@ -8,7 +8,7 @@
 
 namespace alderspur::cluster {
 
-struct Link::Peer {
+struct ClusterTransport::Peer {
   std::unique_ptr<net::Connection> connection;
   bool caller = false, said = false, finished = false, dead = false;
   std::uint64_t drawn = 0;  // by us, to be repeated
--- a/src/cluster_transport/transport.cpp
+++ b/src/cluster_transport/transport.cpp
@@ -29,8 +29,9 @@
 
 }  // namespace
 
-Link::Link(net::Loop& loop, core::Deadlines& deadlines, std::function<Time()> now,
-           const LinkSettings& settings, Identity self, std::uint64_t seed, Hooks hooks)
+ClusterTransport::ClusterTransport(net::Loop& loop, core::Deadlines& deadlines,
+                                   std::function<Time()> now, const TransportSettings& settings,
+                                   Identity self, std::uint64_t seed, Hooks hooks)
     : loop_(loop),
       deadlines_(deadlines),
       now_(std::move(now)),
@@ -55,15 +56,15 @@
   watcher_->want(EV_READ);
   handle(Start{settings.seeds});
 }
-Link::~Link() {
-  if (due_) deadlines_.clear(*due_);
+ClusterTransport::~ClusterTransport() {
+  if (due_) deadlines_.cancel(*due_);
   for (auto& [raw, p] : peers_) drop(*p);
 }
 
-void Link::arm() {
+void ClusterTransport::arm() {
   const Time next = membership_->next();
   if (due_ && due_->first == next) return;
-  if (due_) deadlines_.clear(*due_), due_.reset();
+  if (due_) deadlines_.cancel(*due_), due_.reset();
   if (next == std::numeric_limits<Time>::max()) return;
   due_ = deadlines_.set(next, [this] {
     due_.reset();
@@ -71,14 +72,14 @@
   });
 }
 
-void Link::handle(const Event& event) {
+void ClusterTransport::handle(const Event& event) {
   std::vector<Action> actions;
   membership_->handle(now_(), event, actions);
   for (auto& a : actions) carry_out(a);
   arm();
 }
 
-void Link::carry_out(Action& action) {
+void ClusterTransport::carry_out(Action& action) {
   if (const auto* s = std::get_if<Send>(&action)) return send(s->address, s->message);
   if (const auto* e = std::get_if<Exchange>(&action)) return call(e->address);
   if (const auto* c = std::get_if<Changed>(&action)) return hooks_.changed(*c);
@@ -87,7 +88,7 @@
   left_ = true;
 }
 
-void Link::leave() {
+void ClusterTransport::leave() {
   handle(Leave{});
   // Where nobody is there to be told, or we are out already, nothing more comes.
   if (membership_->next() == std::numeric_limits<Time>::max()) left_ = true;
@@ -95,7 +96,7 @@
 
 // ---- Datagrams
 
-void Link::send(const std::string& address, const Message& message) {
+void ClusterTransport::send(const std::string& address, const Message& message) {
   const auto to = net::parse_address(address);
   if (!to) return;
   const auto frame = seal_.seal(encode(message));
@@ -107,7 +108,7 @@
                   reinterpret_cast<const sockaddr*>(&*to), sizeof *to);
 }
 
-void Link::receive() {
+void ClusterTransport::receive() {
   char buffer[kDatagramMost + 1];
   for (std::size_t i = 0; i < kAtOnce; ++i) {
     sockaddr_in from{};
@@ -138,7 +139,7 @@
   }
 }
 
-void Link::drop(const char* kind, const std::string& from) {
+void ClusterTransport::drop(const char* kind, const std::string& from) {
   ++counts_.dropped;
   Time& next = told_[kind];
   if (now_() < next) return;
@@ -148,7 +149,7 @@
 
 // ---- Exchanges
 
-net::Connection::Handler Link::handler(Peer& peer) {
+net::Connection::Handler ClusterTransport::handler(Peer& peer) {
   net::Connection::Handler h;
   h.on_data = [this, &peer](std::string_view bytes) { return touch(peer), take(peer, bytes); };
   h.on_written = [this, &peer] { touch(peer); };
@@ -156,7 +157,7 @@
   return h;
 }
 
-Link::Peer& Link::keep(std::unique_ptr<Peer> peer) {
+ClusterTransport::Peer& ClusterTransport::keep(std::unique_ptr<Peer> peer) {
   Peer& kept = *peer;
   peers_.emplace(&kept, std::move(peer));
   ++exchanges_;
@@ -165,13 +166,13 @@
   return kept;
 }
 
-void Link::accept(net::Fd fd) {
+void ClusterTransport::accept(net::Fd fd) {
   auto peer = std::make_unique<Peer>();
   peer->connection = std::make_unique<net::Connection>(loop_, std::move(fd), false, handler(*peer));
   say(keep(std::move(peer)), {});
 }
 
-void Link::call(const std::string& address) {
+void ClusterTransport::call(const std::string& address) {
   const auto to = net::parse_address(address);
   if (!to || exchanges_ >= kExchangesMost) return;
   auto peer = std::make_unique<Peer>();
@@ -180,8 +181,8 @@
   if (peer->connection) touch(keep(std::move(peer)));
 }
 
-void Link::say(Peer& peer, const Picture& picture) {
-  Picture p = picture;
+void ClusterTransport::say(Peer& peer, const MembershipSnapshot& picture) {
+  MembershipSnapshot p = picture;
   p.ask = peer.drawn;
   const auto frame = seal_.seal(encode(p));
   if (frame.size() > kPictureMost) return drop("oversized", "our own picture"), drop(peer);
@@ -190,7 +191,7 @@
   peer.connection->write({reinterpret_cast<const char*>(&size), sizeof size}, frame);
 }
 
-std::ptrdiff_t Link::take(Peer& peer, std::string_view bytes) {
+std::ptrdiff_t ClusterTransport::take(Peer& peer, std::string_view bytes) {
   std::uint32_t size = 0;
   if (bytes.size() < sizeof size) return 0;
   std::memcpy(&size, bytes.data(), sizeof size);
@@ -214,7 +215,7 @@
 }
 
 // The called one's first word, the caller's picture, the called one's.
-bool Link::frame(Peer& peer, std::string_view payload) {
+bool ClusterTransport::frame(Peer& peer, std::string_view payload) {
   auto picture = decode_picture(payload);
   if (!picture) return open(peer, payload);
   if (peer.is_channel) return answer(peer, picture->ask);
@@ -233,19 +234,19 @@
   return true;
 }
 
-void Link::drop(Peer& peer) {
+void ClusterTransport::drop(Peer& peer) {
   if (std::exchange(peer.dead, true)) return;
-  deadlines_.clear(peer.timeout);
+  deadlines_.cancel(peer.timeout);
   peer.connection->close();
   touch(peer);
 }
 
-void Link::touch(Peer& peer) {
+void ClusterTransport::touch(Peer& peer) {
   if (std::exchange(peer.touched, true)) return;
   touched_.push_back(&peer);
 }
 
-void Link::end_turn() {
+void ClusterTransport::end_turn() {
   for (std::size_t i = 0; i < touched_.size(); ++i) {
     Peer* p = touched_[i];
     if (p->dead) continue;
--- a/src/cluster_transport/transport.h
+++ b/src/cluster_transport/transport.h
@@ -36,19 +36,19 @@
 constexpr Time kExchangeTime = 3'000'000, kStalled = 3'000'000, kUnused = 30'000'000,
                kRedial = 200'000;
 
-struct LinkSettings {
+struct TransportSettings {
   std::string cluster, secret, listen;
   std::string advertise;  // where others find us; empty: where we listen
   std::vector<std::string> seeds;
   MembershipSettings membership;
 };
-struct LinkCounts {
+struct TransportCounters {
   std::uint64_t datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0, exchanges = 0,
                 dropped = 0;
   std::uint64_t frames_in = 0, frames_out = 0, frames_lost = 0;
 };
 
-class Link {
+class ClusterTransport {
  public:
   struct Hooks {
     std::function<void(const Changed&)> changed;
@@ -59,16 +59,17 @@
   };
   // Throws std::runtime_error where the address is not to be had. With port 0 the identity gets the
   // one given.
-  Link(net::Loop& loop, core::Deadlines& deadlines, std::function<Time()> now,
-       const LinkSettings& settings, Identity self, std::uint64_t seed, Hooks hooks);
-  ~Link();
+  ClusterTransport(net::Loop& loop, core::Deadlines& deadlines, std::function<Time()> now,
+                   const TransportSettings& settings, Identity self, std::uint64_t seed,
+                   Hooks hooks);
+  ~ClusterTransport();
   void end_turn();
   void leave();  // in order: said to the others; done() once it has been
   bool done() const { return left_; }
   // On the channel to that member; lost where it is not known or its link does not move.
   void send_frame(const std::string& to, std::string_view frame);
   const Membership& membership() const { return *membership_; }
-  const LinkCounts& counts() const { return counts_; }
+  const TransportCounters& counts() const { return counts_; }
   sockaddr_in address() const { return listener_->address(); }
 
  private:
@@ -83,7 +84,7 @@
   Peer& keep(std::unique_ptr<Peer> peer);
   std::ptrdiff_t take(Peer& peer, std::string_view bytes);
   bool frame(Peer& peer, std::string_view payload);
-  void say(Peer& peer, const Picture& picture);
+  void say(Peer& peer, const MembershipSnapshot& picture);
   void drop(Peer& peer);
   void touch(Peer& peer);
   bool channels_full() const { return peers_.size() - exchanges_ >= kChannelsMost; }
@@ -116,7 +117,7 @@
   std::optional<core::Deadlines::Key> due_;
   std::map<std::string, Time> told_;  // kinds of what was dropped: not again before
   bool left_ = false;
-  LinkCounts counts_;
+  TransportCounters counts_;
 };
 
 }  // namespace alderspur::cluster
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -58,21 +58,21 @@
 
 al::ClassSettings read_class(const Json& c, const Json& domain, std::size_t i) {
   al::ClassSettings out;
-  out.target = micros(at(c, "target"));
-  out.aim_stretch = real(at(c, "aim-stretch"));
-  out.worth = real(at(c, "points"), 1);
+  out.latency_objective = micros(at(c, "target"));
+  out.latency_objective_stretch = real(at(c, "aim-stretch"));
+  out.priority_weight = real(at(c, "points"), 1);
   const auto repeat = word(at(c, "repeat"));
-  out.repeat = repeat == "safe"    ? al::Repeat::safe
-               : repeat == "keyed" ? al::Repeat::keyed
-                                   : al::Repeat::unsafe;
+  out.idempotency = repeat == "safe"    ? al::Idempotency::idempotent
+                    : repeat == "keyed" ? al::Idempotency::idempotent_with_key
+                                        : al::Idempotency::not_idempotent;
   const auto scope = word(at(c, "dedup-scope"));
   out.dedup_scope = scope == "all"    ? al::DedupScope::all
                     : scope == "zone" ? al::DedupScope::location
                                       : al::DedupScope::cell;
   out.dedup_window = micros(at(c, "dedup-window"));
-  out.uncached = flag(item(at(domain, "uncached"), i));
-  out.fresh = micros(item(at(domain, "lifetime-by-class"), i));
-  out.stale_grace = micros(item(at(domain, "stale-for"), i));
+  out.never_cached = flag(item(at(domain, "uncached"), i));
+  out.fresh_time = micros(item(at(domain, "lifetime-by-class"), i));
+  out.stale_grace_time = micros(item(at(domain, "stale-for"), i));
   return out;
 }
 
@@ -80,25 +80,25 @@
   const Json &domain = at(j, "domain"), &limits = at(j, "ceilings"), &rules = at(j, "obligations");
   al::Settings s;
   s.location = {count(at(j, "zone"))};
-  s.routers = count(at(j, "replicas-of-me"), 1);
+  s.router_count = count(at(j, "replicas-of-me"), 1);
   const Json& routers = at(domain, "instances-by-zone");
   for (std::size_t i = 0; routers.IsArray() && i < routers.Size(); ++i)
-    s.routers_by_location.push_back(count(item(routers, i)));
+    s.router_count_by_location.push_back(count(item(routers, i)));
   const Json& classes = at(j, "classes");
   for (std::size_t i = 0; classes.IsArray() && i < classes.Size(); ++i)
     s.classes.push_back(read_class(item(classes, i), domain, i));
   s.max_attempts = count(at(limits, "max-attempts"), 1);
   s.may_cancel = flag(at(limits, "may-cancel"));
-  s.may_probe = flag(at(limits, "probing"));
-  s.retry_after = flag(at(limits, "retry-after"));
+  s.health_checks_allowed = flag(at(limits, "probing"));
+  s.sends_retry_after = flag(at(limits, "retry-after"));
   s.max_retry_after = micros(at(limits, "max-retry-after"));
-  s.must_ask_for_fleet = word(at(j, "registry-mode")) == "ask";
-  s.cache_cold_from = real(at(rules, "cold-from"), 1);
-  s.cache_cold = micros(at(rules, "cold"));
-  s.fall_window = micros(at(rules, "fall"));
-  s.parent_cold_from = real(at(domain, "upper-cold-from"), 1);
-  s.parent_cold = micros(at(domain, "upper-cold"));
-  s.purge_settles = micros(at(domain, "purge-settles"));
+  s.must_subscribe_to_endpoints = word(at(j, "registry-mode")) == "ask";
+  s.cache_slow_start_fraction = real(at(rules, "cold-from"), 1);
+  s.cache_slow_start_time = micros(at(rules, "cold"));
+  s.overload_window = micros(at(rules, "fall"));
+  s.parent_slow_start_fraction = real(at(domain, "upper-cold-from"), 1);
+  s.parent_slow_start_time = micros(at(domain, "upper-cold"));
+  s.purge_propagation_time = micros(at(domain, "purge-settles"));
   s.stream_kb_per_s = real(at(domain, "stream-kb-per-s"));
   const auto weights = word(at(j, "weights"));
   s.weights = weights == "nominal" ? al::WeightKind::nominal
@@ -106,7 +106,7 @@
               : weights == "live"  ? al::WeightKind::live
                                    : al::WeightKind::none;
   s.can_join_fills = flag(at(domain, "merges-fills"));
-  s.can_go_straight = flag(at(domain, "straight"));
+  s.can_bypass_caches = flag(at(domain, "straight"));
   s.has_fills = real(at(domain, "source-kind"), -1) >= 0;
   return s;
 }
@@ -145,11 +145,11 @@
            : kind == names.origin_kind ? al::Role::origin
                                        : al::Role::cache;
   const auto phase = word(at(j, "phase"));
-  s.status = phase == "in_service"    ? al::Status::ready
-             : phase == "terminating" ? al::Status::draining
-                                      : al::Status::gone;
+  s.status = phase == "in_service"    ? al::ServerStatus::ready
+             : phase == "terminating" ? al::ServerStatus::draining
+                                      : al::ServerStatus::gone;
   s.weight = real(at(j, "size"), 1);
-  s.born = static_cast<al::Time>(std::clamp(real(at(j, "up_since_ms")), 0.0, 1e14)) * 1000;
+  s.started_at = static_cast<al::Time>(std::clamp(real(at(j, "up_since_ms")), 0.0, 1e14)) * 1000;
   return m;
 }
 
--- a/src/consensus/applied_state.cpp
+++ b/src/consensus/applied_state.cpp
@@ -74,24 +74,24 @@
   return r.good ? std::optional(std::move(out)) : std::nullopt;
 }
 
-void Ledger::apply(const Command& command) {
+void AppliedState::apply(const Command& command) {
   std::visit([this](const auto& c) { on(c); }, command);
 }
 
-const Settled* Ledger::settled(std::uint64_t nonce) const {
+const Settled* AppliedState::settled(std::uint64_t nonce) const {
   const auto it = std::find_if(settled_.begin(), settled_.end(),
                                [&](const Settled& s) { return s.nonce == nonce; });
   return it == settled_.end() ? nullptr : &*it;
 }
 
-void Ledger::settle(Settled s) {
+void AppliedState::settle(Settled s) {
   if (!s.nonce) return;
   std::erase_if(settled_, [&](const Settled& old) { return old.nonce == s.nonce; });
   settled_.push_back(std::move(s));
   if (settled_.size() > kSettledMost) settled_.pop_front();
 }
 
-void Ledger::on(const Offer& c) {
+void AppliedState::on(const Offer& c) {
   if (settled(c.nonce)) return;  // asked again
   const std::uint64_t head = agreed_ ? agreed_->number : in_force_.number;
   if (offered_ || agreed_) {
@@ -113,7 +113,7 @@
   settle({c.nonce, true, false, last_, "offered"});
 }
 
-void Ledger::on(const Agree& c) {
+void AppliedState::on(const Agree& c) {
   if (!offered_ || offered_->number != c.number) return;
   agreed_ = std::exchange(offered_, std::nullopt);
   // Whoever asked has the word that counts now; how a trial ends is in the history.
@@ -121,7 +121,7 @@
   settle({pending_nonce_, true, trial, c.number, trial ? "on trial" : "agreed"});
 }
 
-bool Ledger::on_trial(std::uint64_t nonce, std::uint64_t number) {
+bool AppliedState::on_trial(std::uint64_t nonce, std::uint64_t number) {
   if (settled(nonce)) return false;  // asked again
   const bool is = trial() && agreed_->number == number;
   settle({nonce, is, true, number,
@@ -129,10 +129,10 @@
   return is;
 }
 
-void Ledger::on(const Release& c) { released_ |= on_trial(c.nonce, c.number); }
+void AppliedState::on(const Release& c) { released_ |= on_trial(c.nonce, c.number); }
 
 // Numbers never go back: the content that all others act on comes again, as the next version.
-void Ledger::on(const Back& c) {
+void AppliedState::on(const Back& c) {
   if (!on_trial(c.nonce, c.number)) return;
   Version again = in_force_;
   again.number = ++last_, again.base = c.number;
@@ -144,7 +144,7 @@
   if (history_.size() > kHistoryMost) history_.pop_front();
 }
 
-void Ledger::on(const Force& c) {
+void AppliedState::on(const Force& c) {
   if (!agreed_ || agreed_->number != c.number) return;
   in_force_ = *std::exchange(agreed_, std::nullopt);
   in_force_.trial = {}, released_ = false;
@@ -152,23 +152,23 @@
   end(in_force_, true, "in force");
 }
 
-void Ledger::replaced() {
+void AppliedState::replaced() {
   for (auto& p : history_)
     if (p.fate == "in force") p.fate = "replaced";
 }
 
-void Ledger::on(const Withdraw& c) {
+void AppliedState::on(const Withdraw& c) {
   if (!offered_ || offered_->number != c.number) return;
   end(*std::exchange(offered_, std::nullopt), false, c.reason);
 }
 
-void Ledger::end(const Version& v, bool yes, const std::string& text) {
+void AppliedState::end(const Version& v, bool yes, const std::string& text) {
   settle({std::exchange(pending_nonce_, 0), yes, true, v.number, text});
   history_.push_back({v, text});
   if (history_.size() > kHistoryMost) history_.pop_front();
 }
 
-void Ledger::on(const Voters& c) {
+void AppliedState::on(const Voters& c) {
   if (settled(c.nonce)) return;
   voters_ = c.names;
   settle({c.nonce, true, true, 0, "voters changed"});
@@ -176,7 +176,7 @@
 
 // ---- Snapshot
 
-std::string Ledger::snapshot() const {
+std::string AppliedState::snapshot() const {
   cluster::Packer p;
   p.array(9).number(1).number(last_).number(pending_nonce_);
   pack(p, offered_), pack(p, agreed_), pack(p, in_force_), pack(p, voters_);
@@ -193,11 +193,11 @@
   return p.take();
 }
 
-bool Ledger::restore(std::string_view bytes) {
+bool AppliedState::restore(std::string_view bytes) {
   const cluster::Unpacked u(bytes);
   if (!u.good) return false;
   cluster::Reader r(u.m.data, 8);
-  Ledger l;
+  AppliedState l;
   if (r.number() != 1) return false;
   l.last_ = r.number(), l.pending_nonce_ = r.number();
   l.offered_ = maybe_version(r), l.agreed_ = maybe_version(r);
@@ -216,7 +216,7 @@
   const auto history = tail.array(kHistoryMost);
   for (std::uint32_t i = 0; i < history; ++i) {
     auto x = tail.item(i, 2);
-    Past past;
+    HistoryEntry past;
     past.version = version(cluster::Reader(x.next(), 6), x.good), past.fate = x.text(kSettledText);
     tail.good = tail.good && x.good;
     l.history_.push_back(std::move(past));
--- a/src/consensus/applied_state.h
+++ b/src/consensus/applied_state.h
@@ -67,12 +67,12 @@
   std::string text;
 };
 
-struct Past {
+struct HistoryEntry {
   Version version;
   std::string fate;  // "in force", "replaced", or why it was withdrawn
 };
 
-class Ledger {
+class AppliedState {
  public:
   void apply(const Command& command);
 
@@ -86,12 +86,12 @@
   }
   const Version* pending() const { return agreed_ ? &*agreed_ : offered_ ? &*offered_ : nullptr; }
   const std::vector<std::string>& voters() const { return voters_; }
-  const std::deque<Past>& history() const { return history_; }
+  const std::deque<HistoryEntry>& history() const { return history_; }
   const Settled* settled(std::uint64_t nonce) const;
 
   std::string snapshot() const;
   bool restore(std::string_view bytes);  // false: unreadable, nothing is changed
-  bool operator==(const Ledger& o) const { return snapshot() == o.snapshot(); }
+  bool operator==(const AppliedState& o) const { return snapshot() == o.snapshot(); }
 
  private:
   void on(const Offer& c);
@@ -113,7 +113,7 @@
   std::uint64_t pending_nonce_ = 0;
   std::vector<std::string> voters_;
   std::deque<Settled> settled_;
-  std::deque<Past> history_;
+  std::deque<HistoryEntry> history_;
 };
 
 }  // namespace alderspur::consensus
--- a/src/consensus/consensus_node.cpp
+++ b/src/consensus/consensus_node.cpp
@@ -19,28 +19,28 @@
   return kWords[static_cast<std::size_t>(part)];
 }
 
-std::string encode(const Kept& k) {
+std::string encode(const PersistedState& k) {
   cluster::Packer p;
   p.array(4).number(1);
   pack(p, k.in_force), pack(p, k.agreed), pack(p, k.voters);
   return p.take();
 }
-std::optional<Kept> decode_kept(std::string_view bytes) {
+std::optional<PersistedState> decode_kept(std::string_view bytes) {
   const cluster::Unpacked u(bytes);
   if (!u.good) return {};
   cluster::Reader r(u.m.data, 4);
-  Kept k;
+  PersistedState k;
   if (r.number() != 1) return {};
   k.in_force = version(cluster::Reader(r.next(), 6), r.good);
   k.agreed = maybe_version(r), k.voters = names(r);
   return r.good ? std::optional(std::move(k)) : std::nullopt;
 }
 
-Agreement::Agreement(AgreementSettings settings, std::uint64_t seed)
+ConsensusNode::ConsensusNode(ConsensusSettings settings, std::uint64_t seed)
     : set_(std::move(settings)), random_(seed), book_(set_.book) {}
-Agreement::~Agreement() = default;
+ConsensusNode::~ConsensusNode() = default;
 
-void Agreement::handle(Time now, const Event& event, std::vector<Action>& actions) {
+void ConsensusNode::handle(Time now, const Event& event, std::vector<Action>& actions) {
   now_ = now;
   out_ = &actions;
   std::visit([this](const auto& e) { on(e); }, event);
@@ -49,7 +49,7 @@
 }
 
 // What has become due, and what follows from the event.
-void Agreement::turn() {
+void ConsensusNode::turn() {
   for (int i = 0; i < 8; ++i) {
     if (raft_ && now_ >= raft_->next()) raft_->tick(now_);
     if (part_ != Part::follower) begin_voting();
@@ -69,7 +69,7 @@
   show();
 }
 
-Time Agreement::next() const {
+Time ConsensusNode::next() const {
   if (!begun_) return std::numeric_limits<Time>::max();
   Time out = std::max(renew_at_, now_);
   if (raft_) out = std::min(out, raft_->next());
@@ -84,7 +84,7 @@
   return std::max(out, now_);
 }
 
-void Agreement::on(const Begin& e) {
+void ConsensusNode::on(const Begin& e) {
   begun_ = true;
   kept_ = told_kept_ = e.kept;
   if (kept_.voters.empty()) kept_.voters = set_.voters;
@@ -107,19 +107,19 @@
   if (e.spoilt) spoilt("the disk holds a log that cannot be believed");
 }
 
-void Agreement::on(const Frame& e) {
+void ConsensusNode::on(const Frame& e) {
   auto m = decode_message(e.bytes);
   if (!m || !begun_) return;
   std::visit([&](auto& x) { take(e.from, x); }, *m);
 }
-void Agreement::on(const Others& e) {
+void ConsensusNode::on(const Others& e) {
   others_ = e.names;
   std::erase(others_, set_.name);
 }
-void Agreement::on(const Load& e) { weight_ = e.weight, bad_ = e.bad; }
-void Agreement::on(const Wake&) {}
+void ConsensusNode::on(const Load& e) { weight_ = e.weight, bad_ = e.bad; }
+void ConsensusNode::on(const Wake&) {}
 
-void Agreement::send(const std::string& to, const Message& m) {
+void ConsensusNode::send(const std::string& to, const Message& m) {
   if (to == set_.name)
     own_.emplace_back(to, encode(m));
   else
@@ -128,12 +128,12 @@
 
 // ---- Lease
 
-bool Agreement::fit(const Version& v) const {
+bool ConsensusNode::fit(const Version& v) const {
   const auto it = items_.find(v.digest);
   return v.number && it != items_.end() && it->second.fit();
 }
 
-Renew Agreement::standing() const {
+Renew ConsensusNode::standing() const {
   Renew r;
   r.epoch = set_.epoch, r.sent = now_, r.acting = acting_.version.number;
   for (const Version* v :
@@ -148,12 +148,12 @@
   return r;
 }
 
-void Agreement::follow(const std::string& leader) {
+void ConsensusNode::follow(const std::string& leader) {
   if (leader != leader_) leader_forms_.reset();
   leader_ = leader;
 }
 
-void Agreement::renew() {
+void ConsensusNode::renew() {
   renew_at_ = now_ + set_.renew;
   const auto& voters = desired();
   if (voters.empty()) return;
@@ -167,26 +167,26 @@
   if (!leased()) ask_around();
 }
 
-void Agreement::ask_around() {
+void ConsensusNode::ask_around() {
   if (!others_.empty()) send(others_[random_() % others_.size()], Ask{});
 }
-void Agreement::take(const std::string& from, Ask&) {
+void ConsensusNode::take(const std::string& from, Ask&) {
   Tell t{target_, {}};
   if (kept_.agreed) t.agreed = kept_.agreed;
   send(from, t);
 }
-void Agreement::take(const std::string&, Tell& m) {
+void ConsensusNode::take(const std::string&, Tell& m) {
   hear(m.in_force, true);
   if (m.agreed) hear(*m.agreed, false);
 }
 
-bool Agreement::among_first(const Version& v, const std::string& name) {
+bool ConsensusNode::among_first(const Version& v, const std::string& name) {
   return std::find(v.trial.first.begin(), v.trial.first.end(), name) != v.trial.first.end();
 }
 
 // Danger: news may come late or in any order; a number never goes back. And what is on trial
 // elsewhere holds for nobody else, whoever tells of it.
-void Agreement::hear(const Version& v, bool in_force) {
+void ConsensusNode::hear(const Version& v, bool in_force) {
   if (v.trial && !first(v)) return;
   if (in_force && v.number == target_.number && target_.trial &&
       !v.trial) {  // it holds for all now
@@ -198,15 +198,15 @@
     kept_.agreed = v;
 }
 
-void Agreement::take(const std::string& from, Redirect& m) {
+void ConsensusNode::take(const std::string& from, Redirect& m) {
   if (from != leader_ && !leader_.empty()) return;
   follow(m.leader == from ? "" : m.leader);
   if (!leader_.empty()) heard_at_ = now_, renew_soon(kSoon);
 }
 
-void Agreement::take(const std::string&, Nudge&) { renew_soon(); }
+void ConsensusNode::take(const std::string&, RenewHint&) { renew_soon(); }
 
-void Agreement::take(const std::string& from, Grant& m) {
+void ConsensusNode::take(const std::string& from, Grant& m) {
   // Danger: an answer to an earlier process of this name, or one overtaken by a later, is none.
   if (m.id <= grant_ || asked_.erase(m.sent) == 0) return;
   grant_ = m.id, leader_ = from, heard_at_ = now_, leader_forms_ = m.forms;
@@ -227,14 +227,14 @@
 
 // ---- Contents
 
-void Agreement::want(const Version& v) {
+void ConsensusNode::want(const Version& v) {
   if (!v.number || items_.contains(v.digest)) return;
   if (fetch_ && fetch_->digest == v.digest) return;
   if (fetch_ && v.number != target_.number) return;  // what is in force comes first
   fetch_ = Fetch{v.digest, {}, v.size, static_cast<std::size_t>(random_() % 4), 0};
 }
 
-void Agreement::fetch() {
+void ConsensusNode::fetch() {
   want(target_);
   if (pending_) want(*pending_);
   if (kept_.agreed) want(*kept_.agreed);
@@ -254,7 +254,7 @@
     send(sources[fetch_->source++ % sources.size()], Want{fetch_->digest, fetch_->bytes.size()});
 }
 
-void Agreement::take(const std::string& from, Want& m) {
+void ConsensusNode::take(const std::string& from, Want& m) {
   const auto it = items_.find(m.digest);
   Chunk c{m.digest, m.offset, 0, {}};
   if (it != items_.end() && m.offset < it->second.bytes.size())
@@ -262,7 +262,7 @@
   send(from, c);
 }
 
-void Agreement::take(const std::string& from, Chunk& m) {
+void ConsensusNode::take(const std::string& from, Chunk& m) {
   if (!fetch_ || m.digest != fetch_->digest || m.offset != fetch_->bytes.size()) return;
   if (m.total == 0)
     return void(fetch_->until = std::min(fetch_->until, now_ + kSoon));  // the next source
@@ -279,7 +279,7 @@
   arrived(digest, std::move(bytes));
 }
 
-void Agreement::arrived(const std::string& digest, std::string bytes) {
+void ConsensusNode::arrived(const std::string& digest, std::string bytes) {
   auto content = decode_content(bytes);
   Item& item = items_[digest];
   if (item.content || item.checked) return;
@@ -293,7 +293,7 @@
   act(Check{digest, item.content});
 }
 
-void Agreement::on(const Written& e) {
+void ConsensusNode::on(const Written& e) {
   const auto it = items_.find(e.digest);
   if (it == items_.end()) return;
   it->second.written = e.good;
@@ -303,14 +303,14 @@
   it->second.write_at = e.good ? 0 : now_ + kWriteAgain;
   judge(e.digest);
 }
-void Agreement::write_again() {
+void ConsensusNode::write_again() {
   for (auto& [digest, item] : items_) {  // a few
     if (!item.write_at || now_ < item.write_at) continue;
     item.write_at = std::numeric_limits<Time>::max();  // until the disk has answered
     act(Write{digest, item.bytes});
   }
 }
-void Agreement::on(const Checked& e) {
+void ConsensusNode::on(const Checked& e) {
   const auto it = items_.find(e.digest);
   if (it == items_.end()) return;
   it->second.checked = true, it->second.good = e.good,
@@ -318,7 +318,7 @@
   judge(e.digest);
 }
 
-void Agreement::judge(const std::string& digest) {
+void ConsensusNode::judge(const std::string& digest) {
   const Item& item = items_[digest];
   const auto concerns = [&](const Version* v) { return v && v->number && v->digest == digest; };
   const Version* v = concerns(pending_ ? &*pending_ : nullptr) ? &*pending_
@@ -333,7 +333,7 @@
 }
 
 // Nobody needs the others any more. Only under a lease: a start has yet to hear what was agreed.
-void Agreement::sweep() {
+void ConsensusNode::sweep() {
   if (items_.size() <= kContentsMost || !leased()) return;
   const auto used = [&](const std::string& d) {
     return d == acting_.version.digest || d == target_.digest ||
@@ -351,7 +351,7 @@
 
 // ---- Acting
 
-void Agreement::move_on() {
+void ConsensusNode::move_on() {
   if (target_.number <= acting_.version.number || !fit(target_)) return;
   acting_.version = target_, acting_.content = items_[target_.digest].content;
   kept_.in_force = target_;
@@ -361,10 +361,10 @@
   renew_soon();
 }
 
-void Agreement::show() {
-  acting_.careful = !leased();
+void ConsensusNode::show() {
+  acting_.is_conservative = !leased();
   acting_.heard.clear();
-  if (acting_.careful) {
+  if (acting_.is_conservative) {
     const auto unite = [&](const Version& v) {
       const auto it = items_.find(v.digest);
       if (v.number > acting_.version.number && it != items_.end() && it->second.content)
@@ -373,20 +373,20 @@
     unite(target_);
     if (kept_.agreed && kept_.agreed->number != target_.number) unite(*kept_.agreed);
   }
-  acting_.share_all = acting_.careful ? 0 : share_all_;
-  acting_.share_point = acting_.careful ? 0 : share_point_;
+  acting_.share_all = acting_.is_conservative ? 0 : share_all_;
+  acting_.share_point = acting_.is_conservative ? 0 : share_point_;
   if (acting_ == shown_) return;
   shown_ = acting_;
   act(Act{acting_});
 }
 
-void Agreement::keep() {
+void ConsensusNode::keep() {
   if (kept_ == told_kept_) return;
   told_kept_ = kept_;
   act(Keep{kept_});
 }
 
-ContentPtr Agreement::content(std::uint64_t number) const {
+ContentPtr ConsensusNode::content(std::uint64_t number) const {
   const auto of = [&](const Version& v) -> ContentPtr {
     const auto it = items_.find(v.digest);
     return v.number == number && it != items_.end() ? it->second.content : nullptr;
@@ -401,7 +401,7 @@
 
 // ---- Proposals of this router's operator
 
-void Agreement::on(const Proposal& e) {
+void ConsensusNode::on(const Proposal& e) {
   const auto no = [&](std::string text) { act(Reply{{e.nonce, false, true, 0, std::move(text)}}); };
   if (mine_.size() >= kProposalsMost) return no("too many proposals are under way here");
   Mine m;
@@ -433,7 +433,7 @@
   mine_.push_back(std::move(m));
 }
 
-void Agreement::push_mine() {
+void ConsensusNode::push_mine() {
   for (auto it = mine_.begin(); it != mine_.end();) {
     const auto& v = it->propose.version;
     const auto item = items_.find(v.digest);
@@ -467,7 +467,7 @@
   }
 }
 
-void Agreement::take(const std::string&, Answer& m) {
+void ConsensusNode::take(const std::string&, Answer& m) {
   const auto it = std::find_if(mine_.begin(), mine_.end(),
                                [&](const Mine& x) { return x.propose.nonce == m.settled.nonce; });
   if (it == mine_.end() || !m.settled.final) return;
--- a/src/consensus/consensus_node.h
+++ b/src/consensus/consensus_node.h
@@ -42,39 +42,39 @@
 constexpr Time kHoldBack = 10'000'000, kOfferMost = 15'000'000;
 constexpr std::size_t kContentsMost = 6, kProposalsMost = 8;
 
-struct AgreementSettings {
+struct ConsensusSettings {
   std::string name, point;
   std::uint64_t epoch = 0;
   std::vector<std::string> voters;  // the first ones of a new cluster
   Time renew = 300'000;
   std::uint64_t forms = kForms;  // less only in tests
-  BookSettings book;
+  LeaseSettings book;
   RaftSettings raft;
 };
 // What a router keeps through a restart, besides contents and a voter's log.
-struct Kept {
+struct PersistedState {
   Version in_force;
   std::optional<Version> agreed;  // heard of beyond that
   std::vector<std::string> voters;
-  bool operator==(const Kept&) const = default;
+  bool operator==(const PersistedState&) const = default;
 };
-std::string encode(const Kept& kept);
-std::optional<Kept> decode_kept(std::string_view bytes);
+std::string encode(const PersistedState& kept);
+std::optional<PersistedState> decode_kept(std::string_view bytes);
 
 // What to act on now.
-struct Acting {
+struct ActiveVersion {
   Version version;
   ContentPtr content;                     // null: none was ever in force here
-  bool careful = true;                    // no lease runs
+  bool is_conservative = true;            // no lease runs
   std::vector<ContentPtr> heard;          // agreed later, to be united with it with care
   double share_all = 0, share_point = 0;  // of kUsable; 0 without a lease
-  bool operator==(const Acting&) const = default;
+  bool operator==(const ActiveVersion&) const = default;
 };
 
 // ---- Events
 
 struct Begin {
-  Kept kept;
+  PersistedState kept;
   std::map<std::string, std::string> contents;  // by digest, encoded, as they were found
   Saved saved;
   bool spoilt = false;  // the disk holds a log that must not be believed
@@ -102,7 +102,7 @@
   std::string author, note;
   std::optional<std::uint64_t> base;  // empty: what is newest here
   std::vector<std::string> voters;    // not empty: a change of the voters
-  Trial trial;                        // it holds for some first
+  CanaryRollout trial;                // it holds for some first
   std::optional<Verdict> verdict;     // a word on a trial instead, under this nonce
 };
 struct Others {  // who is there, in any order
@@ -135,10 +135,10 @@
   std::string digest;
 };
 struct Keep {
-  Kept kept;
+  PersistedState kept;
 };
 struct Act {
-  Acting acting;
+  ActiveVersion acting;
 };
 struct Reply {  // to an operator's proposal; final
   Settled settled;
@@ -154,7 +154,7 @@
 const char* word(Part part);
 
 struct View {
-  Acting acting;
+  ActiveVersion acting;
   std::optional<Version> pending;
   bool pending_agreed = false, leads = false;
   Part part = Part::follower;
@@ -162,21 +162,21 @@
   Time lease_left = 0;
   std::uint64_t term = 0, log = 0;
   std::vector<std::string> voters;
-  std::string trouble;              // why something does not go on, if so
-  std::vector<std::string> behind;  // at the leader
-  std::deque<Past> history;         // at a voter
+  std::string trouble;               // why something does not go on, if so
+  std::vector<std::string> behind;   // at the leader
+  std::deque<HistoryEntry> history;  // at a voter
 };
 
-class Agreement {
+class ConsensusNode {
  public:
-  Agreement(AgreementSettings settings, std::uint64_t seed);
-  ~Agreement();
+  ConsensusNode(ConsensusSettings settings, std::uint64_t seed);
+  ~ConsensusNode();
   void handle(Time now, const Event& event, std::vector<Action>& actions);
   Time next() const;
-  const Acting& acting() const { return acting_; }
+  const ActiveVersion& acting() const { return acting_; }
   View view(Time now) const;
-  const Book& book() const { return book_; }
-  const Ledger& ledger() const { return ledger_; }
+  const LeaseTable& book() const { return book_; }
+  const AppliedState& ledger() const { return ledger_; }
   bool leads(Time now) const { return raft_ && raft_->leads(now) && raft_->settled(); }
   const Raft* raft() const { return raft_.get(); }
   ContentPtr content(std::uint64_t number) const;  // where it is still kept
@@ -211,7 +211,7 @@
   void on(const Others& e);
   void on(const Load& e);
   void on(const Wake&);
-  void take(const std::string& from, Consensus& m);
+  void take(const std::string& from, RaftFrame& m);
   void take(const std::string& from, Renew& m);
   void take(const std::string& from, Grant& m);
   void take(const std::string& from, Redirect& m);
@@ -219,10 +219,10 @@
   void take(const std::string& from, Chunk& m);
   void take(const std::string& from, Propose& m);
   void take(const std::string& from, Answer& m);
-  void take(const std::string& from, Witness& m);
+  void take(const std::string& from, LogPosition& m);
   void take(const std::string& from, Ask& m);
   void take(const std::string& from, Tell& m);
-  void take(const std::string& from, Nudge& m);
+  void take(const std::string& from, RenewHint& m);
   void take(const std::string& from, Verdict& m);
 
   void act(Action a) { out_->push_back(std::move(a)); }
@@ -266,19 +266,19 @@
   void nudge_some();
   const std::vector<std::string>& desired() const;  // who is to vote
   bool to_vote(const std::string& name) const;
-  Witness witness(const std::string& to, bool asks);
+  LogPosition witness(const std::string& to, bool asks);
   void put(std::uint64_t instance, std::uint64_t number, Store store);
   void turn();
   void follow_ledger();
 
-  const AgreementSettings set_;
+  const ConsensusSettings set_;
   std::mt19937_64 random_;
   Time now_ = 0;
   std::vector<Action>* out_ = nullptr;
   bool begun_ = false;
 
-  Kept kept_, told_kept_;
-  Acting acting_, shown_;
+  PersistedState kept_, told_kept_;
+  ActiveVersion acting_, shown_;
   std::map<std::string, Item> items_;
   std::optional<Fetch> fetch_;
   std::vector<Version> wanted_;  // newest last
@@ -307,9 +307,9 @@
   std::uint64_t instance_ = 0, puts_ = 0;
   bool no_disk_ = false;
   Saved saved_;
-  Ledger ledger_;
-  Book book_;
-  std::map<std::string, Witness> witnesses_;
+  AppliedState ledger_;
+  LeaseTable book_;
+  std::map<std::string, LogPosition> witnesses_;
   std::set<std::string> empty_;  // voters that have told us of an empty disk
   Time inquire_at_ = 0, asking_since_ = 0, reset_at_ = 0;
   std::uint64_t learner_ = 0;
--- a/src/consensus/lease_table.cpp
+++ b/src/consensus/lease_table.cpp
@@ -12,18 +12,18 @@
 }  // namespace
 
 // By the leader's clock, which may run slower than the router's by the drift of both.
-Time Book::longest() const {
+Time LeaseTable::longest() const {
   return static_cast<Time>(static_cast<double>(set_.lease) * (1 + 3 * kDrift));
 }
 
-void Book::begin(Time now, std::uint64_t term) {
+void LeaseTable::begin(Time now, std::uint64_t term) {
   term_ = term, last_ = 0;
   safe_from_ = now + longest();
   holders_.clear(), ends_.clear(), held_.clear(), points_.clear();
   sum_ = weights_ = bad_ = 0;
 }
 
-void Book::count(Holder& h, double sign) {
+void LeaseTable::count(Holder& h, double sign) {
   Point& p = points_[h.point];
   sum_ += sign * h.all, p.sum += sign * h.at_point;
   weights_ += sign * h.weight, p.weights += sign * h.weight, bad_ += sign * h.weight * h.bad;
@@ -31,7 +31,7 @@
 
 // What of the shares given may still be in use: the one taken, and those behind it that may yet
 // arrive. A former self may go on beside the new one until its lease runs out.
-void Book::settle(Time now, Holder& h, std::uint64_t taken) {
+void LeaseTable::settle(Time now, Holder& h, std::uint64_t taken) {
   std::erase_if(h.given, [&](const Holder::Given& g) {
     return g.until <= now || (g.epoch == h.epoch && g.id < taken);
   });
@@ -45,7 +45,7 @@
   h.all = h.own_all + former_all, h.at_point = h.own_at_point + former_at_point;
 }
 
-void Book::end(Holders::iterator it) {
+void LeaseTable::end(Holders::iterator it) {
   Holder& h = it->second;
   count(h, -1);
   if (h.bound) held_.erase(held_.find(h.holds));
@@ -53,7 +53,7 @@
   holders_.erase(it);
 }
 
-void Book::advance(Time now) {
+void LeaseTable::advance(Time now) {
   while (!ends_.empty() && ends_.begin()->first <= now) {
     const auto it = holders_.find(ends_.begin()->second);
     ends_.erase(ends_.begin());
@@ -62,7 +62,7 @@
   if (holders_.empty()) sum_ = weights_ = bad_ = 0;  // what rounding left
 }
 
-void Book::renew(Time now, const std::string& name, const Renew& r, Grant& out) {
+void LeaseTable::renew(Time now, const std::string& name, const Renew& r, Grant& out) {
   advance(now);
   auto it = holders_.find(name);
   if (it != holders_.end() && r.epoch < it->second.epoch) return;  // a former self
@@ -93,7 +93,7 @@
   if (h.bound) held_.insert(h.holds);
 }
 
-void Book::give(Time now, Holder& h, const Renew& r, Grant& out) {
+void LeaseTable::give(Time now, Holder& h, const Renew& r, Grant& out) {
   out.id = (term_ << 32) | ++last_;
   // Danger: a router that cannot act on this version must not be held for one that does.
   // And once a later one is agreed, no lease is given to whoever does not hold that: it would never
@@ -113,12 +113,12 @@
   settle(now, h, 0);
 }
 
-bool Book::all_hold(Time now, std::uint64_t number) {
+bool LeaseTable::all_hold(Time now, std::uint64_t number) {
   advance(now);
   return now >= safe_from_ && (held_.empty() || *held_.begin() >= number);
 }
 
-std::vector<std::string> Book::behind(std::uint64_t number, std::size_t most) const {
+std::vector<std::string> LeaseTable::behind(std::uint64_t number, std::size_t most) const {
   std::vector<std::string> out;
   for (const auto& [name, h] : holders_) {
     if (out.size() >= most) break;
@@ -127,7 +127,7 @@
   return out;
 }
 
-const Book::Holder* Book::find(const std::string& name) const {
+const LeaseTable::Holder* LeaseTable::find(const std::string& name) const {
   const auto it = holders_.find(name);
   return it == holders_.end() ? nullptr : &it->second;
 }
--- a/src/consensus/lease_table.h
+++ b/src/consensus/lease_table.h
@@ -29,11 +29,11 @@
 
 constexpr double kUsable = 0.85;
 
-struct BookSettings {
+struct LeaseSettings {
   Time lease = 1'200'000;
 };
 
-class Book {
+class LeaseTable {
  public:
   struct Holder {
     std::uint64_t epoch = 0, acting = 0, holds = 0, refused = 0;
@@ -51,7 +51,7 @@
     double own_all = 0, own_at_point = 0;  // of this epoch
     bool bound = false;                    // a lease of ours, or of an earlier leader's, may run
   };
-  explicit Book(const BookSettings& settings) : set_(settings) {}
+  explicit LeaseTable(const LeaseSettings& settings) : set_(settings) {}
   void begin(Time now, std::uint64_t term);
   std::uint64_t term() const { return term_; }
 
@@ -76,7 +76,7 @@
   void give(Time now, Holder& h, const Renew& r, Grant& out);
   void end(Holders::iterator it);
 
-  const BookSettings set_;
+  const LeaseSettings set_;
   std::uint64_t term_ = 0, last_ = 0;
   Time safe_from_ = 0;
   Holders holders_;
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -86,11 +86,11 @@
 
 }  // namespace
 
-void Disk::Close::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
-Disk::Disk(std::string folder) : folder_(std::move(folder)) {}
-Disk::~Disk() = default;
+void LogStore::Close::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
+LogStore::LogStore(std::string folder) : folder_(std::move(folder)) {}
+LogStore::~LogStore() = default;
 
-std::string Disk::open() {
+std::string LogStore::open() {
   sqlite3* db = nullptr;
   const int code =
       sqlite3_open_v2(path("agree.db").c_str(), &db,
@@ -100,13 +100,13 @@
   return run(kSchema);
 }
 
-std::string Disk::run(const char* sql) {
+std::string LogStore::run(const char* sql) {
   if (!db_) return "there is no database";
   if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) == SQLITE_OK) return {};
   return path("agree.db") + ": " + sqlite3_errmsg(db_.get());
 }
 
-Disk::Loaded Disk::load() {
+LogStore::Loaded LogStore::load() {
   Loaded out;
   std::error_code ignored;
   std::filesystem::create_directories(folder_, ignored);
@@ -132,7 +132,7 @@
   return out;
 }
 
-std::string Disk::read(Saved& out) {
+std::string LogStore::read(Saved& out) {
   {
     Statement s(db_.get(), "PRAGMA integrity_check(1)");
     if (s.step() != SQLITE_ROW || s.bytes(0) != "ok") return "agree.db is not whole";
@@ -176,7 +176,7 @@
   return {};
 }
 
-std::string Disk::write(const Store& s) {
+std::string LogStore::write(const Store& s) {
   if (s.kind == Store::Kind::reset) return reset();
   if (bad_) return "an earlier store failed";
   auto error = run("BEGIN IMMEDIATE");
@@ -189,11 +189,11 @@
   return error;
 }
 
-std::string Disk::mark() {
+std::string LogStore::mark() {
   return store::replace_file(path("agree.mark"), std::to_string(stores_) + "\n");
 }
 
-std::string Disk::change(const Store& s) {
+std::string LogStore::change(const Store& s) {
   switch (s.kind) {
     case Store::Kind::term: {
       auto error = put("term", s.value);
@@ -219,21 +219,21 @@
   }
 }
 
-std::string Disk::put(const char* key, std::uint64_t value) {
+std::string LogStore::put(const char* key, std::uint64_t value) {
   Statement s(db_.get(), "INSERT OR REPLACE INTO number VALUES(?, ?, ?)");
   const bool good =
       s.text(key).number(value).number(code_of_number(key, value)).step() == SQLITE_DONE;
   return good ? "" : path("agree.db") + ": " + sqlite3_errmsg(db_.get());
 }
 
-std::string Disk::put(const Snapshot& snapshot) {
+std::string LogStore::put(const Snapshot& snapshot) {
   const auto data = encode(snapshot);
   Statement s(db_.get(), "INSERT OR REPLACE INTO snapshot VALUES(1, ?, ?)");
   const bool good = s.bytes(data).number(code_of(data, 2)).step() == SQLITE_DONE;
   return good ? "" : path("agree.db") + ": " + sqlite3_errmsg(db_.get());
 }
 
-std::string Disk::append(const Store& s) {
+std::string LogStore::append(const Store& s) {
   std::uint64_t before = 0;
   {
     Statement last(db_.get(), "SELECT code FROM log WHERE at = ?");
@@ -256,7 +256,7 @@
 }
 
 // Cuts one end off. `sql` null: all, and the log goes on behind that index.
-std::string Disk::cut(const char* sql, std::uint64_t index) {
+std::string LogStore::cut(const char* sql, std::uint64_t index) {
   std::uint64_t before = 0;
   {
     Statement s(db_.get(), "SELECT code FROM log WHERE at = ?");
@@ -273,7 +273,7 @@
   return error;
 }
 
-std::string Disk::reset() {
+std::string LogStore::reset() {
   db_.reset();
   std::error_code e;
   for (const char* name : {"agree.db", "agree.db-journal", "agree.mark"}) {
--- a/src/consensus/log_store.h
+++ b/src/consensus/log_store.h
@@ -20,12 +20,12 @@
 
 namespace alderspur::consensus {
 
-class Disk {
+class LogStore {
  public:
-  explicit Disk(std::string folder);  // agree.db and agree.mark in it
-  ~Disk();
-  Disk(const Disk&) = delete;
-  Disk& operator=(const Disk&) = delete;
+  explicit LogStore(std::string folder);  // agree.db and agree.mark in it
+  ~LogStore();
+  LogStore(const LogStore&) = delete;
+  LogStore& operator=(const LogStore&) = delete;
 
   struct Loaded {
     Saved saved;
--- a/src/consensus/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -16,9 +16,9 @@
 Time time(Reader& r) { return static_cast<Time>(r.number(kTimeMost)); }
 
 // One pair for each message: how many fields, then written and read in one order.
-constexpr std::size_t fields(const Consensus&) { return 1; }
-void write(Packer& p, const Consensus& m) { p.bytes(m.frame); }
-void read(Reader& r, Consensus& m) { m.frame = r.bytes(kFrameMost); }
+constexpr std::size_t fields(const RaftFrame&) { return 1; }
+void write(Packer& p, const RaftFrame& m) { p.bytes(m.frame); }
+void read(Reader& r, RaftFrame& m) { m.frame = r.bytes(kFrameMost); }
 
 constexpr std::size_t fields(const Renew&) { return 14; }
 constexpr std::size_t least(const Renew&) { return 12; }  // of a program that knows no trials
@@ -93,8 +93,8 @@
   s.text = r.text(kSettledText);
 }
 
-constexpr std::size_t fields(const Witness&) { return 7; }
-void write(Packer& p, const Witness& m) {
+constexpr std::size_t fields(const LogPosition&) { return 7; }
+void write(Packer& p, const LogPosition& m) {
   p.flag(m.asks)
       .flag(m.pristine)
       .number(m.term)
@@ -103,7 +103,7 @@
       .number(m.your_term);
   p.number(m.your_last);
 }
-void read(Reader& r, Witness& m) {
+void read(Reader& r, LogPosition& m) {
   m.asks = r.flag(), m.pristine = r.flag(), m.term = r.number(), m.last_term = r.number(),
   m.last = r.number();
   m.your_term = r.number(), m.your_last = r.number();
@@ -119,9 +119,9 @@
   m.in_force = version(Reader(r.next(), 6), r.good), m.agreed = maybe_version(r);
 }
 
-constexpr std::size_t fields(const Nudge&) { return 0; }
-void write(Packer&, const Nudge&) {}
-void read(Reader&, Nudge&) {}
+constexpr std::size_t fields(const RenewHint&) { return 0; }
+void write(Packer&, const RenewHint&) {}
+void read(Reader&, RenewHint&) {}
 
 constexpr std::size_t fields(const Verdict&) { return 3; }
 void write(Packer& p, const Verdict& m) { p.number(m.nonce).number(m.number).flag(m.go_on); }
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -21,7 +21,7 @@
 constexpr std::size_t kChunk = 32 << 10, kFrameMost = 2 << 20;
 
 // Of consensus, as Raft made it.
-struct Consensus {
+struct RaftFrame {
   std::string frame;
 };
 // A router asks the leader for its lease, and says how it stands.
@@ -74,7 +74,7 @@
   Settled settled;
 };
 // A voter that starts asks the others how far they are, and says how far it is itself.
-struct Witness {
+struct LogPosition {
   bool asks = false;
   bool pristine = false;
   std::uint64_t term = 0, last_term = 0, last = 0;  // of the log
@@ -86,14 +86,14 @@
   Version in_force;
   std::optional<Version> agreed;
 };
-struct Nudge {};  // there is news: renew
-struct Verdict {  // of an operator on a trial; answered as a proposal is
+struct RenewHint {};  // there is news: renew
+struct Verdict {      // of an operator on a trial; answered as a proposal is
   std::uint64_t nonce = 0, number = 0;
   bool go_on = false;
 };
 
-using Message = std::variant<Consensus, Renew, Grant, Redirect, Want, Chunk, Propose, Answer,
-                             Witness, Ask, Tell, Nudge, Verdict>;
+using Message = std::variant<RaftFrame, Renew, Grant, Redirect, Want, Chunk, Propose, Answer,
+                             LogPosition, Ask, Tell, RenewHint, Verdict>;
 std::string encode(const Message& message);
 std::optional<Message> decode_message(std::string_view bytes);
 
--- a/src/consensus/version.h
+++ b/src/consensus/version.h
@@ -33,13 +33,13 @@
 
 // A version that holds for some routers first. It goes on to all, or is taken back: by an
 // operator's word, by what the first ones see (`harm`), or when its time is over.
-struct Trial {
+struct CanaryRollout {
   std::vector<std::string> first;  // members' names; none: no trial
   Time hold = 0;
   double harm = 0.05;  // of requests ended badly there, over that elsewhere: taken back
   bool go_on = false;  // when its time is over without harm; else it is taken back
   explicit operator bool() const { return !first.empty(); }
-  bool operator==(const Trial&) const = default;
+  bool operator==(const CanaryRollout&) const = default;
 };
 
 struct Version {
@@ -48,7 +48,7 @@
   std::uint64_t base = 0;    // the number it was made from
   std::uint64_t size = 0;    // of the encoded content
   std::string author, note;
-  Trial trial;  // while it is one
+  CanaryRollout trial;  // while it is one
   bool operator==(const Version&) const = default;
 };
 
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -15,23 +15,23 @@
 
 }  // namespace
 
-const std::vector<std::string>& Agreement::desired() const {
+const std::vector<std::string>& ConsensusNode::desired() const {
   if (raft_ && !ledger_.voters().empty()) return ledger_.voters();
   return kept_.voters.empty() ? set_.voters : kept_.voters;
 }
-bool Agreement::to_vote(const std::string& name) const {
+bool ConsensusNode::to_vote(const std::string& name) const {
   const auto& voters = desired();
   return std::find(voters.begin(), voters.end(), name) != voters.end();
 }
 
 // ---- The disk
 
-void Agreement::put(std::uint64_t instance, std::uint64_t number, Store store) {
+void ConsensusNode::put(std::uint64_t instance, std::uint64_t number, Store store) {
   putting_.push_back({++puts_, instance, number});
   act(Put{puts_, std::move(store)});
 }
 
-void Agreement::on(const Stored& e) {
+void ConsensusNode::on(const Stored& e) {
   const auto it =
       std::find_if(putting_.begin(), putting_.end(), [&](auto& p) { return p.put == e.number; });
   if (it == putting_.end()) return;
@@ -55,7 +55,7 @@
 
 // Danger: what a disk has lost or made up, a vote above all, may not be gone on from as if nothing
 // had been. The former self is taken out of the voters by the others before the new one counts.
-void Agreement::spoilt(const std::string& why) {
+void ConsensusNode::spoilt(const std::string& why) {
   raft_.reset();
   part_ = Part::learner;
   learner_ = random_() | 1;
@@ -67,8 +67,8 @@
 
 // ---- The start
 
-Witness Agreement::witness(const std::string& to, bool asks) {
-  Witness w;
+LogPosition ConsensusNode::witness(const std::string& to, bool asks) {
+  LogPosition w;
   w.asks = asks;
   if (raft_) {
     w.term = raft_->term(), w.last_term = raft_->last_term(), w.last = raft_->last_index();
@@ -82,7 +82,7 @@
   return w;
 }
 
-void Agreement::take(const std::string& from, Witness& m) {
+void ConsensusNode::take(const std::string& from, LogPosition& m) {
   if (m.asks) send(from, witness(from, false));
   if (m.pristine) empty_.insert(from);
   const bool ours = raft_ ? false : part_ == Part::asking;
@@ -95,7 +95,7 @@
     spoilt("it holds less than it has acknowledged to " + from);
 }
 
-void Agreement::begin_voting() {
+void ConsensusNode::begin_voting() {
   if (part_ == Part::learner) {
     if (!cleared_ && reset_at_ && now_ >= reset_at_)
       reset_at_ = 0, put(0, 0, {Store::Kind::reset, 0, {}, {}});
@@ -136,14 +136,14 @@
   raft_->hold_back(floor, now_ + kHoldBack);
 }
 
-void Agreement::begin_raft(Saved saved, const std::vector<std::string>& found) {
+void ConsensusNode::begin_raft(Saved saved, const std::vector<std::string>& found) {
   part_ = Part::voter, among_ = true;
-  ledger_ = Ledger();
+  ledger_ = AppliedState();
   trouble_.clear();
   const auto instance = ++instance_;
   Raft::Hooks hooks;
   hooks.send = [this](const std::string& to, std::string frame) {
-    send(to, Consensus{std::move(frame)});
+    send(to, RaftFrame{std::move(frame)});
   };
   hooks.store = [this, instance](std::uint64_t number, Store s) {
     put(instance, number, std::move(s));
@@ -157,11 +157,11 @@
                                  std::move(hooks));
 }
 
-void Agreement::take(const std::string& from, Consensus& m) {
+void ConsensusNode::take(const std::string& from, RaftFrame& m) {
   if (raft_) raft_->received(now_, from, m.frame);
 }
 
-void Agreement::follow_ledger() {
+void ConsensusNode::follow_ledger() {
   const bool wanted = to_vote(set_.name);
   if (part_ == Part::follower && wanted && !no_disk_) spoilt("made a voter");
   if (!raft_) return;
@@ -188,7 +188,7 @@
 
 // ---- Leading
 
-void Agreement::take(const std::string& from, Renew& m) {
+void ConsensusNode::take(const std::string& from, Renew& m) {
   if (!leads(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
   if (book_.term() != raft_->term()) book_.begin(now_, raft_->term());
   Grant g;
@@ -210,7 +210,7 @@
   send(from, g);
 }
 
-void Agreement::admit(const std::string& name, const Renew& r, Grant& out) {
+void ConsensusNode::admit(const std::string& name, const Renew& r, Grant& out) {
   if (!r.learner || !to_vote(name)) return;
   Admission& a = admissions_[name];
   if (a.learner != r.learner) a = {r.learner, false};
@@ -223,7 +223,7 @@
     });
 }
 
-void Agreement::take(const std::string& from, Propose& m) {
+void ConsensusNode::take(const std::string& from, Propose& m) {
   if (!leads(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
   if (const auto* s = ledger_.settled(m.nonce)) return send(from, Answer{*s});
   if (!m.voters.empty()) return void(propose(Voters{m.nonce, m.voters}));
@@ -235,7 +235,7 @@
 }
 
 // Danger: a voter that passes by what it does not know would make another state of the same log.
-std::string Agreement::who_knows_no_trials() const {
+std::string ConsensusNode::who_knows_no_trials() const {
   for (const auto& [name, role] : raft_->servers()) {
     const auto* h = name == set_.name ? nullptr : book_.find(name);
     if (name == set_.name ? set_.forms < 1 : !h || h->forms < 1) return name;
@@ -243,7 +243,7 @@
   return {};
 }
 
-void Agreement::take(const std::string& from, Verdict& m) {
+void ConsensusNode::take(const std::string& from, Verdict& m) {
   if (!leads(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
   if (const auto* s = ledger_.settled(m.nonce)) return send(from, Answer{*s});
   if (m.go_on)
@@ -253,7 +253,7 @@
 }
 
 // Nothing is proposed twice within a second; what is lost with a leader is asked again.
-bool Agreement::propose(const Command& c) {
+bool ConsensusNode::propose(const Command& c) {
   const auto of = std::visit(
       [](const auto& x) -> std::uint64_t {
         if constexpr (requires { x.nonce; })
@@ -269,7 +269,7 @@
   return raft_->propose(now_, encode(c));
 }
 
-void Agreement::lead() {
+void ConsensusNode::lead() {
   if (!leads(now_)) return;
   if (book_.term() != raft_->term()) {
     book_.begin(now_, raft_->term());
@@ -282,7 +282,7 @@
   nudge_some();
 }
 
-void Agreement::decide(const Version& v) {
+void ConsensusNode::decide(const Version& v) {
   if (ledger_.trial()) return watch(v);
   if (ledger_.agreed()) {
     if (book_.all_hold(now_, v.number)) propose(Force{v.number});
@@ -313,7 +313,7 @@
 
 // Worse than elsewhere by more than was declared: of all that ended, weighed by how much each
 // router takes.
-bool Agreement::harmful(const Version& trial, std::string& why) const {
+bool ConsensusNode::harmful(const Version& trial, std::string& why) const {
   double weight = 0, bad = 0;
   for (const auto& name : trial.trial.first)
     if (const auto* h = book_.find(name); h && h->acting == trial.number)
@@ -329,7 +329,7 @@
 }
 
 // A new leader counts the time anew: it cannot know for how long an earlier one watched.
-void Agreement::watch(const Version& trial) {
+void ConsensusNode::watch(const Version& trial) {
   if (tried_ != trial.number) tried_ = trial.number, tried_since_ = now_, harm_since_ = 0;
   std::string why;
   if (!harmful(trial, why))
@@ -345,7 +345,7 @@
     propose(Back{0, trial.number, "its time is over"});
 }
 
-void Agreement::reconcile() {
+void ConsensusNode::reconcile() {
   const auto& voters = desired();
   const auto servers = raft_->servers();
   const auto nothing = [](bool) {};
@@ -375,7 +375,7 @@
 }
 
 // All routers are told at a change that there is news, some at a time; what the news is they ask.
-void Agreement::nudge_some() {
+void ConsensusNode::nudge_some() {
   const auto* p = ledger_.pending();
   const std::pair<std::uint64_t, int> stands{p ? p->number : ledger_.in_force().number,
                                              !p                 ? 3
@@ -386,14 +386,14 @@
     nudged_ = stands, nudges_.assign(others_.begin(), others_.end()), nudge_at_ = now_;
   if (now_ < nudge_at_) return;
   for (std::size_t i = 0; i < kNudgesAtOnce && !nudges_.empty(); ++i) {
-    send(nudges_.front(), Nudge{});
+    send(nudges_.front(), RenewHint{});
     nudges_.pop_front();
   }
   nudge_at_ = now_ + kNudgeEvery;
   if (raft_) renew_soon(set_.renew);
 }
 
-View Agreement::view(Time now) const {
+View ConsensusNode::view(Time now) const {
   View v;
   v.acting = acting_, v.pending = pending_, v.pending_agreed = pending_agreed_;
   v.leads = leads(now), v.part = part_, v.leader = leader_;
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -5,36 +5,36 @@
 namespace alderspur::core {
 
 std::vector<std::pair<const char*, std::uint64_t>> fields(const Counters& c) {
-  return {{"taken", c.taken},
-          {"sent", c.sent},
-          {"probes", c.probes},
+  return {{"taken", c.admitted},
+          {"sent", c.forwarded},
+          {"probes", c.health_checks},
           {"served", c.served},
-          {"unchanged", c.unchanged},
-          {"refused", c.refused},
+          {"unchanged", c.not_modified},
+          {"refused", c.rejected},
           {"failed", c.failed},
-          {"withdrawn", c.withdrawn},
+          {"withdrawn", c.cancelled},
           {"attempts_ok", c.attempts_ok},
           {"attempts_miss", c.attempts_miss},
-          {"attempts_full", c.attempts_full},
+          {"attempts_full", c.attempts_overloaded},
           {"attempts_error", c.attempts_error},
           {"attempts_timeout", c.attempts_timeout},
-          {"attempts_unconnected", c.attempts_unconnected},
+          {"attempts_unconnected", c.attempts_connect_failed},
           {"attempts_reset", c.attempts_reset},
           {"attempts_cancelled", c.attempts_cancelled},
-          {"late_answers", c.late_answers},
-          {"stale_answers", c.stale_answers},
+          {"late_answers", c.late_responses},
+          {"stale_answers", c.stale_responses},
           {"purges", c.purges},
-          {"fleet_updates", c.fleet_updates},
-          {"bad_frames", c.bad_frames},
-          {"bad_requests", c.bad_requests},
-          {"bad_answers", c.bad_answers},
-          {"bad_tokens", c.bad_tokens},
-          {"accepts_put_off", c.accepts_put_off},
+          {"fleet_updates", c.endpoint_updates},
+          {"bad_frames", c.invalid_frames},
+          {"bad_requests", c.invalid_requests},
+          {"bad_answers", c.invalid_responses},
+          {"bad_tokens", c.invalid_tokens},
+          {"accepts_put_off", c.deferred_accepts},
           {"slow_readers", c.slow_readers},
-          {"silent_links", c.silent_links},
+          {"silent_links", c.silent_upstream_connections},
           {"silent_clients", c.silent_clients},
           {"idle_clients", c.idle_clients},
-          {"too_much", c.too_much}};
+          {"too_much", c.over_limit}};
 }
 
 std::string text(const Counters& c) {
@@ -50,14 +50,15 @@
                 "%llu answers %llu tokens %llu, accepts put off %llu, slow readers %llu, silent "
                 "links %llu, silent "
                 "clients %llu, idle clients %llu, over their share %llu",
-                n(c.taken), n(c.sent), n(c.probes), n(c.served), n(c.unchanged), n(c.refused),
-                n(c.failed), n(c.withdrawn), n(c.attempts_ok), n(c.attempts_miss),
-                n(c.attempts_full), n(c.attempts_error), n(c.attempts_timeout),
-                n(c.attempts_unconnected), n(c.attempts_reset), n(c.attempts_cancelled),
-                n(c.late_answers), n(c.stale_answers), n(c.purges), n(c.fleet_updates),
-                n(c.bad_frames), n(c.bad_requests), n(c.bad_answers), n(c.bad_tokens),
-                n(c.accepts_put_off), n(c.slow_readers), n(c.silent_links), n(c.silent_clients),
-                n(c.idle_clients), n(c.too_much));
+                n(c.admitted), n(c.forwarded), n(c.health_checks), n(c.served), n(c.not_modified),
+                n(c.rejected), n(c.failed), n(c.cancelled), n(c.attempts_ok), n(c.attempts_miss),
+                n(c.attempts_overloaded), n(c.attempts_error), n(c.attempts_timeout),
+                n(c.attempts_connect_failed), n(c.attempts_reset), n(c.attempts_cancelled),
+                n(c.late_responses), n(c.stale_responses), n(c.purges), n(c.endpoint_updates),
+                n(c.invalid_frames), n(c.invalid_requests), n(c.invalid_responses),
+                n(c.invalid_tokens), n(c.deferred_accepts), n(c.slow_readers),
+                n(c.silent_upstream_connections), n(c.silent_clients), n(c.idle_clients),
+                n(c.over_limit));
   return out;
 }
 
--- a/src/core/parsing.h
+++ b/src/core/parsing.h
@@ -23,7 +23,7 @@
 }
 
 // Lower case only: caches take names as they are written, so one thing must have one name.
-inline bool hex_word(std::string_view text, std::size_t digits) {
+inline bool is_hex_word(std::string_view text, std::size_t digits) {
   for (const char c : text)
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'))) return false;
   return text.size() == digits;
@@ -31,7 +31,7 @@
 
 // Danger: such words pass into lines of words; a space or a comma in one would make another command
 // of it.
-inline bool plain_word(std::string_view text) {
+inline bool is_plain_word(std::string_view text) {
   for (const char c : text)
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
           c == '_'))
--- a/src/core/rate_limited_log.cpp
+++ b/src/core/rate_limited_log.cpp
@@ -11,7 +11,7 @@
 struct Words {
   const char *event, *text;
 };
-constexpr Words kWords[kComplaints] = {
+constexpr Words kWords[kInvalidInputKinds] = {
     {"bad_notice", "a notice that cannot be read is passed over, the last good list stays"},
     {"bad_address", "a server's address cannot be used, nothing new is sent there"},
     {"bad_answer", "an answer that cannot be read or was not asked for ends its connection"},
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-void Complaints::about(Complaint kind, Time now, std::string_view quote) {
+void RateLimitedLog::report(InvalidInput kind, Time now, std::string_view quote) {
   const auto at = static_cast<std::size_t>(kind);
-  Kind& k = kinds_[at];
-  if (!say_ || now < k.next) {
-    ++k.passed_over;
+  KindState& k = kinds_[at];
+  if (!sink_ || now < k.next_line_at) {
+    ++k.suppressed;
     return;
   }
-  k.next = now + kEvery;
+  k.next_line_at = now + kEvery;
   std::string text = kWords[at].text;
   if (!quote.empty()) {
     std::string shown(quote.substr(0, kQuoted));
@@ -36,9 +36,9 @@
         shown.begin(), shown.end(), [](char c) { return c < ' ' || c > '~'; }, '.');
     text += ": " + shown;
   }
-  if (k.passed_over) text += " (" + std::to_string(k.passed_over) + " more since the last line)";
-  k.passed_over = 0;
-  say_(kWords[at].event, text);
+  if (k.suppressed) text += " (" + std::to_string(k.suppressed) + " more since the last line)";
+  k.suppressed = 0;
+  sink_(kWords[at].event, text);
 }
 
 }  // namespace alderspur::core
--- a/src/core/rate_limited_log.h
+++ b/src/core/rate_limited_log.h
@@ -15,23 +15,23 @@
 
 namespace alderspur::core {
 
-enum class Complaint { notice, address, answer, frame, request, connections };
-constexpr std::size_t kComplaints = static_cast<std::size_t>(Complaint::connections) + 1;
+enum class InvalidInput { watch_event, address, response, frame, request, connections };
+constexpr std::size_t kInvalidInputKinds = static_cast<std::size_t>(InvalidInput::connections) + 1;
 
-class Complaints {
+class RateLimitedLog {
  public:
-  using Say = std::function<void(const std::string& event, const std::string& text)>;
-  void on_say(Say say) { say_ = std::move(say); }
+  using Sink = std::function<void(const std::string& event, const std::string& text)>;
+  void set_sink(Sink say) { sink_ = std::move(say); }
   // `quote`: what arrived, or whom it is about; empty: nothing to show.
-  void about(Complaint kind, Time now, std::string_view quote = {});
+  void report(InvalidInput kind, Time now, std::string_view quote = {});
 
  private:
-  struct Kind {
-    Time next = 0;  // no line before
-    std::uint64_t passed_over = 0;
+  struct KindState {
+    Time next_line_at = 0;  // no line before
+    std::uint64_t suppressed = 0;
   };
-  Say say_;
-  std::array<Kind, kComplaints> kinds_{};
+  Sink sink_;
+  std::array<KindState, kInvalidInputKinds> kinds_{};
 };
 
 }  // namespace alderspur::core
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -27,7 +27,7 @@
   if (const auto listen = variable("RELAY_LISTEN"); !listen.empty()) config.listen = listen;
   if (const auto at = variable("RELAY_OPERATOR"); !at.empty()) config.operator_listen = at;
   config.state_folder = variable("TMPDIR");
-  platform::Node node(std::move(config), [](const std::string&, const std::string& text) {
+  platform::EdgeRouter node(std::move(config), [](const std::string&, const std::string& text) {
     std::fprintf(stderr, "%s\n", text.c_str());
   });
   node.config_path = path;
--- a/src/endpoints/check.cpp
+++ b/src/endpoints/check.cpp
@@ -124,7 +124,7 @@
   m.server.role = s.role;
   m.server.location = {s.role == Role::cache ? point_zones[s.place] : hub_zones[s.place]};
   m.server.cell = {s.cell};
-  m.server.status = s.state == State::draining ? Status::draining : Status::ready;
+  m.server.status = s.state == State::draining ? ServerStatus::draining : ServerStatus::ready;
   m.server.weight = s.weight;
   return m;
 }
--- a/src/endpoints/damping.cpp
+++ b/src/endpoints/damping.cpp
@@ -5,14 +5,14 @@
 
 namespace alderspur::endpoints {
 
-double Flaps::penalty(Time now, const DampingSettings& s) const {
+double FlapDamping::penalty(Time now, const DampingSettings& s) const {
   // A clock that stepped back must not let a penalty grow.
   const double halves =
       static_cast<double>(std::max<Time>(0, now - at_)) / static_cast<double>(s.half_life);
   return penalty_ * std::exp2(-halves);
 }
 
-void Flaps::left(Time now, const DampingSettings& s) {
+void FlapDamping::left(Time now, const DampingSettings& s) {
   if (!s.on) return;
   // RFC 2439, 4.2: the ceiling is what decays to the reuse threshold in the longest time of holding
   // out.
@@ -23,12 +23,12 @@
   if (penalty_ >= s.suppress) held_ = true;
 }
 
-bool Flaps::held(Time now, const DampingSettings& s) {
+bool FlapDamping::held(Time now, const DampingSettings& s) {
   if (held_ && (!s.on || now >= free_at(now, s))) held_ = false;
   return held_;
 }
 
-Time Flaps::free_at(Time now, const DampingSettings& s) const {
+Time FlapDamping::free_at(Time now, const DampingSettings& s) const {
   if (!held_ || penalty_ <= s.reuse) return now;
   // Rounded up: at that time the penalty has reached the threshold.
   const double halves = std::log2(penalty_ / s.reuse);
--- a/src/endpoints/damping.h
+++ b/src/endpoints/damping.h
@@ -24,7 +24,7 @@
   Time longest = 60'000'000;  // nobody is held out for longer after its last departure
 };
 
-class Flaps {
+class FlapDamping {
  public:
   void left(Time now, const DampingSettings& s);
   // Whether it is held out now; ends the holding out where the penalty has decayed.
--- a/src/endpoints/endpoint_set.cpp
+++ b/src/endpoints/endpoint_set.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void Fleet::restore(const std::vector<Remembered>& remembered) {
+void EndpointSet::restore(const std::vector<Remembered>& remembered) {
   for (const auto& r : remembered) {
     Known& k = known_[r.id.value];
     k.born = r.born;
@@ -24,7 +24,7 @@
   }
 }
 
-bool Fleet::files(const Offer& offer, Time now) {
+bool EndpointSet::files(const CandidateList& offer, Time now) {
   if (offer.base != list_) return false;
   list_ = offer.list;
   point_zones_ = offer.point_zones;
@@ -53,7 +53,7 @@
   return true;
 }
 
-void Fleet::board(bool complete, const std::vector<Member>& members, Time now) {
+void EndpointSet::board(bool complete, const std::vector<Member>& members, Time now) {
   std::vector<ServerId> touched;
   if (complete) {
     std::unordered_set<std::uint64_t> listed;
@@ -69,7 +69,7 @@
   }
   board_spoke_ = true;
   for (const auto& m : members) {
-    if (m.server.status == Status::gone)
+    if (m.server.status == ServerStatus::gone)
       board_.erase(m.server.id.value);
     else
       board_[m.server.id.value] = m;
@@ -79,7 +79,7 @@
   if (settings_.authority == Authority::board) primed_ = true;
 }
 
-void Fleet::advance(Time now) {
+void EndpointSet::advance(Time now) {
   for (std::size_t i = 0; i < kAtOnce && !waiting_.empty(); ++i) {
     const ServerId id = waiting_.front();
     waiting_.pop_front();
@@ -95,12 +95,12 @@
   }
 }
 
-Time Fleet::next() const {
+Time EndpointSet::next() const {
   if (!waiting_.empty()) return 0;
   return due_.empty() ? kNever : due_.begin()->first;
 }
 
-Merged Fleet::wanted(ServerId id) const {
+Merged EndpointSet::wanted(ServerId id) const {
   Voices v;
   v.board_spoke = board_spoke_;
   v.files_spoke = list_ != nullptr;
@@ -118,50 +118,52 @@
   return gone;
 }
 
-void Fleet::evaluate(ServerId id, Time now) {
+void EndpointSet::evaluate(ServerId id, Time now) {
   const Merged m = wanted(id);
   const bool fresh = !known_.contains(id.value);
-  if (fresh && m.member.server.status == Status::gone) return;
+  if (fresh && m.member.server.status == ServerStatus::gone) return;
   Known& k = known_[id.value];
   Member next = m.member;
   Server& s = next.server;
   k.reason = m.reason;
-  if (k.wanted == Status::ready && s.status != Status::ready) {
+  if (k.wanted == ServerStatus::ready && s.status != ServerStatus::ready) {
     k.flaps.left(now, settings_.damping);
     ++counters_.departures;
   }
   // Danger: a server that was away has lost what it held, whatever its list says; so may a new one,
   // and one that stands at another address. Sent its full share at once it falls over.
   const bool told = !k.told.name.empty();
-  const bool appears = k.wanted == Status::gone && s.status != Status::gone;
-  const bool moved = told && k.told.server.status != Status::gone && next.address != k.told.address;
-  if (s.status != Status::gone && ((appears && primed_) || moved)) k.born = std::max(k.born, now);
-  s.born = std::max(s.born, k.born);
+  const bool appears = k.wanted == ServerStatus::gone && s.status != ServerStatus::gone;
+  const bool moved =
+      told && k.told.server.status != ServerStatus::gone && next.address != k.told.address;
+  if (s.status != ServerStatus::gone && ((appears && primed_) || moved))
+    k.born = std::max(k.born, now);
+  s.started_at = std::max(s.started_at, k.born);
   k.wanted = s.status;
-  if (s.status == Status::gone) {
+  if (s.status == ServerStatus::gone) {
     if (told) next.address = k.told.address, next.name = k.told.name, s = k.told.server;
-    s.status = Status::gone;
+    s.status = ServerStatus::gone;
     k.weight = 0;
   } else {
     s.weight = step(k, s.weight, now);
   }
   if (hold_out(id, k, next, now)) {
-    s.status = Status::draining;
+    s.status = ServerStatus::draining;
     k.reason = Reason::flapping;
   }
   Time again = kNever;
   if (k.reason == Reason::flapping)
     again = k.flaps.free_at(now, settings_.damping);
-  else if (k.wanted == Status::gone)
+  else if (k.wanted == ServerStatus::gone)
     again = now + settings_.damping.half_life;  // to be forgotten
-  if (k.wanted != Status::gone && s.weight != m.member.server.weight)
+  if (k.wanted != ServerStatus::gone && s.weight != m.member.server.weight)
     again = std::min(again, k.step_at);
   wake(id, k, again);
   tell(id, k, next);
   forget_if_gone(id, k, now);
 }
 
-double Fleet::step(Known& k, double target, Time now) {
+double EndpointSet::step(Known& k, double target, Time now) {
   if (k.weight <= 0) return k.weight = target;
   if (k.weight == target || now < k.step_at) return k.weight;
   const double most = settings_.weight_step;
@@ -173,21 +175,21 @@
 }
 
 // Danger: holding out the last server of a place would make an outage of a nuisance.
-bool Fleet::hold_out(ServerId id, Known& k, const Member& m, Time now) {
+bool EndpointSet::hold_out(ServerId id, Known& k, const Member& m, Time now) {
   const Place place{m.server.role, m.server.location.value};
   const auto count = ready_.find(place);
   const Server& told = k.told.server;
-  const bool counted = !k.told.name.empty() && told.status == Status::ready &&
+  const bool counted = !k.told.name.empty() && told.status == ServerStatus::ready &&
                        Place{told.role, told.location.value} == place;
   const std::size_t others = (count == ready_.end() ? 0 : count->second) - (counted ? 1 : 0);
-  bool held = k.wanted == Status::ready && k.flaps.held(now, settings_.damping);
+  bool held = k.wanted == ServerStatus::ready && k.flaps.held(now, settings_.damping);
   if (held && others == 0) k.flaps.release(), held = false;
   if (k.held_in && (!held || *k.held_in != place)) {
     auto& there = held_[*k.held_in];
     there.erase(id);
     if (there.empty()) held_.erase(*k.held_in);
     k.held_in.reset();
-    if (k.wanted == Status::ready && !held) ++counters_.let_back;
+    if (k.wanted == ServerStatus::ready && !held) ++counters_.let_back;
   }
   if (held && !k.held_in) {
     held_[place].insert(id);
@@ -197,22 +199,24 @@
   return held;
 }
 
-void Fleet::wake(ServerId id, Known& k, Time at) {
+void EndpointSet::wake(ServerId id, Known& k, Time at) {
   if (k.wake) due_.erase({k.wake, id});
   k.wake = at == kNever ? 0 : at;
   if (k.wake) due_.emplace(k.wake, id);
 }
 
-void Fleet::tell(ServerId id, Known& k, const Member& m) {
+void EndpointSet::tell(ServerId id, Known& k, const Member& m) {
   const Server &was = k.told.server, &is = m.server;
   const bool never = k.told.name.empty();
-  if (never && is.status == Status::gone) return;
+  if (never && is.status == ServerStatus::gone) return;
   const bool same = !never && was.status == is.status && was.weight == is.weight &&
-                    was.born == is.born && was.role == is.role && was.location == is.location &&
-                    was.cell == is.cell && k.told.address == m.address;
+                    was.started_at == is.started_at && was.role == is.role &&
+                    was.location == is.location && was.cell == is.cell &&
+                    k.told.address == m.address;
   if (same) return;
   const Place before{was.role, was.location.value}, place{is.role, is.location.value};
-  const bool was_ready = !never && was.status == Status::ready, ready = is.status == Status::ready;
+  const bool was_ready = !never && was.status == ServerStatus::ready,
+             ready = is.status == ServerStatus::ready;
   const bool leaves = was_ready && (!ready || before != place);
   if (leaves && --ready_[before] == 0) ready_.erase(before);
   if (ready && (!was_ready || before != place)) ++ready_[place];
@@ -225,14 +229,15 @@
     waiting_.insert(waiting_.begin(), it->second.begin(), it->second.end());
 }
 
-void Fleet::forget_if_gone(ServerId id, Known& k, Time now) {
-  if (k.wanted != Status::gone || k.dirty || k.told.server.status != Status::gone) return;
+void EndpointSet::forget_if_gone(ServerId id, Known& k, Time now) {
+  if (k.wanted != ServerStatus::gone || k.dirty || k.told.server.status != ServerStatus::gone)
+    return;
   if (!k.flaps.calm(now, settings_.damping) && known_.size() <= kKnownMost) return;
   wake(id, k, kNever);
   known_.erase(id.value);
 }
 
-std::vector<Change> Fleet::take() {
+std::vector<Change> EndpointSet::take() {
   std::vector<Change> out;
   out.reserve(dirty_.size());
   for (const ServerId id : std::exchange(dirty_, {})) {
@@ -240,12 +245,13 @@
     k.dirty = false;
     out.push_back({k.told, k.reason});
   }
-  std::stable_partition(out.begin(), out.end(),
-                        [](const Change& c) { return c.member.server.status != Status::ready; });
+  std::stable_partition(out.begin(), out.end(), [](const Change& c) {
+    return c.member.server.status != ServerStatus::ready;
+  });
   return out;
 }
 
-std::vector<Remembered> Fleet::remembered(Time now) const {
+std::vector<Remembered> EndpointSet::remembered(Time now) const {
   std::vector<Remembered> out;
   for (const auto& [id, k] : known_) {
     const auto* s = list_ ? list_->find({id}) : nullptr;
@@ -264,17 +270,17 @@
   // Danger: a new server whose turn has not come yet would pass for a warm one after a restart.
   for (const ServerId id : waiting_)
     if (const auto it = known_.find(id.value);
-        it == known_.end() || it->second.wanted == Status::gone)
+        it == known_.end() || it->second.wanted == ServerStatus::gone)
       out.push_back({id, now, 0, 0, 0, false});
   std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.id < b.id; });
   return out;
 }
 
-Reason Fleet::reason(ServerId id) const {
+Reason EndpointSet::reason(ServerId id) const {
   const auto it = known_.find(id.value);
   return it == known_.end() ? Reason::not_in_files : it->second.reason;
 }
-std::size_t Fleet::ready() const {
+std::size_t EndpointSet::ready() const {
   std::size_t n = 0;
   for (const auto& [place, count] : ready_) n += count;
   return n;
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -29,7 +29,7 @@
 
 namespace alderspur::endpoints {
 
-struct FleetSettings {
+struct EndpointSetSettings {
   Authority authority = Authority::files;
   double weight_step = 1.25;      // a weight grows or falls by at most this factor
   Time weight_every = 1'000'000;  // in each such time
@@ -37,7 +37,7 @@
 };
 
 // A list ready to be taken: checked, with its difference from the one that it was checked against.
-struct Offer {
+struct CandidateList {
   SnapshotPtr list, base;
   Difference change;
   std::vector<std::uint32_t> point_zones,
@@ -59,22 +59,22 @@
   bool held = false;
 };
 
-struct FleetCounters {
+struct EndpointSetCounters {
   std::uint64_t lists = 0, changes = 0, departures = 0, weight_steps = 0, held_out = 0,
                 let_back = 0;
 };
 
-class Fleet {
+class EndpointSet {
  public:
   static constexpr std::size_t kAtOnce = 1000;
 
-  explicit Fleet(const FleetSettings& settings) : settings_(settings) {}
+  explicit EndpointSet(const EndpointSetSettings& settings) : settings_(settings) {}
 
   // Before the first list: what an earlier process knew.
   void restore(const std::vector<Remembered>& remembered);
   // False, and nothing happens, if the offer was reckoned against another list than the one in
   // force.
-  bool files(const Offer& offer, Time now);
+  bool files(const CandidateList& offer, Time now);
   void board(bool complete, const std::vector<Member>& members, Time now);
   // Takes the steps that are due and the next part of a large change.
   void advance(Time now);
@@ -88,15 +88,15 @@
   Reason reason(ServerId id) const;
   std::size_t ready() const;
   std::size_t known() const { return known_.size(); }
-  const FleetCounters& counters() const { return counters_; }
+  const EndpointSetCounters& counters() const { return counters_; }
 
  private:
   using Place = std::pair<Role, std::uint32_t>;
   struct Known {
-    Member told;                   // as last passed on; gone: never, or no longer
-    Status wanted = Status::gone;  // before damping
+    Member told;                               // as last passed on; gone: never, or no longer
+    ServerStatus wanted = ServerStatus::gone;  // before damping
     Reason reason = Reason::as_told;
-    Flaps flaps;
+    FlapDamping flaps;
     double weight = 0;  // where the steps have come to; 0: not begun
     Time step_at = 0, born = 0, wake = 0;
     std::optional<Place> held_in;  // where it is held out
@@ -111,7 +111,7 @@
   void wake(ServerId id, Known& k, Time at);
   void forget_if_gone(ServerId id, Known& k, Time now);
 
-  const FleetSettings settings_;
+  const EndpointSetSettings settings_;
   SnapshotPtr list_;
   std::vector<std::uint32_t> point_zones_, hub_zones_;
   std::unordered_map<std::uint64_t, Member> board_;
@@ -122,7 +122,7 @@
   std::set<std::pair<Time, ServerId>> due_;
   std::deque<ServerId> waiting_;  // the rest of a large change
   std::vector<ServerId> dirty_;
-  FleetCounters counters_;
+  EndpointSetCounters counters_;
 };
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/list.cpp
+++ b/src/endpoints/list.cpp
@@ -23,7 +23,7 @@
 
 // Danger: names go into lines of words on the wire and into records of logs.
 bool good_name(std::string_view name) {
-  return !name.empty() && name.size() <= kNameMost && core::plain_word(name);
+  return !name.empty() && name.size() <= kNameMost && core::is_plain_word(name);
 }
 bool good_address(const std::string& address) {
   const auto colon = address.rfind(':');
@@ -36,7 +36,7 @@
 }
 std::optional<std::uint64_t> digest_from(std::string_view text) {
   std::uint64_t value = 0;
-  if (!text.starts_with("xxh3:") || !core::hex_word(text.substr(5), 16)) return {};
+  if (!text.starts_with("xxh3:") || !core::is_hex_word(text.substr(5), 16)) return {};
   if (!core::parse_number(text.substr(5), value, 16)) return {};
   return value;
 }
--- a/src/endpoints/merge.cpp
+++ b/src/endpoints/merge.cpp
@@ -5,11 +5,13 @@
 namespace alderspur::endpoints {
 namespace {
 
-int care(Status s) { return s == Status::ready ? 0 : s == Status::draining ? 1 : 2; }
+int care(ServerStatus s) {
+  return s == ServerStatus::ready ? 0 : s == ServerStatus::draining ? 1 : 2;
+}
 
 Merged alone(const Member& m, bool board) {
   Merged out{m, Reason::as_told};
-  if (m.server.status == Status::draining)
+  if (m.server.status == ServerStatus::draining)
     out.reason = board ? Reason::board_drains : Reason::files_drain;
   return out;
 }
@@ -54,7 +56,7 @@
   if (!board || !files) return alone(b ? *b : *f, b != nullptr);
   if (!b || !f) {
     Merged out{b ? *b : *f, b ? Reason::not_in_files : Reason::not_on_board};
-    out.member.server.status = Status::gone;
+    out.member.server.status = ServerStatus::gone;
     return out;
   }
   Merged out{*f, Reason::as_told};
@@ -62,19 +64,19 @@
   if (!agree(*b, *f)) {
     // Danger: with two addresses one of them is another machine's; with two places a cold budget is
     // wrong. What says "gone" of itself needs no agreement.
-    s.status = Status::gone;
+    s.status = ServerStatus::gone;
     out.reason = Reason::places_differ;
   }
   s.status = care(b->server.status) > care(s.status) ? b->server.status : s.status;
-  s.born = std::max(s.born, b->server.born);
+  s.started_at = std::max(s.started_at, b->server.started_at);
   if (b->server.weight != s.weight) {
     s.weight = std::min(s.weight, b->server.weight);
     out.reason = std::max(out.reason, Reason::weight_lower);
   }
   if (out.reason == Reason::places_differ) return out;
-  if (f->server.status == Status::draining)
+  if (f->server.status == ServerStatus::draining)
     out.reason = Reason::files_drain;
-  else if (b->server.status == Status::draining)
+  else if (b->server.status == ServerStatus::draining)
     out.reason = Reason::board_drains;
   return out;
 }
--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -26,7 +26,8 @@
 std::int64_t nanos(const timespec& t) { return t.tv_sec * 1'000'000'000LL + t.tv_nsec; }
 
 // Every directory and name that the path leads through, symlinks included.
-void walk(const std::string& path, int depth, Look& look, std::vector<std::uint64_t>& identity) {
+void walk(const std::string& path, int depth, LookResult& look,
+          std::vector<std::uint64_t>& identity) {
   std::string at = path.starts_with('/') ? "/" : ".";
   std::size_t begin = 0;
   while (begin < path.size()) {
@@ -84,7 +85,7 @@
   return true;
 }
 
-void Source::identify(Identity& identity, Look& look, bool& young) {
+void Source::identify(Identity& identity, LookResult& look, bool& young) {
   identity.clear();
   look.directories.clear();
   look.names.clear();
@@ -116,14 +117,14 @@
   for (const auto& name : piece_names_) add(path_ + "/" + name);
 }
 
-Look Source::look() {
-  Look out;
+LookResult Source::look() {
+  LookResult out;
   Identity identity;
   bool young = false;
   identify(identity, out, young);
   if (identity == taken_ && !again_) return out;
   if (identity != std::exchange(seen_, identity)) {
-    out.sight = Sight::unsettled;
+    out.sight = Observation::unsettled;
     return out;
   }
   std::size_t budget = most_ + 1;
@@ -132,7 +133,7 @@
     auto names = pieces_(out.texts.text);
     if (names != piece_names_) {  // another manifest: its pieces belong to what must settle
       piece_names_ = std::move(names);
-      out.sight = Sight::unsettled;
+      out.sight = Observation::unsettled;
       return out;
     }
     out.texts.pieces.resize(piece_names_.size());
@@ -141,24 +142,24 @@
   }
   // What changed while it was read is read again.
   Identity after;
-  Look ignored;
+  LookResult ignored;
   identify(after, ignored, young);
   if (after != identity) {
     seen_ = after;
-    out.sight = Sight::unsettled;
+    out.sight = Observation::unsettled;
     return out;
   }
   taken_ = identity;
   const bool before = std::exchange(again_, young);
   if (!read_all) {
-    out.sight = Sight::unreadable;
+    out.sight = Observation::unreadable;
     return out;
   }
   std::uint64_t digest = XXH3_64bits(out.texts.text.data(), out.texts.text.size());
   for (const auto& p : out.texts.pieces) digest = XXH3_64bits_withSeed(p.data(), p.size(), digest);
   const bool same = before && digest == taken_digest_;
   taken_digest_ = digest;
-  out.sight = same ? Sight::unchanged : Sight::content;
+  out.sight = same ? Observation::unchanged : Observation::content;
   if (same) out.texts = {};
   return out;
 }
--- a/src/file_watch/source.h
+++ b/src/file_watch/source.h
@@ -24,9 +24,9 @@
   std::string text;
   std::vector<std::string> pieces;  // of a manifest, in its order
 };
-enum class Sight { unchanged, unsettled, content, unreadable };
-struct Look {
-  Sight sight = Sight::unchanged;
+enum class Observation { unchanged, unsettled, content, unreadable };
+struct LookResult {
+  Observation sight = Observation::unchanged;
   Texts texts;
   std::string error;                     // unreadable: why
   std::vector<std::string> directories;  // whose entries the path depends on
@@ -39,13 +39,13 @@
   using Pieces = std::function<std::vector<std::string>(const std::string& text)>;
   Source(std::string path, std::size_t most_bytes, Pieces pieces);
 
-  Look look();
+  LookResult look();
   // The next look reads again whatever it sees.
   void forget() { taken_.clear(), seen_.clear(); }
 
  private:
   using Identity = std::vector<std::uint64_t>;
-  void identify(Identity& identity, Look& look, bool& young);
+  void identify(Identity& identity, LookResult& look, bool& young);
   bool read(const std::string& path, std::size_t& budget, std::string& out,
             std::string& error) const;
 
--- a/src/file_watch/watcher.cpp
+++ b/src/file_watch/watcher.cpp
@@ -46,14 +46,14 @@
 }
 Watcher::~Watcher() {
   shared_->owner = nullptr;
-  if (next_) deadlines_.clear(*next_);
+  if (next_) deadlines_.cancel(*next_);
 }
 
-std::optional<Look> Watcher::first(core::Time longest) {
+std::optional<LookResult> Watcher::first(core::Time longest) {
   const core::Time end = net::unix_now() + longest;
   for (;;) {
-    Look look = shared_->source.look();
-    if (look.sight == Sight::content || look.sight == Sight::unreadable) return look;
+    LookResult look = shared_->source.look();
+    if (look.sight == Observation::content || look.sight == Observation::unreadable) return look;
     if (net::unix_now() >= end) return {};
     std::this_thread::sleep_for(std::chrono::microseconds(settings_.settle));
   }
@@ -72,7 +72,7 @@
 
 void Watcher::schedule(core::Time at) {
   if (next_ && next_at_ <= at) return;
-  if (next_) deadlines_.clear(*next_);
+  if (next_) deadlines_.cancel(*next_);
   next_at_ = at;
   next_ = deadlines_.set(at, [this] {
     next_.reset();
@@ -88,7 +88,7 @@
   }
   ++counters_.looks;
   const bool given = worker_.submit([shared = shared_, judge = judge_, &wakeup = wakeup_] {
-    Look look = shared->source.look();
+    LookResult look = shared->source.look();
     Watched watched;
     for (std::size_t i = 0; i < look.directories.size(); ++i) {
       const int fd = shared->inotify.get();
@@ -98,9 +98,10 @@
       else if (fd < 0 || (errno != ENOENT && errno != ENOTDIR))
         watched.complete = false;
     }
-    const Sight sight = look.sight;
+    const Observation sight = look.sight;
     Apply apply;
-    if (sight == Sight::content || sight == Sight::unreadable) apply = judge(std::move(look));
+    if (sight == Observation::content || sight == Observation::unreadable)
+      apply = judge(std::move(look));
     wakeup.post([shared, sight, watched = std::move(watched), apply = std::move(apply)] {
       if (shared->owner) shared->owner->took(watched, sight, apply);
     });
@@ -110,22 +111,22 @@
   schedule(net::unix_now() + settings_.poll);
 }
 
-void Watcher::took(Watched watched, Sight sight, const Apply& apply) {
+void Watcher::took(Watched watched, Observation sight, const Apply& apply) {
   out_ = false;
   // Watches on directories that the path no longer leads through only make noise.
   for (const auto& [wd, names] : watched_.names)
     if (!watched.names.contains(wd)) ::inotify_rm_watch(shared_->inotify.get(), wd);
   watched_ = std::move(watched);
   if (!watched_.complete) ++counters_.no_watch;
-  if (sight == Sight::content) ++counters_.contents;
-  if (sight == Sight::unreadable) ++counters_.unreadable;
-  if (sight == Sight::unsettled) ++counters_.unsettled;
+  if (sight == Observation::content) ++counters_.contents;
+  if (sight == Observation::unreadable) ++counters_.unreadable;
+  if (sight == Observation::unsettled) ++counters_.unsettled;
   if (apply) apply();
   const core::Time now = net::unix_now();
   if (std::exchange(again_, false))
     schedule(now);
   else
-    schedule(now + (sight == Sight::unsettled ? settings_.settle : settings_.poll));
+    schedule(now + (sight == Observation::unsettled ? settings_.settle : settings_.poll));
 }
 
 bool Watcher::concerns(int descriptor, std::uint32_t mask, const char* name) const {
--- a/src/file_watch/watcher.h
+++ b/src/file_watch/watcher.h
@@ -32,7 +32,7 @@
   std::size_t most_bytes = 16 << 20;
 };
 using Apply = std::function<void()>;
-using Judge = std::function<Apply(Look&&)>;
+using Judge = std::function<Apply(LookResult&&)>;
 
 struct WatchCounters {
   std::uint64_t events = 0, looks = 0, contents = 0, unreadable = 0, unsettled = 0, no_watch = 0;
@@ -45,7 +45,7 @@
   ~Watcher();
   // Looks until the path has settled, on this thread, before start(). Blocks for `longest` at most;
   // nothing if it has not settled by then.
-  std::optional<Look> first(core::Time longest);
+  std::optional<LookResult> first(core::Time longest);
   void start();
   void look_now();  // as if an event had come
   const WatchCounters& counters() const { return counters_; }
@@ -58,7 +58,7 @@
   };
   void schedule(core::Time at);
   void submit();
-  void took(Watched watched, Sight sight, const Apply& apply);
+  void took(Watched watched, Observation sight, const Apply& apply);
   void events();
   bool concerns(int descriptor, std::uint32_t mask, const char* name) const;
 
--- a/src/hot_restart/ban_store.cpp
+++ b/src/hot_restart/ban_store.cpp
@@ -32,7 +32,7 @@
     return {};
   while (!payload.empty()) {
     const auto name = line();
-    if (name.empty() || !core::plain_word(name) || out.names.size() >= kBansMost) return {};
+    if (name.empty() || !core::is_plain_word(name) || out.names.size() >= kBansMost) return {};
     out.names.emplace(name);
   }
   return out;
@@ -45,27 +45,27 @@
     names.erase(change.name);
 }
 
-void BanBook::call(const BanChange& change) {
+void BanStore::call(const BanChange& change) {
   // A later call on the same server stands for the one that did not reach the disk.
   std::erase_if(unsaved_, [&](auto& c) { return c.name == change.name; });
   under_way_.push_back(change);
 }
 
-void BanBook::adopt(const Bans& list) {
+void BanStore::adopt(const Bans& list) {
   if (list.serial > list_.serial) list_ = list;
 }
-void BanBook::saved(const Bans& list) {
+void BanStore::saved(const Bans& list) {
   if (!under_way_.empty()) under_way_.erase(under_way_.begin());
   adopt(list);
 }
-void BanBook::not_saved() {
+void BanStore::not_saved() {
   if (under_way_.empty()) return;
   const auto change = under_way_.front();
   under_way_.erase(under_way_.begin());
   const auto same = [&](auto& c) { return c.name == change.name; };
   if (std::none_of(under_way_.begin(), under_way_.end(), same)) unsaved_.push_back(change);
 }
-std::vector<BanChange> BanBook::again() {
+std::vector<BanChange> BanStore::again() {
   std::erase_if(unsaved_, [&](auto& c) {
     return std::any_of(under_way_.begin(), under_way_.end(),
                        [&](auto& u) { return u.name == c.name; });
@@ -77,9 +77,9 @@
   under_way_.insert(under_way_.end(), out.begin(), out.end());
   return out;
 }
-void BanBook::seen(const Bans& list) { adopt(list); }
+void BanStore::seen(const Bans& list) { adopt(list); }
 
-bool BanBook::in_force(const std::string& name) const {
+bool BanStore::in_force(const std::string& name) const {
   bool out = list_.names.contains(name);
   for (const auto* changes : {&unsaved_, &under_way_})
     for (const auto& c : *changes)
@@ -87,14 +87,14 @@
   return out;
 }
 
-bool BanBook::settled(const std::string& name) const {
+bool BanStore::settled(const std::string& name) const {
   for (const auto* changes : {&unsaved_, &under_way_})
     for (const auto& c : *changes)
       if (c.name == name) return false;
   return true;
 }
 
-std::vector<BanChange> BanBook::take() {
+std::vector<BanChange> BanStore::take() {
   std::set<std::string> now = list_.names;
   for (const auto* changes : {&unsaved_, &under_way_})
     for (const auto& c : *changes) carry_out(c, now);
--- a/src/hot_restart/ban_store.h
+++ b/src/hot_restart/ban_store.h
@@ -33,7 +33,7 @@
 };
 void carry_out(const BanChange& change, std::set<std::string>& names);
 
-class BanBook {
+class BanStore {
  public:
   // A call. What is in force has changed by exactly this, or by nothing.
   void call(const BanChange& change);
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -15,24 +15,26 @@
 
 }  // namespace
 
-Twin::Twin(net::Loop& loop, core::Deadlines& deadlines, std::function<core::Time()> now,
-           const std::string& folder, std::string_view key, Say say, Hooks hooks)
+HotRestartCoordinator::HotRestartCoordinator(net::Loop& loop, core::Deadlines& deadlines,
+                                             std::function<core::Time()> now,
+                                             const std::string& folder, std::string_view key,
+                                             Say say, Hooks hooks)
     : deadlines_(deadlines), now_(std::move(now)), say_(std::move(say)), hooks_(std::move(hooks)) {
   word_.share = 1;
   if (folder.empty()) return;
   word_.share = 0;
-  folder_ = std::make_shared<Folder>(folder, key);
+  folder_ = std::make_shared<SharedDirectory>(folder, key);
   wakeup_ = std::make_unique<net::Wakeup>(loop);
   worker_ = std::make_unique<file_watch::Worker>();
   begin();
 }
-Twin::~Twin() {
-  if (next_.first) deadlines_.clear(next_);
+HotRestartCoordinator::~HotRestartCoordinator() {
+  if (next_.first) deadlines_.cancel(next_);
   worker_.reset();
 }
 
 // The start waits here, a bounded time: nothing is served yet.
-void Twin::begin() {
+void HotRestartCoordinator::begin() {
   auto result = std::make_shared<std::promise<Looked>>();
   auto looked = result->get_future();
   worker_->submit([folder = folder_, result] {
@@ -60,11 +62,11 @@
   arm();
 }
 
-void Twin::arm() {
+void HotRestartCoordinator::arm() {
   next_ = deadlines_.set(now_() + kLook, [this] { look(), arm(); });
 }
 
-void Twin::measure() {
+void HotRestartCoordinator::measure() {
   const core::Time now = now_();
   const auto load = hooks_.load();
   if (measured_ && now > measured_) {
@@ -78,13 +80,13 @@
 }
 
 // By what each takes, with a little for who takes nothing yet.
-double Twin::wanted() const {
+double HotRestartCoordinator::wanted() const {
   if (!others_.count) return 1;
   const double all = rate_ + others_.rate;
   return std::clamp(all > 0 ? rate_ / all : 0.5, kLeast, 1 - kLeast * others_.count);
 }
 
-void Twin::look() {
+void HotRestartCoordinator::look() {
   if (looking_) return;  // the disk hangs: what is in force stays
   for (const auto& change : book_.again()) save(change, {});
   measure();
@@ -110,7 +112,7 @@
       });
 }
 
-void Twin::take(const Looked& looked) {
+void HotRestartCoordinator::take(const Looked& looked) {
   complain(!looked.error.empty() ? looked.error : looked.read.error);
   book_.seen(looked.read.bans);
   apply();
@@ -126,33 +128,34 @@
 }
 
 // The same trouble is told once.
-void Twin::complain(const std::string& error) {
+void HotRestartCoordinator::complain(const std::string& error) {
   if (error == last_error_) return;
   last_error_ = error;
   if (!error.empty()) say_("shared_folder", error);
 }
 
-void Twin::apply() {
+void HotRestartCoordinator::apply() {
   for (const auto& change : book_.take()) {
     say_("ban", change.name + (change.out ? " is out by hand" : " may serve again"));
     hooks_.ban(change);
   }
 }
 
-void Twin::serving() {
+void HotRestartCoordinator::serving() {
   word_.phase = Phase::serving;
   if (!folder_) return;
   said_ = false;
   look();
 }
-void Twin::leaving() {
+void HotRestartCoordinator::leaving() {
   word_.phase = Phase::leaving;
   if (folder_) look();
 }
 
-bool Twin::settle() { return !worker_ || worker_->settle(kSettle); }
+bool HotRestartCoordinator::settle() { return !worker_ || worker_->settle(kSettle); }
 
-void Twin::change(const BanChange& change, std::function<void(const std::string& error)> done) {
+void HotRestartCoordinator::change(const BanChange& change,
+                                   std::function<void(const std::string& error)> done) {
   book_.call(change);
   apply();
   if (folder_) return save(change, std::move(done));
@@ -163,8 +166,9 @@
   done({});
 }
 
-void Twin::save(const BanChange& change, std::function<void(const std::string& error)> done) {
-  const auto end = [this, done = std::move(done)](const Folder::Changed& changed) {
+void HotRestartCoordinator::save(const BanChange& change,
+                                 std::function<void(const std::string& error)> done) {
+  const auto end = [this, done = std::move(done)](const SharedDirectory::Changed& changed) {
     if (changed.error.empty())
       book_.saved(changed.bans);
     else
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -26,7 +26,7 @@
 
 constexpr core::Time kLook = 150'000, kKnown = 700'000, kBegin = 1'500'000;
 
-class Twin {
+class HotRestartCoordinator {
  public:
   using Say = std::function<void(const std::string& event, const std::string& text)>;
   struct Load {
@@ -36,13 +36,14 @@
   struct Hooks {
     std::function<Load()> load;
     std::function<void(const BanChange&)> ban;  // what is in force has changed
-    std::function<void(const Others&, double share)>
+    std::function<void(const PeerSummary&, double share)>
         others;  // as is who else is there, or our share
   };
   // `folder` empty: bans are this process's own and nobody else is known of.
-  Twin(net::Loop& loop, core::Deadlines& deadlines, std::function<core::Time()> now,
-       const std::string& folder, std::string_view key, Say say, Hooks hooks);
-  ~Twin();
+  HotRestartCoordinator(net::Loop& loop, core::Deadlines& deadlines,
+                        std::function<core::Time()> now, const std::string& folder,
+                        std::string_view key, Say say, Hooks hooks);
+  ~HotRestartCoordinator();
 
   void serving();  // clients are taken from now on
   // Clients are taken and this is on its way to the others; without a folder, at once.
@@ -50,7 +51,7 @@
   void leaving();  // a planned end has begun: looks at once who comes after
   // At the end: false where the disk hangs, and the process must go without its worker.
   bool settle();
-  const Others& others() const { return others_; }
+  const PeerSummary& others() const { return others_; }
   double share() const { return word_.share; }
 
   // A call by hand. `done`: empty, or why it is not on the disk; it binds here all the same.
@@ -64,9 +65,9 @@
 
  private:
   struct Looked {
-    Others others;
-    Word word;  // as it was said
-    Folder::Read read;
+    PeerSummary others;
+    ProcessStatus word;  // as it was said
+    SharedDirectory::Read read;
     std::string error;
   };
   void begin();
@@ -83,10 +84,10 @@
   std::function<core::Time()> now_;
   Say say_;
   Hooks hooks_;
-  std::shared_ptr<Folder> folder_;  // used on the worker's thread only
-  BanBook book_;
-  Others others_;
-  Word word_;
+  std::shared_ptr<SharedDirectory> folder_;  // used on the worker's thread only
+  BanStore book_;
+  PeerSummary others_;
+  ProcessStatus word_;
   double rate_ = 0;
   std::uint64_t taken_ = 0;
   core::Time measured_ = 0;
--- a/src/hot_restart/shared_directory.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -39,10 +39,10 @@
 
 }  // namespace
 
-Folder::Folder(std::string path, std::string_view key)
+SharedDirectory::SharedDirectory(std::string path, std::string_view key)
     : base_(std::move(path) + "/alderspur-" + usable(key)) {}
 
-std::string Folder::enter() {
+std::string SharedDirectory::enter() {
   using std::chrono::duration_cast, std::chrono::microseconds, std::chrono::steady_clock;
   order_ = duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
   for (int i = 0; i < kPlaces; ++i) {
@@ -57,7 +57,7 @@
   return "all places in " + base_ + " are taken";
 }
 
-std::string Folder::say(const Word& w) {
+std::string SharedDirectory::say(const ProcessStatus& w) {
   if (place_.get() < 0) return enter();
   char text[kPlaceText + 1] = {};
   std::snprintf(text, sizeof text, "place 1 %lld %d %u %lld %.4f %.3f %.4f\n",
@@ -69,8 +69,8 @@
   return {};
 }
 
-Others Folder::others() {
-  Others out;
+PeerSummary SharedDirectory::others() {
+  PeerSummary out;
   for (int i = 0; i < kPlaces; ++i) {
     if (i == number_) continue;
     const net::Fd fd(::open(file(place_name(i)).c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
@@ -102,7 +102,7 @@
 // Danger: two that raise at once each read the other's old share. Each writes before it reads, so
 // that at least one of them sees the other's raise; who sees too much takes its own back. Until
 // then nobody acts on it.
-std::string Folder::raise(Word& word, double wanted) {
+std::string SharedDirectory::raise(ProcessStatus& word, double wanted) {
   const double before = word.share;
   word.share = std::min(wanted, 1 - others().share);
   if (word.share > before) {
@@ -113,7 +113,7 @@
   return say(word);
 }
 
-Folder::Read Folder::read_bans() const {
+SharedDirectory::Read SharedDirectory::read_bans() const {
   Read out;
   for (const char* name : {".bans.a", ".bans.b"}) {
     const auto loaded = store::load_file(file(name), kBanFileMost);
@@ -126,11 +126,11 @@
   return out;
 }
 
-std::string Folder::write(const Bans& bans) {
+std::string SharedDirectory::write(const Bans& bans) {
   return store::replace_file(file(bans.serial % 2 ? ".bans.a" : ".bans.b"), encode(bans));
 }
 
-Folder::Changed Folder::change(const Bans& mine, const BanChange& change) {
+SharedDirectory::Changed SharedDirectory::change(const Bans& mine, const BanChange& change) {
   const net::Fd lock = open_file(file(".lock"));
   if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0)
     return {{}, failed("cannot lock " + file(".lock"))};
@@ -142,7 +142,7 @@
   return {std::move(next), std::move(error)};
 }
 
-std::string Folder::restore(const Bans& mine) {
+std::string SharedDirectory::restore(const Bans& mine) {
   const net::Fd lock = open_file(file(".lock"));
   if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0)
     return failed("cannot lock " + file(".lock"));
--- a/src/hot_restart/shared_directory.h
+++ b/src/hot_restart/shared_directory.h
@@ -22,7 +22,7 @@
 enum class Phase { starting, serving, leaving };
 
 // What a process says of itself in its place.
-struct Word {
+struct ProcessStatus {
   Phase phase = Phase::starting;
   std::uint32_t counted = 0;  // others it knows of
   double share = 0;           // of the router, that it holds
@@ -30,7 +30,7 @@
   double door = 0;            // see module::Twins
 };
 // What the others that are alive say.
-struct Others {
+struct PeerSummary {
   std::uint32_t count = 0;
   bool successor = false;  // one that came after us takes clients
   bool all_know_us =
@@ -38,18 +38,18 @@
   double share = 0, rate = 0, door = 0;  // together; the largest door
 };
 
-class Folder {
+class SharedDirectory {
  public:
   // `path`/alderspur-`key`.* are ours.
-  Folder(std::string path, std::string_view key);
+  SharedDirectory(std::string path, std::string_view key);
 
   // Takes a free place. Empty: done.
   std::string enter();
   // Says how this process stands; takes a place first where none is held. Empty: done.
-  std::string say(const Word& word);
-  Others others();
+  std::string say(const ProcessStatus& word);
+  PeerSummary others();
   // Raises the share in `word`, as far as the others' leave room for it, and says so.
-  std::string raise(Word& word, double wanted);
+  std::string raise(ProcessStatus& word, double wanted);
 
   struct Read {
     Bans bans;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -196,7 +196,7 @@
   if (tag.starts_with("W/")) tag.remove_prefix(2);
   if (tag.size() < 3 || !tag.starts_with('"') || !tag.ends_with('"')) return {};
   tag = tag.substr(1, tag.size() - 2);
-  return core::plain_word(tag) ? tag : std::string_view();
+  return core::is_plain_word(tag) ? tag : std::string_view();
 }
 
 }  // namespace alderspur::http
--- a/src/net/lingering.cpp
+++ b/src/net/lingering.cpp
@@ -10,7 +10,7 @@
 Lingering::Lingering(core::Deadlines& deadlines) : deadlines_(deadlines) {}
 Lingering::~Lingering() {
   for (auto& one : all_)
-    if (!one.ended) deadlines_.clear(one.until);
+    if (!one.ended) deadlines_.cancel(one.until);
 }
 
 void Lingering::take(std::unique_ptr<Connection> connection) {
@@ -24,7 +24,7 @@
 // Its callback may be running: the connection itself goes at the turn's end.
 void Lingering::end(Place place) {
   if (std::exchange(place->ended, true)) return;
-  deadlines_.clear(place->until);
+  deadlines_.cancel(place->until);
   place->connection->close();
   ended_.push_back(place);
 }
