--- a/src/platform/cache_protocol.cpp
+++ b/src/platform/cache_protocol.cpp
@@ -16,8 +16,8 @@
 }
 }  // namespace
 
-std::string fetch_line(const core::Order& o, std::string_view lane, std::string_view source,
-                       core::Time now) {
+std::string fetch_line(const core::UpstreamRequest& o, std::string_view lane,
+                       std::string_view source, core::Time now) {
   std::string line = "fetch ";
   const auto add = [&](const char* name, std::string_view value) {
     if (line.back() != ' ') line += ',';
@@ -35,19 +35,19 @@
   if (!o.idempotency_key.empty()) add("dedupe", o.idempotency_key);
   if (o.fill) {
     if (!source.empty()) add("next", source);
-    if (o.fill->keep) add("admit", std::to_string(o.fill->keep));
+    if (o.fill->cache_rank) add("admit", std::to_string(o.fill->cache_rank));
     if (o.fill->max_age > 0) add("agelim", milliseconds(o.fill->max_age));
     std::string ways;
-    if (o.fill->join) ways += "+j";
-    if (o.fill->held_only) ways += "+h";
-    if (o.fill->renew) ways += "+r";
+    if (o.fill->may_join) ways += "+j";
+    if (o.fill->cached_only) ways += "+h";
+    if (o.fill->refresh_in_background) ways += "+r";
     if (!ways.empty()) add("ways", std::string_view(ways).substr(1));
   }
-  if (!o.held_tag.empty()) add("cached", o.held_tag);
+  if (!o.client_copy_tag.empty()) add("cached", o.client_copy_tag);
   return line + ' ' + std::to_string(o.body.size()) + "\r\n";
 }
 
-Parsed next_answer(std::string_view& bytes, LineAnswer& answer) {
+Parsed next_answer(std::string_view& bytes, CacheResponse& answer) {
   // After a length of 0 the closing CR LF reads as an empty line.
   while (bytes.starts_with("\r\n")) bytes.remove_prefix(2);
   const auto end = bytes.find("\r\n");
@@ -89,26 +89,26 @@
   return Parsed::whole;
 }
 
-std::optional<alderspur::Result> result_of(std::string_view word) {
-  using R = alderspur::Result;
+std::optional<alderspur::AttemptResult> result_of(std::string_view word) {
+  using R = alderspur::AttemptResult;
   if (word == "served" || word == "still_good") return R::ok;
   if (word == "not_here") return R::miss;
-  if (word == "overload") return R::full;
+  if (word == "overload") return R::overloaded;
   if (word == "crashed") return R::error;
-  if (word == "nobody") return R::moot;
+  if (word == "nobody") return R::already_finished;
   return {};
 }
 
-alderspur::Report report_of(std::string_view text) {
-  alderspur::Report r;
+alderspur::LoadReport report_of(std::string_view text) {
+  alderspur::LoadReport r;
   while (!text.empty()) {
     std::string_view value = cut(text, ';');
     const auto name = cut(value, ':');
     double x = 0;
     if (!core::parse_number(value, x)) continue;
-    if (name == "inflight" || name == "outstanding") r.inflight = x;
+    if (name == "inflight" || name == "outstanding") r.in_flight = x;
     if (name == "util" || name == "utilization") r.utilization = x;
-    if (name == "x1") r.link_or_fetches = x;
+    if (name == "x1") r.link_or_fill_utilization = x;
   }
   return r;
 }
--- a/src/platform/cache_protocol.h
+++ b/src/platform/cache_protocol.h
@@ -10,18 +10,18 @@
 namespace alderspur::platform {
 
 // The line before the body; the body and CR LF follow.
-std::string fetch_line(const core::Order& order, std::string_view lane, std::string_view source,
-                       core::Time now);
+std::string fetch_line(const core::UpstreamRequest& order, std::string_view lane,
+                       std::string_view source, core::Time now);
 
-struct LineAnswer {
+struct CacheResponse {
   std::string_view id, word, body, sum, report;
   core::Time born = 0;
 };
 enum class Parsed { whole, partial, unreadable };
 // Takes one answer from the front of `bytes`.
-Parsed next_answer(std::string_view& bytes, LineAnswer& answer);
+Parsed next_answer(std::string_view& bytes, CacheResponse& answer);
 
-std::optional<alderspur::Result> result_of(std::string_view word);
-alderspur::Report report_of(std::string_view text);
+std::optional<alderspur::AttemptResult> result_of(std::string_view word);
+alderspur::LoadReport report_of(std::string_view text);
 
 }  // namespace alderspur::platform
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -16,19 +16,20 @@
   return std::uniform_int_distribution<core::Time>(kAgainLeast, kAgainMost)(random);
 }
 
-void DirectPool::pool(bool complete, const std::vector<config::Member>& members) {
+void DirectEndpointSink::update_endpoints(bool complete,
+                                          const std::vector<config::Member>& members) {
   if (complete) caches_.only(members);
-  al::FleetUpdate update;
+  al::EndpointUpdate update;
   update.full = complete;
   for (const auto& m : members) {
     update.servers.push_back(m.server);
-    if (!caches_.update(m)) update.servers.back().status = al::Status::gone;
+    if (!caches_.update(m)) update.servers.back().status = al::ServerStatus::gone;
   }
-  engine_.fleet(std::move(update));
+  engine_.update_endpoints(std::move(update));
 }
 
-Board::Board(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, PoolSink& sink,
-             const config::Config& config)
+DiscoveryClient::DiscoveryClient(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+                                 EndpointSink& sink, const config::Config& config)
     : loop_(loop),
       deadlines_(deadlines),
       engine_(engine),
@@ -45,7 +46,7 @@
   }
 }
 
-void Board::apply(const config::Notice& n) {
+void DiscoveryClient::apply(const config::Notice& n) {
   if (n.number <= held_ || ahead_.contains(n.number)) return;
   ahead_.insert(n.number);
   while (ahead_.contains(held_ + 1)) ahead_.erase(++held_);
@@ -57,7 +58,7 @@
 
 // Danger: what fills a gap comes behind later events, and would put a server that drains back into
 // service.
-void Board::tell(const config::Notice& n) {
+void DiscoveryClient::tell(const config::Notice& n) {
   if (n.number < whole_) return;
   if (n.complete) whole_ = n.number;
   std::vector<config::Member> members;
@@ -70,10 +71,10 @@
   if (n.complete)
     for (const auto& [id, later] : told_)
       if (later.first > n.number) members.push_back(later.second);
-  sink_.pool(n.complete, members);
+  sink_.update_endpoints(n.complete, members);
 }
 
-void Board::connect() {
+void DiscoveryClient::connect() {
   net::Connection::Handler handler;
   handler.on_data = [this](std::string_view bytes) { return take(bytes); };
   handler.on_close = [this](net::Closed) { try_again(); };
@@ -83,13 +84,13 @@
   connection_->write("watch " + std::to_string(held_) + "\n");
 }
 
-void Board::drop() {
+void DiscoveryClient::drop() {
   if (!connection_) return;
   connection_->close();
   graves_.push_back(std::move(connection_));  // its callback may be running
 }
 
-void Board::try_again() {
+void DiscoveryClient::try_again() {
   drop();
   if (waiting_) return;
   waiting_ = deadlines_.set(engine_.now() + pause_before_dial(random_), [this] {
@@ -100,13 +101,13 @@
 
 // Danger: the old board accepts nobody, tells nothing more and may still be open for seconds; a gap
 // it left is filled by the new one, since the numbers go on.
-bool Board::move(const config::Config& renewed) {
+bool DiscoveryClient::move(const config::Config& renewed) {
   const auto at = net::parse_address(renewed.board);
   if (!at) return false;
   for (const auto& n : renewed.notices) apply(n);
   const bool first = !address_.sin_port;
   address_ = *at;
-  if (waiting_) deadlines_.clear(*waiting_);
+  if (waiting_) deadlines_.cancel(*waiting_);
   waiting_.reset();
   gap_since_ = 0;
   drop();
@@ -117,14 +118,14 @@
 
 // Danger: a board that fell silent leaves its connection open; drains and purges would pass
 // unheard.
-void Board::listen_for_life() {
+void DiscoveryClient::listen_for_life() {
   const core::Time now = engine_.now();
   if (connection_ && now > heard_ + kSilence) try_again();
   if (connection_ && gap_since_ && now > gap_since_ + kGapPatience) gap_since_ = 0, try_again();
   deadlines_.set(now + kCheck, [this] { listen_for_life(); });
 }
 
-std::ptrdiff_t Board::take(std::string_view bytes) {
+std::ptrdiff_t DiscoveryClient::take(std::string_view bytes) {
   const auto before = bytes.size();
   heard_ = engine_.now();
   for (auto end = bytes.find('\n'); end != std::string_view::npos; end = bytes.find('\n')) {
@@ -133,8 +134,8 @@
     if (line.ends_with('\r')) line.remove_suffix(1);
     const auto notice = config::read_notice(line, config_.names);
     if (!notice) {
-      ++engine_.counters().bad_answers;
-      engine_.complain(core::Complaint::notice, line);
+      ++engine_.counters().invalid_responses;
+      engine_.log_invalid_input(core::InvalidInput::watch_event, line);
       continue;
     }
     if (notice->pool || notice->flush) apply(*notice);
@@ -145,11 +146,12 @@
     else if (!gap_since_)
       gap_since_ = heard_;
   }
-  if (bytes.size() > kLineMost) return engine_.complain(core::Complaint::notice, bytes), -1;
+  if (bytes.size() > kLineMost)
+    return engine_.log_invalid_input(core::InvalidInput::watch_event, bytes), -1;
   return static_cast<std::ptrdiff_t>(before - bytes.size());
 }
 
-void Board::end_turn() {
+void DiscoveryClient::end_turn() {
   graves_.clear();
   if (connection_) connection_->end_turn();
 }
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -19,18 +19,19 @@
 namespace alderspur::platform {
 
 // Who takes the board's news of servers: straight to connections and core, or through membership.
-class PoolSink {
+class EndpointSink {
  public:
-  virtual ~PoolSink() = default;
-  virtual void pool(bool complete, const std::vector<config::Member>& members) = 0;
+  virtual ~EndpointSink() = default;
+  virtual void update_endpoints(bool complete, const std::vector<config::Member>& members) = 0;
 };
-class DirectPool : public PoolSink {
+class DirectEndpointSink : public EndpointSink {
  public:
-  DirectPool(Caches& caches, core::Engine& engine) : caches_(caches), engine_(engine) {}
-  void pool(bool complete, const std::vector<config::Member>& members) override;
+  DirectEndpointSink(UpstreamPool& caches, core::Engine& engine)
+      : caches_(caches), engine_(engine) {}
+  void update_endpoints(bool complete, const std::vector<config::Member>& members) override;
 
  private:
-  Caches& caches_;
+  UpstreamPool& caches_;
   core::Engine& engine_;
 };
 
@@ -39,10 +40,10 @@
 // fleet in one instant, and as one again for as long as it refuses.
 core::Time pause_before_dial(std::mt19937_64& random);
 
-class Board {
+class DiscoveryClient {
  public:
-  Board(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine, PoolSink& sink,
-        const config::Config& config);
+  DiscoveryClient(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+                  EndpointSink& sink, const config::Config& config);
   // The settings were read anew: what they know already is taken in, and the watch moves to their
   // board from the last number held on, whatever state the old connection is in. False: they name
   // no usable address, and the watch stays where it is.
@@ -61,7 +62,7 @@
   net::Loop& loop_;
   core::Deadlines& deadlines_;
   core::Engine& engine_;
-  PoolSink& sink_;
+  EndpointSink& sink_;
   const config::Config& config_;
   sockaddr_in address_{};
   std::unique_ptr<net::Connection> connection_;
--- a/src/platform/edge_router.cpp
+++ b/src/platform/edge_router.cpp
@@ -19,57 +19,60 @@
 
 }  // namespace
 
-Node::Node(config::Config config, Say say, const MakeSink& make_sink)
+EdgeRouter::EdgeRouter(config::Config config, LogSink say, const MakeEndpointSink& make_sink)
     : config_(std::move(config)),
       say_(std::move(say)),
       loop_(deadlines_),
       engine_(config_.settings, config_.seed, deadlines_, net::unix_now),
-      caches_(loop_, deadlines_, engine_, config_),
-      sink_(make_sink ? make_sink(*this) : std::make_unique<DirectPool>(caches_, engine_)),
-      board_(loop_, deadlines_, engine_, *sink_, config_),
-      twin_(
-          config_.operator_listen.empty()
-              ? nullptr
-              : std::make_unique<hot_restart::Twin>(
-                    loop_, deadlines_, [this] { return engine_.now(); }, config_.state_folder,
-                    config_.listen, say_,
-                    hot_restart::Twin::Hooks{
-                        [this] {
-                          return hot_restart::Twin::Load{engine_.counters().taken, engine_.door()};
-                        },
-                        [this](const hot_restart::BanChange& change) {
-                          const auto id = config::server_id(change.name);
-                          engine_.ban(id, change.out);
-                          if (change.out) caches_.give_back(id);
-                          if (banned_) banned_(change);
-                        },
-                        [this](const hot_restart::Others& o, double share) { others(o, share); }})),
+      upstream_pool_(loop_, deadlines_, engine_, config_),
+      sink_(make_sink ? make_sink(*this)
+                      : std::make_unique<DirectEndpointSink>(upstream_pool_, engine_)),
+      discovery_client_(loop_, deadlines_, engine_, *sink_, config_),
+      hot_restart_(config_.operator_listen.empty()
+                       ? nullptr
+                       : std::make_unique<hot_restart::HotRestartCoordinator>(
+                             loop_, deadlines_, [this] { return engine_.now(); },
+                             config_.state_folder, config_.listen, say_,
+                             hot_restart::HotRestartCoordinator::Hooks{
+                                 [this] {
+                                   return hot_restart::HotRestartCoordinator::Load{
+                                       engine_.counters().admitted, engine_.concurrency_limit()};
+                                 },
+                                 [this](const hot_restart::BanChange& change) {
+                                   const auto id = config::server_id(change.name);
+                                   engine_.set_ban(id, change.out);
+                                   if (change.out) upstream_pool_.give_back(id);
+                                   if (banned_) banned_(change);
+                                 },
+                                 [this](const hot_restart::PeerSummary& o, double share) {
+                                   others(o, share);
+                                 }})),
       // What is known comes before the first status.
-      front_(loop_, deadlines_, (engine_.attach(caches_), engine_.run(), engine_),
+      front_(loop_, deadlines_, (engine_.attach(upstream_pool_), engine_.run(), engine_),
              listen_address(config_.listen), config_) {
-  engine_.complaints().on_say(say_);
+  engine_.invalid_input_log().set_sink(say_);
   say_("platform_front", "platform clients on " + net::to_string(front_.address()));
-  if (twin_) begin_operation();
+  if (hot_restart_) begin_operation();
 }
 
-void Node::begin_operation() {
-  desk_ =
-      std::make_unique<admin::RouterDesk>(deadlines_, engine_, caches_, *twin_,
-                                          config_.names.classes, [this] { return leave_at_ > 0; });
-  operators_ =
-      std::make_unique<admin::Front>(loop_, deadlines_, listen_address(config_.operator_listen),
-                                     *desk_, [this] { return engine_.now(); });
+void EdgeRouter::begin_operation() {
+  desk_ = std::make_unique<admin::RouterAdminHandler>(deadlines_, engine_, upstream_pool_,
+                                                      *hot_restart_, config_.names.classes,
+                                                      [this] { return leave_at_ > 0; });
+  operators_ = std::make_unique<admin::AdminServer>(loop_, deadlines_,
+                                                    listen_address(config_.operator_listen), *desk_,
+                                                    [this] { return engine_.now(); });
   complete_ = true;
   say_("operator_front", "operators on " + net::to_string(operators_->address()));
-  if (twin_->others().count > 0) others(twin_->others(), twin_->share());
-  twin_->serving();
+  if (hot_restart_->others().count > 0) others(hot_restart_->others(), hot_restart_->share());
+  hot_restart_->serving();
 }
 
 // Who else acts as this router: budgets and limits are shared, and whoever comes after us takes our
 // clients once our end is planned.
-void Node::others(const hot_restart::Others& others, double share) {
-  engine_.twins(share, others.door, all_, here_);
-  caches_.share(others.count + 1);
+void EdgeRouter::others(const hot_restart::PeerSummary& others, double share) {
+  engine_.set_budget_share(share, others.door, all_, here_);
+  upstream_pool_.share(others.count + 1);
   if (!complete_) return;  // still in the constructor: the front is not there yet
   front_.share(others.count + 1);
   if (!leave_at_) return;
@@ -79,43 +82,44 @@
     front_.take_back();
 }
 
-void Node::ban(const hot_restart::BanChange& change) {
-  if (twin_)
-    twin_->change(change, [](const std::string&) {});
+void EdgeRouter::ban(const hot_restart::BanChange& change) {
+  if (hot_restart_)
+    hot_restart_->change(change, [](const std::string&) {});
   else
-    engine_.ban(config::server_id(change.name), change.out);
+    engine_.set_ban(config::server_id(change.name), change.out);
 }
-std::vector<std::string> Node::bans() const {
-  if (!twin_) return {};
-  const auto& names = twin_->bans();
+std::vector<std::string> EdgeRouter::bans() const {
+  if (!hot_restart_) return {};
+  const auto& names = hot_restart_->bans();
   return {names.begin(), names.end()};
 }
 
-void Node::cluster_share(double all, double here) {
+void EdgeRouter::cluster_share(double all, double here) {
   all_ = all, here_ = here;
-  engine_.twins(twin_ ? twin_->share() : 1, twin_ ? twin_->others().door : 0, all, here);
+  engine_.set_budget_share(hot_restart_ ? hot_restart_->share() : 1,
+                           hot_restart_ ? hot_restart_->others().door : 0, all, here);
 }
 
 // A planned end is cut off no sooner than this after it began: the longest time a client waits, 3 s
 // at most, and 0.7 s.
-core::Time Node::killed_after() const {
+core::Time EdgeRouter::killed_after() const {
   core::Time longest = 0;
   for (const core::Time t : config_.names.give_up)
     longest = std::max(longest, t > 0 ? t : kLongest);
   return std::min(longest, kLongest) + kLinger - kLastWord;
 }
 
-void Node::leave() {
+void EdgeRouter::leave() {
   if (leave_at_) return;
   leave_at_ = engine_.now() + kLinger;
-  if (twin_) {
-    twin_->leaving();
-    others(twin_->others(), twin_->share());
+  if (hot_restart_) {
+    hot_restart_->leaving();
+    others(hot_restart_->others(), hot_restart_->share());
   }
   // Danger: a cache that hangs holds its requests longer than we live, and with the successor dead
   // clients go on asking us, until SIGKILL finds something open.
   deadlines_.set(leave_at_ - kLinger + killed_after(), [this] {
-    engine_.hurry_all();
+    engine_.finish_all_now();
     front_.end();
   });
   deadlines_.set(leave_at_ - kLinger + killed_after() + kCut, [this] {
@@ -131,10 +135,10 @@
 // Danger: an operator's half-written file must not end a router under load. Only the board's
 // address can change while it runs; the rest describes the process itself and is named so that
 // nobody waits for it.
-void Node::reload() {
+void EdgeRouter::reload() {
   try {
     const auto renewed = config::read_file(config_path);
-    if (!board_.move(renewed))
+    if (!discovery_client_.move(renewed))
       throw config::Error("no usable board address: '" + renewed.board + "'");
     say_("reload", "settings read anew, board at " + renewed.board);
     if (renewed.memory_mb != config_.memory_mb || renewed.sockets != config_.sockets ||
@@ -146,21 +150,22 @@
   if (reloaded_) reloaded_();
 }
 
-void Node::say_counters() {
+void EdgeRouter::say_counters() {
   if (counted_) return counted_();
-  say_("counters", "open " + std::to_string(engine_.held()) + ", connections to servers " +
-                       std::to_string(caches_.links()) + "; " + core::text(engine_.counters()));
+  say_("counters", "open " + std::to_string(engine_.open_request_count()) +
+                       ", connections to servers " + std::to_string(upstream_pool_.links()) + "; " +
+                       core::text(engine_.counters()));
 }
 
-void Node::turn() {
-  deadlines_.sweep(engine_.now());
+void EdgeRouter::turn() {
+  deadlines_.run_due(engine_.now());
   engine_.run();
   front_.end_turn();
   for (auto& p : parts_)
     if (p.end_turn) p.end_turn();
   if (operators_) operators_->end_turn();
-  caches_.end_turn();
-  board_.end_turn();
+  upstream_pool_.end_turn();
+  discovery_client_.end_turn();
   engine_.run();  // clients and servers let go of just now
   if (leave_at_ && engine_.now() >= leave_at_) end_when_idle();
 }
@@ -168,15 +173,15 @@
 // Clients hear of our end by a close, each once it has its answers; those that rest until then hold
 // nothing up. With another process to take over, or its operators, busy ones are served until our
 // time is over.
-void Node::end_when_idle() {
-  const bool idle = engine_.held() == 0 && front_.idle();
-  if (!twin_ || idle) front_.leave();
+void EdgeRouter::end_when_idle() {
+  const bool idle = engine_.open_request_count() == 0 && front_.idle();
+  if (!hot_restart_ || idle) front_.leave();
   const auto done = [](auto& part) { return !part.idle || part.idle(); };
   if (over_ || (idle && front_.gone() && std::all_of(parts_.begin(), parts_.end(), done)))
     loop_.stop();
 }
 
-void Node::run() {
+void EdgeRouter::run() {
   loop_.on_signal(SIGTERM, [this] { leave(); });
   loop_.on_signal(SIGHUP, [this] { reload(); });
   loop_.on_signal(SIGINT, [this] { loop_.stop(); });
--- a/src/platform/edge_router.h
+++ b/src/platform/edge_router.h
@@ -22,19 +22,19 @@
 
 namespace alderspur::platform {
 
-class Node {
+class EdgeRouter {
  public:
-  using MakeSink = std::function<std::unique_ptr<PoolSink>(Node&)>;
-  using Say = std::function<void(const std::string& event, const std::string& text)>;
+  using MakeEndpointSink = std::function<std::unique_ptr<EndpointSink>(EdgeRouter&)>;
+  using LogSink = std::function<void(const std::string& event, const std::string& text)>;
   // What else takes part in the turns of this node.
-  struct Part {
+  struct Component {
     std::function<void()> end_turn;
     std::function<void()> leave;  // some time after SIGTERM: accept nothing new
     std::function<bool()> idle;   // nothing is owed
   };
 
-  Node(config::Config config, Say say, const MakeSink& make_sink = {});
-  void add(Part part) { parts_.push_back(std::move(part)); }
+  EdgeRouter(config::Config config, LogSink say, const MakeEndpointSink& make_sink = {});
+  void add(Component part) { parts_.push_back(std::move(part)); }
   // In place of saying the counters in one line, on SIGUSR1 and at the end.
   void on_counters(std::function<void()> then) { counted_ = std::move(then); }
   // What operators are told of the cluster; nothing where they cannot call.
@@ -45,7 +45,7 @@
   // numbers.
   void cluster_share(double all, double here);
   // What operators are told of versions, and what they propose.
-  void on_versions(admin::RouterDesk::Versions versions, std::size_t body_most) {
+  void on_versions(admin::RouterAdminHandler::Versions versions, std::size_t body_most) {
     if (desk_) desk_->on_versions(std::move(versions), body_most);
   }
   // Of bans by hand, whoever makes them; and one that others made. Unlisted servers as well.
@@ -61,14 +61,14 @@
   void on_reload(std::function<void()> then) { reloaded_ = std::move(then); }
   void run();
   // After run(): false where the shared folder hangs, and the process can only be ended by _exit().
-  bool settle() { return !twin_ || twin_->settle(); }
+  bool settle() { return !hot_restart_ || hot_restart_->settle(); }
   void turn();  // of the loop, for whoever drives it by hand
 
   const config::Config& config() const { return config_; }
   core::Deadlines& deadlines() { return deadlines_; }
   net::Loop& loop() { return loop_; }
   core::Engine& engine() { return engine_; }
-  Caches& caches() { return caches_; }
+  UpstreamPool& upstream_pool() { return upstream_pool_; }
   const RpcFront& front() const { return front_; }
 
   // Where the configuration came from, for SIGHUP; empty: it cannot be read anew.
@@ -81,25 +81,26 @@
   void leave();
   void end_when_idle();
   core::Time killed_after() const;
-  void others(const hot_restart::Others& others, double share);
+  void others(const hot_restart::PeerSummary& others, double share);
 
   const config::Config config_;
-  Say say_;
+  LogSink say_;
   core::Deadlines deadlines_;
   net::Loop loop_;
   core::Engine engine_;
-  Caches caches_;
-  std::unique_ptr<PoolSink> sink_;
-  Board board_;
+  UpstreamPool upstream_pool_;
+  std::unique_ptr<EndpointSink> sink_;
+  DiscoveryClient discovery_client_;
   // Before what tells us of others: its first word comes while the members below are not there yet.
   bool complete_ = false;
   double all_ = 0, here_ = 0;  // see cluster_share
   std::function<void(const hot_restart::BanChange&)> banned_;
-  std::unique_ptr<hot_restart::Twin> twin_;  // where operators call, as are the next two
+  std::unique_ptr<hot_restart::HotRestartCoordinator>
+      hot_restart_;  // where operators call, as are the next two
   RpcFront front_;
-  std::unique_ptr<admin::RouterDesk> desk_;
-  std::unique_ptr<admin::Front> operators_;
-  std::vector<Part> parts_;
+  std::unique_ptr<admin::RouterAdminHandler> desk_;
+  std::unique_ptr<admin::AdminServer> operators_;
+  std::vector<Component> parts_;
   std::function<void()> reloaded_, counted_;
   core::Time leave_at_ = 0;
   bool over_ = false;  // our time is, whoever still stays
--- a/src/platform/rpc_codec.cpp
+++ b/src/platform/rpc_codec.cpp
@@ -164,15 +164,15 @@
   return read_call(unpacked.data, call);
 }
 
-bool to_demand(const Call& c, const Form& form, core::Demand& d) {
+bool to_request_view(const Call& c, const ClassForm& form, core::RequestView& d) {
   double limit = 0;
-  if (!c.well_formed || !core::hex_word(c.txn, 16) || !core::hex_word(c.item, 16) ||
-      !core::plain_word(c.seen) || !core::parse_number(c.item, d.object, 16))
+  if (!c.well_formed || !core::is_hex_word(c.txn, 16) || !core::is_hex_word(c.item, 16) ||
+      !core::is_plain_word(c.seen) || !core::parse_number(c.item, d.object, 16))
     return false;
-  if (form.keyed ? !core::hex_word(c.unique, 32) : !c.unique.empty()) return false;
+  if (form.keyed ? !core::is_hex_word(c.unique, 32) : !c.unique.empty()) return false;
   if (!core::parse_number(c.limit, limit) || limit < 1 || limit > kLimitMost) return false;
-  d.limit = static_cast<core::Time>(limit * 1000);
-  if (form.longest > 0 && d.limit > form.longest + 1000) return false;
+  d.time_limit = static_cast<core::Time>(limit * 1000);
+  if (form.longest > 0 && d.time_limit > form.longest + 1000) return false;
   if (!core::parse_number(c.slice, d.part) || d.part > kPartMost) return false;
   if (!core::parse_number(c.set, d.group) || d.group > kGroupMost) return false;
   if (!c.ram.empty() &&
@@ -181,24 +181,24 @@
   if (c.body.size() > (form.write ? kBodyMost : 0)) return false;
   d.id = c.txn;
   d.idempotency_key = c.unique;
-  d.held_tag = c.seen;
+  d.client_copy_tag = c.seen;
   d.object_text = c.item;
   d.body = c.body;
   return true;
 }
 
-Encoded encode_answer(std::uint64_t id, const core::Answer& answer) {
+Encoded encode_answer(std::uint64_t id, const core::Response& answer) {
   Packer head, tail;
   begin_answer(head, id);
-  if (answer.verdict == core::Verdict::served) {
+  if (answer.status == core::FinalStatus::served) {
     msgpack_pack_nil(head.get());
     msgpack_pack_array(head.get(), 2);
     msgpack_pack_bin(head.get(), answer.body.size());
-    msgpack_pack_map(tail.get(), answer.unchanged ? 1 : 0);
-    if (answer.unchanged) tail.str("current"), tail.str("1");
+    msgpack_pack_map(tail.get(), answer.not_modified ? 1 : 0);
+    if (answer.not_modified) tail.str("current"), tail.str("1");
     return {head.out(), tail.out()};
   }
-  const bool refused = answer.verdict == core::Verdict::refused;
+  const bool refused = answer.status == core::FinalStatus::rejected;
   const bool later = refused && answer.retry_after > 0;
   msgpack_pack_array(head.get(), 2);
   head.str(refused ? "Busy" : "Failed");
--- a/src/platform/rpc_codec.h
+++ b/src/platform/rpc_codec.h
@@ -25,7 +25,7 @@
 // Takes one message from the front of `bytes`; the call's strings are slices of it.
 Parsed next_call(std::string_view& bytes, Call& call);
 // What the settings say of the requests of a class.
-struct Form {
+struct ClassForm {
   bool keyed = false, write = false;
   bool harmless = false;   // may be tried again though it may have run
   core::Time longest = 0;  // that a client waits, 0: not told
@@ -33,13 +33,13 @@
 // The request's fields in the core's terms; false if a field is missing, unusable or out of its
 // range. Danger: a cache closes on what it can't read, and every other request on that connection
 // goes with it.
-bool to_demand(const Call& call, const Form& form, core::Demand& demand);
+bool to_request_view(const Call& call, const ClassForm& form, core::RequestView& demand);
 
 // An answer in three parts: head, the body itself, tail.
 struct Encoded {
   std::string head, tail;
 };
-Encoded encode_answer(std::uint64_t id, const core::Answer& answer);
+Encoded encode_answer(std::uint64_t id, const core::Response& answer);
 std::string encode_status(std::uint64_t id);
 
 }  // namespace alderspur::platform
--- a/src/platform/rpc_front.cpp
+++ b/src/platform/rpc_front.cpp
@@ -38,7 +38,7 @@
 
 struct RpcFront::Client {
   std::unique_ptr<net::Connection> connection;
-  std::unordered_map<std::uint64_t, core::Ticket> open;
+  std::unordered_map<std::uint64_t, core::RequestHandle> open;
   bool dead = false, ending = false;
   bool orderly = false;                // dead, and its connection is closed in order
   bool waited = false;                 // perhaps, outside, for so long that it may have left
@@ -64,10 +64,10 @@
       longest_(kWord) {
   for (std::size_t i = 0; i < config.names.classes.size(); ++i) {
     const auto& c = config.settings.classes[i];
-    const bool keyed = c.repeat == alderspur::Repeat::keyed;
-    const bool harmless = c.repeat == alderspur::Repeat::safe ||
+    const bool keyed = c.idempotency == alderspur::Idempotency::idempotent_with_key;
+    const bool harmless = c.idempotency == alderspur::Idempotency::idempotent ||
                           (keyed && c.dedup_scope == alderspur::DedupScope::all);
-    const Form form{keyed, c.uncached, harmless, config.names.give_up[i]};
+    const ClassForm form{keyed, c.never_cached, harmless, config.names.give_up[i]};
     longest_ = std::max(longest_, form.longest > 0 ? form.longest : kMessage);
     classes_[config.names.classes[i]] = {static_cast<std::uint32_t>(i), form};
   }
@@ -118,8 +118,8 @@
     if ((!best || rank(*c) < rank(*best)) && !c->connection->arrived()) best = c.get();
   }
   if (!best) {
-    ++engine_.counters().accepts_put_off;
-    engine_.complain(core::Complaint::connections);
+    ++engine_.counters().deferred_accepts;
+    engine_.log_invalid_input(core::InvalidInput::connections);
     return false;
   }
   ++engine_.counters().idle_clients;
@@ -186,8 +186,8 @@
     const auto parsed = next_call(rest, c);
     if (parsed == Parsed::partial) break;
     if (parsed == Parsed::unreadable || !call(client, c)) {
-      ++engine_.counters().bad_frames;
-      engine_.complain(core::Complaint::frame);
+      ++engine_.counters().invalid_frames;
+      engine_.log_invalid_input(core::InvalidInput::frame);
       return -1;
     }
     bytes = rest;
@@ -205,7 +205,7 @@
     if (c.method != "withdraw" || !c.well_formed) return true;  // nothing can be answered to it
     const auto it = client.open.find(c.id);
     if (it == client.open.end()) return true;  // the answer crossed it
-    engine_.withdraw(it->second);
+    engine_.cancel_request(it->second);
     asked_.erase(it->second);
     client.open.erase(it);
     client.idle = engine_.now();
@@ -217,25 +217,25 @@
     client.connection->write(encode_status(c.id));
     return true;
   }
-  core::Demand demand;
+  core::RequestView demand;
   const auto found = classes_.find(std::string(c.method));
-  if (found == classes_.end() || !to_demand(c, found->second.second, demand) ||
-      engine_.clashes(demand)) {
-    ++engine_.counters().bad_requests;
-    engine_.complain(core::Complaint::request);
-    engine_.turned_away(found == classes_.end() ? core::kNoClass : found->second.first,
-                        core::Verdict::failed);
-    reply(client, c.id, {core::Verdict::failed, false, 0, {}, {}, false});
+  if (found == classes_.end() || !to_request_view(c, found->second.second, demand) ||
+      engine_.conflicts_with_open_request(demand)) {
+    ++engine_.counters().invalid_requests;
+    engine_.log_invalid_input(core::InvalidInput::request);
+    engine_.count_rejected(found == classes_.end() ? core::kNoClass : found->second.first,
+                           core::FinalStatus::failed);
+    reply(client, c.id, {core::FinalStatus::failed, false, 0, {}, {}, false});
     return true;
   }
   // Danger: under this id a request is still open, or being called off; another attempt would be
   // the second beside what is out of it. That one may have run.
-  const bool again = engine_.holds(demand.id);
+  const bool again = engine_.is_open(demand.id);
   // Bounds of this process, not of the service: nothing ran, so trying again is harmless.
   // So is what comes too late for us to finish.
   if (!again &&
       (leaving_ || client.ending || client.queued > kQueueFull || client.open.size() >= kOpenMost ||
-       engine_.held_bytes() + queued_ > memory_ / kHeldPart)) {
+       engine_.open_request_bytes() + queued_ > memory_ / kHeldPart)) {
     refuse(client, c.id, found->second.first);
     return true;
   }
@@ -243,8 +243,8 @@
     refuse(client, c.id, found->second.first, found->second.second.harmless);
     return true;
   }
-  demand.cls = found->second.first;
-  const core::Ticket ticket = engine_.take(*this, demand);
+  demand.class_id = found->second.first;
+  const core::RequestHandle ticket = engine_.admit(*this, demand);
   client.open[c.id] = ticket;
   client.usable = true;
   asked_[ticket] = {&client, c.id};
@@ -254,14 +254,15 @@
 // Not harmless: it may have run all the same, so the client is not told that it can try again.
 void RpcFront::refuse(Client& client, std::uint64_t id, std::uint32_t cls, bool harmless) {
   const auto& s = config_.settings;
-  const core::Time later = harmless && s.retry_after ? std::min(kRetryAfter, s.max_retry_after) : 0;
-  const auto verdict = harmless ? core::Verdict::refused : core::Verdict::failed;
-  ++engine_.counters().too_much;
-  engine_.turned_away(cls, verdict);
+  const core::Time later =
+      harmless && s.sends_retry_after ? std::min(kRetryAfter, s.max_retry_after) : 0;
+  const auto verdict = harmless ? core::FinalStatus::rejected : core::FinalStatus::failed;
+  ++engine_.counters().over_limit;
+  engine_.count_rejected(cls, verdict);
   reply(client, id, {verdict, false, later, {}, {}, false});
 }
 
-void RpcFront::answer(core::Ticket ticket, const core::Answer& answer) {
+void RpcFront::respond(core::RequestHandle ticket, const core::Response& answer) {
   const auto it = asked_.find(ticket);
   if (it == asked_.end()) return;  // withdrawn, or its connection is gone
   const auto [client, id] = it->second;
@@ -272,7 +273,7 @@
 }
 
 // Danger: readers that are slow, or many, would take the memory of all others.
-void RpcFront::reply(Client& client, std::uint64_t id, const core::Answer& answer) {
+void RpcFront::reply(Client& client, std::uint64_t id, const core::Response& answer) {
   if (client.dead) return;
   const auto encoded = encode_answer(id, answer);
   client.connection->write(encoded.head, answer.body, encoded.tail);
@@ -292,7 +293,7 @@
   touch(client);
   client.ending = true;
   if (why != net::Closed::by_peer) return let_go(client, why == net::Closed::unreadable);
-  for (const auto& [id, ticket] : client.open) engine_.begin_no_more(ticket);
+  for (const auto& [id, ticket] : client.open) engine_.stop_retrying(ticket);
 }
 
 // The one way in which a client's connection ends. Orderly: it gets all that was written to it.
@@ -306,7 +307,7 @@
   count(client);
   for (const auto& [id, ticket] : client.open) {
     asked_.erase(ticket);
-    engine_.withdraw(ticket);
+    engine_.cancel_request(ticket);
   }
   client.open.clear();
 }
@@ -381,7 +382,7 @@
 // The final answers are given in this turn; what is asked behind them is refused.
 void RpcFront::see_off(Client& client) {
   client.ending = true;
-  for (const auto& [id, ticket] : client.open) engine_.hurry(ticket);
+  for (const auto& [id, ticket] : client.open) engine_.finish_now(ticket);
   touch(client);
 }
 
--- a/src/platform/rpc_front.h
+++ b/src/platform/rpc_front.h
@@ -20,7 +20,7 @@
            const sockaddr_in& listen, const config::Config& config);
   ~RpcFront() override;
 
-  void answer(core::Ticket ticket, const core::Answer& answer) override;
+  void respond(core::RequestHandle ticket, const core::Response& answer) override;
   void end_turn();
   // Another process takes new clients on the same address: ours are sent there, the idle ones by a
   // close, the others once they have their answers. take_back(): it has gone, clients are ours
@@ -43,7 +43,7 @@
   void accept(net::Fd fd);
   std::ptrdiff_t take(Client& client, std::string_view bytes);
   bool call(Client& client, const Call& call);
-  void reply(Client& client, std::uint64_t id, const core::Answer& answer);
+  void reply(Client& client, std::uint64_t id, const core::Response& answer);
   void refuse(Client& client, std::uint64_t id, std::uint32_t cls, bool harmless = true);
   void lost(Client& client, net::Closed why);
   void let_go(Client& client, bool orderly);
@@ -62,14 +62,14 @@
   core::Deadlines& deadlines_;
   core::Engine& engine_;
   const config::Config& config_;
-  std::unordered_map<std::string, std::pair<std::uint32_t, Form>> classes_;
+  std::unordered_map<std::string, std::pair<std::uint32_t, ClassForm>> classes_;
   std::size_t most_clients_, memory_;
   core::Time longest_;                            // that any client waits
   std::vector<std::unique_ptr<Client>> clients_;  // in no order; each knows its place
   std::vector<Client*> touched_;                  // of this turn, each once
   std::size_t live_ = 0, queued_ = 0,
               unread_ = 0;  // clients; bytes answered and not yet taken; of half messages
-  std::unordered_map<core::Ticket, std::pair<Client*, std::uint64_t>> asked_;
+  std::unordered_map<core::RequestHandle, std::pair<Client*, std::uint64_t>> asked_;
   bool parting_ = false, leaving_ = false, parts_ = false;  // parts_: part() is under way
   core::Time parting_since_ = 0, leave_by_ = 0;
   sockaddr_in address_{};
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -7,7 +7,7 @@
 
 namespace alderspur::platform {
 namespace al = ::alderspur;
-using al::Result;
+using al::AttemptResult;
 using core::AttemptId;
 
 namespace {
@@ -35,14 +35,14 @@
 
 }  // namespace
 
-struct Caches::Open {
+struct UpstreamPool::Open {
   AttemptId attempt = 0;         // 0: a probe
   core::Time sent = 0, due = 0;  // due: no word is missed before
   int tries = 1;                 // of a probe
   bool overdue = false;          // a probe told as failed
   core::Deadlines::Key timeout{};
 };
-struct Caches::Link {
+struct UpstreamPool::Link {
   Server* server = nullptr;
   std::unique_ptr<net::Connection> connection;
   std::unordered_map<std::string, Open> open;
@@ -74,15 +74,15 @@
   // leave.
   bool takes_commands() const { return !connection->connecting() && connection->unwritten() == 0; }
 };
-struct Caches::Server {
+struct UpstreamPool::Server {
   config::Member member;
   sockaddr_in address{};
   std::vector<std::unique_ptr<Link>> links;
   bool touched = false;
 };
 
-Caches::Caches(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-               const config::Config& config)
+UpstreamPool::UpstreamPool(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+                           const config::Config& config)
     : loop_(loop),
       deadlines_(deadlines),
       engine_(engine),
@@ -91,58 +91,58 @@
   sweep();
   watch_links();
 }
-Caches::~Caches() = default;
+UpstreamPool::~UpstreamPool() = default;
 
-bool Caches::update(const config::Member& member) {
+bool UpstreamPool::update(const config::Member& member) {
   auto& slot = servers_[member.server.id];
   const bool known = slot != nullptr;
   if (!known) slot = std::make_unique<Server>();
   Server& s = *slot;
   const auto address = net::parse_address(member.address);
   const bool moved = known && address && member.address != s.member.address;
-  const bool restarted = known && member.server.born > s.member.server.born;
+  const bool restarted = known && member.server.started_at > s.member.server.started_at;
   const std::string last_good = std::exchange(s.member, member).address;
   if (address)
     s.address = *address;
   else
     s.member.address = last_good;
-  if (!address && member.server.status != al::Status::gone)
-    engine_.complain(core::Complaint::address, member.name + ' ' + member.address);
+  if (!address && member.server.status != al::ServerStatus::gone)
+    engine_.log_invalid_input(core::InvalidInput::address, member.name + ' ' + member.address);
   // A process that started anew knows nothing of what its forerunner was asked.
   if (moved || restarted) {
     give_back(member.server.id);  // nobody is to blame for what waited
     for (std::size_t i = 0, n = s.links.size(); i < n; ++i) lost(*s.links[i], net::Closed::reset);
   }
-  if (member.server.status != al::Status::ready) out_of_service(s);
-  return member.server.status == al::Status::gone || s.address.sin_port != 0;
+  if (member.server.status != al::ServerStatus::ready) out_of_service(s);
+  return member.server.status == al::ServerStatus::gone || s.address.sin_port != 0;
 }
 
 // What waits for it has not run and is given back at once. Danger: another server may have its
 // address by the time a dial comes up.
-void Caches::out_of_service(Server& server) {
+void UpstreamPool::out_of_service(Server& server) {
   give_back(server.member.server.id);
-  if (server.member.server.status != al::Status::gone) return;
+  if (server.member.server.status != al::ServerStatus::gone) return;
   touch(server);
   for (auto& link : server.links) retire(*link);
 }
 
 // Danger: a walk over all servers in every turn makes each request pay for the length of the list.
-void Caches::touch(Server& server) {
+void UpstreamPool::touch(Server& server) {
   if (std::exchange(server.touched, true)) return;
   touched_.push_back(&server);
 }
 
-void Caches::only(const std::vector<config::Member>& members) {
+void UpstreamPool::only(const std::vector<config::Member>& members) {
   std::unordered_set<std::uint64_t> listed;
   for (const auto& m : members) listed.insert(m.server.id.value);
   for (auto& [id, s] : servers_) {
     if (listed.contains(id.value)) continue;
-    s->member.server.status = al::Status::gone;
+    s->member.server.status = al::ServerStatus::gone;
     out_of_service(*s);
   }
 }
 
-Caches::Link* Caches::pick(Server& server, std::string_view id) {
+UpstreamPool::Link* UpstreamPool::pick(Server& server, std::string_view id) {
   Link* best = nullptr;
   const std::string key(id);
   for (auto& link : server.links) {
@@ -165,7 +165,7 @@
   return best;
 }
 
-Caches::Link* Caches::dial(Server& server) {
+UpstreamPool::Link* UpstreamPool::dial(Server& server) {
   if (link_count_ >= link_limit_ || !server.address.sin_port) return nullptr;
   auto link = std::make_unique<Link>();
   Link* raw = link.get();
@@ -186,17 +186,19 @@
   return raw;
 }
 
-void Caches::send(AttemptId attempt, al::ServerId id) {
+void UpstreamPool::send(AttemptId attempt, al::ServerId id) {
   const auto it = servers_.find(id);
-  const core::Order* order = engine_.order(attempt);
+  const core::UpstreamRequest* order = engine_.upstream_request(attempt);
   Link* link = it != servers_.end() && order ? pick(*it->second, order->id) : nullptr;
-  if (!link) return engine_.reply(attempt, {Result::connect_failed, false, {}, {}, 0, {}});
+  if (!link)
+    return engine_.on_upstream_response(attempt,
+                                        {AttemptResult::connect_failed, false, {}, {}, 0, {}});
   where_[attempt] = link;
   link->waiting.push_back(attempt);
   write_waiting(*link);
 }
 
-void Caches::write_waiting(Link& link) {
+void UpstreamPool::write_waiting(Link& link) {
   while (!link.dead && !link.waiting.empty() && link.takes_commands()) {
     const AttemptId attempt = link.waiting.front();
     link.waiting.pop_front();
@@ -204,12 +206,12 @@
   }
 }
 
-void Caches::put(Link& link, AttemptId attempt) {
-  const core::Order* order = engine_.order(attempt);
+void UpstreamPool::put(Link& link, AttemptId attempt) {
+  const core::UpstreamRequest* order = engine_.upstream_request(attempt);
   if (!order) return;
-  if (!engine_.may_write(attempt)) {
+  if (!engine_.may_still_send(attempt)) {
     where_.erase(attempt);
-    return engine_.withhold(attempt);
+    return engine_.return_unsent(attempt);
   }
   // Danger: clients may give two requests one id; answers are told apart by it, so each needs its
   // own connection.
@@ -218,19 +220,20 @@
   if (order->fill && order->fill->source != order->server)
     if (const auto s = servers_.find(order->fill->source); s != servers_.end())
       source = s->second->member.name;
-  const auto line = fetch_line(*order, config_.names.classes[order->cls], source, engine_.now());
+  const auto line =
+      fetch_line(*order, config_.names.classes[order->class_id], source, engine_.now());
   Open& open = link.open[std::string(order->id)];
   open.attempt = attempt;
   open.sent = link.used = engine_.now();
-  open.due = open.sent + order->sending;
+  open.due = open.sent + order->transfer_time;
   link.connection->write(line, order->body, "\r\n");
   link.unwritten.emplace_back(link.connection->queued_total(), attempt);
   mark_written(link);
 }
 
-void Caches::come_up(Link& link) {
+void UpstreamPool::come_up(Link& link) {
   if (link.dial.first == 0 || link.connection->connecting()) return;
-  deadlines_.clear(link.dial);
+  deadlines_.cancel(link.dial);
   link.dial = {};
   link.up = engine_.now();
   const auto probes = std::move(link.probes);
@@ -239,35 +242,36 @@
     if (link.open.contains(tag)) link.connection->write("stats " + tag + "\r\n");
 }
 
-void Caches::mark_written(Link& link) {
+void UpstreamPool::mark_written(Link& link) {
   const auto total = link.connection->written_total();
   for (; !link.unwritten.empty() && link.unwritten.front().first <= total;
        link.unwritten.pop_front())
-    engine_.written(link.unwritten.front().second);
+    engine_.mark_written(link.unwritten.front().second);
 }
 
 // Danger: a spoilt line can read well. What is passed on must be what this request asked for: kept
 // objects come with their tag and date, writes with bytes, and a copy is confirmed only to whoever
 // named it.
-bool Caches::plausible(const LineAnswer& answer, AttemptId attempt) const {
-  const core::Order* order = engine_.order(attempt);
+bool UpstreamPool::plausible(const CacheResponse& answer, AttemptId attempt) const {
+  const core::UpstreamRequest* order = engine_.upstream_request(attempt);
   if (!order) return true;  // over already, nothing is passed on
   if (answer.word == "still_good")
-    return answer.body.empty() && !order->held_tag.empty() && answer.sum == order->held_tag;
+    return answer.body.empty() && !order->client_copy_tag.empty() &&
+           answer.sum == order->client_copy_tag;
   if (answer.word != "served") return true;
-  if (config_.settings.classes[order->cls].uncached) return !answer.body.empty();
+  if (config_.settings.classes[order->class_id].never_cached) return !answer.body.empty();
   return !answer.sum.empty() && answer.born > 0;
 }
 
-std::ptrdiff_t Caches::take(Link& link, std::string_view bytes) {
+std::ptrdiff_t UpstreamPool::take(Link& link, std::string_view bytes) {
   touch(*link.server);
   const auto before = bytes.size();
   const auto bad = [&]() -> std::ptrdiff_t {
-    ++engine_.counters().bad_answers;
-    engine_.complain(core::Complaint::answer, link.server->member.name);
+    ++engine_.counters().invalid_responses;
+    engine_.log_invalid_input(core::InvalidInput::response, link.server->member.name);
     return -1;
   };
-  LineAnswer answer;
+  CacheResponse answer;
   for (;;) {
     const auto parsed = next_answer(bytes, answer);
     if (parsed == Parsed::partial) return static_cast<std::ptrdiff_t>(before - bytes.size());
@@ -279,7 +283,7 @@
     }
     const auto it = link.open.find(std::string(answer.id));
     if (it == link.open.end()) {
-      ++engine_.counters().late_answers;
+      ++engine_.counters().late_responses;
       continue;
     }
     if (!it->second.attempt) {
@@ -292,12 +296,12 @@
     // A word of another answer, or an answer to what was not asked whole: nothing here can be
     // trusted.
     if (!result || !engine_.was_written(attempt) || !plausible(answer, attempt)) return bad();
-    if (*result != Result::ok) link.burnt.insert(it->first);
+    if (*result != AttemptResult::ok) link.burnt.insert(it->first);
     link.open.erase(it);
     where_.erase(attempt);
     link.used = engine_.now();
-    engine_.reply(attempt, {*result, answer.word == "still_good", answer.body, answer.sum,
-                            answer.born, report_of(answer.report)});
+    engine_.on_upstream_response(attempt, {*result, answer.word == "still_good", answer.body,
+                                           answer.sum, answer.born, report_of(answer.report)});
     if (link.burnt.size() > kBurntMost) link.retired = true;
     if (link.retired && link.load() == 0) {
       drop(link);
@@ -309,14 +313,14 @@
 // Danger: where a router sends little, most connections are quiet for long while they serve; a look
 // at each would be a probe for every second request. What probes bring out is no measure of that,
 // and a large answer in one piece is due only once its own sending time is over.
-void Caches::hear(Link& link) {
+void UpstreamPool::hear(Link& link) {
   const core::Time now = engine_.now(), oldest = link.first(&Open::sent, now);
   if (oldest < now) gap_.learn(static_cast<double>(now - std::max(oldest, link.answered_at)));
   link.answered_at = now;
 }
 
 // A refused or hung connect, or a command not written whole, proves that nothing ran.
-void Caches::lost(Link& link, net::Closed why) {
+void UpstreamPool::lost(Link& link, net::Closed why) {
   if (link.dead) return;
   const auto open = std::move(link.open);
   const auto waiting = std::move(link.waiting);
@@ -325,49 +329,54 @@
   drop(link);
   for (const auto& [tag, o] : open) {
     if (!o.attempt) {
-      deadlines_.clear(o.timeout);
+      deadlines_.cancel(o.timeout);
       if (o.overdue) continue;
       // Danger: connections are reset while the machine is well. Only a refused one, or the next,
       // says more.
       const auto id = link.server->member.server.id;
       if (why != net::Closed::refused && o.tries < kProbeTries)
-        probe(id, o.sent, o.tries + 1);
+        send_health_check(id, o.sent, o.tries + 1);
       else
-        engine_.probed(id, false, engine_.now() - o.sent, {});
+        engine_.on_health_check_result(id, false, engine_.now() - o.sent, {});
       continue;
     }
     where_.erase(o.attempt);
     const bool may_have_run = engine_.was_written(o.attempt);
-    engine_.reply(o.attempt,
-                  {may_have_run ? Result::reset : Result::connect_failed, false, {}, {}, 0, {}});
+    engine_.on_upstream_response(
+        o.attempt, {may_have_run ? AttemptResult::reset : AttemptResult::connect_failed,
+                    false,
+                    {},
+                    {},
+                    0,
+                    {}});
   }
   for (const AttemptId attempt : waiting) {
     where_.erase(attempt);
-    engine_.reply(attempt, {Result::connect_failed, false, {}, {}, 0, {}});
+    engine_.on_upstream_response(attempt, {AttemptResult::connect_failed, false, {}, {}, 0, {}});
   }
 }
 
-void Caches::drop(Link& link) {
+void UpstreamPool::drop(Link& link) {
   if (link.dead) return;
   link.dead = true;
   touch(*link.server);
-  if (link.dial.first) deadlines_.clear(link.dial);
+  if (link.dial.first) deadlines_.cancel(link.dial);
   link.connection->close();
   --link_count_;
 }
 
-void Caches::retire(Link& link) {
+void UpstreamPool::retire(Link& link) {
   link.retired = true;
   if (!link.dead && link.load() == 0) drop(link);
 }
 
-void Caches::abort(AttemptId attempt) {
+void UpstreamPool::abort(AttemptId attempt) {
   const auto it = where_.find(attempt);
   if (it == where_.end()) return;
   Link& link = *it->second;
   where_.erase(it);
   if (std::erase(link.waiting, attempt)) return;
-  const core::Order* order = engine_.order(attempt);
+  const core::UpstreamRequest* order = engine_.upstream_request(attempt);
   const auto found = order ? link.open.find(std::string(order->id)) : link.open.end();
   if (found == link.open.end() || found->second.attempt != attempt) return;
   const std::string id = found->first;
@@ -384,12 +393,12 @@
   if (silent || link.burnt.size() > kBurntMost) retire(link);
 }
 
-void Caches::probe(al::ServerId id) { probe(id, engine_.now(), 1); }
+void UpstreamPool::send_health_check(al::ServerId id) { send_health_check(id, engine_.now(), 1); }
 
 // Danger: on a connection that a spoilt answer has silenced, a probe would say that the machine is
 // silent. Danger: a dial for each probe of a silent server, from every router, is a load of its
 // own.
-Caches::Link* Caches::link_for_probe(Server& server, bool fresh) {
+UpstreamPool::Link* UpstreamPool::link_for_probe(Server& server, bool fresh) {
   Link *best = nullptr, *doubted = nullptr;
   std::size_t waiting = 0;
   for (auto& l : server.links) {
@@ -403,12 +412,12 @@
   return waiting < kDoubted ? dial(server) : doubted;
 }
 
-void Caches::probe(al::ServerId id, core::Time since, int tries) {
+void UpstreamPool::send_health_check(al::ServerId id, core::Time since, int tries) {
   const auto it = servers_.find(id);
   std::string tag("p");
   tag += std::to_string(++last_probe_);
   Link* link = it != servers_.end() ? link_for_probe(*it->second, tries > 1) : nullptr;
-  if (!link) return engine_.probed(id, false, engine_.now() - since, {});
+  if (!link) return engine_.on_health_check_result(id, false, engine_.now() - since, {});
   Open& open = link->open[tag];
   link->used = engine_.now();
   open.sent = since;
@@ -420,67 +429,67 @@
     link->connection->write("stats " + tag + "\r\n");
 }
 
-void Caches::overdue(Link& link, const std::string& tag) {
+void UpstreamPool::overdue(Link& link, const std::string& tag) {
   const auto it = link.open.find(tag);
   if (it == link.open.end()) return;
   const core::Time now = engine_.now();
   it->second.overdue = true;
   it->second.timeout = deadlines_.set(now + kLateWord, [this, l = &link, tag] { forget(*l, tag); });
   if (link.connection->last_read <= it->second.sent) link.doubted = now;
-  engine_.probed(link.server->member.server.id, false, now - it->second.sent, {});
+  engine_.on_health_check_result(link.server->member.server.id, false, now - it->second.sent, {});
 }
 
-void Caches::forget(Link& link, const std::string& tag) {
+void UpstreamPool::forget(Link& link, const std::string& tag) {
   std::erase(link.probes, tag);
   link.open.erase(tag);
   if (!link.heard()) retire(link);
 }
 
-void Caches::end_probe(Link& link, const std::string& tag, bool ok, std::string_view report) {
+void UpstreamPool::end_probe(Link& link, const std::string& tag, bool ok, std::string_view report) {
   const auto it = link.open.find(tag);
   if (it == link.open.end()) return;
   const Open open = it->second;
-  deadlines_.clear(open.timeout);
+  deadlines_.cancel(open.timeout);
   std::erase(link.probes, tag);
   link.open.erase(it);
   const core::Time now = engine_.now(), up = link.up ? now - link.up : 0;
-  engine_.probed(link.server->member.server.id, ok, now - open.sent, report_of(report), up, true,
-                 open.overdue);
+  engine_.on_health_check_result(link.server->member.server.id, ok, now - open.sent,
+                                 report_of(report), up, true, open.overdue);
 }
 
-std::string Caches::address(al::ServerId server) const {
+std::string UpstreamPool::address(al::ServerId server) const {
   const auto it = servers_.find(server);
   return it == servers_.end() ? std::string() : it->second->member.address;
 }
 
-std::size_t Caches::link_limit(std::uint32_t processes) const {
+std::size_t UpstreamPool::link_limit(std::uint32_t processes) const {
   const auto sockets = static_cast<std::size_t>(config_.sockets) / processes;
   return std::min(processes > 1 ? sockets / 4 : sockets * 2 / 5,
                   std::max<std::size_t>(24, config_.memory_mb) / processes);
 }
-void Caches::share(std::uint32_t processes) {
+void UpstreamPool::share(std::uint32_t processes) {
   link_limit_ = link_limit(processes);
   for (auto& [id, s] : linked_)
     for (auto& link : s->links)
       if (link_count_ > link_limit_ && !link->dead && link->load() == 0) drop(*link);
 }
 
-bool Caches::listed(al::ServerId server) const {
+bool UpstreamPool::listed(al::ServerId server) const {
   const auto it = servers_.find(server);
-  return it != servers_.end() && it->second->member.server.status != al::Status::gone;
+  return it != servers_.end() && it->second->member.server.status != al::ServerStatus::gone;
 }
 
-void Caches::give_back(al::ServerId server) {
+void UpstreamPool::give_back(al::ServerId server) {
   const auto it = linked_.find(server);
   if (it == linked_.end()) return;
   for (auto& link : it->second->links)
     for (const AttemptId attempt : std::exchange(link->waiting, {})) {
       where_.erase(attempt);
-      engine_.withhold(attempt);
+      engine_.return_unsent(attempt);
     }
 }
 
-void Caches::sweep() {
+void UpstreamPool::sweep() {
   const core::Time now = engine_.now();
   deadlines_.set(now + kSweep, [this] { sweep(); });
   for (auto& [id, s] : linked_)
@@ -490,11 +499,11 @@
 
 // Closed, and not written to, before the cache closes it: a command that crosses its close might
 // have run.
-bool Caches::stale(const Link& link) const {
+bool UpstreamPool::stale(const Link& link) const {
   return link.load() == 0 && engine_.now() > link.used + config_.idle_close * 4 / 5;
 }
 
-void Caches::watch_links() {
+void UpstreamPool::watch_links() {
   deadlines_.set(engine_.now() + kWatch, [this] { watch_links(); });
   // By index: a probe that is asked again opens another connection.
   for (auto& [id, s] : linked_)
@@ -504,7 +513,7 @@
 
 // Danger: an answer that comes byte by byte for ever keeps its connection from looking silent, and
 // all others wait behind it.
-bool Caches::never_ends(Link& link, core::Time now) {
+bool UpstreamPool::never_ends(Link& link, core::Time now) {
   if (link.connection->unread() == 0) return link.half_since = 0, false;
   if (!link.half_since) link.half_since = now;
   core::Time sending = 0;
@@ -517,10 +526,10 @@
 
 // Danger: after an answer that stops short or never comes, a connection stays open and is of no
 // further use, also for the other requests on it; the machine behind it is well.
-void Caches::watch(Link& link) {
+void UpstreamPool::watch(Link& link) {
   const core::Time now = engine_.now();
   if (never_ends(link, now)) {
-    ++engine_.counters().silent_links;
+    ++engine_.counters().silent_upstream_connections;
     return lost(link, net::Closed::unreadable);
   }
   if (link.checked && (link.check.empty() || link.connection->last_read >= link.checked))
@@ -530,18 +539,18 @@
     return;
   // Nothing can be asked behind half an answer.
   if (link.connection->unread() > 0 || (link.checked && now > link.checked + kWord)) {
-    ++engine_.counters().silent_links;
+    ++engine_.counters().silent_upstream_connections;
     return lost(link, net::Closed::unreadable);
   }
-  if (link.checked || !config_.settings.may_probe) return;
+  if (link.checked || !config_.settings.health_checks_allowed) return;
   link.checked = now;
   link.check = "w";
   link.check += std::to_string(++last_probe_);
-  ++engine_.counters().probes;
+  ++engine_.counters().health_checks;
   link.connection->write("alive " + link.check + "\r\n");
 }
 
-void Caches::end_turn() {
+void UpstreamPool::end_turn() {
   for (Server* s : std::exchange(touched_, {})) {
     s->touched = false;
     for (auto& link : s->links)
@@ -550,7 +559,7 @@
     if (!s->links.empty()) continue;
     const auto id = s->member.server.id;
     linked_.erase(id);
-    if (s->member.server.status == al::Status::gone) servers_.erase(id);
+    if (s->member.server.status == al::ServerStatus::gone) servers_.erase(id);
   }
 }
 
--- a/src/platform/upstream_pool.h
+++ b/src/platform/upstream_pool.h
@@ -16,13 +16,13 @@
 
 namespace alderspur::platform {
 
-struct LineAnswer;
+struct CacheResponse;
 
-class Caches : public core::Backend {
+class UpstreamPool : public core::UpstreamClient {
  public:
-  Caches(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-         const config::Config& config);
-  ~Caches() override;
+  UpstreamPool(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
+               const config::Config& config);
+  ~UpstreamPool() override;
 
   // What the board tells, before the engine hears of it. Connections are kept by a server's id: a
   // new machine may have the address of one that has gone. False: no address of it that could be
@@ -32,7 +32,7 @@
 
   void send(core::AttemptId attempt, alderspur::ServerId server) override;
   void abort(core::AttemptId attempt) override;
-  void probe(alderspur::ServerId server) override;
+  void send_health_check(alderspur::ServerId server) override;
 
   std::string address(alderspur::ServerId server) const;  // empty: not known
   bool listed(alderspur::ServerId server) const;
@@ -63,8 +63,8 @@
   void retire(Link& link);
   void out_of_service(Server& server);
   bool stale(const Link& link) const;
-  bool plausible(const LineAnswer& answer, core::AttemptId attempt) const;
-  void probe(alderspur::ServerId server, core::Time since, int tries);
+  bool plausible(const CacheResponse& answer, core::AttemptId attempt) const;
+  void send_health_check(alderspur::ServerId server, core::Time since, int tries);
   void watch_links();
   void watch(Link& link);
   bool never_ends(Link& link, core::Time now);
--- a/src/routing_policy/router.cpp
+++ b/src/routing_policy/router.cpp
@@ -100,12 +100,12 @@
     if (!n || !n->ready() || (a.source != ServerId{} && !(source && source->ready()))) return false;
     return may_repeat_at(life->second, *n, no.value);
   }
-  double door() const { return door_.value < kNoLimit ? door_.value : 0; }
-  std::vector<Standing> standings(Time now) {
+  double concurrency_limit() const { return door_.value < kNoLimit ? door_.value : 0; }
+  std::vector<EndpointStatus> endpoint_statuses(Time now) {
     now_ = std::max(now_, now);
-    std::vector<Standing> out;
+    std::vector<EndpointStatus> out;
     for (auto& [id, n] : nodes_)
-      if (n.at.role == Role::cache && n.at.status != Status::gone)
+      if (n.at.role == Role::cache && n.at.status != ServerStatus::gone)
         out.push_back({n.at, n.ready() && usable(n), weight(n) * (n.cold ? cold_share(n) : 1)});
     return out;
   }
@@ -122,7 +122,7 @@
   std::unordered_map<RequestId, Life, IdHash> lives_;
   std::map<Purged, Time> purged_;
   std::set<ServerId> banned_;  // listed or not
-  Twins twins_;                // our part, where others act as this router too, or tell theirs
+  BudgetShare twins_;          // our part, where others act as this router too, or tell theirs
   std::map<std::uint32_t, Timer> timers_;
   std::uint32_t next_timer_ = 1;
   std::vector<Learned> learned_;
@@ -147,25 +147,25 @@
   double chance() { return unit(mix(random_++)); }
   void start() {
     wake(now_ + kSweep, Wake::sweep);
-    if (set_.may_probe) wake(now_ + kLook, Wake::look);
-    if (set_.must_ask_for_fleet) act(Subscribe{});
+    if (set_.health_checks_allowed) wake(now_ + kLook, Wake::look);
+    if (set_.must_subscribe_to_endpoints) act(Subscribe{});
   }
   Node* find(ServerId id) {
     const auto it = nodes_.find(id);
     return it == nodes_.end() ? nullptr : &it->second;
   }
-  const ClassSettings& cls(const Request& q) const { return set_.classes[q.cls.value]; }
-  Learned& learned(const Request& q) { return learned_[q.cls.value]; }
+  const ClassSettings& cls(const Request& q) const { return set_.classes[q.class_id.value]; }
+  Learned& learned(const Request& q) { return learned_[q.class_id.value]; }
 
   // ---- Fleet ----
 
-  void on(const FleetUpdate& u) {
+  void on(const EndpointUpdate& u) {
     if (u.failed) return wake(now_ + kAskPause, Wake::ask);
     if (u.full) {
       std::set<ServerId> listed;
       for (const auto& s : u.servers) listed.insert(s.id);
       for (auto& [id, n] : nodes_)
-        if (!listed.contains(id)) n.at.status = Status::gone;
+        if (!listed.contains(id)) n.at.status = ServerStatus::gone;
     }
     for (const auto& s : u.servers) list(s);
     view();
@@ -173,15 +173,16 @@
   void list(const Server& s) {
     const bool fresh = !nodes_.contains(s.id);
     Node& n = nodes_[s.id];
-    const bool back = !fresh && n.at.status == Status::gone && s.status == Status::ready;
-    const bool restarted = !fresh && s.born > n.at.born;
+    const bool back =
+        !fresh && n.at.status == ServerStatus::gone && s.status == ServerStatus::ready;
+    const bool restarted = !fresh && s.started_at > n.at.started_at;
     n.at = s;
     n.at.weight = known(s.weight) > 0 ? s.weight : 1;
     n.banned = banned_.contains(s.id);
     if (restarted) n.streak = 0, n.blocked_until = 0, n.on_trial = n.was_silent = false;
     if (s.role == Role::origin) return;
-    if (restarted || (fresh && s.born > 0))
-      chill(n, s.born, true);
+    if (restarted || (fresh && s.started_at > 0))
+      chill(n, s.started_at, true);
     else if (back)
       chill(n, now_, true);
   }
@@ -220,15 +221,17 @@
   double weight(const Node& n) const { return sized() ? n.at.weight : 1; }
   double sending(const Request& q) {  // seconds, at the top pace where sizes are told
     if (known(q.size_kb) > 0 && set_.stream_kb_per_s > 0) return q.size_kb / set_.stream_kb_per_s;
-    return class_sending(q.cls);
+    return class_sending(q.class_id);
   }
   double class_sending(ClassId c) const {
     const auto& l = learned_[c.value];
     if (l.size.any && set_.stream_kb_per_s > 0) return l.size.value / set_.stream_kb_per_s;
-    return l.hit.any ? l.hit.value : static_cast<double>(set_.classes[c.value].target) / kSecond;
+    return l.hit.any ? l.hit.value
+                     : static_cast<double>(set_.classes[c.value].latency_objective) / kSecond;
   }
   Time aim(const Request& q) {
-    return cls(q).target + static_cast<Time>(cls(q).aim_stretch * sending(q) * kSecond);
+    return cls(q).latency_objective +
+           static_cast<Time>(cls(q).latency_objective_stretch * sending(q) * kSecond);
   }
   double over_aim(const Request& q,
                   double took) {  // beyond its own sending, over what the aim leaves beside
@@ -237,7 +240,7 @@
     return std::clamp((took - own) / room, 0.0, kCrowdMost);
   }
   double usual(const Request& q) {
-    return static_cast<double>(cls(q).target) + sending(q) * kSecond;
+    return static_cast<double>(cls(q).latency_objective) + sending(q) * kSecond;
   }
 
   // Load of our caches over their sizes. Unheard ones and those in doubt, which read light, count
@@ -291,7 +294,7 @@
     auto line = ranked(caches_, id);
     // Danger: the dead of a lost point, asked as a last resort, hold a request past all other
     // tries.
-    if (set_.may_probe ||
+    if (set_.health_checks_allowed ||
         std::any_of(line.begin(), line.end(), [&](Node* n) { return usable(*n); }))
       std::erase_if(line, [&](Node* n) { return !usable(*n); });
     const std::size_t width = std::min({o.width, cap(), line.size()});
@@ -347,27 +350,31 @@
     };
     // Danger: writes run at the origin anyway; in a full parent's queue they would wait and fail
     // for nothing.
-    if (cls(life.q).uncached && origin_ && !bad(*origin_)) return origin_;
+    if (cls(life.q).never_cached && origin_ && !bad(*origin_)) return origin_;
     for (auto* p : ranked(parents_, life.q.object))
       if (!bad(*p) && usable(*p) && affords(*p)) return p;
     if (origin_ && !bad(*origin_)) return origin_;
     return nullptr;
   }
-  void judge_source(const Request& q, const Attempt& a, const Outcome& o) {
+  void judge_source(const Request& q, const Attempt& a, const AttemptOutcome& o) {
     Node* s = a.filling ? find(a.source) : nullptr;
     if (!s) return;
-    const bool broke = o.note == Note::source_refused || o.note == Note::source_unreachable;
+    const bool broke = o.fill_outcome == FillOutcome::source_refused ||
+                       o.fill_outcome == FillOutcome::source_unreachable;
     const bool gave =
-        o.result == Result::ok && (o.note == Note::filled || o.note == Note::filled_by_origin);
+        o.result == AttemptResult::ok &&
+        (o.fill_outcome == FillOutcome::filled || o.fill_outcome == FillOutcome::filled_by_origin);
     // Without notes what was purged tells: hits would hide what fetches take, lost answers reopen
     // nothing.
     const bool had_to = a.fetching && !noted_ && purged_at(q) >= 0;
-    const bool fetched =
-        noted_ ? gave && (o.note == Note::filled_by_origin || s->at.role == Role::origin)
-               : had_to && o.result == Result::ok;
-    const bool kept_out = noted_ ? a.fetching && o.result == Result::timeout
-                                 : had_to && o.result == Result::full && o.elapsed > kOwnWord;
-    const bool stuck = o.note == Note::origin_failed || o.note == Note::fills_full ||
+    const bool fetched = noted_ ? gave && (o.fill_outcome == FillOutcome::filled_by_origin ||
+                                           s->at.role == Role::origin)
+                                : had_to && o.result == AttemptResult::ok;
+    const bool kept_out =
+        noted_ ? a.fetching && o.result == AttemptResult::timeout
+               : had_to && o.result == AttemptResult::overloaded && o.elapsed > kOwnWord;
+    const bool stuck = o.fill_outcome == FillOutcome::origin_failed ||
+                       o.fill_outcome == FillOutcome::fill_limit_reached ||
                        (broke && s->at.role == Role::origin) || kept_out;
     const Time waited =
         o.first_byte > 0 ? o.first_byte : o.elapsed;  // where told, without the link's part
@@ -377,18 +384,21 @@
                      kFetchLeast / sharers(true), std::max(fetch_out_, door_least()));
     if (gave) s->work.add(now_, sending(q)), objects_[q.object].fetched = now_;
     // What turned out a hit asked nothing of a cold parent.
-    if (a.charged && s->cold && (o.note == Note::hit || o.note == Note::joined))
-      s->tokens += class_sending(q.cls);
+    if (a.charged && s->cold &&
+        (o.fill_outcome == FillOutcome::hit || o.fill_outcome == FillOutcome::joined_fill))
+      s->tokens += class_sending(q.class_id);
     if (s->at.role != Role::parent) return;
-    if (!noted_ && a.fetching && (o.result == Result::ok || o.result == Result::error)) {
-      s->answers.add(now_, 1), s->errors.add(now_, o.result == Result::error ? 1 : 0);
-      if (o.result == Result::error && !s->on_trial && sick(*s)) eject(*s);
+    if (!noted_ && a.fetching &&
+        (o.result == AttemptResult::ok || o.result == AttemptResult::error)) {
+      s->answers.add(now_, 1), s->errors.add(now_, o.result == AttemptResult::error ? 1 : 0);
+      if (o.result == AttemptResult::error && !s->on_trial && sick(*s)) eject(*s);
     }
-    if (gave || (!noted_ && a.fetching && o.result == Result::ok))
+    if (gave || (!noted_ && a.fetching && o.result == AttemptResult::ok))
       s->streak = s->ejections = 0, s->on_trial = false;
     // Danger: many routers reach a parent that starts at once. One refused connection there puts it
     // out.
-    const bool unreached = o.note == Note::source_unreachable && o.result == Result::full;
+    const bool unreached =
+        o.fill_outcome == FillOutcome::source_unreachable && o.result == AttemptResult::overloaded;
     if (broke) s->streak += unreached ? static_cast<int>(thin()) : 1;
     if (!broke || s->streak < kSourceFails) return;
     eject(*s);
@@ -407,8 +417,9 @@
            !(n.on_trial && (n.out > 0 || (awaits_probe(n) && !n.proved)));
   }
   bool awaits_probe(const Node& n) const {
-    return set_.may_probe && (n.at.role == Role::parent ||
-                              (n.at.role == Role::cache && n.at.location == set_.location));
+    return set_.health_checks_allowed &&
+           (n.at.role == Role::parent ||
+            (n.at.role == Role::cache && n.at.location == set_.location));
   }
   void eject(Node& n) {
     n.blocked_until = now_ + std::min(kBackoffMost, kBackoff << std::min(n.ejections, 5));
@@ -435,30 +446,31 @@
     if (n.was_silent && n.at.role != Role::origin) chill(n, now_, false);
     n.was_silent = n.on_trial = false, n.unheard = n.streak = n.ejections = 0;
   }
-  static bool fill_failed(const Outcome& o) {
-    return o.note >= Note::source_refused;
+  static bool fill_failed(const AttemptOutcome& o) {
+    return o.fill_outcome >= FillOutcome::source_refused;
   }  // not the cache
-  void judge(Node& n, const Request& q, const Attempt& a, const Outcome& o) {
-    const bool word = o.result == Result::ok || o.result == Result::error ||
-                      o.result == Result::full || o.result == Result::miss;
+  void judge(Node& n, const Request& q, const Attempt& a, const AttemptOutcome& o) {
+    const bool word = o.result == AttemptResult::ok || o.result == AttemptResult::error ||
+                      o.result == AttemptResult::overloaded || o.result == AttemptResult::miss;
     if (word && n.at.role == Role::cache)
       gap_.learn(
           static_cast<double>(now_ - std::max(n.idle_until, std::exchange(n.answered_at, now_))));
     if (word) n.last_answer = now_, n.answers.add(now_, 1);
-    if (o.result == Result::ok || o.result == Result::miss || fill_failed(o)) return answered(n);
-    if (o.result == Result::error) {
+    if (o.result == AttemptResult::ok || o.result == AttemptResult::miss || fill_failed(o))
+      return answered(n);
+    if (o.result == AttemptResult::error) {
       n.errors.add(now_, 1);
       if (n.on_trial || sick(n)) eject(n);
-    } else if (o.result == Result::reset && awaits_probe(n) && !n.on_trial) {
+    } else if (o.result == AttemptResult::reset && awaits_probe(n) && !n.on_trial) {
       if (!n.probing)
         check(n);  // a spoilt answer or a lost connection is no sick cache: a probe tells
       if (std::exchange(n.reset_at, now_) == now_)
         return;  // one connection's end, however many it carried
       n.answers.add(now_, 1), n.errors.add(now_, 1);
       if (sick(n)) eject(n);
-    } else if (o.result == Result::connect_failed || o.result == Result::reset) {
-      hard_failure(n, o.result == Result::connect_failed);
-    } else if (o.result == Result::timeout && n.last_answer < a.sent &&
+    } else if (o.result == AttemptResult::connect_failed || o.result == AttemptResult::reset) {
+      hard_failure(n, o.result == AttemptResult::connect_failed);
+    } else if (o.result == AttemptResult::timeout && n.last_answer < a.sent &&
                o.elapsed >= late_after(q)) {
       hard_failure(n,
                    true);  // not a word on anything since this was sent: silence, not a slow fill
@@ -467,9 +479,12 @@
 
   // ---- Cold ledger ----
 
-  Time cold_span(bool parent) const { return parent ? set_.parent_cold : set_.cache_cold; }
+  Time cold_span(bool parent) const {
+    return parent ? set_.parent_slow_start_time : set_.cache_slow_start_time;
+  }
   double cold_share(const Node& n) const {
-    const double from = n.at.role == Role::parent ? set_.parent_cold_from : set_.cache_cold_from;
+    const double from = n.at.role == Role::parent ? set_.parent_slow_start_fraction
+                                                  : set_.cache_slow_start_fraction;
     const auto span = static_cast<double>(std::max<Time>(1, cold_span(n.at.role == Role::parent)));
     const double grown = static_cast<double>(now_ - n.cold_since) / span;
     return from + (1 - from) * std::clamp(grown, 0.0, 1.0);
@@ -479,7 +494,7 @@
   double allowance(const Node& n) {
     const bool parent = n.at.role == Role::parent;
     const double share = cold_share(n);
-    const double sharers = this->sharers(parent) / twins_.share;
+    const double sharers = this->sharers(parent) / twins_.process_share;
     if (sized()) return kColdUse * share * n.at.weight / sharers;
     const double carry = (parent ? parent_carry_ : cache_carry_).most;
     return share * (carry > 0 ? kColdCarry * carry : kUnknownTransfers / sharers);
@@ -488,9 +503,10 @@
   // their number.
   double sharers(bool all) const {
     const auto here = set_.location.value;
-    const auto& by = set_.routers_by_location;
-    if (const double part = all ? twins_.all : twins_.here; part > 0) return 1 / part;
-    return std::max(1u, !all && here < by.size() ? by[here] : set_.routers);
+    const auto& by = set_.router_count_by_location;
+    if (const double part = all ? twins_.fleet_share : twins_.location_share; part > 0)
+      return 1 / part;
+    return std::max(1u, !all && here < by.size() ? by[here] : set_.router_count);
   }
   // One of many routers hears fewer of the answers: each moves its limits further.
   static double thin(double sharers) { return std::max(1.0, sharers / kSharers); }
@@ -507,7 +523,7 @@
     if (!n.cold || (doubt && std::none_of(caches_.begin(), caches_.end(), warm))) return true;
     if (n.on_trial) n.cold_since = now_;  // as good as not started
     const double rate = allowance(n), dt = static_cast<double>(now_ - n.tokens_at) / kSecond;
-    const double most = rate * kColdBurst * static_cast<double>(set_.fall_window) / kSecond;
+    const double most = rate * kColdBurst * static_cast<double>(set_.overload_window) / kSecond;
     n.tokens = std::min(most, n.tokens + rate * dt);
     n.tokens_at = now_;
     return n.tokens > 0;
@@ -537,8 +553,9 @@
     const auto& c = cls(life.q);
     for (const auto& a : std::span(life.attempts).first(number)) {
       if (a.out) return false;
-      if (a.never_ran || c.repeat == Repeat::safe) continue;
-      if (c.repeat == Repeat::unsafe || now_ - a.sent >= c.dedup_window - kOnWay) return false;
+      if (a.never_ran || c.idempotency == Idempotency::idempotent) continue;
+      if (c.idempotency == Idempotency::not_idempotent || now_ - a.sent >= c.dedup_window - kOnWay)
+        return false;
       if (c.dedup_scope != DedupScope::all && a.location != n.at.location) return false;
       if (c.dedup_scope == DedupScope::cell && a.cell != n.at.cell) return false;
     }
@@ -546,7 +563,8 @@
   }
   bool may_refuse(const Life& life) const {
     const auto& c = cls(life.q);
-    if (c.repeat == Repeat::safe || (c.repeat == Repeat::keyed && c.dedup_scope == DedupScope::all))
+    if (c.idempotency == Idempotency::idempotent ||
+        (c.idempotency == Idempotency::idempotent_with_key && c.dedup_scope == DedupScope::all))
       return true;
     return std::all_of(life.attempts.begin(), life.attempts.end(),
                        [](auto& a) { return a.never_ran; });
@@ -564,14 +582,14 @@
       if (!fill) fill = Fill{n.at.id};
       const Time limit = std::max<Time>(1, now_ - purged - kPurgeMargin);
       fill->max_age = fill->max_age > 0 ? std::min(fill->max_age, limit) : limit;
-      if (const Time fresh = cls(life.q).fresh; fresh > 0 && !life.stale_ok)
+      if (const Time fresh = cls(life.q).fresh_time; fresh > 0 && !life.stale_ok)
         fill->max_age = std::min(fill->max_age, fresh);
-      fill->join = fill->renew = false;
+      fill->may_join = fill->refresh_in_background = false;
     }
     for (Node* m : {&n, source})
-      if (m && m->cold) m->tokens -= class_sending(life.q.cls);
+      if (m && m->cold) m->tokens -= class_sending(life.q.class_id);
     const double work = sending(life.q);
-    const bool fetching = source && life.unseen && !fill->held_only;
+    const bool fetching = source && life.unseen && !fill->cached_only;
     life.attempts.push_back({n.at.id, source ? source->at.id : ServerId{}, n.at.location, n.at.cell,
                              now_, work, source != nullptr, source && source->cold, fetching});
     if (n.out++ == 0) n.idle_until = now_;
@@ -584,8 +602,8 @@
   // ---- Request life ----
 
   std::uint32_t rank_for(const Life& life, const Object& o) {
-    if (cls(life.q).uncached || life.q.write) return 0;
-    const auto& size = learned_[life.q.cls.value].size;
+    if (cls(life.q).never_cached || life.q.is_write) return 0;
+    const auto& size = learned_[life.q.class_id.value].size;
     if (size.any && known(life.q.size_kb) > kHugeFactor * size.value) return o.repeated ? 1 : 0;
     return o.width > 1 ? 3 : o.repeated ? 2 : 1;
   }
@@ -595,18 +613,18 @@
     Fill f;
     Node* s = source_for(life);
     f.source = s ? s->at.id : at.at.id;
-    f.keep = rank_for(life, o);
-    const bool kept = !c.uncached && !life.q.write;
+    f.cache_rank = rank_for(life, o);
+    const bool kept = !c.never_cached && !life.q.is_write;
     // Danger: fills that wait for a slow origin hold places. Over the limit parents give only what
     // they hold.
     const bool over =
         kept && fetch_out_ > fetches_.value && (noted_ ? life.unseen : purged_at(life.q) >= 0);
-    f.join = kept && set_.can_join_fills;
-    f.renew = kept && c.fresh > 0 && o.repeated && !over;
-    f.held_only = over && s && s->at.role == Role::parent;
-    if (over && !f.held_only) f.source = at.at.id;
-    if (kept && c.stale_grace > 0 && (life.stale_ok || over)) {
-      f.max_age = c.fresh + c.stale_grace;
+    f.may_join = kept && set_.can_join_fills;
+    f.refresh_in_background = kept && c.fresh_time > 0 && o.repeated && !over;
+    f.cached_only = over && s && s->at.role == Role::parent;
+    if (over && !f.cached_only) f.source = at.at.id;
+    if (kept && c.stale_grace_time > 0 && (life.stale_ok || over)) {
+      f.max_age = c.fresh_time + c.stale_grace_time;
       life.stale_ok = true;
     }
     return f;
@@ -626,7 +644,7 @@
       member(o, n->at.id).sent.add(now_, 1);
       return true;
     }
-    return set_.can_go_straight && straight(life);
+    return set_.can_bypass_caches && straight(life);
   }
   bool straight(Life& life) {
     Node* n = source_for(life);
@@ -641,7 +659,7 @@
   // Danger: beyond capacity all answers come late and none earns its worth, whatever caused the
   // crowding.
   bool shed(const Request& q) {
-    const double cost = sending(q) / std::max(cls(q).worth, 1e-9);
+    const double cost = sending(q) / std::max(cls(q).priority_weight, 1e-9);
     cost_.learn(cost);
     const double room = std::clamp(cost_.value / std::max(cost, 1e-9), 1.0, kCheapRoom);
     const bool over = !caches_.empty() && work_out() > door_.value * room;
@@ -657,10 +675,10 @@
     return std::max(told, kLimitLeast * static_cast<double>(caches_.size()) / thin());
   }
   // The wait for a source's first byte is taken off where it is told: no crowd of the location.
-  void feel(const Request& q, const Outcome& o) {
+  void feel(const Request& q, const AttemptOutcome& o) {
     if (fill_failed(o)) return;
-    const bool turned_away = o.result == Result::full;
-    if (!turned_away && o.result != Result::ok) return;
+    const bool turned_away = o.result == AttemptResult::overloaded;
+    if (!turned_away && o.result != AttemptResult::ok) return;
     const Time own = std::max<Time>(0, o.elapsed - o.first_byte);
     const double crowd = turned_away ? kCrowdMost : over_aim(q, static_cast<double>(own));
     const double least = door_least();
@@ -682,7 +700,7 @@
     if (may_refuse(life)) {
       const double pressed = 1 + kPressed * pressed_ + chance();
       const Time wait = static_cast<Time>(static_cast<double>(kRetryAfter) * pressed);
-      act(Refuse{life.q.id, set_.retry_after ? std::min(set_.max_retry_after, wait) : 0});
+      act(Reject{life.q.id, set_.sends_retry_after ? std::min(set_.max_retry_after, wait) : 0});
     } else {
       act(Fail{life.q.id});
     }
@@ -708,15 +726,15 @@
 
   void on(const Request& q) {
     if (lives_.contains(q.id)) return;
-    if (q.cls.value >= set_.classes.size()) return act(Fail{q.id});
+    if (q.class_id.value >= set_.classes.size()) return act(Fail{q.id});
     Life& life = lives_[q.id];
     life.q = q;
-    life.deadline = now_ + std::max<Time>(q.budget, 0);
+    life.deadline = now_ + std::max<Time>(q.time_budget, 0);
     retries_.earn(kRetryPart, kRetrySaved);
     if (known(q.size_kb) > 0) learned(q).size.learn(q.size_kb);
     Object& o = objects_[q.object];
     const std::uint64_t bit = 1ULL << (q.part % 64);
-    const bool aged = cls(q).fresh > 0 && now_ > o.fetched + cls(q).fresh;
+    const bool aged = cls(q).fresh_time > 0 && now_ > o.fetched + cls(q).fresh_time;
     life.unseen = !(o.parts & bit) || aged || purged_at(q) >= 0;
     if (o.parts & bit) o.repeated = true;
     o.parts |= bit;
@@ -731,20 +749,21 @@
     return std::max(static_cast<Time>(kLateFrom * static_cast<double>(aim(q))),
                     static_cast<Time>(usual(q) * late));
   }
-  void on(const Outcome& o) {
+  void on(const AttemptOutcome& o) {
     const auto it = lives_.find(o.id);
     if (it == lives_.end() || o.attempt.value >= it->second.attempts.size()) return;
     Life& life = it->second;
     if (!life.attempts[o.attempt.value].out) return;
     Attempt& a = life.attempts[o.attempt.value];
     a.out = false;
-    noted_ |= o.note != Note::none;
+    noted_ |= o.fill_outcome != FillOutcome::none;
     Node* n = find(a.server);
     const bool unsure = !(n && n->on_trial) && unclear(life, a, o);
     if (a.fetching) fetch_out_ = std::max(0.0, fetch_out_ - a.work);
-    a.never_ran = o.result == Result::full || o.result == Result::connect_failed ||
-                  o.result == Result::moot || o.result == Result::miss ||
-                  o.result == Result::withheld;
+    a.never_ran = o.result == AttemptResult::overloaded ||
+                  o.result == AttemptResult::connect_failed ||
+                  o.result == AttemptResult::already_finished || o.result == AttemptResult::miss ||
+                  o.result == AttemptResult::not_sent;
     if (n) {
       n->out = std::max(0, n->out - 1);
       n->work_out = n->out ? std::max(0.0, n->work_out - a.work) : 0;
@@ -752,33 +771,34 @@
     }
     judge_source(life.q, a, o);
     if (!unsure) feel(life.q, o);
-    if (o.result == Result::ok && a.server == life.asked_again) blame(life.suspect);
-    if (o.result == Result::ok && n) {
+    if (o.result == AttemptResult::ok && a.server == life.asked_again) blame(life.suspect);
+    if (o.result == AttemptResult::ok && n) {
       count_served(life.q, *n);
-      if (o.note == Note::hit && n->out < kCalm)
+      if (o.fill_outcome == FillOutcome::hit && n->out < kCalm)
         learned(life.q).hit.learn(static_cast<double>(o.elapsed) / kSecond);
       learned(life.q).pace.learn(static_cast<double>(o.elapsed) / std::max(1.0, usual(life.q)));
     }
-    if (o.finished || o.result == Result::ok) return finish(life);
+    if (o.finished || o.result == AttemptResult::ok) return finish(life);
     if (life.open && !out(life)) {
       // Danger: behind every parent stands the same origin; each router's retries help to push it
       // over.
-      const bool no_use =
-          o.note == Note::source_lacks || o.result == Result::moot ||
-          (o.result == Result::miss && a.filling && !a.fetching) ||
-          (o.note == Note::origin_failed && (life.stale_ok || !cls(life.q).stale_grace));
+      const bool no_use = o.fill_outcome == FillOutcome::source_lacks ||
+                          o.result == AttemptResult::already_finished ||
+                          (o.result == AttemptResult::miss && a.filling && !a.fetching) ||
+                          (o.fill_outcome == FillOutcome::origin_failed &&
+                           (life.stale_ok || !cls(life.q).stale_grace_time));
       no_use ? give_up(life)
              : retry(life, unsure ? n : follow_up(life, a, o, n),
-                     o.result == Result::cancelled || o.result == Result::withheld ||
-                         (o.result == Result::reset && life.attempts.size() == 1));
+                     o.result == AttemptResult::cancelled || o.result == AttemptResult::not_sent ||
+                         (o.result == AttemptResult::reset && life.attempts.size() == 1));
     }
     if (!life.open) finish(life);
   }
   // Answers say nothing of fills: the same cache is asked once more with the next source, to tell.
-  bool unclear(Life& life, const Attempt& a, const Outcome& o) {
-    const bool failed =
-        o.result == Result::error || (o.result == Result::full && o.elapsed > kOwnWord);
-    if (noted_ || !a.filling || !failed || life.asked_again == a.server || cls(life.q).uncached)
+  bool unclear(Life& life, const Attempt& a, const AttemptOutcome& o) {
+    const bool failed = o.result == AttemptResult::error ||
+                        (o.result == AttemptResult::overloaded && o.elapsed > kOwnWord);
+    if (noted_ || !a.filling || !failed || life.asked_again == a.server || cls(life.q).never_cached)
       return false;
     life.suspect = a.source, life.asked_again = a.server;
     life.bad_sources.push_back(a.source);
@@ -789,54 +809,58 @@
     if (!s || s->at.role != Role::parent || (++s->streak < kSourceFails && !s->on_trial)) return;
     eject(*s);
   }
-  const Node* follow_up(Life& life, const Attempt& a, const Outcome& o, const Node* n) {
-    const bool broke_off = o.result == Result::reset && set_.may_probe && life.attempts.size() == 1;
-    if (broke_off || !fill_failed(o) || o.note == Note::fills_full) return broke_off ? n : nullptr;
-    if (a.filling && o.note != Note::origin_failed) life.bad_sources.push_back(a.source);
+  const Node* follow_up(Life& life, const Attempt& a, const AttemptOutcome& o, const Node* n) {
+    const bool broke_off =
+        o.result == AttemptResult::reset && set_.health_checks_allowed && life.attempts.size() == 1;
+    if (broke_off || !fill_failed(o) || o.fill_outcome == FillOutcome::fill_limit_reached)
+      return broke_off ? n : nullptr;
+    if (a.filling && o.fill_outcome != FillOutcome::origin_failed)
+      life.bad_sources.push_back(a.source);
     life.stale_ok = true;
     return n;
   }
-  void on(const StreamBegun& b) {
+  void on(const ResponseStarted& b) {
     if (const auto it = lives_.find(b.id); it != lives_.end()) it->second.begun = it->second.open;
   }
-  void on(const ClientLeft& c) {
+  void on(const ClientGone& c) {
     const auto it = lives_.find(c.id);
     if (it == lives_.end()) return;
-    if (c.owed && it->second.open && !it->second.begun) give_up(it->second);
+    if (c.response_owed && it->second.open && !it->second.begun) give_up(it->second);
     finish(it->second);
   }
   void on(const Purge& p) {
-    const Time at = now_ - std::max<Time>(0, p.since);
+    const Time at = now_ - std::max<Time>(0, p.age);
     Time& kept = purged_[{p.object.has_value(), p.object ? p.object->value : p.group.value}];
     kept = std::max(kept, at);
   }
-  void on(const Twins& t) {
-    if (t.door > 0 && door() <= 0) door_.value = t.door;
-    if (t.share < twins_.share &&
+  void on(const BudgetShare& t) {
+    if (t.concurrency_limit > 0 && concurrency_limit() <= 0) door_.value = t.concurrency_limit;
+    if (t.process_share < twins_.process_share &&
         objects_.empty())  // the other has had the first sends that debts spread
       for (auto& [id, n] : nodes_) n.tokens = 0;
-    twins_ = {std::max(t.share, kLeastShare), t.door, t.all, t.here};
+    twins_ = {std::max(t.process_share, kLeastShare), t.concurrency_limit, t.fleet_share,
+              t.location_share};
   }
   // Whoever took a server out may have done anything to it: it comes back as one that has just
   // started.
   void on(const Ban& b) {
-    if (!(b.out ? banned_.insert(b.server).second : banned_.erase(b.server) > 0)) return;
+    if (!(b.is_banned ? banned_.insert(b.server).second : banned_.erase(b.server) > 0)) return;
     Node* n = find(b.server);
     if (!n) return;
     Server s = n->at;
-    if (!b.out) s.born = now_;
+    if (!b.is_banned) s.started_at = now_;
     list(s);
     view();
   }
-  void on(const Probed& p) {
+  void on(const HealthCheckResult& p) {
     Node* n = find(p.server);
-    if (!n || (!n->probing && !p.late)) return;
-    n->probing = n->probing && p.late;
-    if (p.ok || p.lives) heard(*n, p);
+    if (!n || (!n->probing && !p.is_late)) return;
+    n->probing = n->probing && p.is_late;
+    if (p.ok || p.is_alive) heard(*n, p);
     n->proved = p.ok;
     if (p.ok) return;
     const bool parent = n->at.role == Role::parent, fresh_news = !n->on_trial;
-    if (p.lives)
+    if (p.is_alive)
       return parent || n->on_trial ? eject(*n) : void();  // full: spared a while, not lost
     if (fresh_news && n->last_answer >= n->probed_at) return;
     if (!n->was_silent && n->unheard == 0) n->silent_from = n->probed_at;
@@ -849,19 +873,19 @@
   }
   // Danger: what only seemed silent would be held for cold. A connection from before proves that it
   // lives.
-  void heard(Node& n, const Probed& p) {
+  void heard(Node& n, const HealthCheckResult& p) {
     n.last_answer = now_, n.unheard = 0;
-    if (p.up > now_ - n.silent_from) n.was_silent = false;
+    if (p.connection_age > now_ - n.silent_from) n.was_silent = false;
     if (p.ok && n.at.role == Role::parent && n.on_trial) answered(n);
   }
-  void on(const TimerDue& t) {
+  void on(const TimerExpired& t) {
     const auto due = timers_.extract(t.timer.value);
     if (!due) return;
     const auto [why, id] = due.mapped();
     if (why == Wake::sweep) return sweep();
     if (why == Wake::look) return look();
     if (why == Wake::ask) return act(Subscribe{});
-    on(ClientLeft{id, true});
+    on(ClientGone{id, true});
   }
   // Danger: a cache that falls silent holds each request until its deadline where no second copy is
   // allowed.
@@ -890,7 +914,7 @@
   void check(Node& n) {
     n.probing = true;
     n.probed_at = now_;
-    act(Probe{n.at.id});
+    act(HealthCheck{n.at.id});
   }
   // Calls off what a silent cache holds and may be sent elsewhere; the outcomes bring the next
   // attempts.
@@ -903,8 +927,8 @@
   }
   bool movable(const Life& life, const Attempt& a) const {
     const auto& c = cls(life.q);
-    return c.repeat == Repeat::safe ||
-           (c.repeat == Repeat::keyed && c.dedup_scope == DedupScope::all &&
+    return c.idempotency == Idempotency::idempotent ||
+           (c.idempotency == Idempotency::idempotent_with_key && c.dedup_scope == DedupScope::all &&
             now_ - a.sent < c.dedup_window);
   }
   void sweep() {
@@ -912,10 +936,12 @@
     remember_carry();
     std::erase_if(objects_, [&](auto& e) { return now_ > e.second.last + kIdleObject; });
     for (auto& [id, o] : objects_) shrink(o);
-    std::erase_if(purged_,
-                  [&](auto& e) { return now_ > e.second + set_.purge_settles + kPurgeExtra; });
-    std::erase_if(nodes_,
-                  [](auto& e) { return e.second.at.status == Status::gone && e.second.out == 0; });
+    std::erase_if(purged_, [&](auto& e) {
+      return now_ > e.second + set_.purge_propagation_time + kPurgeExtra;
+    });
+    std::erase_if(nodes_, [](auto& e) {
+      return e.second.at.status == ServerStatus::gone && e.second.out == 0;
+    });
     view();
     for (auto& [id, n] : nodes_) {
       warm_up(n);
@@ -935,10 +961,12 @@
 void Router::handle(Time now, const Event& event, std::vector<Action>& actions) {
   impl_->handle(now, event, actions);
 }
-std::vector<Standing> Router::standings(Time now) { return impl_->standings(now); }
+std::vector<EndpointStatus> Router::endpoint_statuses(Time now) {
+  return impl_->endpoint_statuses(now);
+}
 bool Router::may_send(Time now, RequestId id, AttemptNo no) const {
   return impl_->may_send(now, id, no);
 }
-double Router::door() const { return impl_->door(); }
+double Router::concurrency_limit() const { return impl_->concurrency_limit(); }
 
 }  // namespace alderspur
--- a/src/routing_state/state.h
+++ b/src/routing_state/state.h
@@ -26,7 +26,7 @@
   bool banned = false;              // by hand
   Time cold_since = 0, tokens_at = 0;
   double tokens = 0;
-  bool ready() const { return at.status == Status::ready && !banned; }
+  bool ready() const { return at.status == ServerStatus::ready && !banned; }
 };
 
 struct Member {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -269,7 +269,7 @@
       continue;
     }
     const auto cls = static_cast<std::uint32_t>(it - classes.begin());
-    if (config.settings.classes[cls].uncached) {
+    if (config.settings.classes[cls].never_cached) {
       findings.error("S002", r.place,
                      "class " + r.cls + " runs at the origin and cannot be fetched by links",
                      "name a class of kept objects");
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -22,7 +22,7 @@
 namespace alderspur::settings {
 
 struct Membership {
-  endpoints::FleetSettings fleet;
+  endpoints::EndpointSetSettings fleet;
   endpoints::Bounds bounds;
   endpoints::Limits limits;
   std::string list;                    // a file, or a directory with a manifest
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -31,8 +31,9 @@
 
 struct HttpFront::Client {
   std::unique_ptr<net::Connection> connection;
-  core::Ticket ticket = 0;  // one request at a time: answers go out in the order of the requests
-  core::Time since = 0;     // accepted
+  core::RequestHandle ticket =
+      0;                 // one request at a time: answers go out in the order of the requests
+  core::Time since = 0;  // accepted
   bool head = false, keep_alive = true;
   bool dead = false, ending = false;
   bool orderly = false;  // dead, and its connection is closed in order
@@ -44,7 +45,7 @@
 
 HttpFront::HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
                      const config::Config& config, const config::Signed& settings,
-                     std::function<core::Time()> clock, Guide* guide)
+                     std::function<core::Time()> clock, RouteSelector* guide)
     : loop_(loop),
       deadlines_(deadlines),
       engine_(engine),
@@ -65,7 +66,7 @@
           loop, deadlines, net::parse_address(settings.listen).value_or(sockaddr_in{}),
           [this] {
             const bool may = loop_.lingering().fit(clients_.size(), most_clients_);
-            if (!may) ++engine_.counters().accepts_put_off;
+            if (!may) ++engine_.counters().deferred_accepts;
             return may;
           },
           [this](net::Fd fd) { accept(std::move(fd)); }) {}
@@ -91,7 +92,7 @@
 }
 
 void HttpFront::wait(Client& client, core::Time time) {
-  deadlines_.clear(client.timeout);
+  deadlines_.cancel(client.timeout);
   client.timeout = deadlines_.set(engine_.now() + time, [this, &client] { drop(client, true); });
 }
 
@@ -116,7 +117,7 @@
   client.head = request.method == http::Method::head;
   client.keep_alive = request.keep_alive && !request.error && !leaving_;
   if (request.error) {
-    ++engine_.counters().bad_requests;
+    ++engine_.counters().invalid_requests;
     respond(client, request.error);
     return static_cast<std::ptrdiff_t>(before);
   }
@@ -143,13 +144,13 @@
 void HttpFront::ask(Client& client, const http::Request& request) {
   const auto path = request.target.substr(0, request.target.find('?'));
   const auto query = request.target.substr(std::min(request.target.size(), path.size() + 1));
-  core::Demand d;
+  core::RequestView d;
   auto found = find(request, path, query);
   if (!found || found->object.size() != 16 || !core::parse_number(found->object, d.object, 16) ||
       !core::parse_number(found->part, d.part))
     return respond(client, 404);
   d.object_text = found->object;
-  d.cls = found->cls;
+  d.class_id = found->cls;
 
   // Checked once, here: whatever expires later, the request runs to its one answer.
   std::string token;
@@ -174,7 +175,7 @@
   if (!text.empty()) check = checker_.check(path, text, clock_() / 1'000'000, claims);
   // A whole link in a header would open its own path only; tokens there name a prefix.
   if (check != Check::good) {
-    ++engine_.counters().bad_tokens;
+    ++engine_.counters().invalid_tokens;
     return respond(client, status_of(check));
   }
   if ((!claims.set.empty() && !core::parse_number(claims.set, d.group)) ||
@@ -183,9 +184,9 @@
 
   if (guide_)
     if (const core::Time later = guide_->admit(*found, engine_.now()); later > 0) {
-      ++engine_.counters().too_much;
-      core::Answer refused;
-      refused.verdict = core::Verdict::refused;
+      ++engine_.counters().over_limit;
+      core::Response refused;
+      refused.status = core::FinalStatus::rejected;
       refused.retry_after = later;
       return respond(client, 503, refused);
     }
@@ -193,36 +194,36 @@
   std::snprintf(id, sizeof id, "%016llx",
                 static_cast<unsigned long long>(mix(random_ += 0x9e3779b97f4a7c15ULL)));
   d.id = std::string_view(id, 16);
-  d.held_tag = http::bare_tag(request.if_none_match);
-  d.limit = found->limit;
+  d.client_copy_tag = http::bare_tag(request.if_none_match);
+  d.time_limit = found->limit;
   client.hold = std::move(found->hold);
-  client.ticket = engine_.take(*this, d);
+  client.ticket = engine_.admit(*this, d);
   asked_[client.ticket] = &client;
-  deadlines_.clear(client.timeout);
+  deadlines_.cancel(client.timeout);
 }
 
-void HttpFront::answer(core::Ticket ticket, const core::Answer& answer) {
+void HttpFront::respond(core::RequestHandle ticket, const core::Response& answer) {
   const auto it = asked_.find(ticket);
   if (it == asked_.end()) return;
   Client& client = *it->second;
   asked_.erase(it);
   client.ticket = 0;
   let_go(client);
-  using core::Verdict;
-  const int status = answer.verdict == Verdict::served    ? (answer.unchanged ? 304 : 200)
-                     : answer.late                        ? 504
-                     : answer.verdict == Verdict::refused ? 503
-                                                          : 502;
+  using core::FinalStatus;
+  const int status = answer.status == FinalStatus::served     ? (answer.not_modified ? 304 : 200)
+                     : answer.timed_out                       ? 504
+                     : answer.status == FinalStatus::rejected ? 503
+                                                              : 502;
   respond(client, status, answer);
 }
 
-void HttpFront::respond(Client& client, int status, const core::Answer& answer) {
+void HttpFront::respond(Client& client, int status, const core::Response& answer) {
   if (client.dead) return;
   http::Answer a;
   a.status = status;
   a.retry_after = answer.retry_after;
   a.length = answer.body.size();
-  a.etag = answer.verdict == core::Verdict::served ? answer.tag : std::string_view();
+  a.etag = answer.status == core::FinalStatus::served ? answer.tag : std::string_view();
   a.keep_alive = client.keep_alive = client.keep_alive && !leaving_;
   client.connection->write(http::response_head(a), client.head ? std::string_view() : answer.body);
   touch(client);
@@ -240,11 +241,11 @@
   client.orderly = orderly;
   let_go(client);
   touch(client);
-  deadlines_.clear(client.timeout);
+  deadlines_.cancel(client.timeout);
   if (!orderly) client.connection->close();
   if (!client.ticket) return;
   asked_.erase(client.ticket);
-  engine_.withdraw(client.ticket);
+  engine_.cancel_request(client.ticket);
 }
 
 void HttpFront::settle(Client& c) {
--- a/src/signed_url/http_front.h
+++ b/src/signed_url/http_front.h
@@ -21,10 +21,10 @@
   // routes are not looked at.
   HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
             const config::Config& config, const config::Signed& settings,
-            std::function<core::Time()> clock, Guide* guide = nullptr);
+            std::function<core::Time()> clock, RouteSelector* guide = nullptr);
   ~HttpFront() override;
 
-  void answer(core::Ticket ticket, const core::Answer& answer) override;
+  void respond(core::RequestHandle ticket, const core::Response& answer) override;
   void end_turn();
   // Nobody new is taken beside those whose connect the kernel has completed; answers end their
   // connections from now on, and who asks nothing goes by a lingering close.
@@ -40,7 +40,7 @@
   std::optional<Found> find(const http::Request& request, std::string_view path,
                             std::string_view query);
   void let_go(Client& client);
-  void respond(Client& client, int status, const core::Answer& answer = {});
+  void respond(Client& client, int status, const core::Response& answer = {});
   void drop(Client& client, bool orderly);
   void touch(Client& client);
   void settle(Client& client);
@@ -53,14 +53,14 @@
   const config::Signed& settings_;
   const config::Config& config_;
   std::function<core::Time()> clock_;
-  Guide* guide_;
+  RouteSelector* guide_;
   Checker checker_;
   std::uint64_t random_;
   bool leaving_ = false;
   std::size_t most_clients_;
   std::vector<std::unique_ptr<Client>> clients_;  // in no order; each knows its place
   std::vector<Client*> touched_;                  // of this turn, each once
-  std::unordered_map<core::Ticket, Client*> asked_;
+  std::unordered_map<core::RequestHandle, Client*> asked_;
   net::Listener listener_;
 };
 
--- a/src/signed_url/route_selector.h
+++ b/src/signed_url/route_selector.h
@@ -25,9 +25,9 @@
   core::Time limit = 0;
   std::unique_ptr<Hold> hold;
 };
-class Guide {
+class RouteSelector {
  public:
-  virtual ~Guide() = default;
+  virtual ~RouteSelector() = default;
   virtual std::optional<Found> find(const http::Request& request, std::string_view path,
                                     std::string_view query) = 0;
   // 0, or after which time to come back.
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -70,26 +70,26 @@
   std::string out;
 };
 
-al::Result result_of(std::uint16_t disposition) {
+al::AttemptResult result_of(std::uint16_t disposition) {
   switch (disposition) {
     case 0:
-      return al::Result::ok;
+      return al::AttemptResult::ok;
     case 8:
-      return al::Result::full;
+      return al::AttemptResult::overloaded;
     case 4:
-      return al::Result::timeout;
+      return al::AttemptResult::timeout;
     case 14:
-      return al::Result::connect_failed;
+      return al::AttemptResult::connect_failed;
     case 10:
-      return al::Result::reset;
+      return al::AttemptResult::reset;
     case 1:
-      return al::Result::cancelled;
+      return al::AttemptResult::cancelled;
     case 9:
-      return al::Result::moot;
+      return al::AttemptResult::already_finished;
     case 5:
-      return al::Result::miss;
+      return al::AttemptResult::miss;
     default:
-      return al::Result::error;  // 13, and what this version does not know: it may have run
+      return al::AttemptResult::error;  // 13, and what this version does not know: it may have run
   }
 }
 
@@ -105,11 +105,12 @@
     w.span(std::max<al::Time>(send->timeout, 1));
     if (!send->fill) return;
     w.store(send->fill->source);
-    w.u8(static_cast<std::uint8_t>(send->fill->keep));
+    w.u8(static_cast<std::uint8_t>(send->fill->cache_rank));
     w.span(send->fill->max_age);
-    w.u8(static_cast<std::uint8_t>((send->fill->join ? 1 : 0) | (send->fill->held_only ? 2 : 0) |
-                                   (send->fill->renew ? 8 : 0)));
-  } else if (const auto* refuse = std::get_if<al::Refuse>(&action)) {
+    w.u8(static_cast<std::uint8_t>((send->fill->may_join ? 1 : 0) |
+                                   (send->fill->cached_only ? 2 : 0) |
+                                   (send->fill->refresh_in_background ? 8 : 0)));
+  } else if (const auto* refuse = std::get_if<al::Reject>(&action)) {
     head(3);
     w.u64(refuse->id.value);
     w.span(refuse->retry_after);
@@ -120,7 +121,7 @@
     head(12);
     w.u64(cancel->id.value);
     w.u8(static_cast<std::uint8_t>(cancel->attempt.value));
-  } else if (const auto* probe = std::get_if<al::Probe>(&action)) {
+  } else if (const auto* probe = std::get_if<al::HealthCheck>(&action)) {
     head(7);
     w.store(probe->server);
   } else if (const auto* timer = std::get_if<al::SetTimer>(&action)) {
@@ -139,13 +140,13 @@
   al::Router router;
   config::Names names;
 
-  al::Report report(const std::vector<float>& gauge) const {
-    al::Report r;
+  al::LoadReport report(const std::vector<float>& gauge) const {
+    al::LoadReport r;
     for (std::size_t i = 0; i < gauge.size() && i < names.report_fields.size(); ++i) {
       if (!std::isfinite(gauge[i])) continue;
-      if (names.report_fields[i] == "outstanding") r.inflight = gauge[i];
+      if (names.report_fields[i] == "outstanding") r.in_flight = gauge[i];
       if (names.report_fields[i] == "utilization") r.utilization = gauge[i];
-      if (names.report_fields[i] == "x1") r.link_or_fetches = gauge[i];
+      if (names.report_fields[i] == "x1") r.link_or_fill_utilization = gauge[i];
     }
     return r;
   }
@@ -194,11 +195,11 @@
         l.kind = r.u8();
         l.server.cell = {r.u16()};
         const auto readiness = r.u8();
-        l.server.status = readiness == 1   ? al::Status::ready
-                          : readiness == 2 ? al::Status::draining
-                                           : al::Status::gone;
+        l.server.status = readiness == 1   ? al::ServerStatus::ready
+                          : readiness == 2 ? al::ServerStatus::draining
+                                           : al::ServerStatus::gone;
         l.server.weight = r.f32();
-        l.server.born = static_cast<al::Time>(std::min<std::uint64_t>(r.u64(), 1ULL << 60));
+        l.server.started_at = static_cast<al::Time>(std::min<std::uint64_t>(r.u64(), 1ULL << 60));
         list.push_back(l);
       }
       lists_[id] = std::move(list);
@@ -207,7 +208,7 @@
     const auto who = r.u32();
     const auto it = instances_.find(who);
     Instance* instance = it == instances_.end() ? nullptr : &it->second;
-    al::Event event = al::ClientLeft{};
+    al::Event event = al::ClientGone{};
     switch (code) {
       case 1: {
         const auto seed = r.u64();
@@ -224,7 +225,7 @@
         const auto mode = r.u8();
         r.u32();
         const auto list = r.u32();
-        al::FleetUpdate update;
+        al::EndpointUpdate update;
         update.full = mode == 1 || mode == 2;
         update.failed = mode > 2;
         if (!update.failed) {
@@ -246,10 +247,10 @@
         const float part = r.f32();
         q.part = part >= 0 && part < 1e9f ? static_cast<std::uint32_t>(part) : 0;
         q.size_kb = r.f32();
-        q.budget = r.u32();
+        q.time_budget = r.u32();
         r.u16();
-        q.cls = {r.u16()};
-        q.write = (r.u16() & 4) != 0;
+        q.class_id = {r.u16()};
+        q.is_write = (r.u16() & 4) != 0;
         const float group = r.f32();
         q.group = {group >= 0 && group < 1e9f ? static_cast<std::uint32_t>(group) : 0};
         q.object = {r.u64()};
@@ -261,14 +262,14 @@
         const al::AttemptNo attempt{r.u8()};
         r.store();
         r.u32();
-        event = al::StreamBegun{id, attempt};
+        event = al::ResponseStarted{id, attempt};
         break;
       }
       case 5: {
-        al::Outcome o;
+        al::AttemptOutcome o;
         o.id = {r.u64()};
         const auto note = r.u32();
-        o.note = note <= 10 ? static_cast<al::Note>(note) : al::Note::none;
+        o.fill_outcome = note <= 10 ? static_cast<al::FillOutcome>(note) : al::FillOutcome::none;
         o.result = result_of(r.u16());
         o.server = r.store();
         o.finished = r.u8() != 0;
@@ -281,13 +282,13 @@
         break;
       }
       case 6:
-        event = al::ClientLeft{{r.u64()}};
+        event = al::ClientGone{{r.u64()}};
         break;
       case 7:
-        event = al::TimerDue{{r.u32()}};
+        event = al::TimerExpired{{r.u32()}};
         break;
       case 8: {
-        al::Probed p;
+        al::HealthCheckResult p;
         p.server = r.store();
         p.ok = r.u16() == 0;
         p.elapsed = r.u32();
@@ -305,7 +306,7 @@
         const auto object = r.u64();
         if (object != 0) p.object = al::ObjectId{object};
         p.group = {r.u16()};
-        p.since = r.u32();
+        p.age = r.u32();
         event = p;
         break;
       }
--- a/src/store/endpoint_state.cpp
+++ b/src/store/endpoint_state.cpp
@@ -22,7 +22,7 @@
 
 bool usable(const endpoints::Listed& s, const endpoints::Snapshot& list) {
   const auto places = s.role == Role::cache ? list.points.size() : list.hubs.size();
-  return !s.name.empty() && core::plain_word(s.name) && s.place < places &&
+  return !s.name.empty() && core::is_plain_word(s.name) && s.place < places &&
          std::isfinite(s.weight) && s.weight > 0;
 }
 
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-std::string encode(const MembershipState& state) {
+std::string encode(const EndpointState& state) {
   const auto& list = *state.list;
   flatbuffers::FlatBufferBuilder b(64 + list.servers.size() * 96);
   const auto hubs =
@@ -80,7 +80,7 @@
   return {reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()};
 }
 
-std::optional<MembershipState> decode(std::string_view payload, std::string& error) {
+std::optional<EndpointState> decode(std::string_view payload, std::string& error) {
   // 100,000 servers make some 100,000 tables and 200,000 texts; the verifier counts tables only.
   flatbuffers::Verifier verifier(reinterpret_cast<const std::uint8_t*>(payload.data()),
                                  payload.size(), 16, 2'000'000);
@@ -89,7 +89,7 @@
   const auto* state = fb::GetState(payload.data());
   if (state->format() != kFormat)
     return error = "it has format " + std::to_string(state->format()) + ", not 1", std::nullopt;
-  MembershipState out;
+  EndpointState out;
   const auto list = list_of(*state);
   if (!list) return error = "its list does not hold together", std::nullopt;
   out.list = list;
@@ -104,7 +104,7 @@
   return out;
 }
 
-std::string save(const std::string& path, const MembershipState& state, const StepHook& hook) {
+std::string save(const std::string& path, const EndpointState& state, const StepHook& hook) {
   return replace_file(path, encode(state), hook);
 }
 
--- a/src/store/endpoint_state.h
+++ b/src/store/endpoint_state.h
@@ -16,17 +16,17 @@
 
 constexpr std::size_t kStateMost = 64 << 20;
 
-struct MembershipState {
+struct EndpointState {
   endpoints::SnapshotPtr list;
   std::vector<endpoints::Remembered> remembered;
   core::Time saved = 0;  // Unix microseconds
 };
-std::string encode(const MembershipState& state);
-std::optional<MembershipState> decode(std::string_view payload, std::string& error);
+std::string encode(const EndpointState& state);
+std::optional<EndpointState> decode(std::string_view payload, std::string& error);
 
-std::string save(const std::string& path, const MembershipState& state, const StepHook& hook = {});
+std::string save(const std::string& path, const EndpointState& state, const StepHook& hook = {});
 struct Restored {
-  std::optional<MembershipState> state;
+  std::optional<EndpointState> state;
   bool absent = false;
   std::string error;
 };
--- a/src/xds/eds.cpp
+++ b/src/xds/eds.cpp
@@ -21,7 +21,8 @@
   w.String(s.data(), static_cast<rapidjson::SizeType>(s.size()));
 }
 
-void assignment(Writer& w, const std::string& cluster, const std::vector<al::Standing>& standings,
+void assignment(Writer& w, const std::string& cluster,
+                const std::vector<al::EndpointStatus>& standings,
                 const std::function<std::string(al::ServerId)>& address) {
   w.StartObject();
   w.Key("@type"), text(w, kType);
@@ -31,18 +32,18 @@
   for (const auto& s : standings) {
     const auto at = address(s.server.id);
     const auto colon = at.rfind(':');
-    if (s.server.status == al::Status::gone || colon == std::string::npos) continue;
+    if (s.server.status == al::ServerStatus::gone || colon == std::string::npos) continue;
     w.StartObject();
     w.Key("endpoint"), w.StartObject(), w.Key("address"), w.StartObject();
     w.Key("socket_address"), w.StartObject();
     w.Key("address"), text(w, std::string_view(at).substr(0, colon));
     w.Key("port_value"), w.Int(std::atoi(at.c_str() + colon + 1));
     w.EndObject(), w.EndObject(), w.EndObject();
-    const bool draining = s.server.status == al::Status::draining;
-    w.Key("health_status"), text(w, draining ? "DRAINING" : s.usable ? "HEALTHY" : "UNHEALTHY");
+    const bool draining = s.server.status == al::ServerStatus::draining;
+    w.Key("health_status"), text(w, draining ? "DRAINING" : s.is_usable ? "HEALTHY" : "UNHEALTHY");
     // In tenths: a finer share of a warming cache would make a new version with every poll.
     w.Key("load_balancing_weight"),
-        w.Uint(static_cast<unsigned>(std::max(1.0, std::round(s.share * 10))));
+        w.Uint(static_cast<unsigned>(std::max(1.0, std::round(s.effective_weight * 10))));
     w.EndObject();
   }
   w.EndArray(), w.EndObject(), w.EndArray(), w.EndObject();
@@ -55,7 +56,7 @@
 }  // namespace
 
 Reply discover(std::string_view request, const std::string& cluster,
-               const std::vector<al::Standing>& standings,
+               const std::vector<al::EndpointStatus>& standings,
                const std::function<std::string(al::ServerId)>& address) {
   rapidjson::Document j;
   j.Parse<rapidjson::kParseIterativeFlag>(request.data(), request.size());
--- a/src/xds/eds.h
+++ b/src/xds/eds.h
@@ -17,7 +17,7 @@
 };
 // Answers one DiscoveryRequest for the cluster. 304 where the caller holds this version already.
 Reply discover(std::string_view request, const std::string& cluster,
-               const std::vector<alderspur::Standing>& standings,
+               const std::vector<alderspur::EndpointStatus>& standings,
                const std::function<std::string(alderspur::ServerId)>& address);
 
 }  // namespace alderspur::xds
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -21,7 +21,8 @@
 };
 
 Server::Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-               platform::Caches& caches, const config::Xds& settings, std::size_t most_clients)
+               platform::UpstreamPool& caches, const config::Xds& settings,
+               std::size_t most_clients)
     : loop_(loop),
       deadlines_(deadlines),
       engine_(engine),
@@ -57,7 +58,7 @@
     reply = request.target != "/v3/discovery:endpoints" ? Reply{404, {}}
             : request.method != http::Method::post
                 ? Reply{405, {}}
-                : discover(request.body, settings_.cluster, engine_.standings(),
+                : discover(request.body, settings_.cluster, engine_.endpoint_statuses(),
                            [this](auto id) { return caches_.address(id); });
   const bool keep = !request.error && request.keep_alive;
   http::Answer answer;
@@ -69,7 +70,7 @@
   answer.keep_alive = keep;
   client.connection->write(http::response_head(answer), reply.body);
   client.ending = !keep;
-  deadlines_.clear(client.timeout);
+  deadlines_.cancel(client.timeout);
   client.timeout = deadlines_.set(engine_.now() + kIdle, [this, &client] { drop(client); });
   return static_cast<std::ptrdiff_t>(keep ? before - bytes.size() : before);
 }
@@ -77,7 +78,7 @@
 void Server::drop(Client& client, bool orderly) {
   if (client.dead) return;
   client.dead = true;
-  deadlines_.clear(client.timeout);
+  deadlines_.cancel(client.timeout);
   if (orderly)
     loop_.lingering().take(std::move(client.connection));
   else
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -14,7 +14,7 @@
 class Server {
  public:
   Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-         platform::Caches& caches, const config::Xds& settings, std::size_t most_clients);
+         platform::UpstreamPool& caches, const config::Xds& settings, std::size_t most_clients);
   ~Server();
   void end_turn();
   void stop_listening() { listener_.stop(); }
@@ -29,7 +29,7 @@
   net::Loop& loop_;
   core::Deadlines& deadlines_;
   core::Engine& engine_;
-  platform::Caches& caches_;
+  platform::UpstreamPool& caches_;
   const config::Xds& settings_;
   std::vector<std::unique_ptr<Client>> clients_;
   net::Listener listener_;
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -19,10 +19,10 @@
 namespace {
 
 using namespace alderspur;
-using hot_restart::BanBook;
 using hot_restart::BanChange;
 using hot_restart::Bans;
-using hot_restart::Folder;
+using hot_restart::BanStore;
+using hot_restart::SharedDirectory;
 
 class Shared : public ::testing::Test {
  protected:
@@ -34,12 +34,12 @@
   std::string file(const std::string& what) const {
     return folder + "/alderspur-127.0.0.1-4100" + what;
   }
-  Folder process() const { return Folder(folder, "127.0.0.1:4100"); }
+  SharedDirectory process() const { return SharedDirectory(folder, "127.0.0.1:4100"); }
   std::string folder;
 };
 
-TEST(BanBook, ACallBindsAtOnceAndNoOlderListTakesItBack) {
-  BanBook book;
+TEST(BanStore, ACallBindsAtOnceAndNoOlderListTakesItBack) {
+  BanStore book;
   book.seen({3, {"a"}});
   ASSERT_EQ(book.take().size(), 1u);
   book.call({"b", true});
@@ -63,10 +63,10 @@
 
 // Any order of calls, saves that fail, and lists of others: what was called last for a name is in
 // force until a newer list, made with it, says otherwise.
-TEST(BanBook, InAnyOrderTheLastCallOnANameHolds) {
+TEST(BanStore, InAnyOrderTheLastCallOnANameHolds) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
-    BanBook book;
+    BanStore book;
     Bans disk;
     std::deque<BanChange> jobs;
     std::map<std::string, bool> last;
@@ -134,7 +134,7 @@
 }
 
 TEST_F(Shared, AFolderThatCannotBeWrittenIsSaidAndTheChangeIsNotHeldForSaved) {
-  Folder nowhere(folder + "/not-there", "127.0.0.1:4100");
+  SharedDirectory nowhere(folder + "/not-there", "127.0.0.1:4100");
   EXPECT_NE(nowhere.enter(), "");
   EXPECT_NE(nowhere.change({}, {"s-1", true}).error, "");
   EXPECT_EQ(nowhere.others().count, 0u);
@@ -169,10 +169,10 @@
 TEST_F(Shared, SharesNeverAddUpToMoreThanOne) {
   for (unsigned seed = 1; seed <= 60; ++seed) {
     std::mt19937 random(seed);
-    std::vector<std::unique_ptr<Folder>> all;
-    std::vector<hot_restart::Word> words(3);
+    std::vector<std::unique_ptr<SharedDirectory>> all;
+    std::vector<hot_restart::ProcessStatus> words(3);
     for (int i = 0; i < 3; ++i) {
-      all.push_back(std::make_unique<Folder>(folder, "k" + std::to_string(seed)));
+      all.push_back(std::make_unique<SharedDirectory>(folder, "k" + std::to_string(seed)));
       ASSERT_EQ(all.back()->enter(), "");
     }
     for (int step = 0; step < 60; ++step) {
@@ -192,19 +192,19 @@
   }
 }
 
-struct Silent : core::Backend {
+struct Silent : core::UpstreamClient {
   void send(core::AttemptId a, alderspur::ServerId) override { out.push_back(a); }
   void abort(core::AttemptId a) override { std::erase(out, a); }
-  void probe(alderspur::ServerId) override {}
+  void send_health_check(alderspur::ServerId) override {}
   std::vector<core::AttemptId> out;
 };
 
 struct Heard : core::Front {
-  void answer(core::Ticket ticket, const core::Answer& a) override {
+  void respond(core::RequestHandle ticket, const core::Response& a) override {
     EXPECT_TRUE(open.erase(ticket)) << "one final answer";
-    ++verdicts[static_cast<int>(a.verdict)];
+    ++verdicts[static_cast<int>(a.status)];
   }
-  std::set<core::Ticket> open;
+  std::set<core::RequestHandle> open;
   std::map<int, std::uint64_t> verdicts;
 };
 
@@ -218,59 +218,61 @@
     core::Deadlines deadlines;
     Settings settings;
     settings.classes.resize(2);
-    settings.classes[1].repeat = Repeat::keyed;
+    settings.classes[1].idempotency = Idempotency::idempotent_with_key;
     settings.max_attempts = 3;
-    settings.may_cancel = settings.retry_after = true;
+    settings.may_cancel = settings.sends_retry_after = true;
     core::Engine engine(settings, seed, deadlines, [&] { return now; });
     Silent backend;
     Heard front;
     engine.attach(backend);
-    engine.fleet({true,
-                  false,
-                  {{{1}, Role::cache, {0}, {0}, Status::ready, 4, 0},
-                   {{2}, Role::cache, {0}, {0}, Status::ready, 4, 0}}});
+    engine.update_endpoints({true,
+                             false,
+                             {{{1}, Role::cache, {0}, {0}, ServerStatus::ready, 4, 0},
+                              {{2}, Role::cache, {0}, {0}, ServerStatus::ready, 4, 0}}});
     for (int step = 0; step < 400; ++step) {
       const auto pick = random() % 8;
       if (pick < 3) {
-        core::Demand d;
-        d.object = random() % 20, d.cls = random() % 2, d.limit = 1'000'000, d.size_kb = 100;
+        core::RequestView d;
+        d.object = random() % 20, d.class_id = random() % 2, d.time_limit = 1'000'000,
+        d.size_kb = 100;
         d.id = "x";
-        front.open.insert(engine.take(front, d));
+        front.open.insert(engine.admit(front, d));
       } else if (pick == 3 && !front.open.empty()) {
         const auto ticket = *front.open.begin();
         front.open.erase(ticket);
-        engine.withdraw(ticket);
+        engine.cancel_request(ticket);
       } else if (pick == 4 && !front.open.empty()) {
-        engine.hurry(*front.open.rbegin());
+        engine.finish_now(*front.open.rbegin());
       } else if (pick == 5) {
-        engine.turned_away(random() % 2,
-                           random() % 2 ? core::Verdict::refused : core::Verdict::failed);
+        engine.count_rejected(
+            random() % 2, random() % 2 ? core::FinalStatus::rejected : core::FinalStatus::failed);
       } else if (pick == 6) {
         now += static_cast<core::Time>(random() % 400'000);
-        deadlines.sweep(now);
+        deadlines.run_due(now);
       } else if (!backend.out.empty()) {
         const auto attempt = backend.out[random() % backend.out.size()];
-        if (random() % 4) engine.written(attempt);
+        if (random() % 4) engine.mark_written(attempt);
         std::erase(backend.out, attempt);
-        using R = alderspur::Result;
-        const R results[] = {R::ok, R::ok, R::full, R::error, R::reset, R::connect_failed};
-        engine.reply(attempt, {results[random() % 6], false, "bytes", "t", 0, {}});
+        using R = alderspur::AttemptResult;
+        const R results[] = {R::ok, R::ok, R::overloaded, R::error, R::reset, R::connect_failed};
+        engine.on_upstream_response(attempt, {results[random() % 6], false, "bytes", "t", 0, {}});
       }
       engine.run();
       const auto& c = engine.counters();
-      ASSERT_EQ(c.taken, c.served + c.refused + c.failed + c.withdrawn + engine.held())
+      ASSERT_EQ(c.admitted,
+                c.served + c.rejected + c.failed + c.cancelled + engine.open_request_count())
           << seed << ' ' << step;
       core::ClassCounters sum;
-      for (const auto& k : engine.by_class())
-        sum.served += k.served, sum.refused += k.refused, sum.failed += k.failed,
-            sum.sent += k.sent;
+      for (const auto& k : engine.class_counters())
+        sum.served += k.served, sum.rejected += k.rejected, sum.failed += k.failed,
+            sum.forwarded += k.forwarded;
       ASSERT_EQ(sum.served, c.served);
-      ASSERT_EQ(sum.refused, c.refused);
+      ASSERT_EQ(sum.rejected, c.rejected);
       ASSERT_EQ(sum.failed, c.failed);
-      ASSERT_EQ(sum.sent, c.sent);
-      ASSERT_EQ(front.open.size(), engine.held());
+      ASSERT_EQ(sum.forwarded, c.forwarded);
+      ASSERT_EQ(front.open.size(), engine.open_request_count());
     }
-    all_served += engine.counters().served, all_withdrawn += engine.counters().withdrawn;
+    all_served += engine.counters().served, all_withdrawn += engine.counters().cancelled;
   }
   EXPECT_GT(all_served, 100u);
   EXPECT_GT(all_withdrawn, 100u);
@@ -283,13 +285,13 @@
   core::Engine engine(settings, 1, deadlines, [] { return core::Time{1'000'000}; });
   Silent backend;
   engine.attach(backend);
-  engine.fleet({true,
-                false,
-                {{{1}, Role::cache, {0}, {0}, Status::ready, 4, 0},
-                 {{2}, Role::cache, {1}, {0}, Status::ready, 4, 0},
-                 {{3}, Role::parent, {0}, {0}, Status::ready, 4, 0}}});
-  engine.ban({2}, true);
-  engine.turned_away(0, core::Verdict::refused);
+  engine.update_endpoints({true,
+                           false,
+                           {{{1}, Role::cache, {0}, {0}, ServerStatus::ready, 4, 0},
+                            {{2}, Role::cache, {1}, {0}, ServerStatus::ready, 4, 0},
+                            {{3}, Role::parent, {0}, {0}, ServerStatus::ready, 4, 0}}});
+  engine.set_ban({2}, true);
+  engine.count_rejected(0, core::FinalStatus::rejected);
   engine.run();
   const auto text = admin::figures(engine, {"asset"});
   for (const char* line :
@@ -299,7 +301,7 @@
     EXPECT_NE(text.find(line), std::string::npos) << line << "in\n" << text;
 }
 
-struct Plain : admin::Desk {
+struct Plain : admin::AdminHandler {
   bool takes_clients() override { return true; }
   std::string figures() override { return "f 1\n"; }
   void ban(std::string_view id, bool, Done done) override {
@@ -315,7 +317,7 @@
  protected:
   Calls() {
     loop.on_turn([this] {
-      deadlines.sweep(net::unix_now());
+      deadlines.run_due(net::unix_now());
       front.end_turn();
     });
   }
@@ -341,7 +343,8 @@
   core::Deadlines deadlines;
   net::Loop loop{deadlines};
   Plain desk;
-  admin::Front front{loop, deadlines, *net::parse_address("127.0.0.1:0"), desk, net::unix_now};
+  admin::AdminServer front{loop, deadlines, *net::parse_address("127.0.0.1:0"), desk,
+                           net::unix_now};
 };
 
 TEST_F(Calls, AreAnsweredWithAClearYesOrNo) {
@@ -371,12 +374,13 @@
   net::Loop loop(deadlines);
   std::vector<std::string> told;
   const auto twin = [&](const std::string& where) {
-    return std::make_unique<hot_restart::Twin>(
+    return std::make_unique<hot_restart::HotRestartCoordinator>(
         loop, deadlines, net::unix_now, where, "127.0.0.1:4100",
         [](const std::string&, const std::string&) {},
-        hot_restart::Twin::Hooks{[] { return hot_restart::Twin::Load{}; },
-                                 [&](const BanChange& c) { told.push_back(c.name); },
-                                 [](const hot_restart::Others&, double) {}});
+        hot_restart::HotRestartCoordinator::Hooks{
+            [] { return hot_restart::HotRestartCoordinator::Load{}; },
+            [&](const BanChange& c) { told.push_back(c.name); },
+            [](const hot_restart::PeerSummary&, double) {}});
   };
   EXPECT_TRUE(twin(folder)->banned("s-1"));
   EXPECT_EQ(told, std::vector<std::string>{"s-1"});
@@ -398,15 +402,15 @@
   auto config = config::read_file(file);
   config.operator_listen = "127.0.0.1:0", config.state_folder = folder;
   const auto memory =
-      std::make_unique<std::byte[]>(sizeof(platform::Node) + alignof(platform::Node));
+      std::make_unique<std::byte[]>(sizeof(platform::EdgeRouter) + alignof(platform::EdgeRouter));
   void* at = memory.get();
-  std::size_t room = sizeof(platform::Node) + alignof(platform::Node);
+  std::size_t room = sizeof(platform::EdgeRouter) + alignof(platform::EdgeRouter);
   std::memset(at, 0xff, room);
-  ASSERT_TRUE(std::align(alignof(platform::Node), sizeof(platform::Node), at, room));
-  auto* node =
-      new (at) platform::Node(std::move(config), [](const std::string&, const std::string&) {});
+  ASSERT_TRUE(std::align(alignof(platform::EdgeRouter), sizeof(platform::EdgeRouter), at, room));
+  auto* node = new (at)
+      platform::EdgeRouter(std::move(config), [](const std::string&, const std::string&) {});
   node->turn();
-  node->~Node();
+  node->~EdgeRouter();
 }
 
 // Guards against clients that take the last descriptor: then above all, staff want an answer.
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -57,7 +57,7 @@
   EXPECT_EQ(net.member("n0").whole(), Whole::degraded);
   net.start("n4", {"at-n0"});
   EXPECT_TRUE(net.run_until([&] { return net.all_whole(); }, 6 * kSecond));
-  EXPECT_GT(net.member("n0").find("n4")->member.who.epoch, before);
+  EXPECT_GT(net.member("n0").find("n4")->member.identity.epoch, before);
 }
 
 // One that is stopped for long is failed, accuses nobody when it goes on, and refutes.
@@ -155,7 +155,7 @@
       [&] {
         const auto* a = net.member("n0").find("n3");
         const auto* b = net.member("n0").find("n4");
-        return a && a->member.state == State::alive && a->member.who.address == "at-n4" && b &&
+        return a && a->member.state == State::alive && a->member.identity.address == "at-n4" && b &&
                b->member.state == State::failed;
       },
       8 * kSecond));
@@ -172,7 +172,7 @@
   EXPECT_TRUE(net.run_until(
       [&] {
         const auto* s = net.member("n0").find("n2");
-        return s && s->member.who.address == "elsewhere" && s->member.state == State::alive;
+        return s && s->member.identity.address == "elsewhere" && s->member.state == State::alive;
       },
       5 * kSecond));
   std::size_t named = 0;
@@ -281,13 +281,13 @@
           Network net(3);
           start_all(net, 3);
           ASSERT_TRUE(net.run_until([&] { return net.all_whole(); }, 8 * kSecond));
-          std::map<std::pair<std::string, std::string>, cluster::Rumour> held;
+          std::map<std::pair<std::string, std::string>, cluster::GossipUpdate> held;
           bool back = false, wrong = false;
           net.changed = [&](network::Network::Node& n, const cluster::Changed& c) {
-            auto [it, fresh] = held.try_emplace({n.address, c.now.who.name}, c.now);
+            auto [it, fresh] = held.try_emplace({n.address, c.now.identity.name}, c.now);
             back |= !fresh && !cluster::overrides(c.now, it->second);
             it->second = c.now;
-            wrong |= c.now.state == State::failed && c.now.who.name != name(who);
+            wrong |= c.now.state == State::failed && c.now.identity.name != name(who);
           };
           std::uint64_t message = 0;
           net.lost = [&](auto&, auto&) { return message++ == lost; };
@@ -309,7 +309,7 @@
           ASSERT_FALSE(wrong);
           for (std::size_t i = 0; i < 3; ++i)
             if (i != who) {
-              ASSERT_EQ(net.member(name(i)).find(name(who))->member.who.epoch, epoch);
+              ASSERT_EQ(net.member(name(i)).find(name(who))->member.identity.epoch, epoch);
             }
         }
   RecordProperty("schedules", static_cast<int>(schedules));
--- a/tests/consensus/consensus_node_test.cpp
+++ b/tests/consensus/consensus_node_test.cpp
@@ -72,7 +72,8 @@
   ASSERT_TRUE(w.until([&] { return w.reply(two) != nullptr; }));
   EXPECT_TRUE(w.reply(two)->yes) << w.reply(two)->text;
   EXPECT_LE(w.now - from, kBound + kSecond);
-  ASSERT_TRUE(w.until([&] { return w.at(4).acting.careful && w.at(4).acting.heard.size() == 1; }));
+  ASSERT_TRUE(
+      w.until([&] { return w.at(4).acting.is_conservative && w.at(4).acting.heard.size() == 1; }));
   EXPECT_EQ(w.at(4).acting.content->at("servers"), "one");
   EXPECT_EQ(w.at(4).acting.heard[0]->at("servers"), "two") << "for the union";
   SOUND(w);
@@ -85,7 +86,7 @@
     w.cut({"r0", "r1"});
     const auto no = w.propose("r0", "no");
     w.run(kBound);
-    EXPECT_TRUE(w.at(0).acting.careful && w.at(1).acting.careful) << seed;
+    EXPECT_TRUE(w.at(0).acting.is_conservative && w.at(1).acting.is_conservative) << seed;
     const auto yes = w.propose("r3", "yes");
     ASSERT_TRUE(w.until([&] { return w.reply(yes) != nullptr; }));
     EXPECT_TRUE(w.reply(yes)->yes);
@@ -204,9 +205,9 @@
 
 bool acts_on(World& w, std::size_t i, const std::string& text) {
   const auto& a = w.at(i).acting;
-  return !a.careful && a.content && a.content->at("servers") == text;
+  return !a.is_conservative && a.content && a.content->at("servers") == text;
 }
-Trial trial_at(std::vector<std::string> first, Time hold, bool go_on) {
+CanaryRollout trial_at(std::vector<std::string> first, Time hold, bool go_on) {
   return {std::move(first), hold, 0.05, go_on};
 }
 
@@ -350,7 +351,7 @@
     EXPECT_TRUE(w.reply(two)->yes) << w.reply(two)->text;
     w.run(10 * kSecond);
     EXPECT_LE(w.writes - writes, 80u) << "5 routers, and two a second of each full disk";
-    EXPECT_TRUE(w.at(4).acting.careful);
+    EXPECT_TRUE(w.at(4).acting.is_conservative);
     w.at(1).disk.fails = w.at(4).disk.fails = false;
     ASSERT_TRUE(w.until([&] {
       return w.all_act("two") && w.at(1).agreement->view(0).part == Part::voter &&
--- a/tests/consensus/explored_test.cpp
+++ b/tests/consensus/explored_test.cpp
@@ -26,7 +26,7 @@
     mix(r.agreement != nullptr);
     if (!r.agreement) continue;
     const auto* pending = r.agreement->ledger().pending();
-    mix(r.acting.version.number), mix(r.acting.careful), mix(r.acting.heard.size());
+    mix(r.acting.version.number), mix(r.acting.is_conservative), mix(r.acting.heard.size());
     mix(r.agreement->leads(w.clock(r))), mix(pending ? pending->number : 0);
     mix(r.agreement->ledger().agreed().has_value()), mix(r.agreement->ledger().in_force().number);
   }
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -34,7 +34,7 @@
     std::ofstream(path(name), std::ios::binary) << bytes;
   }
   void fill() {
-    Disk d(folder);
+    LogStore d(folder);
     ASSERT_EQ(d.load().error, "");
     Store append{Store::Kind::append,
                  1,
@@ -57,7 +57,7 @@
 TEST_F(DiskTest, WhatWasWrittenIsThereAgainAndCutsKeepTheChain) {
   fill();
   {
-    Disk d(folder);
+    LogStore d(folder);
     const auto l = d.load();
     EXPECT_EQ(l.error, "");
     EXPECT_TRUE(same(l.saved));
@@ -65,7 +65,7 @@
     EXPECT_EQ(d.write({Store::Kind::append, 4, {{3, 1, "other"}, {3, 1, "five"}}, {}}), "");
     EXPECT_EQ(d.write({Store::Kind::term, 9, {}, {}}), "");
   }
-  Disk d(folder);
+  LogStore d(folder);
   const auto l = d.load();
   EXPECT_EQ(l.error, "");
   EXPECT_EQ(l.saved.last(), 5u);
@@ -78,7 +78,7 @@
   const auto db = read("agree.db"), mark = read("agree.mark");
   std::size_t seen = 0, same_still = 0;
   const auto look = [&](const std::string& what) {
-    Disk d(folder);
+    LogStore d(folder);
     const auto l = d.load();
     ++(l.error.empty() ? same_still : seen);
     if (l.error.empty())
@@ -109,7 +109,7 @@
   write("agree.mark", "garbage");
   look("mark");
   fs::remove(path("agree.mark"));
-  Disk d(folder);
+  LogStore d(folder);
   EXPECT_TRUE(d.load().spoilt) << "the mark is gone";
 }
 
@@ -117,13 +117,13 @@
   fill();
   const auto old = read("agree.db");
   {
-    Disk d(folder);
+    LogStore d(folder);
     ASSERT_EQ(d.load().error, "");
     ASSERT_EQ(d.write({Store::Kind::vote, 5, {}, {}}), "");
     ASSERT_EQ(d.write({Store::Kind::term, 8, {}, {}}), "");
   }
   write("agree.db", old);
-  Disk d(folder);
+  LogStore d(folder);
   const auto l = d.load();
   EXPECT_TRUE(l.spoilt);
   EXPECT_NE(d.write({Store::Kind::vote, 6, {}, {}}), "") << "nothing is taken before the reset";
--- a/tests/consensus/world.h
+++ b/tests/consensus/world.h
@@ -27,7 +27,7 @@
 
 struct Disk {
   Saved synced, written;  // what a loss of power leaves; what a process finds
-  Kept kept;
+  PersistedState kept;
   std::map<std::string, std::string> contents;
   bool lies = false, fails = false, spoilt = false;
   Time latency = 500;
@@ -37,7 +37,7 @@
  public:
   struct Router {
     std::string name;
-    std::unique_ptr<Agreement> agreement;
+    std::unique_ptr<ConsensusNode> agreement;
     Disk disk;
     double rate = 1;  // of its clock
     Time offset = 0;
@@ -45,7 +45,7 @@
     std::uint64_t epoch = 0, generation = 0;
     std::uint64_t forms = kForms;  // of its program, from its next start on
     std::vector<Event> held;
-    Acting acting;
+    ActiveVersion acting;
     std::uint64_t highest = 0;
     std::vector<Settled> replies;
     std::vector<std::string> reports;
@@ -67,14 +67,14 @@
 
   void start(const std::string& n) {
     Router& r = routers_.at(n);
-    AgreementSettings s;
+    ConsensusSettings s;
     s.name = n, s.point = "p" + std::to_string(std::stoi(n.substr(1)) % 2), s.voters = voters_;
     s.epoch = ++r.epoch;
     s.forms = r.forms;
     ++r.generation;
     r.stopped = false, r.held.clear();
     r.acting = {};
-    r.agreement = std::make_unique<Agreement>(s, random());
+    r.agreement = std::make_unique<ConsensusNode>(s, random());
     Begin b{r.disk.kept, r.disk.contents, r.disk.written, r.disk.spoilt, false};
     if (r.disk.spoilt) b.saved = {};
     r.disk.spoilt = false;
@@ -86,7 +86,7 @@
     r.agreement.reset();
     ++r.generation;
     r.acting = {};
-    r.acting.careful = true;
+    r.acting.is_conservative = true;
   }
   // As a kill, and what was not truly synced is gone.
   void lose_power(const std::string& n) {
@@ -111,7 +111,7 @@
   void heal() { ways_.clear(); }
 
   std::uint64_t propose(const std::string& n, const std::string& text,
-                        std::optional<std::uint64_t> base = {}, Trial trial = {}) {
+                        std::optional<std::uint64_t> base = {}, CanaryRollout trial = {}) {
     Proposal p;
     p.nonce = random() | 1, p.content = {{"servers", text}}, p.author = n, p.base = base;
     p.trial = std::move(trial);
@@ -166,7 +166,7 @@
   bool all_act(const std::string& text) {
     for (auto& [n, r] : routers_) {
       if (!r.agreement || r.stopped) continue;
-      if (r.acting.careful || !r.acting.content || r.acting.content->at("servers") != text)
+      if (r.acting.is_conservative || !r.acting.content || r.acting.content->at("servers") != text)
         return false;
     }
     return true;
@@ -194,9 +194,9 @@
       }
       const auto v = r.agreement->view(clock(r));
       out += std::string(" ") + word(v.part) + (v.leads ? " leads" : "") + " acts on " +
-             std::to_string(v.acting.version.number) + (v.acting.careful ? " with care" : "") +
-             ", leader " + v.leader + ", term " + std::to_string(v.term) + ", log " +
-             std::to_string(v.log);
+             std::to_string(v.acting.version.number) +
+             (v.acting.is_conservative ? " with care" : "") + ", leader " + v.leader + ", term " +
+             std::to_string(v.term) + ", log " + std::to_string(v.log);
       if (v.pending)
         out +=
             ", pending " + std::to_string(v.pending->number) + (v.pending_agreed ? " agreed" : "");
@@ -337,7 +337,7 @@
     });
   }
 
-  void acts(Router& r, const Acting& a) {
+  void acts(Router& r, const ActiveVersion& a) {
     if (a.version.number < r.highest && a.version.number < r.acting.version.number)
       breach(r.name + " went back from " + std::to_string(r.acting.version.number) + " to " +
              std::to_string(a.version.number));
@@ -354,7 +354,7 @@
   }
   // A lease ends by the router's own clock, whether or not it has said so yet.
   bool leased(const Router& r) const {
-    return r.agreement && !r.acting.careful && r.agreement->view(clock(r)).lease_left > 0;
+    return r.agreement && !r.acting.is_conservative && r.agreement->view(clock(r)).lease_left > 0;
   }
   void check() {
     if (now < next_check_) return;
--- a/tests/endpoints_test.cpp
+++ b/tests/endpoints_test.cpp
@@ -219,13 +219,14 @@
 }
 
 TEST(Merge, TheMoreCarefulHoldsFieldByField) {
-  const auto member = [](Status st, double weight, Time born, const char* address = "127.0.0.1:1") {
+  const auto member = [](ServerStatus st, double weight, Time born,
+                         const char* address = "127.0.0.1:1") {
     return Member{{server_id("a"), Role::cache, {1}, {0}, st, weight, born}, "a", address};
   };
-  const auto R = Status::ready, D = Status::draining, G = Status::gone;
+  const auto R = ServerStatus::ready, D = ServerStatus::draining, G = ServerStatus::gone;
   struct Case {
     std::optional<Member> board, files;
-    Status status;
+    ServerStatus status;
     double weight;
     Time born;
     Reason reason;
@@ -245,7 +246,7 @@
     ASSERT_TRUE(m);
     EXPECT_EQ(m->member.server.status, c.status) << word(c.reason);
     EXPECT_EQ(m->member.server.weight, c.weight) << word(c.reason);
-    EXPECT_EQ(m->member.server.born, c.born) << word(c.reason);
+    EXPECT_EQ(m->member.server.started_at, c.born) << word(c.reason);
     EXPECT_EQ(m->reason, c.reason) << word(c.reason);
   }
   const auto a = member(R, 4, 0), b = member(D, 2, 0);
@@ -258,7 +259,8 @@
 
 RC_GTEST_PROP(Merge, CommutesAndIsNeverLessCarefulThanEither, ()) {
   const auto any = [] {
-    const auto st = *rc::gen::element(Status::ready, Status::draining, Status::gone);
+    const auto st =
+        *rc::gen::element(ServerStatus::ready, ServerStatus::draining, ServerStatus::gone);
     return Member{{server_id("a"),
                    Role::cache,
                    {*rc::gen::inRange(0u, 2u)},
@@ -274,17 +276,18 @@
              y = merge(Authority::both, {&b, &a, true, true});
   RC_ASSERT(x->member.server.status == y->member.server.status);
   RC_ASSERT(x->member.server.weight == y->member.server.weight);
-  RC_ASSERT(x->member.server.born == y->member.server.born);
+  RC_ASSERT(x->member.server.started_at == y->member.server.started_at);
   for (const auto* m : {&a, &b}) {
-    if (m->server.status != Status::ready) RC_ASSERT(x->member.server.status != Status::ready);
+    if (m->server.status != ServerStatus::ready)
+      RC_ASSERT(x->member.server.status != ServerStatus::ready);
     RC_ASSERT(x->member.server.weight <= m->server.weight);
-    RC_ASSERT(x->member.server.born >= m->server.born);
+    RC_ASSERT(x->member.server.started_at >= m->server.started_at);
   }
 }
 
 TEST(Damping, WhoeverComesAndGoesIsHeldOutForAWhile) {
   DampingSettings s;
-  Flaps f;
+  FlapDamping f;
   f.left(0, s);
   f.left(kSecond, s);
   EXPECT_FALSE(f.held(kSecond, s)) << "twice may be a restart gone wrong";
@@ -304,7 +307,7 @@
 
 // A fleet fed by files, with what it told kept as a consumer would keep it.
 struct Fed {
-  explicit Fed(FleetSettings s = {}) : fleet(s) {}
+  explicit Fed(EndpointSetSettings s = {}) : fleet(s) {}
   SnapshotPtr list(const std::vector<Spec>& servers, Time now) {
     diagnostics::Findings f;
     ++generation;
@@ -312,7 +315,8 @@
         read_list(text_of(generation, servers, "confirm = " + std::to_string(generation) + "\n"),
                   "servers.toml", now, {}, f);
     EXPECT_TRUE(next.list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
-    Offer o{next.list, fleet.in_force(), difference(fleet.in_force().get(), *next.list), {}, {}};
+    CandidateList o{
+        next.list, fleet.in_force(), difference(fleet.in_force().get(), *next.list), {}, {}};
     zones_of(*next.list, {"hub", "edge-1", "edge-2"}, o.point_zones, o.hub_zones, f);
     EXPECT_TRUE(fleet.files(o, now));
     pull();
@@ -325,13 +329,13 @@
   void pull() {
     bool ready_seen = false;
     for (const auto& c : fleet.take()) {
-      const bool ready = c.member.server.status == Status::ready;
+      const bool ready = c.member.server.status == ServerStatus::ready;
       EXPECT_FALSE(ready_seen && !ready) << "departures come first";
       ready_seen |= ready;
       told[c.member.name] = c.member.server;
     }
   }
-  Fleet fleet;
+  EndpointSet fleet;
   std::uint64_t generation = 0;
   std::map<std::string, Server> told;
 };
@@ -340,28 +344,28 @@
   Fed f;
   auto v = usual();
   f.list(v, kStart);
-  EXPECT_EQ(f.told["a"].status, Status::ready);
-  EXPECT_EQ(f.told["a"].born, 0) << "nobody in the first list is new";
+  EXPECT_EQ(f.told["a"].status, ServerStatus::ready);
+  EXPECT_EQ(f.told["a"].started_at, 0) << "nobody in the first list is new";
   EXPECT_EQ(f.told["o"].location.value, 0u);
   EXPECT_EQ(f.told["c"].location.value, 2u);
   v[0].state = "draining";
   f.list(v, kStart + kSecond);
-  EXPECT_EQ(f.told["a"].status, Status::draining);
+  EXPECT_EQ(f.told["a"].status, ServerStatus::draining);
   v[0].state = "in_service";
   f.list(v, kStart + 2 * kSecond);
   f.at(kStart + 2 * kSecond);
-  EXPECT_EQ(f.told["a"].born, 0) << "a drain taken back is no restart";
+  EXPECT_EQ(f.told["a"].started_at, 0) << "a drain taken back is no restart";
   auto without = v;
   without.erase(without.begin());
   f.list(without, kStart + 3 * kSecond);
-  EXPECT_EQ(f.told["a"].status, Status::gone);
+  EXPECT_EQ(f.told["a"].status, ServerStatus::gone);
   f.list(v, kStart + 200 * kSecond);
   f.at(kStart + 200 * kSecond);
-  EXPECT_EQ(f.told["a"].status, Status::ready);
-  EXPECT_EQ(f.told["a"].born, kStart + 200 * kSecond);
+  EXPECT_EQ(f.told["a"].status, ServerStatus::ready);
+  EXPECT_EQ(f.told["a"].started_at, kStart + 200 * kSecond);
   v[1].address = "127.0.0.1:77";
   f.list(v, kStart + 201 * kSecond);
-  EXPECT_EQ(f.told["b"].born, kStart + 201 * kSecond) << "another address: another process";
+  EXPECT_EQ(f.told["b"].started_at, kStart + 201 * kSecond) << "another address: another process";
 }
 
 TEST(Fleet, WeightsMoveByStepsAndArriveWhereTheyShould) {
@@ -395,19 +399,19 @@
     }
   };
   flap(0, 4);
-  EXPECT_EQ(f.told["a"].status, Status::draining);
+  EXPECT_EQ(f.told["a"].status, ServerStatus::draining);
   EXPECT_EQ(f.fleet.reason(server_id("a")), Reason::flapping);
   flap(2, 6);
-  EXPECT_EQ(f.told["c"].status, Status::ready) << "the only cache of edge-2";
+  EXPECT_EQ(f.told["c"].status, ServerStatus::ready) << "the only cache of edge-2";
   v[1].state = "draining";  // b was all that edge-1 had left
   f.list(v, t += kSecond);
   f.at(t);
-  EXPECT_EQ(f.told["a"].status, Status::ready) << "held out no longer: nobody else is there";
+  EXPECT_EQ(f.told["a"].status, ServerStatus::ready) << "held out no longer: nobody else is there";
   v[1].state = "in_service";
   f.list(v, t += kSecond);
   f.at(t += 120 * kSecond);
-  EXPECT_EQ(f.told["a"].status, Status::ready);
-  EXPECT_EQ(f.told["b"].status, Status::ready);
+  EXPECT_EQ(f.told["a"].status, ServerStatus::ready);
+  EXPECT_EQ(f.told["b"].status, ServerStatus::ready);
 }
 
 TEST(Fleet, WhatItRemembersOutlivesARestart) {
@@ -424,8 +428,8 @@
   g.fleet.restore(remembered);
   g.generation = 1;
   g.list(v, kStart + 2 * kSecond);
-  EXPECT_EQ(g.told["n"].born, kStart + kSecond);
-  EXPECT_EQ(g.told["a"].born, 0);
+  EXPECT_EQ(g.told["n"].started_at, kStart + kSecond);
+  EXPECT_EQ(g.told["a"].started_at, 0);
   EXPECT_EQ(g.told["b"].weight, 6.25) << "a step goes on from where it was, 5.0";
 }
 
@@ -437,11 +441,11 @@
     v.push_back({"n" + std::to_string(i), "127.0.1.1:" + std::to_string(i + 1)});
   v[0].state = "draining";
   f.list(v, kStart + kSecond);
-  EXPECT_EQ(f.told["a"].status, Status::draining);
+  EXPECT_EQ(f.told["a"].status, ServerStatus::draining);
   EXPECT_EQ(f.told.size(), 4u);
   f.fleet.advance(kStart + kSecond);
   f.pull();
-  EXPECT_EQ(f.told.size(), 4u + Fleet::kAtOnce);
+  EXPECT_EQ(f.told.size(), 4u + EndpointSet::kAtOnce);
   f.at(kStart + kSecond);
   EXPECT_EQ(f.told.size(), 2504u);
 }
@@ -449,16 +453,16 @@
 TEST(Fleet, WithBothTheFirstWordOfTheBoardBindsWhatTheFilesListed) {
   Fed f({Authority::both, 1.25, kSecond, {}});
   f.list(usual(), kStart);
-  EXPECT_EQ(f.told["a"].status, Status::ready) << "the board has not spoken";
+  EXPECT_EQ(f.told["a"].status, ServerStatus::ready) << "the board has not spoken";
   auto member = [](const char* id, const char* at, std::uint32_t zone) {
-    return Member{{server_id(id), Role::cache, {zone}, {0}, Status::ready, 4, 0}, id, at};
+    return Member{{server_id(id), Role::cache, {zone}, {0}, ServerStatus::ready, 4, 0}, id, at};
   };
   f.fleet.board(true, {member("a", "127.0.0.1:1", 1), member("b", "127.0.0.1:3", 1)},
                 kStart + kSecond);
   f.pull();
-  EXPECT_EQ(f.told["a"].status, Status::ready);
-  EXPECT_EQ(f.told["b"].status, Status::gone) << "another address";
-  EXPECT_EQ(f.told["c"].status, Status::gone) << "the board does not list it";
+  EXPECT_EQ(f.told["a"].status, ServerStatus::ready);
+  EXPECT_EQ(f.told["b"].status, ServerStatus::gone) << "another address";
+  EXPECT_EQ(f.told["c"].status, ServerStatus::gone) << "the board does not list it";
   EXPECT_EQ(f.fleet.reason(server_id("c")), Reason::not_on_board);
 }
 
@@ -493,7 +497,7 @@
     list = f.list(v, t += static_cast<Time>(random() % 3'000'000));
     for (const auto& [name, s] : f.told) {
       const auto* now = list->find(server_id(name));
-      if (s.status == Status::ready) RC_ASSERT(now && now->state == State::in_service);
+      if (s.status == ServerStatus::ready) RC_ASSERT(now && now->state == State::in_service);
     }
     if (random() % 2) f.at(t);
   }
@@ -501,10 +505,11 @@
   for (const auto& s : list->servers) {
     const auto& told = f.told[s.name];
     RC_ASSERT(told.weight == s.weight);
-    RC_ASSERT(told.status == (s.state == State::in_service ? Status::ready : Status::draining));
+    RC_ASSERT(told.status ==
+              (s.state == State::in_service ? ServerStatus::ready : ServerStatus::draining));
   }
   for (const auto& [name, s] : f.told)
-    RC_ASSERT(list->find(server_id(name)) || s.status == Status::gone);
+    RC_ASSERT(list->find(server_id(name)) || s.status == ServerStatus::gone);
 }
 
 // Random edits of the text itself: whatever is taken passes all checks, and reading it twice is no
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -81,13 +81,13 @@
     caches->update(member);
     // s-b is out, so that all goes to the one that hangs.
     watch_->write(event(2, "s-b", box[1].address(), "terminating"));
-    ASSERT_TRUE(until([&] { return engine->counters().fleet_updates == 2; }));
+    ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 2; }));
   }
   // The request's connect hangs, and is sure to: the module has sent and nothing has come up.
   void ask(loopback::Socket& c, std::map<std::string, std::string> fields = {},
            const std::string& cls = "asset") {
     c.write(request(1, cls, std::move(fields)));
-    ASSERT_TRUE(until([&] { return engine->held() == 1 && caches->links() == 1; }));
+    ASSERT_TRUE(until([&] { return engine->open_request_count() == 1 && caches->links() == 1; }));
   }
   bool comes_up() {
     return until([&] { return late.let_up(), late.alive() > 0; });
@@ -127,7 +127,7 @@
   ASSERT_TRUE(until([&] { return aborts() == 1; })) << "the cancel";
   c->reset();
   ASSERT_TRUE(until([&] { return aborts() == 2; })) << "the end";
-  EXPECT_EQ(engine->held(), 0u);
+  EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
 TEST_F(Crossing, ACancelInTheReadOfItsRequestLeavesNothingToSend) {
@@ -141,7 +141,7 @@
   answer_all("bytes");
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
   settle();
-  EXPECT_EQ(engine->counters().sent, 1u);
+  EXPECT_EQ(engine->counters().forwarded, 1u);
 }
 
 TEST_F(Crossing, AClientThatLeavesInTheMiddleOfAMessageLeavesNothing) {
@@ -152,7 +152,7 @@
   resets->reset();
   ASSERT_TRUE(until([&] { return ends->ended; }));
   settle();
-  EXPECT_EQ(engine->counters().taken, 0u);
+  EXPECT_EQ(engine->counters().admitted, 0u);
 }
 
 // A client that has waited for a place, with its request written, and has left.
@@ -168,14 +168,14 @@
   stays->write(request(101, "asset", {{"item", object(101)}}));
   left->close();
   settle();  // longer than the 0.1 s in which its request might still begin
-  ASSERT_GT(engine->counters().accepts_put_off, 0u);
+  ASSERT_GT(engine->counters().deferred_accepts, 0u);
   watched.assign(1, stays.get());
   clients[0]->reset();
   clients[1]->reset();
   ASSERT_TRUE(until([&] { return fetches() == 65; }));
   settle();
   EXPECT_EQ(fetches(), 65u);
-  EXPECT_EQ(engine->counters().taken, 65u);
+  EXPECT_EQ(engine->counters().admitted, 65u);
 }
 
 // Guards against further attempts for a client that has closed its connection.
@@ -203,7 +203,7 @@
   auto c = client(front->address());
   ask(*c);
   c->write(loopback::withdraw(1));
-  ASSERT_TRUE(until([&] { return engine->held() == 0; }));
+  ASSERT_TRUE(until([&] { return engine->open_request_count() == 0; }));
   come_up_and_send_nothing();
   EXPECT_TRUE(answers(c->in).empty());
 }
@@ -218,7 +218,7 @@
   watched.clear();
   for (auto& c : clients) c->reset();
   ASSERT_TRUE(until([&] { return aborts() == 60; }));
-  EXPECT_EQ(engine->held(), 0u);
+  EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
 // Guards against two attempts out under one id, when a request comes again while it is still open.
@@ -242,7 +242,7 @@
   answer_all("bytes");
   ASSERT_TRUE(until([&] { return answers(first->in).size() == 1; }));
   again->write(request(2, "asset", {{"txn", "9b1f03aa5c7e2d41"}}));
-  ASSERT_TRUE(until([&] { return engine->counters().sent == 2; })) << "over, it is free again";
+  ASSERT_TRUE(until([&] { return engine->counters().forwarded == 2; })) << "over, it is free again";
 }
 
 // Guards against the largest requests being cut off where the way is slow; who says nothing more
@@ -325,7 +325,7 @@
   auto c = client(front->address());
   ask(*c);
   watch_->write(event(3, "s-o", origin.address(), "terminating", false, "hub", "origin"));
-  ASSERT_TRUE(until([&] { return engine->counters().fleet_updates == 3; }));
+  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
   ASSERT_TRUE(comes_up());
   ASSERT_TRUE(until([&] { return late.let_up(), late.got("fetch"); }));
   EXPECT_FALSE(late.got("next=s-o"));
@@ -335,7 +335,7 @@
   auto c = client(front->address());
   ask(*c);
   watch_->write(event(3, "s-a", late.address(), "terminated"));
-  ASSERT_TRUE(until([&] { return engine->counters().fleet_updates == 3; }));
+  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
   // The kernel tries a connect again after a second: whatever still waits for it comes up now.
   until([&, end = net::unix_now() + 2'500'000] {
     return late.let_up(), late.got("fetch") || net::unix_now() > end;
@@ -358,7 +358,7 @@
 TEST_F(Roomy, ADrainBindsWhatWaitsBehindACommandThatACacheDoesNotRead) {
   auto w = watcher();
   w->write(event(2, "s-b", box[1].address(), "terminating"));
-  ASSERT_TRUE(until([&] { return engine->counters().fleet_updates == 2; }));
+  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 2; }));
   box[0].narrow();
   box[0].reads = false;
   std::vector<std::unique_ptr<loopback::Socket>> clients;
@@ -373,13 +373,13 @@
       ASSERT_TRUE(
           until([&] { return all.erase(0, clients.back()->write_some(all)), all.empty(); }));
     }
-    ASSERT_TRUE(until([&] { return engine->counters().taken == asked; }));
+    ASSERT_TRUE(until([&] { return engine->counters().admitted == asked; }));
   }
   settle();
-  const auto sent = engine->counters().sent;
-  ASSERT_GT(engine->held(), sent + 20) << "the connections are full, and much waits";
+  const auto sent = engine->counters().forwarded;
+  ASSERT_GT(engine->open_request_count(), sent + 20) << "the connections are full, and much waits";
   w->write(event(3, "s-a", box[0].address(), "terminating"));
-  ASSERT_TRUE(until([&] { return engine->counters().fleet_updates == 3; }));
+  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
   box[0].reads = true;
   ASSERT_TRUE(until([&] { return box[0].count("fetch") >= sent; }));
   settle();
@@ -393,7 +393,7 @@
     set("dedup-window", "20000000", "300000");
     Dialing::SetUp();
     watch_->write(event(3, "s-b", box[1].address(), "in_service"));
-    ASSERT_TRUE(until([&] { return engine->counters().fleet_updates == 3; }));
+    ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
   }
 };
 TEST_F(ShortWindow, ARepeatThatWaitsPastItsWindowIsNotSent) {
@@ -406,14 +406,14 @@
       return box[1].count("fetch") > 0 || net::unix_now() > end;
     });
   }
-  const auto sent = engine->counters().sent;
+  const auto sent = engine->counters().forwarded;
   box[1].stop();  // it may have run; the next attempt waits for the other's connect
   const auto window_over = net::unix_now() + 320'000;
   ASSERT_TRUE(until([&] { return net::unix_now() > window_over; }));
   ASSERT_TRUE(comes_up());
   settle();
   EXPECT_FALSE((late.let_up(), late.got("dedupe=" + kKey) && late.got(object(n))));
-  EXPECT_EQ(engine->counters().sent - sent, late.got("fetch") ? n - 1 : 0u);
+  EXPECT_EQ(engine->counters().forwarded - sent, late.got("fetch") ? n - 1 : 0u);
 }
 
 // Guards against an event told late, that fills a gap, taking back what a later one has told.
@@ -428,7 +428,7 @@
   again->write(event(2, "s-a", box[0].address(), "in_service", complete) +
                event(3, "s-a", box[0].address(), "terminating") +
                event(4, "s-x", box[1].address(), "terminated"));
-  ASSERT_TRUE(until([&] { return engine->counters().fleet_updates == 4; }));
+  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 4; }));
   auto c = client(front->address());
   for (unsigned i = 1; i <= 8; ++i) c->write(request(i, "asset", {{"item", object(i)}}));
   ASSERT_TRUE(until([&] { return fetches() + answers(c->in).size() >= 8; }));
@@ -512,14 +512,14 @@
   auto c = client(front->address());
   ask(*c);
   c->write(request(2, "asset", {{"item", object(2)}}));  // two failures in a row would put it out
-  ASSERT_TRUE(until([&] { return engine->held() == 2; }));
+  ASSERT_TRUE(until([&] { return engine->open_request_count() == 2; }));
   watch_->write(event(3, "s-b", box[1].address(), "in_service"));
   auto again = event(4, "s-a", late.address(), "in_service");
   const std::string born = "\"up_since_ms\":";
   again.replace(again.find(born), born.size() + 1, born + std::to_string(net::unix_now() / 1000));
   watch_->write(again);
   ASSERT_TRUE(until([&] { return box[1].count("fetch") == 2; })) << "its budget is empty yet";
-  for (const auto& s : engine->standings()) EXPECT_TRUE(s.usable);
+  for (const auto& s : engine->endpoint_statuses()) EXPECT_TRUE(s.is_usable);
   answer_all("bytes");
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
   settle();
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -38,11 +38,11 @@
   int whole = 0;
   mangle(good, [&](std::string_view bytes) {
     platform::Call call;
-    core::Demand demand;
+    core::RequestView demand;
     for (auto before = bytes.size() + 1; bytes.size() < before;) {
       before = bytes.size();
       if (platform::next_call(bytes, call) != platform::Parsed::whole) break;
-      if (!platform::to_demand(call, {true, true, 0}, demand)) continue;
+      if (!platform::to_request_view(call, {true, true, 0}, demand)) continue;
       ++whole;
       EXPECT_EQ((std::string(demand.id) += demand.object_text).find_first_of(" ,=\r\n"),
                 std::string::npos);
@@ -72,7 +72,7 @@
       "9b1f served sum=ab,t0=1764576000000,rep=inflight:7;x1:0.5 5\r\nbytes\r\np1 green - "
       "0\r\n\r\n",
       [](std::string_view bytes) {
-        platform::LineAnswer a;
+        platform::CacheResponse a;
         for (auto before = bytes.size() + 1; bytes.size() < before;) {
           before = bytes.size();
           if (platform::next_answer(bytes, a) != platform::Parsed::whole) break;
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -261,7 +261,7 @@
       "members":[)" +
         member("s-a", box[0], "edge", "small") + "," + member("s-b", box[1], "edge", "small") +
         "," + member("s-o", origin, "hub", "origin") + "]}}]}," + settings + "}");
-    config.settings.may_probe = probing;
+    config.settings.health_checks_allowed = probing;
     config.sockets = 128;  // 64 clients
     config.board = net::to_string(board_at_);
     links.enabled = true;
@@ -271,10 +271,10 @@
                   {"new", "a new secret of the tests", 0}};
     links.routes = {{"/asset/", 0, link_limit}};
     engine = std::make_unique<core::Engine>(config.settings, config.seed, deadlines, net::unix_now);
-    caches = std::make_unique<platform::Caches>(loop, deadlines, *engine, config);
+    caches = std::make_unique<platform::UpstreamPool>(loop, deadlines, *engine, config);
     engine->attach(*caches);
-    pool = std::make_unique<platform::DirectPool>(*caches, *engine);
-    board = std::make_unique<platform::Board>(loop, deadlines, *engine, *pool, config);
+    pool = std::make_unique<platform::DirectEndpointSink>(*caches, *engine);
+    board = std::make_unique<platform::DiscoveryClient>(loop, deadlines, *engine, *pool, config);
     engine->run();
     front = std::make_unique<platform::RpcFront>(loop, deadlines, *engine,
                                                  *net::parse_address("127.0.0.1:0"), config);
@@ -282,7 +282,7 @@
       return net::unix_now() + skew * 1'000'000;
     });
     loop.on_turn([this] {
-      deadlines.sweep(engine->now());
+      deadlines.run_due(engine->now());
       engine->run();
       front->end_turn();
       http->end_turn();
@@ -335,9 +335,9 @@
   core::Deadlines deadlines;
   net::Loop loop{deadlines};
   std::unique_ptr<core::Engine> engine;
-  std::unique_ptr<platform::Caches> caches;
-  std::unique_ptr<platform::DirectPool> pool;
-  std::unique_ptr<platform::Board> board;
+  std::unique_ptr<platform::UpstreamPool> caches;
+  std::unique_ptr<platform::DirectEndpointSink> pool;
+  std::unique_ptr<platform::DiscoveryClient> board;
   std::unique_ptr<platform::RpcFront> front;
   std::unique_ptr<signed_url::HttpFront> http;
   std::vector<Socket*> watched;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -74,7 +74,7 @@
   Box::answer(*fetch(), "served", "late");
   settle();
   EXPECT_TRUE(answers(c->in).empty());
-  EXPECT_EQ(engine->counters().late_answers, 1u);
+  EXPECT_EQ(engine->counters().late_responses, 1u);
 }
 
 // Guards against a late answer of the attempt given up passing for the next one's under the same
@@ -88,7 +88,7 @@
   const auto before = second.count("fetch");
   first.stop();
   ASSERT_TRUE(until([&] {
-    return second.count("fetch") == 3 || engine->counters().refused + second.count("fetch") >= 3;
+    return second.count("fetch") == 3 || engine->counters().rejected + second.count("fetch") >= 3;
   }));
   for (const auto& cmd : second.commands) Box::answer(cmd, "served", "again");
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 3; }));
@@ -119,9 +119,9 @@
   ASSERT_TRUE(until([&] { return answers(good->in).size() == id; }));
   for (const auto& a : answers(good->in)) EXPECT_EQ(a.error, "Failed") << a.id;
   // Answered, so counted: what a client was told is in the figures, though nothing was sent for it.
-  EXPECT_EQ(engine->counters().taken, id);
+  EXPECT_EQ(engine->counters().admitted, id);
   EXPECT_EQ(engine->counters().failed, id);
-  EXPECT_EQ(engine->counters().sent, 0u);
+  EXPECT_EQ(engine->counters().forwarded, 0u);
 }
 
 TEST_F(Platform, AnOpenIdWithAnotherObjectIsTurnedAwayAndTheFirstIsServed) {
@@ -199,10 +199,10 @@
 // Guards against the second copy of a failed answer passing for the answer to the request's next
 // attempt.
 TEST_F(Platform, ASecondCopyOfAFailedAnswerEndsNothing) {
-  alderspur::FleetUpdate gone;
+  alderspur::EndpointUpdate gone;
   gone.servers = {config.notices[0].members[1].server};
-  gone.servers[0].status = alderspur::Status::gone;
-  engine->fleet(gone);
+  gone.servers[0].status = alderspur::ServerStatus::gone;
+  engine->update_endpoints(gone);
   auto c = client(front->address());
   c->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
@@ -251,7 +251,7 @@
     ASSERT_TRUE(until_but(first.from, [&] { return answers(c->in).size() == 2; }));
     watched.clear();
   }
-  EXPECT_EQ(engine->counters().silent_links, 2u);
+  EXPECT_EQ(engine->counters().silent_upstream_connections, 2u);
 }
 
 // Guards against a reset under a probe passing for a sick machine.
@@ -260,7 +260,7 @@
   for (int i = 0; i < 20 && !again;
        ++i) {  // a probe has a quarter of a second, which a slow machine may miss
     const auto before = box[0].count("stats");
-    caches->probe(config.notices[0].members[0].server.id);
+    caches->send_health_check(config.notices[0].members[0].server.id);
     ASSERT_TRUE(until([&] { return box[0].count("stats") > before; }));
     box[0].commands.back().from->reset();
     settle();
@@ -272,19 +272,19 @@
 // Guards against a full box passing for a dead one, and against a dial for each probe of it.
 TEST_F(Watched, AProbesLateWordIsHeardAndFurtherProbesDialOnlyOnce) {
   const auto id = config.notices[0].members[0].server.id;
-  caches->probe(id);
+  caches->send_health_check(id);
   ASSERT_TRUE(until([&] { return box[0].count("stats") == 1; }));
   for (std::size_t i = 1; i <= 5; ++i) {
     const auto end = net::unix_now() + 260'000;  // past the time of the probe before
     until([&] { return net::unix_now() > end; });
-    caches->probe(id);
+    caches->send_health_check(id);
     ASSERT_TRUE(until([&] { return box[0].count("stats") == i + 1; }));
   }
   EXPECT_EQ(box[0].connections.size(), 2u);
-  const auto late = engine->counters().late_answers;
+  const auto late = engine->counters().late_responses;
   for (auto& cmd : box[0].commands) Box::answer(cmd, "overload");
   settle();
-  EXPECT_EQ(engine->counters().late_answers, late) << "each word was waited for";
+  EXPECT_EQ(engine->counters().late_responses, late) << "each word was waited for";
 }
 
 // Guards against a probe on every connection whose one request takes long, as most do where many
@@ -299,11 +299,12 @@
     until_but(nullptr, [&] { return net::unix_now() > end; });
     Box::answer(*fetch(i), "served", "slow");
     ASSERT_TRUE(until_but(nullptr, [&] { return !answers(c->in).empty(); }));
-    if (i == 2) early = engine->counters().probes;
+    if (i == 2) early = engine->counters().health_checks;
     watched.clear();
   }
   EXPECT_GT(early, 0u);
-  EXPECT_LE(engine->counters().probes, early + 1) << "the other four waited as the first did";
+  EXPECT_LE(engine->counters().health_checks, early + 1)
+      << "the other four waited as the first did";
 }
 
 // Guards against the same for a large answer, which a box gives in one piece after its own sending
@@ -314,7 +315,7 @@
   ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == 1; }));
   const auto end = net::unix_now() + 900'000;
   until_but(nullptr, [&] { return net::unix_now() > end; });
-  EXPECT_EQ(engine->counters().probes, 0u);
+  EXPECT_EQ(engine->counters().health_checks, 0u);
 }
 
 // Guards against one reset taking all that is open at a box along.
@@ -394,7 +395,7 @@
 // what cannot be read or used costs one line a kind and nothing else.
 TEST_F(Platform, ABoardOfBadNoticesEmptiesNoListAndFillsNoLog) {
   std::vector<std::string> lines;
-  engine->complaints().on_say(
+  engine->invalid_input_log().set_sink(
       [&](const std::string& event, const std::string&) { lines.push_back(event); });
   auto w = watcher();
   const auto member = [](const char* id, const std::string& address, const char* phase) {
@@ -430,24 +431,25 @@
   w->write(listing(5, member("s-a", box[0].address(), "in_service")));
   settle();
   EXPECT_EQ(fetches(), 12u) << "the same address once more moves nobody";
-  EXPECT_EQ(engine->counters().refused + engine->counters().failed, 0u);
+  EXPECT_EQ(engine->counters().rejected + engine->counters().failed, 0u);
 }
 
 TEST(Complaints, OneLineAKindInTenSecondsWithWhatWasPassedOver) {
-  core::Complaints complaints;
+  core::RateLimitedLog complaints;
   std::vector<std::string> lines;
-  complaints.about(core::Complaint::answer, 1, "nobody listens yet");
-  complaints.on_say([&](const std::string& event, const std::string& text) {
+  complaints.report(core::InvalidInput::response, 1, "nobody listens yet");
+  complaints.set_sink([&](const std::string& event, const std::string& text) {
     lines.push_back(event + ' ' + text);
   });
   const core::Time second = 1'000'000;
   for (int i = 0; i < 1000; ++i)
-    complaints.about(core::Complaint::notice, second + i * 1000, "\x1b[2J" + std::string(500, 'x'));
-  complaints.about(core::Complaint::frame, second);
+    complaints.report(core::InvalidInput::watch_event, second + i * 1000,
+                      "\x1b[2J" + std::string(500, 'x'));
+  complaints.report(core::InvalidInput::frame, second);
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_EQ(lines[0].find('\x1b'), std::string::npos);
   EXPECT_LT(lines[0].size(), 200u);
-  complaints.about(core::Complaint::notice, 12 * second);
+  complaints.report(core::InvalidInput::watch_event, 12 * second);
   ASSERT_EQ(lines.size(), 3u);
   EXPECT_NE(lines[2].find("(999 more since the last line)"), std::string::npos) << lines[2];
 }
@@ -463,12 +465,12 @@
     bad.back()->write(request(1, i % 2 ? "no-such-class" : "status", {}));
     if (i % 16 != 15) continue;
     ASSERT_TRUE(until(
-        [&] { return engine->counters().bad_requests == (static_cast<unsigned>(i) + 1) / 2; }));
+        [&] { return engine->counters().invalid_requests == (static_cast<unsigned>(i) + 1) / 2; }));
   }
   auto last = client(front->address());
   last->write(request(1, "asset", {{"item", "0000000000000002"}, {"txn", "0000000000000001"}}));
   ASSERT_TRUE(until([&] { return fetches() == 2; }));
-  EXPECT_EQ(engine->counters().accepts_put_off, 0u);
+  EXPECT_EQ(engine->counters().deferred_accepts, 0u);
   EXPECT_FALSE(usual->ended);
 }
 
@@ -486,8 +488,8 @@
   auto& last = *clients.back();
   last.write(request(2, "asset", {{"ram", "9"}}));
   settle();
-  EXPECT_GT(engine->counters().accepts_put_off, 0u);
-  EXPECT_LT(engine->counters().accepts_put_off, 40u) << "it rests between tries";
+  EXPECT_GT(engine->counters().deferred_accepts, 0u);
+  EXPECT_LT(engine->counters().deferred_accepts, 40u) << "it rests between tries";
   watched.assign(1, &last);
   for (int i = 0; i < 20; ++i) clients[static_cast<std::size_t>(i)]->reset();
   ASSERT_TRUE(until([&] { return fetches() == 65; }));
@@ -552,7 +554,7 @@
     return answers(c->in).size() == 6;
   }));
   EXPECT_EQ(engine->counters().attempts_reset + engine->counters().attempts_timeout, 0u);
-  EXPECT_GE(engine->counters().attempts_unconnected, 1u);
+  EXPECT_GE(engine->counters().attempts_connect_failed, 1u);
   for (const int fd : fillers) ::close(fd);
   ::close(full);
 }
@@ -563,39 +565,42 @@
                                            std::pair(core::Time{60'000'000}, "4000")));
 
 // The core alone: a backend and a front that only write down what they are told.
-struct Recorder : core::Backend, core::Front {
+struct Recorder : core::UpstreamClient, core::Front {
   void send(core::AttemptId a, alderspur::ServerId) override { sent.push_back(a); }
   void abort(core::AttemptId a) override { aborted.push_back(a); }
-  void probe(alderspur::ServerId) override {}
-  void answer(core::Ticket, const core::Answer& a) override { answers.push_back(a.verdict); }
+  void send_health_check(alderspur::ServerId) override {}
+  void respond(core::RequestHandle, const core::Response& a) override {
+    answers.push_back(a.status);
+  }
   std::vector<core::AttemptId> sent, aborted;
-  std::vector<core::Verdict> answers;
+  std::vector<core::FinalStatus> answers;
 };
 class Core : public ::testing::Test {
  protected:
   Core() {
     alderspur::ClassSettings c;
-    c.target = 250'000;
+    c.latency_objective = 250'000;
     settings.classes = {c};
     settings.max_attempts = 3;
     settings.may_cancel = true;
     settings.has_fills = settings.can_join_fills = true;
     engine.emplace(settings, 1, deadlines, [this] { return time; });
     engine->attach(recorder);
-    alderspur::FleetUpdate fleet;
+    alderspur::EndpointUpdate fleet;
     fleet.full = true;
-    fleet.servers = {{{1}, alderspur::Role::cache, {0}, {0}, alderspur::Status::ready, 1, 0},
-                     {{9}, alderspur::Role::origin, {0}, {0}, alderspur::Status::ready, 1, 0}};
-    engine->fleet(fleet);
+    fleet.servers = {
+        {{1}, alderspur::Role::cache, {0}, {0}, alderspur::ServerStatus::ready, 1, 0},
+        {{9}, alderspur::Role::origin, {0}, {0}, alderspur::ServerStatus::ready, 1, 0}};
+    engine->update_endpoints(fleet);
     engine->run();
   }
-  core::Ticket take() {
-    core::Demand d;
+  core::RequestHandle take() {
+    core::RequestView d;
     d.id = "a";
     d.object = 5;
     d.group = 3;
-    d.limit = 2'000'000;
-    return engine->take(recorder, d);
+    d.time_limit = 2'000'000;
+    return engine->admit(recorder, d);
   }
   core::Time time = 1'000'000'000;
   alderspur::Settings settings;
@@ -606,24 +611,26 @@
 
 TEST_F(Core, AClientThatLeavesInTheTurnOfItsRequestIsOwedNothing) {
   const auto t = take();
-  engine->withdraw(t);
+  engine->cancel_request(t);
   engine->run();
   EXPECT_TRUE(recorder.answers.empty());
   EXPECT_TRUE(recorder.sent.empty()) << "nothing leaves for a request that is over";
-  EXPECT_EQ(engine->held(), 0u);
+  EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
 TEST_F(Core, OneAnswerThoughReplyAndDeadlineFallInOneTurn) {
   take();
   engine->run();
   ASSERT_EQ(recorder.sent.size(), 1u);
-  engine->written(recorder.sent[0]);
+  engine->mark_written(recorder.sent[0]);
   time += 3'000'000;
-  engine->reply(recorder.sent[0], {alderspur::Result::ok, false, "x", {}, 0, {}});
-  deadlines.sweep(time);
+  engine->on_upstream_response(recorder.sent[0],
+                               {alderspur::AttemptResult::ok, false, "x", {}, 0, {}});
+  deadlines.run_due(time);
   engine->run();
   EXPECT_EQ(recorder.answers.size(), 1u);
-  engine->reply(recorder.sent[0], {alderspur::Result::ok, false, "x", {}, 0, {}});
+  engine->on_upstream_response(recorder.sent[0],
+                               {alderspur::AttemptResult::ok, false, "x", {}, 0, {}});
   engine->run();
   EXPECT_EQ(recorder.answers.size(), 1u);
 }
@@ -631,34 +638,35 @@
 // Found on days with 300 routers: the next attempt reached a cache, or the same one by another
 // connection, before the abort of the one before had arrived.
 TEST_F(Core, TheNextAttemptLeavesOnlyWhenTheAbortOfTheOneBeforeMustHaveArrived) {
-  for (const auto result : {alderspur::Result::cancelled, alderspur::Result::reset}) {
+  for (const auto result : {alderspur::AttemptResult::cancelled, alderspur::AttemptResult::reset}) {
     recorder.sent.clear();
     const auto ticket = take();
     engine->run();
     ASSERT_EQ(recorder.sent.size(), 1u);
-    engine->written(recorder.sent[0]);
+    engine->mark_written(recorder.sent[0]);
     time += 540'000;
-    engine->reply(recorder.sent[0], {result, false, {}, {}, 0, {}});
+    engine->on_upstream_response(recorder.sent[0], {result, false, {}, {}, 0, {}});
     engine->run();
     time += 49'000;
-    deadlines.sweep(time);
+    deadlines.run_due(time);
     engine->run();
     EXPECT_EQ(recorder.sent.size(), 1u) << "the abort may still be on its way";
     time += 1'000;
-    deadlines.sweep(time);
+    deadlines.run_due(time);
     engine->run();
     ASSERT_EQ(recorder.sent.size(), 2u);
-    engine->reply(recorder.sent[1], {alderspur::Result::connect_failed, false, {}, {}, 0, {}});
+    engine->on_upstream_response(recorder.sent[1],
+                                 {alderspur::AttemptResult::connect_failed, false, {}, {}, 0, {}});
     engine->run();
     EXPECT_EQ(recorder.sent.size(), 3u) << "what never left holds nobody";
-    engine->written(recorder.sent[2]);
-    engine->withdraw(ticket);
+    engine->mark_written(recorder.sent[2]);
+    engine->cancel_request(ticket);
     engine->run();
-    engine->reply(recorder.sent[2], {result, false, {}, {}, 0, {}});
+    engine->on_upstream_response(recorder.sent[2], {result, false, {}, {}, 0, {}});
     time += 50'000;
-    deadlines.sweep(time);
+    deadlines.run_due(time);
     engine->run();
-    EXPECT_EQ(engine->held(), 0u);
+    EXPECT_EQ(engine->open_request_count(), 0u);
   }
 }
 
@@ -671,20 +679,21 @@
       const auto ticket = take();
       engine->run();
       ASSERT_EQ(recorder.sent.size(), 1u);
-      engine->written(recorder.sent[0]);
-      const auto result = in_the_turn ? alderspur::Result::full : alderspur::Result::reset;
-      engine->reply(recorder.sent[0], {result, false, {}, {}, 0, {}});
+      engine->mark_written(recorder.sent[0]);
+      const auto result =
+          in_the_turn ? alderspur::AttemptResult::overloaded : alderspur::AttemptResult::reset;
+      engine->on_upstream_response(recorder.sent[0], {result, false, {}, {}, 0, {}});
       if (ended_its_side)
-        engine->begin_no_more(ticket), time += in_the_turn ? 50'000 : 0;
+        engine->stop_retrying(ticket), time += in_the_turn ? 50'000 : 0;
       else
-        engine->withdraw(ticket);
+        engine->cancel_request(ticket);
       engine->run();
       time += 50'000;
-      deadlines.sweep(time);
+      deadlines.run_due(time);
       engine->run();
       EXPECT_EQ(recorder.sent.size(), 1u) << ended_its_side << in_the_turn;
-      EXPECT_EQ(engine->held(), 0u);
-      EXPECT_FALSE(engine->holds("a"));
+      EXPECT_EQ(engine->open_request_count(), 0u);
+      EXPECT_FALSE(engine->is_open("a"));
     }
   EXPECT_EQ(recorder.answers.size(), 2u) << "who may still be there is answered";
 }
@@ -692,16 +701,18 @@
 TEST_F(Core, APurgeHeardBeforeTheWritingTightensTheAge) {
   take();
   engine->run();
-  ASSERT_TRUE(engine->order(recorder.sent[0])->fill->join);
+  ASSERT_TRUE(engine->upstream_request(recorder.sent[0])->fill->may_join);
   engine->purge({}, 3, time - 50'000);
   engine->run();
-  const auto& fill = *engine->order(recorder.sent[0])->fill;
+  const auto& fill = *engine->upstream_request(recorder.sent[0])->fill;
   EXPECT_EQ(fill.max_age, 48'000);
-  EXPECT_FALSE(fill.join || fill.renew);
-  engine->written(recorder.sent[0]);
-  engine->reply(recorder.sent[0], {alderspur::Result::ok, false, "x", {}, time - 500'000, {}});
+  EXPECT_FALSE(fill.may_join || fill.refresh_in_background);
+  engine->mark_written(recorder.sent[0]);
+  engine->on_upstream_response(recorder.sent[0],
+                               {alderspur::AttemptResult::ok, false, "x", {}, time - 500'000, {}});
   engine->run();
-  EXPECT_EQ(engine->counters().stale_answers, 1u) << "a copy older than asked for is not passed on";
+  EXPECT_EQ(engine->counters().stale_responses, 1u)
+      << "a copy older than asked for is not passed on";
 }
 
 TEST(Lines, AnswersAreTakenWhateverTheCuts) {
@@ -714,16 +725,16 @@
     for (const auto& piece : {all.substr(0, cut), all.substr(cut)}) {
       buffer += piece;
       std::string_view bytes = buffer;
-      platform::LineAnswer a;
+      platform::CacheResponse a;
       while (platform::next_answer(bytes, a) == platform::Parsed::whole)
         got.push_back(std::string(a.id) + a.word.substr(0, 3).data()[0] + std::string(a.body));
       buffer = std::string(bytes);
     }
     EXPECT_EQ(got, (std::vector<std::string>{"asxyz", "bn", "p1g"})) << cut;
   }
-  EXPECT_EQ(platform::report_of("inflight:7;x1:0.5").inflight, 7);
+  EXPECT_EQ(platform::report_of("inflight:7;x1:0.5").in_flight, 7);
   std::string_view bad = "a served - 240001\r\n";
-  platform::LineAnswer a;
+  platform::CacheResponse a;
   EXPECT_EQ(platform::next_answer(bad, a), platform::Parsed::unreadable);
 }
 
