--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -19,30 +19,30 @@
 Settings site() {
   Settings s;
   s.location = {3};
-  s.routers = 2;
-  s.routers_by_location = {0, 0, 0, 1, 1};
+  s.router_count = 2;
+  s.router_count_by_location = {0, 0, 0, 1, 1};
   ClassSettings parts, pages, keyed, once;
-  parts.target = 500 * ms;
-  parts.aim_stretch = 2;
+  parts.latency_objective = 500 * ms;
+  parts.latency_objective_stretch = 2;
   pages = parts;
-  pages.fresh = 8 * second;
-  pages.stale_grace = 30 * second;
+  pages.fresh_time = 8 * second;
+  pages.stale_grace_time = 30 * second;
   keyed = parts;
-  keyed.repeat = Repeat::keyed;
+  keyed.idempotency = Idempotency::idempotent_with_key;
   keyed.dedup_scope = DedupScope::cell;
   keyed.dedup_window = 5 * second;
   once = parts;
-  once.repeat = Repeat::unsafe;
+  once.idempotency = Idempotency::not_idempotent;
   s.classes = {parts, pages, keyed, once};
   s.max_attempts = 6;
-  s.may_cancel = s.retry_after = true;
+  s.may_cancel = s.sends_retry_after = true;
   s.max_retry_after = 2 * second;
-  s.cache_cold_from = 0.2;
-  s.cache_cold = 20 * second;
-  s.fall_window = 1500 * ms;
-  s.parent_cold_from = 0.1;
-  s.parent_cold = 20 * second;
-  s.purge_settles = 6 * second;
+  s.cache_slow_start_fraction = 0.2;
+  s.cache_slow_start_time = 20 * second;
+  s.overload_window = 1500 * ms;
+  s.parent_slow_start_fraction = 0.1;
+  s.parent_slow_start_time = 20 * second;
+  s.purge_propagation_time = 6 * second;
   s.stream_kb_per_s = 1000;
   s.weights = WeightKind::nominal;
   s.can_join_fills = s.has_fills = true;
@@ -51,15 +51,15 @@
 
 Settings probing_site() {
   auto s = site();
-  s.may_probe = true;
+  s.health_checks_allowed = true;
   return s;
 }
 
-Server cache(std::uint64_t id, Status status = Status::ready, Time born = 0) {
+Server cache(std::uint64_t id, ServerStatus status = ServerStatus::ready, Time born = 0) {
   return {{id}, Role::cache, {3}, {static_cast<std::uint32_t>(id % 2)}, status, 4, born};
 }
 Server upstream(std::uint64_t id, Role role, Time born = 0) {
-  return {{id}, role, {static_cast<std::uint32_t>(id % 3)}, {0}, Status::ready, 10, born};
+  return {{id}, role, {static_cast<std::uint32_t>(id % 3)}, {0}, ServerStatus::ready, 10, born};
 }
 std::vector<Server> fleet() {
   return {cache(1),
@@ -76,7 +76,7 @@
   Bed(Bed&&) = default;
   explicit Bed(Settings s = site(), std::vector<Server> servers = fleet(), std::uint64_t seed = 7)
       : router(s, seed) {
-    tell(FleetUpdate{true, false, servers});
+    tell(EndpointUpdate{true, false, servers});
   }
   std::vector<Action> tell(const Event& e) {
     std::vector<Action> actions;
@@ -84,8 +84,8 @@
     for (const auto& a : actions) {
       if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(t->at, t->timer);
       if (const auto* s = std::get_if<Send>(&a)) sends[s->id].push_back(*s);
-      if (const auto* p = std::get_if<Probe>(&a)) ++probes[p->server];
-      if (const auto* r = std::get_if<Refuse>(&a)) ++answers[r->id];
+      if (const auto* p = std::get_if<HealthCheck>(&a)) ++probes[p->server];
+      if (const auto* r = std::get_if<Reject>(&a)) ++answers[r->id];
       if (const auto* f = std::get_if<Fail>(&a)) ++answers[f->id];
     }
     return actions;
@@ -96,7 +96,7 @@
       const auto [at, id] = *timers.begin();
       timers.erase(timers.begin());
       now = std::max(now, at);
-      tell(TimerDue{id});
+      tell(TimerExpired{id});
     }
     now = end;
   }
@@ -106,19 +106,19 @@
     tell(Request{id, {object}, {group}, {cls}, part, size, 5 * second, false});
     return id;
   }
-  Outcome outcome(RequestId id, Result result, Note note = Note::none, std::uint32_t attempt = 0,
-                  Time elapsed = 100 * ms) {
-    Outcome o;
+  AttemptOutcome outcome(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
+                         std::uint32_t attempt = 0, Time elapsed = 100 * ms) {
+    AttemptOutcome o;
     o.id = id;
     o.attempt = {attempt};
     o.server = sends[id].at(attempt).server;
     o.result = result;
-    o.note = note;
-    o.finished = result == Result::ok;
+    o.fill_outcome = note;
+    o.finished = result == AttemptResult::ok;
     o.elapsed = elapsed;
     return o;
   }
-  std::vector<Action> end(RequestId id, Result result, Note note = Note::none,
+  std::vector<Action> end(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
                           std::uint32_t attempt = 0, Time elapsed = 100 * ms) {
     return tell(outcome(id, result, note, attempt, elapsed));
   }
@@ -126,7 +126,7 @@
     const auto id = ask(object, 0, size, part);
     if (sends[id].empty()) return 0;
     const auto server = sends[id][0].server.value;
-    end(id, Result::ok, Note::hit);
+    end(id, AttemptResult::ok, FillOutcome::hit);
     return server;
   }
   int open_answers(RequestId id) { return answers[id]; }
@@ -209,12 +209,12 @@
     const auto id = bed.ask(o);
     const auto home = bed.sends[id][0].server.value;
     if (given[home] == 10) {
-      bed.tell(ClientLeft{id});
-      bed.end(id, Result::cancelled);
+      bed.tell(ClientGone{id});
+      bed.end(id, AttemptResult::cancelled);
       continue;
     }
     ++given[home];
-    bed.end(id, Result::ok, Note::hit);
+    bed.end(id, AttemptResult::ok, FillOutcome::hit);
     bed.serve(o);
     bed.serve(o);
     if (given[1] + given[2] + given[3] + given[4] == 40) break;
@@ -243,8 +243,8 @@
   Bed bed;
   const auto id = bed.ask(1);
   for (std::uint32_t i = 0; i < 6 && i < bed.sends[id].size(); ++i) {
-    bed.end(id, Result::error, Note::none, i);
-    bed.end(id, Result::error, Note::none, i);  // a repeated outcome is harmless
+    bed.end(id, AttemptResult::error, FillOutcome::none, i);
+    bed.end(id, AttemptResult::error, FillOutcome::none, i);  // a repeated outcome is harmless
   }
   bed.advance(10 * second);
   EXPECT_EQ(bed.answers[id], 1);
@@ -254,7 +254,7 @@
   const auto id = bed.ask(1);
   bed.advance(5 * second + 2 * ms);
   EXPECT_EQ(bed.answers[id], 1);
-  EXPECT_EQ(bed.end(id, Result::timeout).size(), 0u);
+  EXPECT_EQ(bed.end(id, AttemptResult::timeout).size(), 0u);
 }
 TEST(Answers, EmptyFleetRefusesAtOnceWithAdvice) {
   Bed bed(site(), {});
@@ -263,31 +263,31 @@
       Request{{50}, {1}, {0}, {0}, 0, std::numeric_limits<double>::quiet_NaN(), second, false});
   bool refused = false;
   for (auto& a : actions)
-    if (auto* r = std::get_if<Refuse>(&a)) refused = r->retry_after > 0;
+    if (auto* r = std::get_if<Reject>(&a)) refused = r->retry_after > 0;
   EXPECT_TRUE(refused);
 }
 TEST(Answers, UnknownThingsAreIgnored) {
   Bed bed;
-  Outcome o;
+  AttemptOutcome o;
   o.id = {999};
   EXPECT_TRUE(bed.tell(o).empty());
-  EXPECT_TRUE(bed.tell(TimerDue{{12345}}).empty());
-  EXPECT_TRUE(bed.tell(ClientLeft{{999}}).empty());
-  EXPECT_TRUE(bed.tell(StreamBegun{{999}, {0}}).empty());
-  EXPECT_TRUE(bed.tell(Probed{{999}, true, 0, {}}).empty());
+  EXPECT_TRUE(bed.tell(TimerExpired{{12345}}).empty());
+  EXPECT_TRUE(bed.tell(ClientGone{{999}}).empty());
+  EXPECT_TRUE(bed.tell(ResponseStarted{{999}, {0}}).empty());
+  EXPECT_TRUE(bed.tell(HealthCheckResult{{999}, true, 0, {}}).empty());
 }
 
 TEST(Effects, UnsafeIsSentAgainOnlyWhenItProvablyNeverRan) {
   Bed bed;
   auto id = bed.ask(1, 3);
-  bed.end(id, Result::full);
+  bed.end(id, AttemptResult::overloaded);
   EXPECT_EQ(bed.sends[id].size(), 2u);
-  const auto actions = bed.end(id, Result::reset, Note::none, 1);
+  const auto actions = bed.end(id, AttemptResult::reset, FillOutcome::none, 1);
   EXPECT_EQ(bed.sends[id].size(), 2u);
   bool failed = false;
   for (auto& a : actions) {
     failed |= std::holds_alternative<Fail>(a);
-    EXPECT_FALSE(std::holds_alternative<Refuse>(a));
+    EXPECT_FALSE(std::holds_alternative<Reject>(a));
   }
   EXPECT_TRUE(failed);
 }
@@ -295,7 +295,7 @@
   for (std::uint64_t o = 1; o < 30; ++o) {
     Bed bed;
     const auto id = bed.ask(o, 2);
-    bed.end(id, Result::reset);
+    bed.end(id, AttemptResult::reset);
     for (auto& s : bed.sends[id]) EXPECT_EQ(s.server.value % 2, bed.sends[id][0].server.value % 2);
     EXPECT_EQ(bed.sends[id].size(), 2u);
   }
@@ -304,7 +304,7 @@
 TEST(Effects, WhatWaitedIsNotSentOnceItsWindowIsOver) {
   Bed bed;
   const auto id = bed.ask(7, 2);
-  bed.end(id, Result::error);
+  bed.end(id, AttemptResult::error);
   ASSERT_EQ(bed.sends[id].size(), 2u);
   EXPECT_TRUE(bed.router.may_send(bed.now + 4900 * ms, id, {1}));
   EXPECT_FALSE(bed.router.may_send(bed.now + 5 * second, id, {1}));
@@ -319,18 +319,19 @@
   EXPECT_TRUE(bed.router.may_send(bed.now, id, {0}));
   const auto source = upstream(first.fill->source.value, Role::parent);
   auto drains = source;
-  drains.status = Status::draining;
-  bed.tell(FleetUpdate{false, false, {drains}});
+  drains.status = ServerStatus::draining;
+  bed.tell(EndpointUpdate{false, false, {drains}});
   EXPECT_FALSE(bed.router.may_send(bed.now, id, {0})) << "its source drains";
-  bed.tell(FleetUpdate{false, false, {source}});
+  bed.tell(EndpointUpdate{false, false, {source}});
   EXPECT_TRUE(bed.router.may_send(bed.now, id, {0}));
   bed.tell(Ban{first.server, true});
   EXPECT_FALSE(bed.router.may_send(bed.now, id, {0}));
   bed.tell(Ban{first.server, false});
-  for (int i = 0; i < 20; ++i) bed.end(bed.ask(7), Result::withheld);
-  bed.end(id, Result::withheld);
+  for (int i = 0; i < 20; ++i) bed.end(bed.ask(7), AttemptResult::not_sent);
+  bed.end(id, AttemptResult::not_sent);
   EXPECT_EQ(bed.sends[id].size(), 2u) << "it goes on, out of no budget of retries";
-  for (const auto& s : bed.router.standings(bed.now)) EXPECT_TRUE(s.usable) << s.server.id.value;
+  for (const auto& s : bed.router.endpoint_statuses(bed.now))
+    EXPECT_TRUE(s.is_usable) << s.server.id.value;
 }
 
 TEST(Effects, NeverTwoAttemptsOut) {
@@ -345,9 +346,9 @@
   const auto out = bed.ask(1);  // an attempt is out while the drain arrives
   const auto home = bed.sends[out][0].server.value;
   auto parent = upstream(20, Role::parent);
-  parent.status = Status::draining;
-  bed.tell(FleetUpdate{false, false, {cache(home, Status::draining), parent}});
-  bed.end(out, Result::error);
+  parent.status = ServerStatus::draining;
+  bed.tell(EndpointUpdate{false, false, {cache(home, ServerStatus::draining), parent}});
+  bed.end(out, AttemptResult::error);
   for (std::uint64_t o = 1; o < 60; ++o) bed.ask(o);
   bed.advance(2 * second);  // second copies too
   for (auto& [id, sends] : bed.sends)
@@ -358,7 +359,7 @@
 }
 TEST(Drains, AnEmptiedListStopsAllSends) {
   Bed bed;
-  bed.tell(FleetUpdate{true, false, {}});
+  bed.tell(EndpointUpdate{true, false, {}});
   const auto id = bed.ask(1);
   EXPECT_TRUE(bed.sends[id].empty());
   EXPECT_EQ(bed.answers[id], 1);
@@ -376,8 +377,8 @@
 TEST(Cold, ABurstDoesNotSpendMoreThanAColdCacheCanDo) {
   Bed bed;
   bed.advance(30 * second);
-  bed.tell(FleetUpdate{false, false, {cache(1, Status::gone)}});
-  bed.tell(FleetUpdate{false, false, {cache(1, Status::ready, bed.now)}});
+  bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::gone)}});
+  bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::ready, bed.now)}});
   for (int i = 0; i < 150; ++i) {
     for (std::uint64_t o = 1; o <= 8; ++o) bed.ask(o + static_cast<std::uint64_t>(i) * 8);
     bed.advance(10 * ms);
@@ -399,8 +400,8 @@
 Sum most_sent(std::size_t routers, bool told, bool parent, double capacity, How how = How::plain) {
   auto s = site();
   const bool stirred = how == How::stirred;
-  s.routers = static_cast<std::uint32_t>(routers);
-  s.routers_by_location = {0, 0, 0, static_cast<std::uint32_t>(routers)};
+  s.router_count = static_cast<std::uint32_t>(routers);
+  s.router_count_by_location = {0, 0, 0, static_cast<std::uint32_t>(routers)};
   s.weights = told ? WeightKind::nominal : WeightKind::none;
   const std::uint64_t victim = parent ? 20 : 1;
   std::vector<Server> servers = fleet();
@@ -423,11 +424,11 @@
     for (std::size_t i = 0; i < routers && t >= 30 * second && t <= 32 * second; ++i)
       for (auto x : servers)
         if (x.id.value == victim && hears(i) == t)
-          x.born = born, beds[i].tell(FleetUpdate{false, false, {x}});
+          x.started_at = born, beds[i].tell(EndpointUpdate{false, false, {x}});
     if (stirred && t == 31 * second) {
       auto known = servers;
       for (auto& x : known)
-        if (x.id.value == victim) x.born = born;
+        if (x.id.value == victim) x.started_at = born;
       std::vector<Bed> after;
       for (std::size_t i = 0; i < routers; ++i) {
         if (i % 10 < 3) {
@@ -436,7 +437,7 @@
         }
         after.emplace_back(s, std::vector<Server>{}, 5000 + 31 * i).now = beds[i].now;
         after.back().next = 1'000'000;
-        after.back().tell(FleetUpdate{true, false, known});
+        after.back().tell(EndpointUpdate{true, false, known});
       }
       beds.swap(after);
     }
@@ -453,15 +454,16 @@
       const Send first = b.sends[id][0];
       const bool hits_it = (parent ? first.fill->source : first.server).value == victim;
       if (born && hits_it && t >= hears(at)) sent.push_back({b.now, work});
-      b.end(id, Result::ok, Note::filled);
+      b.end(id, AttemptResult::ok, FillOutcome::filled);
     }
   }
   Sum most;
   for (std::size_t i = 0; i < sent.size(); ++i) {
     double sum = 0;
-    for (std::size_t k = i; k < sent.size() && sent[k].first <= sent[i].first + s.fall_window; ++k)
+    for (std::size_t k = i; k < sent.size() && sent[k].first <= sent[i].first + s.overload_window;
+         ++k)
       sum += sent[k].second;
-    const double from = parent ? s.parent_cold_from : s.cache_cold_from;
+    const double from = parent ? s.parent_slow_start_fraction : s.cache_slow_start_fraction;
     const double grown =
         static_cast<double>(sent[i].first - born) / static_cast<double>(20 * second);
     const double budget = (from + (1 - from) * grown) * capacity * 1.5, calls = budget / work;
@@ -515,7 +517,7 @@
 TEST(Cold, FillsCountAgainstAColdParent) {
   Bed bed;
   bed.advance(30 * second);
-  bed.tell(FleetUpdate{false, false, {upstream(20, Role::parent, bed.now)}});
+  bed.tell(EndpointUpdate{false, false, {upstream(20, Role::parent, bed.now)}});
   for (int i = 0; i < 150; ++i) {
     for (std::uint64_t o = 1; o <= 8; ++o) bed.ask(o + static_cast<std::uint64_t>(i) * 8);
     bed.advance(10 * ms);
@@ -529,7 +531,7 @@
   while (bed.serve(o) != 1) ++o;
   for (int i = 0; i < 3; ++i) {  // refused in a row: gone, though the list has not said so
     const auto id = bed.ask(o);
-    if (bed.sends[id][0].server.value == 1) bed.end(id, Result::connect_failed);
+    if (bed.sends[id][0].server.value == 1) bed.end(id, AttemptResult::connect_failed);
   }
   EXPECT_NE(bed.sends[bed.ask(o)][0].server.value, 1u);
   bed.advance(9 * second);
@@ -549,15 +551,15 @@
   ASSERT_TRUE(f);
   EXPECT_GE(f->max_age, 1);
   EXPECT_LE(f->max_age, 100 * ms);
-  EXPECT_FALSE(f->join);
-  EXPECT_FALSE(f->renew);
+  EXPECT_FALSE(f->may_join);
+  EXPECT_FALSE(f->refresh_in_background);
   bed.advance(2 * second);
   f = bed.sends[bed.ask(9, 0)].at(0).fill;
   EXPECT_GE(f->max_age, second);
   EXPECT_LE(f->max_age, 2100 * ms);
   EXPECT_FALSE(bed.sends[bed.ask(10, 0)].at(0).fill->max_age) << "other objects keep any age";
   bed.advance(30 * second);
-  EXPECT_TRUE(bed.sends[bed.ask(9, 0)].at(0).fill->join);
+  EXPECT_TRUE(bed.sends[bed.ask(9, 0)].at(0).fill->may_join);
 }
 TEST(Purges, OfAGroupAtThisVeryMomentStillAsksForAnAge) {
   Bed bed;
@@ -568,10 +570,10 @@
   Bed bed;
   const auto id = bed.ask(9);
   bed.tell(Purge{ObjectId{9}, {5}, 50 * ms});
-  bed.end(id, Result::full);
+  bed.end(id, AttemptResult::overloaded);
   ASSERT_EQ(bed.sends[id].size(), 2u);
   EXPECT_GE(bed.sends[id][1].fill->max_age, 1);
-  EXPECT_FALSE(bed.sends[id][1].fill->join);
+  EXPECT_FALSE(bed.sends[id][1].fill->may_join);
 }
 
 // ---- Trouble
@@ -584,7 +586,8 @@
     const auto id = bed.ask(static_cast<std::uint64_t>(i));
     for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
       ++sent[bed.sends[id][k].server.value];
-      bed.end(id, bed.sends[id][k].server.value == 2 ? Result::error : Result::ok, Note::hit, k);
+      bed.end(id, bed.sends[id][k].server.value == 2 ? AttemptResult::error : AttemptResult::ok,
+              FillOutcome::hit, k);
     }
     bed.advance(10 * ms);
   }
@@ -594,13 +597,13 @@
   Bed bed;
   const auto id = bed.ask(1);
   const auto first = bed.sends[id][0];
-  bed.end(id, Result::miss, Note::source_unreachable);
+  bed.end(id, AttemptResult::miss, FillOutcome::source_unreachable);
   ASSERT_EQ(bed.sends[id].size(), 2u);
   EXPECT_EQ(bed.sends[id][1].server, first.server);
   EXPECT_NE(bed.sends[id][1].fill->source, first.fill->source);
 }
 TEST(Health, ASourcesRefusalIsBlamedOnTheSourceWhateverTheOutcomesKind) {
-  for (const auto result : {Result::full, Result::error, Result::miss}) {
+  for (const auto result : {AttemptResult::overloaded, AttemptResult::error, AttemptResult::miss}) {
     Bed bed;
     std::uint64_t home = 0;
     for (int i = 0; i < 6; ++i) {
@@ -609,7 +612,7 @@
       if (home == 0) home = bed.sends[id][0].server.value;
       EXPECT_EQ(bed.sends[id][0].server.value, home) << "the cache stays in";
       for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
-        bed.end(id, result, Note::source_refused, k);
+        bed.end(id, result, FillOutcome::source_refused, k);
       EXPECT_EQ(bed.answers[id], 1);
     }
     EXPECT_NE(bed.sends[bed.ask(1)][0].fill->source, bed.sends[RequestId{1}][0].fill->source);
@@ -619,10 +622,10 @@
   Bed bed(probing_site());
   std::uint64_t o = 1;
   while (bed.serve(o) != 1) ++o;
-  for (int i = 0; i < 2; ++i) bed.end(bed.ask(o), Result::connect_failed);
+  for (int i = 0; i < 2; ++i) bed.end(bed.ask(o), AttemptResult::connect_failed);
   bed.advance(5 * second);
   EXPECT_NE(bed.sends[bed.ask(o)][0].server.value, 1u);
-  bed.tell(Probed{{1}, true, ms, {}});
+  bed.tell(HealthCheckResult{{1}, true, ms, {}});
   bed.advance(2 * second);
   EXPECT_EQ(bed.sends[bed.ask(o)][0].server.value, 1u);
 }
@@ -636,7 +639,7 @@
   for (int i = 0; i < 500; ++i) {
     const auto id = bed.ask(static_cast<std::uint64_t>(i));
     for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
-      bed.end(id, Result::full, Note::none, k);
+      bed.end(id, AttemptResult::overloaded, FillOutcome::none, k);
     attempts += bed.sends[id].size();
     EXPECT_EQ(bed.answers[id], 1);
   }
@@ -652,7 +655,8 @@
   const auto home = bed.sends[slow][0].server;
   std::uint64_t other = o + 1;
   while (bed.sends[bed.ask(other)][0].server != home) ++other;
-  bed.end(RequestId{bed.next - 1}, Result::ok, Note::hit);  // the same cache answers something else
+  bed.end(RequestId{bed.next - 1}, AttemptResult::ok,
+          FillOutcome::hit);  // the same cache answers something else
   bed.advance(3 * second);
   EXPECT_EQ(bed.sends[slow].size(), 1u);
 }
@@ -664,19 +668,19 @@
 }
 TEST(Health, AParentThatIsNotReachedIsOutAtOnceAndComesBackAsAColdOne) {
   auto s = site();
-  s.routers = 300;
-  s.routers_by_location = {0, 0, 0, 12};
+  s.router_count = 300;
+  s.router_count_by_location = {0, 0, 0, 12};
   Bed bed(s);
   const auto first = bed.ask(1);
   const auto dead = bed.sends[first].at(0).fill->source;
-  bed.end(first, Result::full, Note::source_unreachable);
-  bed.end(first, Result::ok, Note::filled, 1);
+  bed.end(first, AttemptResult::overloaded, FillOutcome::source_unreachable);
+  bed.end(first, AttemptResult::ok, FillOutcome::filled, 1);
   int named = 0;
   for (std::uint64_t o = 10; o < 410; ++o) {
     const auto id = bed.ask(o);
     ASSERT_FALSE(bed.sends[id].empty());
     named += bed.sends[id][0].fill->source == dead;
-    bed.end(id, Result::ok, Note::filled);
+    bed.end(id, AttemptResult::ok, FillOutcome::filled);
     bed.advance(10 * ms);
   }
   EXPECT_LE(named, 1) << "of 300 routers, each may test it with about as much as a cold one bears";
@@ -690,11 +694,12 @@
       out.push_back(bed.ask(static_cast<std::uint64_t>(i % 40), 0, 400));
       refused += bed.answers[out.back()];
       if (out.size() < 30) continue;
-      if (bed.answers[out.front()] == 0) bed.end(out.front(), Result::ok, Note::hit, 0, takes);
+      if (bed.answers[out.front()] == 0)
+        bed.end(out.front(), AttemptResult::ok, FillOutcome::hit, 0, takes);
       out.erase(out.begin());
     }
     for (auto id : out) {
-      if (bed.answers[id] == 0) bed.end(id, Result::ok, Note::hit);
+      if (bed.answers[id] == 0) bed.end(id, AttemptResult::ok, FillOutcome::hit);
     }
     return refused;
   };
@@ -714,7 +719,7 @@
   for (std::uint64_t o = 1; o <= 2000; ++o) {
     bed.advance(10 * ms);
     while (!due.empty() && due.begin()->first <= bed.now) {
-      bed.end(due.begin()->second, Result::ok, Note::none, 0, 310 * ms);
+      bed.end(due.begin()->second, AttemptResult::ok, FillOutcome::none, 0, 310 * ms);
       due.erase(due.begin());
     }
     const auto id = bed.ask(o);  // 100 ms to send, wanted within 700: a third of the room is gone
@@ -733,11 +738,12 @@
     if (bed.sends[id].empty()) continue;
     const bool dead = bed.sends[id][0].fill->source == ServerId{20};
     to_dead_late += dead && o > 30;
-    bed.end(id, dead ? Result::full : Result::ok, Note::none, 0, 50 * ms);
+    bed.end(id, dead ? AttemptResult::overloaded : AttemptResult::ok, FillOutcome::none, 0,
+            50 * ms);
     if (dead && bed.sends[id].size() > 1) {
       EXPECT_EQ(bed.sends[id][1].server, bed.sends[id][0].server);
       EXPECT_NE(bed.sends[id][1].fill->source, ServerId{20});
-      bed.end(id, Result::ok, Note::none, 1);
+      bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
     }
     refused += bed.answers[id];
   }
@@ -760,7 +766,10 @@
         const bool fails = concerned && errors++ % 2 == 0;
         late += concerned && o > 100;
         others += !concerned && o > 100;
-        if (bed.end(id, fails ? Result::error : Result::ok, Note::none, k, 20 * ms); !fails) break;
+        if (bed.end(id, fails ? AttemptResult::error : AttemptResult::ok, FillOutcome::none, k,
+                    20 * ms);
+            !fails)
+          break;
       }
       refused += bed.answers[id];
     }
@@ -777,12 +786,12 @@
   const auto silent = bed.sends[id][0].server;
   bed.advance(550 * ms);  // 100 of them are its own sending time
   ASSERT_EQ(bed.probes[silent], 1);
-  const auto actions = bed.tell(Probed{silent, false, 250 * ms, {}});
+  const auto actions = bed.tell(HealthCheckResult{silent, false, 250 * ms, {}});
   ASSERT_EQ(std::count_if(actions.begin(), actions.end(),
                           [](auto& a) { return std::holds_alternative<Cancel>(a); }),
             1);
   EXPECT_EQ(bed.sends[id].size(), 1u) << "the next leaves only after the first has ended";
-  bed.end(id, Result::cancelled);
+  bed.end(id, AttemptResult::cancelled);
   ASSERT_EQ(bed.sends[id].size(), 2u);
   EXPECT_NE(bed.sends[id][1].server, silent);
 }
@@ -799,12 +808,12 @@
       EXPECT_EQ(bed.sends[id][0].server, home);
     }
     home = bed.sends[id][0].server;
-    bed.end(id, Result::reset);
+    bed.end(id, AttemptResult::reset);
     EXPECT_GE(bed.probes[home], i + 1);
     ASSERT_EQ(bed.sends[id].size(), 2u);
     EXPECT_EQ(bed.sends[id][1].server, home);
-    bed.tell(Probed{home, true, ms, {}});
-    bed.end(id, Result::ok, Note::none, 1);
+    bed.tell(HealthCheckResult{home, true, ms, {}});
+    bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
   }
   // Where it happens to one cache only, again and again, that one is out however well its probes
   // go.
@@ -815,9 +824,9 @@
   for (int i = 0; i < 20 && bed.sends[bed.ask(1)][0].server == home; ++i) {
     bed.advance(20 * ms);
     const RequestId id{bed.next - 1};
-    bed.end(id, Result::reset);
-    bed.tell(Probed{home, true, ms, {}});
-    if (bed.sends[id].size() > 1) bed.end(id, Result::ok, Note::none, 1);
+    bed.end(id, AttemptResult::reset);
+    bed.tell(HealthCheckResult{home, true, ms, {}});
+    if (bed.sends[id].size() > 1) bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
   }
   EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
 }
@@ -825,8 +834,8 @@
   Bed bed(probing_site());
   const auto id = bed.ask(1);
   const auto home = bed.sends[id][0].server;
-  bed.end(id, Result::reset);
-  bed.tell(Probed{home, false, 250 * ms, {}});
+  bed.end(id, AttemptResult::reset);
+  bed.tell(HealthCheckResult{home, false, 250 * ms, {}});
   EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
 }
 // A parent is looked at while a fill by it is late, and is out after four probes without a word.
@@ -836,7 +845,7 @@
   parent = bed.sends[id][0].fill->source;
   EXPECT_EQ(bed.probes[parent], 0);
   bed.advance(2 * second);
-  bed.end(id, Result::ok);
+  bed.end(id, AttemptResult::ok);
   return bed;
 }
 int fills_by(Bed& bed, ServerId parent, std::uint64_t from, std::uint64_t to) {
@@ -844,7 +853,7 @@
   for (std::uint64_t o = from; o < to; ++o) {
     const auto id = bed.ask(o);
     n += bed.sends[id].size() > 0 && bed.sends[id][0].fill->source == parent;
-    if (bed.sends[id].size() > 0) bed.end(id, Result::ok);
+    if (bed.sends[id].size() > 0) bed.end(id, AttemptResult::ok);
   }
   return n;
 }
@@ -855,14 +864,14 @@
   EXPECT_GT(fills_by(bed, parent, 100, 140), 0);
   for (int i = 0; i < 4; ++i) {
     ASSERT_EQ(bed.probes[parent], i + 1);
-    bed.tell(Probed{parent, false, 250 * ms, {}});
+    bed.tell(HealthCheckResult{parent, false, 250 * ms, {}});
   }
   EXPECT_EQ(fills_by(bed, parent, 200, 240), 0);
 }
 // Guards against probes that grow with routers times parents: 13,000 on a day of 19,000 requests.
 TEST(Fleet, ParentsAreNotLookedAtByTheClock) {
   auto s = probing_site();
-  s.routers = 100;
+  s.router_count = 100;
   int probes = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Bed bed(s, fleet(), seed);
@@ -886,8 +895,8 @@
     for (std::uint64_t o = 1; o <= 40; ++o) {
       const auto id = bed.ask(o);
       bed.advance((350 + 10 * static_cast<Time>(o * seed % 20)) * ms);
-      bed.end(id, Result::ok);
-      for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(Probed{{c}, true, ms, {}});
+      bed.end(id, AttemptResult::ok);
+      for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, ms, {}});
     }
     const int usual = all(bed);
     probes += usual;
@@ -913,8 +922,8 @@
 }
 TEST(Fleet, AFewSlowFillsDoNotShutTheDoorOfAnIdleLocation) {
   auto s = site();
-  s.routers = 100;
-  s.routers_by_location = {0, 0, 0, 8};
+  s.router_count = 100;
+  s.router_count_by_location = {0, 0, 0, 8};
   int refused = 0;
   auto servers = fleet();
   for (int i = 0; i < 4; ++i) servers[static_cast<std::size_t>(i)].weight = 12;
@@ -926,7 +935,7 @@
       refused += bed.answers[id];
       bed.advance(120 * ms);
       if (o > 2 && bed.answers[RequestId{id.value - 2}] == 0)
-        bed.end(RequestId{id.value - 2}, Result::ok, Note::none, 0,
+        bed.end(RequestId{id.value - 2}, AttemptResult::ok, FillOutcome::none, 0,
                 o % 4 == 0 ? 2 * second : 300 * ms);
     }
   }
@@ -936,13 +945,13 @@
 // on.
 TEST(Fleet, WritesAreFilledFromTheOriginItself) {
   auto s = site();
-  s.classes[2].uncached = true;
+  s.classes[2].never_cached = true;
   Bed bed(s);
   for (std::uint64_t o = 1; o <= 20; ++o) {
     const auto id = bed.ask(o, 2);
     ASSERT_EQ(bed.sends[id].size(), 1u);
     EXPECT_EQ(bed.sends[id][0].fill->source, ServerId{30});
-    bed.end(id, Result::ok);
+    bed.end(id, AttemptResult::ok);
   }
 }
 // Guards against a hundred routers that all go on asking one origin for what a purge has made void
@@ -951,8 +960,8 @@
 TEST(Fleet, WhatAPurgeMadeVoidIsFetchedByAllTogetherNoFasterThanTheOriginBears) {
   for (const std::uint32_t routers : {3u, 100u}) {
     auto s = site();
-    s.routers = routers;
-    s.routers_by_location = {0, 0, 0, std::max(1u, routers / 12)};
+    s.router_count = routers;
+    s.router_count_by_location = {0, 0, 0, std::max(1u, routers / 12)};
     int fetching = 0, held_only = 0;
     for (std::uint32_t r = 0; r < routers; ++r) {
       Bed bed(s, fleet(), 100 + r);
@@ -961,8 +970,9 @@
         bed.advance(120 * ms);
         const auto id = bed.ask(o, 0, 200);
         if (bed.answers[id] || bed.sends[id].empty()) continue;
-        const bool held = bed.sends[id][0].fill->held_only;
-        bed.end(id, held ? Result::miss : Result::full, Note::none, 0, 60 * ms);
+        const bool held = bed.sends[id][0].fill->cached_only;
+        bed.end(id, held ? AttemptResult::miss : AttemptResult::overloaded, FillOutcome::none, 0,
+                60 * ms);
         if (held) {
           EXPECT_EQ(bed.sends[id].size(), 1u) << "nobody else holds it either";
         }
@@ -970,7 +980,7 @@
       for (std::uint64_t o = 100; o < 140; ++o) {
         const auto id = bed.ask(o, 0, 200);
         if (bed.sends[id].empty()) continue;
-        const bool held = bed.sends[id][0].fill->held_only;
+        const bool held = bed.sends[id][0].fill->cached_only;
         ++(held ? held_only : fetching);
       }
     }
@@ -984,23 +994,23 @@
   ServerId parent;
   auto bed = with_late_fill(parent);
   const auto held = bed.ask(1);
-  const auto actions = bed.tell(Probed{parent, false, 250 * ms, {}, 20 * second, true});
+  const auto actions = bed.tell(HealthCheckResult{parent, false, 250 * ms, {}, 20 * second, true});
   EXPECT_TRUE(actions.empty()) << "what it has is not called off";
-  bed.end(held, Result::ok);
+  bed.end(held, AttemptResult::ok);
   EXPECT_EQ(fills_by(bed, parent, 100, 140), 0);
   bed.advance(2100 * ms);
   ASSERT_GE(bed.probes[parent], 2);
-  bed.tell(Probed{parent, true, 50 * ms, {}, 22 * second, true});
+  bed.tell(HealthCheckResult{parent, true, 50 * ms, {}, 22 * second, true});
   EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
 }
 TEST(Fleet, AWordByAConnectionFromBeforeProvesThatNothingRestarted) {
   for (const Time up : {Time{0}, second, 30 * second}) {
     ServerId parent;
     auto bed = with_late_fill(parent);
-    for (int i = 0; i < 4; ++i) bed.tell(Probed{parent, false, 250 * ms, {}});
+    for (int i = 0; i < 4; ++i) bed.tell(HealthCheckResult{parent, false, 250 * ms, {}});
     ASSERT_EQ(fills_by(bed, parent, 100, 140), 0);
     bed.advance(2 * second);
-    bed.tell(Probed{parent, true, 2 * second, {}, up, true, true});
+    bed.tell(HealthCheckResult{parent, true, 2 * second, {}, up, true, true});
     if (up > 10 * second)
       EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
     else
@@ -1014,13 +1024,13 @@
   for (std::uint64_t o = 1; o <= 40; ++o) {
     const auto id = bed.ask(o);
     for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
-      bed.end(id, Result::connect_failed, Note::none, k);
+      bed.end(id, AttemptResult::connect_failed, FillOutcome::none, k);
   }
   const auto id = bed.ask(100);
   EXPECT_TRUE(bed.sends[id].empty());
   EXPECT_EQ(bed.answers[id], 1);
   bed.advance(2 * second);
-  for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(Probed{{c}, true, ms, {}});
+  for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, ms, {}});
   EXPECT_FALSE(bed.sends[bed.ask(101)].empty());
 }
 // Guards against taking a request's own sending for a crowd: large objects alone closed the door.
@@ -1032,7 +1042,8 @@
     out.push_back(bed.ask(static_cast<std::uint64_t>(i % 40), 0, 1500));
     refused += bed.answers[out.back()];
     if (out.size() < 12) continue;
-    if (bed.answers[out.front()] == 0) bed.end(out.front(), Result::ok, Note::none, 0, 1550 * ms);
+    if (bed.answers[out.front()] == 0)
+      bed.end(out.front(), AttemptResult::ok, FillOutcome::none, 0, 1550 * ms);
     out.erase(out.begin());
   }
   EXPECT_EQ(refused, 0);
@@ -1041,8 +1052,8 @@
 // refuse together.
 std::size_t admitted_together(std::uint32_t routers) {
   auto s = site();
-  s.routers = routers;
-  s.routers_by_location = {0, 0, 0, routers};
+  s.router_count = routers;
+  s.router_count_by_location = {0, 0, 0, routers};
   std::size_t sent = 0;
   for (std::uint32_t i = 0; i < routers; ++i) {
     Bed bed(s, fleet(), 50 + i);
@@ -1050,7 +1061,7 @@
       const auto id = bed.ask(o, 0, 400);
       bed.advance(100 * ms);
       if (bed.answers[id]) continue;
-      bed.end(id, Result::ok, Note::hit, 0, 4 * second);
+      bed.end(id, AttemptResult::ok, FillOutcome::hit, 0, 4 * second);
     }
     for (std::uint64_t o = 1; o <= 30; ++o) sent += !bed.sends[bed.ask(o, 0, 400)].empty();
   }
@@ -1068,27 +1079,27 @@
     const auto id = bed.ask(o);
     bed.advance(1400 * ms);
     if (bed.answers[id] || bed.sends[id].size() > 1) continue;
-    bed.end(id, Result::ok, Note::none, 0, 1400 * ms);
+    bed.end(id, AttemptResult::ok, FillOutcome::none, 0, 1400 * ms);
   }
   std::size_t copies = 0;
   for (std::uint64_t o = 100; o < 110; ++o) {
     const auto id = bed.ask(o);
     bed.advance(1200 * ms);
     copies += bed.sends[id].size() > 1;
-    bed.end(id, Result::ok, Note::hit);
+    bed.end(id, AttemptResult::ok, FillOutcome::hit);
   }
   EXPECT_EQ(copies, 0u);
 }
 TEST(Origin, WhereItFailedBehindAParentOnlyAnOlderCopyIsWorthAnotherAttempt) {
   Bed bed;
   const auto parts = bed.ask(1, 0), pages = bed.ask(2, 1);
-  bed.end(parts, Result::full, Note::origin_failed);
+  bed.end(parts, AttemptResult::overloaded, FillOutcome::origin_failed);
   EXPECT_EQ(bed.sends[parts].size(), 1u);
   EXPECT_EQ(bed.answers[parts], 1);
-  bed.end(pages, Result::full, Note::origin_failed);
+  bed.end(pages, AttemptResult::overloaded, FillOutcome::origin_failed);
   ASSERT_EQ(bed.sends[pages].size(), 2u);
   EXPECT_EQ(bed.sends[pages][1].fill->max_age, 38 * second);
-  bed.end(pages, Result::full, Note::origin_failed, 1);
+  bed.end(pages, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
   EXPECT_EQ(bed.sends[pages].size(), 2u);
 }
 TEST(Origin, FillsThatWaitForASlowOriginAreHeldBackButHitsAreNot) {
@@ -1099,11 +1110,12 @@
   for (std::uint64_t i = 0; i < 400 && !held; ++i) {
     const auto id = bed.ask(1000 + i, 0, 400);
     if (bed.answers[id]) continue;
-    held = bed.sends[id][0].fill->held_only;
+    held = bed.sends[id][0].fill->cached_only;
     waiting.push_back(id);
     if (waiting.size() < 20) continue;
     // What was asked long ago comes at last, from the origin.
-    Outcome o = bed.outcome(waiting.front(), Result::ok, Note::filled_by_origin, 0, 4 * second);
+    AttemptOutcome o = bed.outcome(waiting.front(), AttemptResult::ok,
+                                   FillOutcome::filled_by_origin, 0, 4 * second);
     o.first_byte = 3800 * ms;
     bed.tell(o);
     waiting.erase(waiting.begin());
@@ -1111,7 +1123,7 @@
   EXPECT_TRUE(held);
   const auto seen = bed.ask(1);  // asked before: likely held by its home
   ASSERT_FALSE(bed.sends[seen].empty());
-  EXPECT_FALSE(bed.sends[seen][0].fill->held_only);
+  EXPECT_FALSE(bed.sends[seen][0].fill->cached_only);
 }
 // Guards against answers that never come closing the door to fills for good, where no note tells of
 // those that do: every new object would be asked for in vain first.
@@ -1121,15 +1133,16 @@
     const auto id = bed.ask(o, 0, 50);
     bed.advance(50 * ms);
     if (bed.sends[id].empty()) continue;
-    EXPECT_FALSE(bed.sends[id][0].fill->held_only) << o;
-    bed.end(id, o % 3 ? Result::ok : Result::timeout, Note::none, 0, o % 3 ? 50 * ms : 5 * second);
+    EXPECT_FALSE(bed.sends[id][0].fill->cached_only) << o;
+    bed.end(id, o % 3 ? AttemptResult::ok : AttemptResult::timeout, FillOutcome::none, 0,
+            o % 3 ? 50 * ms : 5 * second);
   }
 }
 TEST(Cold, SuspectedColdnessYieldsWhenNobodyElseCanServe) {
   auto s = site();
   s.weights = WeightKind::none;
   Bed bed(s, {cache(1), upstream(20, Role::parent), upstream(30, Role::origin)});
-  for (int i = 0; i < 2; ++i) bed.end(bed.ask(1), Result::connect_failed);
+  for (int i = 0; i < 2; ++i) bed.end(bed.ask(1), AttemptResult::connect_failed);
   bed.advance(9 * second);
   bed.serve(1);  // the test that it passes; it may have restarted unseen
   for (int i = 0; i < 20; ++i) EXPECT_EQ(bed.serve(static_cast<std::uint64_t>(i)), 1u);
@@ -1142,7 +1155,7 @@
   for (std::uint64_t o = 1; o <= 30; ++o) {
     const auto id = bed.ask(o);
     if (!bed.sends[id].empty())
-      bed.end(id, Result::ok, Note::hit);
+      bed.end(id, AttemptResult::ok, FillOutcome::hit);
     else {
       EXPECT_EQ(bed.answers[id], 1) << "given up at once";
     }
@@ -1157,8 +1170,8 @@
     std::vector<Server> servers;
     for (std::uint64_t i = 1; i <= n; ++i) servers.push_back(cache(i));
     auto s = site();
-    s.routers = 5000;
-    s.routers_by_location.clear();  // no share stated
+    s.router_count = 5000;
+    s.router_count_by_location.clear();  // no share stated
     Bed bed(s, servers);
     expect_answers(bed);
   }
@@ -1167,16 +1180,17 @@
   Bed bed;
   for (std::uint64_t o = 1; o <= 60; ++o) bed.serve(o);
   std::vector<Server> later;
-  for (std::uint64_t i = 101; i <= 104; ++i) later.push_back(cache(i, Status::ready, bed.now));
+  for (std::uint64_t i = 101; i <= 104; ++i)
+    later.push_back(cache(i, ServerStatus::ready, bed.now));
   later.push_back(upstream(30, Role::origin));
-  bed.tell(FleetUpdate{true, false, later});
+  bed.tell(EndpointUpdate{true, false, later});
   bed.sends.clear();
   int answered = 0;
   for (std::uint64_t o = 1; o <= 400; ++o) {
     const auto id = bed.ask(o, 0, 20);
     for (auto& s : bed.sends[id]) EXPECT_GT(s.server.value, 100u);
     answered += !bed.sends[id].empty();
-    if (!bed.sends[id].empty()) bed.end(id, Result::ok, Note::filled_by_origin);
+    if (!bed.sends[id].empty()) bed.end(id, AttemptResult::ok, FillOutcome::filled_by_origin);
     bed.advance(20 * ms);
   }
   EXPECT_GT(answered, 100);
@@ -1195,7 +1209,7 @@
 TEST(Odd, ALocationWithRoutersAndNoCachesGoesStraightWhereAllowedElseRefuses) {
   for (const bool straight : {true, false}) {
     auto s = site();
-    s.can_go_straight = straight;
+    s.can_bypass_caches = straight;
     Bed bed(s, {upstream(20, Role::parent), upstream(30, Role::origin)});
     const auto id = bed.ask(1);
     EXPECT_EQ(bed.sends[id].empty(), !straight);
@@ -1210,7 +1224,7 @@
       beside.serve(static_cast<std::uint64_t>(i));
       const auto id = a.ask(static_cast<std::uint64_t>(i * 7 % 31));
       trace += std::to_string(a.sends[id].at(0).server.value) + ",";
-      a.end(id, i % 9 ? Result::ok : Result::full);
+      a.end(id, i % 9 ? AttemptResult::ok : AttemptResult::overloaded);
       a.advance(7 * ms);
       for (auto& s : a.sends[id]) trace += std::to_string(s.timeout) + ";";
     }
@@ -1235,28 +1249,29 @@
   const auto ask_many = [&](std::uint64_t from) {
     for (std::uint64_t o = from; o < from + 60; ++o) {
       const auto id = bed.ask(o);
-      bed.tell(bed.outcome(id, Result::ok, Note::hit));
+      bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
       bed.advance(20 * ms);
     }
   };
   ask_many(100);
-  bed.tell(FleetUpdate{true, false, fleet()});
-  bed.tell(FleetUpdate{false, false, {cache(1, Status::gone)}});
+  bed.tell(EndpointUpdate{true, false, fleet()});
+  bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::gone)}});
   bed.advance(3 * second);  // forgotten by the list
-  bed.tell(FleetUpdate{false, false, {cache(1, Status::ready, bed.now)}});
+  bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::ready, bed.now)}});
   bed.tell(Ban{{1}, true});  // the call may come twice
   ask_many(200);
   EXPECT_EQ(sent_to(1) + sent_to(20), 0u);
   EXPECT_EQ(bed.probes[ServerId{1}] + bed.probes[ServerId{20}], 0);
   const auto down = [&] {
-    return std::ranges::count_if(bed.router.standings(bed.now), [](auto& s) { return !s.usable; });
+    return std::ranges::count_if(bed.router.endpoint_statuses(bed.now),
+                                 [](auto& s) { return !s.is_usable; });
   };
   EXPECT_EQ(down(), 1);
   bed.tell(Ban{{1}, false});
   bed.tell(Ban{{20}, false});
   EXPECT_EQ(down(), 0);
-  const auto all = bed.router.standings(bed.now);
-  EXPECT_LT(all[0].share, all[1].share) << "it comes back cold";
+  const auto all = bed.router.endpoint_statuses(bed.now);
+  EXPECT_LT(all[0].effective_weight, all[1].effective_weight) << "it comes back cold";
   for (int i = 0; i < 5; ++i) ask_many(300 + 100 * static_cast<std::uint64_t>(i));
   EXPECT_GT(sent_to(1), 0u);
   EXPECT_GT(sent_to(20), 0u);
@@ -1268,9 +1283,9 @@
   std::vector<Action> actions;
   bed.router.handle(bed.now, Request{{999}, {1}, {5}, {0}, 0, 100, 5 * second, false}, actions);
   const auto refusal =
-      std::ranges::find_if(actions, [](auto& a) { return std::holds_alternative<Refuse>(a); });
+      std::ranges::find_if(actions, [](auto& a) { return std::holds_alternative<Reject>(a); });
   ASSERT_NE(refusal, actions.end());
-  EXPECT_GT(std::get<Refuse>(*refusal).retry_after, 0);
+  EXPECT_GT(std::get<Reject>(*refusal).retry_after, 0);
 }
 
 // Guards against two processes that each spend the whole budget of their router on a cold cache.
@@ -1280,11 +1295,12 @@
     for (std::size_t i = 0; i < shares.size(); ++i) {
       Bed bed(site(), fleet(), 7 + i);
       for (std::uint64_t id = 1; id <= 4; ++id)
-        bed.tell(FleetUpdate{false, false, {cache(id, Status::ready, bed.now)}});
-      bed.tell(Twins{shares[i], 0});
+        bed.tell(EndpointUpdate{false, false, {cache(id, ServerStatus::ready, bed.now)}});
+      bed.tell(BudgetShare{shares[i], 0});
       for (std::uint64_t o = 0; o < 800; ++o) {
         const auto id = bed.ask(o, 0, 200);
-        if (bed.sends.contains(id)) ++n, bed.tell(bed.outcome(id, Result::ok, Note::hit));
+        if (bed.sends.contains(id))
+          ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
         bed.advance(5 * ms);
       }
     }
@@ -1305,18 +1321,19 @@
 // beside them half more.
 TEST(Twins, LeasedPartsStandForTheToldNumberOfRouters) {
   auto told = site();
-  told.routers = 10;
-  told.routers_by_location.assign(told.location.value + 1, 10);
+  told.router_count = 10;
+  told.router_count_by_location.assign(told.location.value + 1, 10);
   const auto sent = [&](std::size_t routers, const std::vector<double>& parts) {
     std::size_t n = 0;
     for (std::size_t i = 0; i < routers; ++i) {
       Bed bed(told, fleet(), 7 + i);
       for (std::uint64_t id = 1; id <= 4; ++id)
-        bed.tell(FleetUpdate{false, false, {cache(id, Status::ready, bed.now)}});
-      if (!parts.empty()) bed.tell(Twins{1, 0, parts[i], parts[i]});
+        bed.tell(EndpointUpdate{false, false, {cache(id, ServerStatus::ready, bed.now)}});
+      if (!parts.empty()) bed.tell(BudgetShare{1, 0, parts[i], parts[i]});
       for (std::uint64_t o = 0; o < 800; ++o) {
         const auto id = bed.ask(o, 0, 200);
-        if (bed.sends.contains(id)) ++n, bed.tell(bed.outcome(id, Result::ok, Note::hit));
+        if (bed.sends.contains(id))
+          ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
         bed.advance(5 * ms);
       }
     }
@@ -1338,16 +1355,16 @@
 TEST(Twins, OneThatIsAloneStartsAsIfNothingHadBeenSaid) {
   const auto first = [](const std::vector<Event>& said, std::uint64_t seed) {
     Bed bed(site(), {}, seed);
-    bed.tell(
-        FleetUpdate{true, false, {cache(1, Status::ready, bed.now), upstream(30, Role::origin)}});
+    bed.tell(EndpointUpdate{
+        true, false, {cache(1, ServerStatus::ready, bed.now), upstream(30, Role::origin)}});
     for (const auto& e : said) bed.tell(e);
     bed.advance(10 * ms);
     return bed.sends.contains(bed.ask(1, 0, 200));
   };
   std::size_t held_back = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    EXPECT_EQ(first({Twins{1, 0}}, seed), first({}, seed)) << seed;
-    EXPECT_TRUE(first({Twins{0.5, 0}}, seed)) << "the other has had them, seed " << seed;
+    EXPECT_EQ(first({BudgetShare{1, 0}}, seed), first({}, seed)) << seed;
+    EXPECT_TRUE(first({BudgetShare{0.5, 0}}, seed)) << "the other has had them, seed " << seed;
     held_back += !first({}, seed);
   }
   EXPECT_GT(held_back, 10u);
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -61,7 +61,7 @@
     config.sockets = 512;
     log = std::make_unique<log::Log>(log::Settings{},
                                      [this](const std::string& l) { lines.push_back(l); });
-    node = std::make_unique<platform::Node>(std::move(config), [](auto&, auto&) {});
+    node = std::make_unique<platform::EdgeRouter>(std::move(config), [](auto&, auto&) {});
     routes = std::make_unique<app::Routes>(*node, file, *log);
     front =
         std::make_unique<signed_url::HttpFront>(node->loop(), node->deadlines(), node->engine(),
@@ -112,7 +112,7 @@
   config::Signed links;
   std::vector<std::string> lines;
   std::unique_ptr<log::Log> log;
-  std::unique_ptr<platform::Node> node;
+  std::unique_ptr<platform::EdgeRouter> node;
   std::unique_ptr<app::Routes> routes;
   std::unique_ptr<signed_url::HttpFront> front;
   std::vector<std::unique_ptr<loopback::Socket>> clients;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -44,7 +44,7 @@
   c.names.classes = {"asset", "plan-accept"};
   c.names.give_up = {2'500'000, 3'000'000};
   c.settings.classes.resize(2);
-  c.settings.classes[1].uncached = true;
+  c.settings.classes[1].never_cached = true;
   return c;
 }
 
--- a/tests/signed_test.cpp
+++ b/tests/signed_test.cpp
@@ -112,7 +112,7 @@
   EXPECT_EQ(answers(*c), 1u);
   EXPECT_NE(c->in.find("200 OK"), std::string::npos);
   EXPECT_EQ(c->in.find("twice"), std::string::npos);
-  EXPECT_EQ(engine->held(), 0u);
+  EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
 TEST_F(Signed, ABoxThatDiesMidFillLeavesOneAnswer) {
@@ -178,7 +178,7 @@
   for (const bool much : {false, true}) {
     auto c = client(http->address());
     const auto before = fetches();
-    const auto withdrawn = engine->counters().withdrawn;
+    const auto withdrawn = engine->counters().cancelled;
     c->write(get(link(now() + 60)));
     ASSERT_TRUE(until([&] { return fetches() == before + 1; }));
     const std::string one = get("/none");
@@ -191,8 +191,8 @@
     }
     watched.clear();
     if (!much) c->reset();
-    ASSERT_TRUE(until([&] { return engine->counters().withdrawn == withdrawn + 1; }));
-    EXPECT_EQ(engine->held(), 0u);
+    ASSERT_TRUE(until([&] { return engine->counters().cancelled == withdrawn + 1; }));
+    EXPECT_EQ(engine->open_request_count(), 0u);
   }
 }
 
@@ -210,8 +210,8 @@
   watched.clear();
   c->close();
   ASSERT_TRUE(until([&] { return box[0].count("abort") + box[1].count("abort") == 1; }));
-  EXPECT_EQ(engine->held(), 0u);
-  EXPECT_EQ(engine->counters().withdrawn, 1u);
+  EXPECT_EQ(engine->open_request_count(), 0u);
+  EXPECT_EQ(engine->counters().cancelled, 1u);
 }
 
 }  // namespace
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -71,11 +71,11 @@
 TEST(Codec, SettingsAreReadAndDefaulted) {
   const auto s = simulator_adapter::read_settings(kSettings).first;
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].target, 500000);
+  EXPECT_EQ(s.classes[0].latency_objective, 500000);
   EXPECT_EQ(s.location.value, 1u);
   EXPECT_EQ(s.max_attempts, 3u);
   EXPECT_TRUE(s.can_join_fills);
-  EXPECT_FALSE(s.may_probe);
+  EXPECT_FALSE(s.health_checks_allowed);
   EXPECT_THROW(simulator_adapter::read_settings("{"), simulator_adapter::WireError);
   EXPECT_THROW(simulator_adapter::read_settings("[]"), simulator_adapter::WireError);
   EXPECT_THROW(simulator_adapter::read_settings("{\"classes\":3}"), simulator_adapter::WireError);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -23,7 +23,7 @@
     path = folder + "/membership.state";
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
-  static store::MembershipState state(std::uint64_t generation, std::size_t servers) {
+  static store::EndpointState state(std::uint64_t generation, std::size_t servers) {
     auto list = std::make_shared<endpoints::Snapshot>();
     list->generation = generation;
     list->source = "servers.toml";
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -80,10 +80,10 @@
         "upper-kind":-1,"instances-by-zone":[0,1],"purge-settles":6000000,"stream-kb-per-s":9000}}})");
     log = std::make_unique<log::Log>(log::Settings{},
                                      [this](const std::string& l) { lines.push_back(l); });
-    node = std::make_unique<platform::Node>(
+    node = std::make_unique<platform::EdgeRouter>(
         std::move(config), [](auto&, auto&) {},
-        [&](platform::Node& n) {
-          auto made = std::make_unique<app::Keeper>(n, settings, *log);
+        [&](platform::EdgeRouter& n) {
+          auto made = std::make_unique<app::EndpointController>(n, settings, *log);
           keeper = made.get();
           return made;
         });
@@ -163,8 +163,8 @@
   settings::Membership settings;
   Box box[3], origin, stranger;  // the stranger is named by refused files only
   std::unique_ptr<log::Log> log;
-  std::unique_ptr<platform::Node> node;
-  app::Keeper* keeper = nullptr;
+  std::unique_ptr<platform::EdgeRouter> node;
+  app::EndpointController* keeper = nullptr;
   std::unique_ptr<loopback::Socket> client;
   std::vector<std::string> lines;
   std::map<Box*, std::size_t> served;
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -73,23 +73,23 @@
   box[0].stop();
   auto c = client(http->address());
   for (std::uint64_t o = 1; o <= 6; ++o) {  // requests find it dead; the module puts it out
-    core::Demand d;
+    core::RequestView d;
     const std::string id = "id" + std::to_string(o);
     d.id = d.object_text = id;
     d.object = o;
-    d.limit = 10'000'000;
-    engine->take(*http, d);
+    d.time_limit = 10'000'000;
+    engine->admit(*http, d);
   }
-  ASSERT_TRUE(until([&] { return engine->counters().attempts_unconnected >= 2; }));
+  ASSERT_TRUE(until([&] { return engine->counters().attempts_connect_failed >= 2; }));
   proxy->write(post(again));
   ASSERT_EQ(next(), 200);
   EXPECT_EQ(health(box[0].address()), "UNHEALTHY");
   EXPECT_EQ(health(box[1].address()), "HEALTHY");
 
   auto member = config.notices[0].members[1];
-  member.server.status = alderspur::Status::draining;
+  member.server.status = alderspur::ServerStatus::draining;
   caches->update(member);
-  engine->fleet({false, false, {member.server}});
+  engine->update_endpoints({false, false, {member.server}});
   proxy->write(post(kAsk));
   ASSERT_EQ(next(), 200);
   EXPECT_EQ(health(box[1].address()), "DRAINING");
