--- a/include/alderspur/router.h
+++ b/include/alderspur/router.h
@@ -1,18 +1,17 @@
 // alderspur: decides, for a proxy in front of tiers of caches, where each request goes.
 //
-// Use: make one Router per proxy from Settings and a seed, feed it every event in the order it
-// happened, and carry out the actions it appends, in order, at the same moment. The router owns no
-// clock, thread, socket or global; all state is inside the object and two routers share nothing.
-// It is not thread-safe: call one router from one thread at a time. The same settings, seed and
-// events give the same actions.
+// Use: make one Router per proxy from Settings and a seed, hand it every event in the order in
+// which it happened, and carry out the actions that it appends, in order, at the same moment. The
+// router owns no clock, thread, socket or global; two routers share nothing. It is not thread-safe:
+// call one router from one thread at a time. The same settings, seed and events give the same
+// actions.
 //
-// Units: time and durations are whole microseconds (Time), sizes are KB as double. The clock may
-// start anywhere; a clock that stands still or steps back is treated as standing still. Zero means
-// "not told".
+// Units: Time and durations are whole microseconds, sizes are KB. The clock may start anywhere; a
+// clock that stands still or steps back is treated as standing still. Zero means "not told".
 //
-// Misuse is harmless: events that name unknown requests, servers or timers, repeated outcomes and
-// repeated request ids are ignored; sizes that are NaN, negative or infinite read as not told. An
-// empty fleet leads to a refusal or failure, never to silence. No call throws except on lack of
+// Errors: events that name unknown requests, servers or timers, repeated outcomes and repeated
+// request ids are ignored; sizes that are NaN, negative or infinite read as not told. An empty
+// endpoint list leads to a rejection or failure, never to silence. No call throws except on lack of
 // memory.
 #pragma once
 
@@ -27,6 +26,7 @@
 
 using Time = std::int64_t;
 
+/// A number that cannot be mixed up with one of another kind.
 template <class Tag, class T>
 struct Id {
   T value{};
@@ -42,27 +42,31 @@
 using AttemptNo = Id<struct AttemptTag, std::uint32_t>;
 using TimerId = Id<struct TimerTag, std::uint32_t>;
 
-// ---- Settings, given once at start
-// -----------------------------------------------------------------
+// ---- Settings, given once at start ----
 
-enum class Idempotency {
-  idempotent,
-  idempotent_with_key,
-  not_idempotent
-};                                              // may a request of this class run more than once?
-enum class DedupScope { all, location, cell };  // keyed: which caches drop repeats of each other
-enum class WeightKind { none, nominal, rough, live };  // what Server::weight means
+/// May a request run more than once? With a key, servers drop repeats within the class's
+/// dedup_window.
+enum class Idempotency { idempotent, idempotent_with_key, not_idempotent };
+/// Which caches drop repeats of each other's keyed requests.
+enum class DedupScope { all, location, cell };
+/// What Server::weight means: nothing, a nominal or rough capacity, or one that follows the load.
+enum class WeightKind { none, nominal, rough, live };
 
 struct ClassSettings {
-  Time latency_objective = 0;  // answers within it (plus stretch x own sending time) earn all
-  double latency_objective_stretch = 0;  // see target
-  double priority_weight = 1;            // of an answer in time
+  /// A response within it, plus `latency_objective_stretch` times its own transfer time, earns all.
+  Time latency_objective = 0;
+  double latency_objective_stretch = 0;
+  /// What a response in time is worth, against those of other classes.
+  double priority_weight = 1;
   Idempotency idempotency = Idempotency::idempotent;
   DedupScope dedup_scope = DedupScope::all;
-  Time dedup_window = 0;      // keyed: how long repeats are dropped
-  bool never_cached = false;  // runs at the origin, never kept
-  Time fresh_time = 0;        // fresh time of a copy, 0: until purged
-  Time stale_grace_time = 0;  // how much older a copy may be when asked for
+  Time dedup_window = 0;
+  /// It runs at the origin; no copy is kept.
+  bool never_cached = false;
+  /// How long a copy is fresh; 0: until it is purged.
+  Time fresh_time = 0;
+  /// How much older than that a copy may be where a request asks for it.
+  Time stale_grace_time = 0;
 
   /// A repeat does no harm, wherever it goes (a keyed one: within its window).
   bool may_repeat_anywhere() const {
@@ -73,28 +77,38 @@
 
 struct Settings {
   LocationId location{};
-  std::uint32_t router_count = 1;  // of this tier, all locations
+  /// Routers of this tier in all locations, and in each one.
+  std::uint32_t router_count = 1;
   std::vector<std::uint32_t> router_count_by_location;
   std::vector<ClassSettings> classes;
   std::uint32_t max_attempts = 1;
-  bool may_cancel = false, health_checks_allowed = false;
-  bool sends_retry_after = false;  // clients receive the advice
+  bool can_cancel_attempts = false;
+  bool health_checks_allowed = false;
+  /// Rejected clients are told when to come back, at most this time later.
+  bool sends_retry_after = false;
   Time max_retry_after = 0;
-  bool must_subscribe_to_endpoints = false;  // fleet changes come only after Subscribe or Refresh
+  /// Endpoint updates come only after Subscribe.
+  bool must_subscribe_to_endpoints = false;
+  /// A cache starts at this part of its capacity and has all of it after this time.
   double cache_slow_start_fraction = 1;
-  Time cache_slow_start_time = 0, overload_window = 0;
+  Time cache_slow_start_time = 0;
+  /// An overload of this length pushes a server over that is warming up.
+  Time overload_window = 0;
   double parent_slow_start_fraction = 1;
   Time parent_slow_start_time = 0;
+  /// After this time no copy from before a purge is left.
   Time purge_propagation_time = 0;
-  double stream_kb_per_s = 0;  // top pace of one answer; the unit of weights
+  /// Top pace of one response, and the unit of weights.
+  double stream_kb_per_second = 0;
   WeightKind weights = WeightKind::none;
   bool can_join_fills = false;
-  bool can_bypass_caches = false;  // parents and the origin take attempts too
-  bool has_fills = false;          // caches can be told to fill what they lack
+  /// Parents and the origin take attempts too.
+  bool can_bypass_caches = false;
+  /// Caches can be told how to fill what they lack.
+  bool has_fills = false;
 };
 
-// ---- Events
-// -----------------------------------------------------------------------------------------
+// ---- Events ----
 
 enum class Role { cache, parent, origin };
 enum class ServerStatus { gone, ready, draining };
@@ -106,14 +120,19 @@
   CellId cell{};
   ServerStatus status = ServerStatus::gone;
   double weight = 1;
-  Time started_at = 0;  // last start, 0: long ago
+  /// Last start of its process; 0: long ago.
+  Time started_at = 0;
 };
-struct EndpointUpdate {  // full: replaces the list; otherwise only what changed; failed: a call
-                         // failed
-  bool full = false, failed = false;
+
+/// The endpoint list, or what has changed of it.
+struct EndpointUpdate {
+  bool is_complete = false;  // it replaces the list
+  bool has_failed = false;   // the call for it failed; the list stays
   std::vector<Server> servers;
 };
-struct Request {  // the router owes exactly one final answer, within budget
+
+/// A client's request. The router owes exactly one final answer, within `time_budget`.
+struct Request {
   RequestId id{};
   ObjectId object{};
   GroupId group{};
@@ -123,8 +142,7 @@
   Time time_budget = 0;
   bool is_write = false;
 };
-// withheld: it waited to be sent and may not be any more (see may_send); nothing ran, nobody is to
-// blame.
+
 enum class AttemptResult {
   ok,
   error,
@@ -135,9 +153,12 @@
   cancelled,
   already_finished,
   miss,
+  /// It waited to be sent and may no longer be (see Router::may_send): nothing ran.
   not_sent
 };
-enum class FillOutcome {  // what a cache says of the copy or of the fill
+
+/// What a cache says of its copy or of the fill. From source_refused on the fill failed.
+enum class FillOutcome {
   none,
   hit,
   filled,
@@ -150,110 +171,156 @@
   fill_limit_reached,
   origin_failed
 };
-struct LoadReport {  // negative: not told
-  double in_flight = -1, utilization = -1, link_or_fill_utilization = -1;
+
+/// A server's own word on its load, each between 0 and 1 but for `in_flight`. Negative: not told.
+struct LoadReport {
+  double in_flight = -1;
+  double utilization = -1;
+  double link_or_fill_utilization = -1;
 };
-struct AttemptOutcome {  // exactly one for each Send
+
+/// The end of an attempt: exactly one for each Send.
+struct AttemptOutcome {
   RequestId id{};
   AttemptNo attempt{};
   ServerId server{};
   AttemptResult result = AttemptResult::ok;
   FillOutcome fill_outcome = FillOutcome::none;
-  bool finished = false;  // the client has its final answer; if unset, one is still owed
+  /// The client has its final answer; if unset, one is still owed.
+  bool response_delivered = false;
   Time elapsed = 0;
-  Time first_byte = 0;  // from the source, or until the fill failed
+  /// From the fill's source, or until the fill failed.
+  Time time_to_first_byte = 0;
   LoadReport report{};
 };
+
+/// The client has part of the response: no further attempt.
 struct ResponseStarted {
   RequestId id{};
   AttemptNo attempt{};
 };
+
 struct ClientGone {
   RequestId id{};
-  bool response_owed = false;  // it is still there, but we leave: the final answer is owed now
+  /// It is still there, but the router's process leaves: the final answer is owed now.
+  bool response_owed = false;
 };
-struct Purge {  // of an object, or of a whole group where object is absent
+
+/// Copies of an object, or of a whole group where `object` is absent, from before `age` ago are
+/// void.
+struct Purge {
   std::optional<ObjectId> object;
   GroupId group{};
-  Time age = 0;  // how long ago
+  Time age = 0;
 };
+
 struct HealthCheckResult {
   ServerId server{};
-  bool ok = false;  // well and not full
+  bool is_healthy = false;  // well and not overloaded
   Time elapsed = 0;
   LoadReport report{};
-  Time connection_age = 0;  // how long the connection that it came by has been up; 0: not told
-  bool is_alive = false;    // it said so itself, ok or not: full, perhaps, but not silent
-  bool is_late = false;  // told as failed before, when its time was up: here is its word after all
+  /// How long the connection that it came by has been up; 0: not told.
+  Time connection_age = 0;
+  /// The server answered, healthy or not: overloaded, perhaps, but not silent.
+  bool is_alive = false;
+  /// The check was told as failed before, when its time was up.
+  bool is_late = false;
 };
+
 struct TimerExpired {
   TimerId timer{};
 };
-// By hand, whatever the list says and whether or not the server is on it: nothing more goes there,
-// neither requests nor fills nor probes, until the ban is lifted. It is then held to have started
-// anew.
+
+/// By an operator, whatever the endpoint list says and whether or not the server is on it: no
+/// requests, no fills and no health checks until the ban is lifted. The server then counts as newly
+/// started.
 struct Ban {
   ServerId server{};
   bool is_banned = false;
 };
-// Another process acts as this same router beside us, one taking over from the other: this is our
-// part of the router's cold budgets. `door`: what the other has found its limit on sending seconds
-// out to be, taken over where we have found none yet; 0: not told.
+
+/// This process's part of the budgets that it shares with others.
 struct BudgetShare {
-  double process_share = 1, concurrency_limit = 0;
-  // This router's part of what all routers may do together, and of what those of its location may:
-  // in place of their told numbers; 0: not told.
-  double fleet_share = 0, location_share = 0;
+  /// Of the router's budget, while another process acts as the same router (a hot restart).
+  double process_share = 1;
+  /// The other process's concurrency limit, taken over where this one has found none; 0: not told.
+  double concurrency_limit = 0;
+  /// This router's part of what all routers, and those of its location, may do together, in place
+  /// of their numbers in the settings; 0: not told.
+  double fleet_share = 0;
+  double location_share = 0;
 };
+
 using Event = std::variant<EndpointUpdate, Request, AttemptOutcome, ResponseStarted, ClientGone,
                            Purge, HealthCheckResult, TimerExpired, Ban, BudgetShare>;
 
-// ---- Actions
-// ----------------------------------------------------------------------------------------
+// ---- Actions ----
 
-// Ask a server. Attempts of a request are numbered 0, 1, ... in the order of their Sends. With
-// `fill` unset it is a plain look. The caller ends the attempt with Result::timeout after
-// `timeout`.
+/// How a cache is to fill an object that it lacks.
 struct Fill {
-  ServerId source{};             // the server itself: fill nothing
-  std::uint32_t cache_rank = 0;  // 0: pass through; 1 to 3: the rank at which the copy is kept
-  Time max_age = 0;              // 0: the class's fresh time
-  bool may_join = false;         // a fill under way will do
-  bool cached_only = false;      // the source gives only what it holds
-  bool refresh_in_background = false;  // serve an ageing copy and fetch it anew behind
+  /// The server itself: fill nothing.
+  ServerId source{};
+  /// Rank at which the copy is kept, 1 (lowest) to 3; 0: it is passed through.
+  std::uint32_t cache_rank = 0;
+  /// The oldest copy that will do; 0: the class's fresh time.
+  Time max_age = 0;
+  /// A fill under way will do.
+  bool may_join = false;
+  /// The source gives only what it holds.
+  bool cached_only = false;
+  /// Serve an ageing copy and fetch it anew behind the response.
+  bool refresh_in_background = false;
 };
+
+/// Ask a server. Attempts of a request are numbered from 0 in the order of their Sends. The caller
+/// ends the attempt with AttemptResult::timeout after `timeout`.
 struct Send {
   RequestId id{};
   ServerId server{};
   Time timeout = 0;
+  /// Unset: a plain request, without a word on fills.
   std::optional<Fill> fill;
 };
+
+/// A final answer: nothing ran that a client's retry could double.
 struct Reject {
   RequestId id{};
   Time retry_after = 0;
-};  // final: nothing ran that a retry could double
+};
+
+/// A final answer without that promise.
 struct Fail {
   RequestId id{};
-};  // final: no promise
+};
+
+/// Give an attempt up. Its outcome still comes.
 struct Cancel {
   RequestId id{};
   AttemptNo attempt{};
-};  // its outcome still comes
+};
+
 struct HealthCheck {
   ServerId server{};
 };
+
+/// Answer with TimerExpired at that time or later.
 struct SetTimer {
   TimerId timer{};
   Time at = 0;
-};                    // answer with TimerDue at that time or later
-struct Subscribe {};  // to fleet changes; answered by a FleetUpdate
+};
+
+/// To the endpoint list; answered by an EndpointUpdate.
+struct Subscribe {};
+
 using Action = std::variant<Send, Reject, Fail, Cancel, HealthCheck, SetTimer, Subscribe>;
 
-// How a cache on the list stands with the router now, for others to follow its decisions.
+/// How a cache on the list stands with the router now, for other proxies that follow its decisions.
 struct EndpointStatus {
   Server server;
-  bool is_usable = false;       // ready, neither banned nor put out for its health
-  double effective_weight = 0;  // of the traffic, in units of weight: less while it is cold
+  /// Ready, neither banned nor ejected.
+  bool is_usable = false;
+  /// In units of weight: less while it warms up.
+  double effective_weight = 0;
 };
 
 class Router {
@@ -263,14 +330,16 @@
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  // Takes one event and appends what to do about it.
+  /// Takes one event and appends what to do about it.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  // For callers whose Sends wait, for a connection to come up, say: may it still be sent now?
-  // Servers drain, sources go, the time in which a repeat is harmless runs out. If not:
-  // Result::withheld.
+  /// For callers whose Sends wait, for a connection say: may it still be sent now? Servers drain,
+  /// sources go, the time in which a repeat is harmless runs out. If not, end it with
+  /// AttemptResult::not_sent.
   bool may_send(Time now, RequestId id, AttemptNo attempt) const;
+  /// Of the caches on the list that are not gone.
   std::vector<EndpointStatus> endpoint_statuses(Time now);
-  double concurrency_limit() const;  // the limit on sending seconds out; 0: none found yet
+  /// The limit on seconds of transfer time in flight; 0: none found yet.
+  double concurrency_limit() const;
 
  private:
   class Impl;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -88,7 +88,7 @@
   for (std::size_t i = 0; classes.IsArray() && i < classes.Size(); ++i)
     s.classes.push_back(read_class(item(classes, i), domain, i));
   s.max_attempts = count(at(limits, "max-attempts"), 1);
-  s.may_cancel = flag(at(limits, "may-cancel"));
+  s.can_cancel_attempts = flag(at(limits, "may-cancel"));
   s.health_checks_allowed = flag(at(limits, "probing"));
   s.sends_retry_after = flag(at(limits, "retry-after"));
   s.max_retry_after = micros(at(limits, "max-retry-after"));
@@ -99,7 +99,7 @@
   s.parent_slow_start_fraction = real(at(domain, "upper-cold-from"), 1);
   s.parent_slow_start_time = micros(at(domain, "upper-cold"));
   s.purge_propagation_time = micros(at(domain, "purge-settles"));
-  s.stream_kb_per_s = real(at(domain, "stream-kb-per-s"));
+  s.stream_kb_per_second = real(at(domain, "stream-kb-per-s"));
   const auto weights = word(at(j, "weights"));
   s.weights = weights == "nominal" ? al::WeightKind::nominal
               : weights == "rough" ? al::WeightKind::rough
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -265,9 +265,9 @@
                 {FinalStatus::served, e.reply.not_modified, 0, e.reply.body, e.reply.tag, false}});
     finish_request(held);
   }
-  o.finished = !held.open;
+  o.response_delivered = !held.open;
   consult_router(o);
-  if (o.finished) finished_requests_.push_back(e.ticket);
+  if (o.response_delivered) finished_requests_.push_back(e.ticket);
 }
 
 // Danger: within one batch the module may end a request for which an answer stands later in the
@@ -354,8 +354,8 @@
 }
 
 Time Engine::sending(const module::Request& q) const {
-  if (q.size_kb <= 0 || settings_.stream_kb_per_s <= 0) return 0;
-  return static_cast<Time>(std::min(q.size_kb / settings_.stream_kb_per_s, 60.0) * 1e6);
+  if (q.size_kb <= 0 || settings_.stream_kb_per_second <= 0) return 0;
+  return static_cast<Time>(std::min(q.size_kb / settings_.stream_kb_per_second, 60.0) * 1e6);
 }
 
 void Engine::cancel(const module::Cancel& c) {
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -20,7 +20,7 @@
                                           const std::vector<config::Member>& members) {
   if (complete) caches_.only(members);
   al::EndpointUpdate update;
-  update.full = complete;
+  update.is_complete = complete;
   for (const auto& m : members) {
     update.servers.push_back(m.server);
     if (!caches_.update(m)) update.servers.back().status = al::ServerStatus::gone;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -43,7 +43,7 @@
     if (fill_failed(outcome)) return;
     const bool overloaded = outcome.result == AttemptResult::overloaded;
     if (!overloaded && outcome.result != AttemptResult::ok) return;
-    const Time own = std::max<Time>(0, outcome.elapsed - outcome.first_byte);
+    const Time own = std::max<Time>(0, outcome.elapsed - outcome.time_to_first_byte);
     const double excess =
         overloaded ? kMaxExcess : context_.workload.excess_over_objective(request, own);
     const double least = least_limit();
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -163,7 +163,7 @@
     cancel(state);
   }
   void cancel(const RequestState& state) {
-    if (!context_.settings.may_cancel) return;
+    if (!context_.settings.can_cancel_attempts) return;
     context_.emit(Cancel{state.request.id, state.last_attempt()});
   }
 
--- a/src/policy/cache_selection.h
+++ b/src/policy/cache_selection.h
@@ -118,7 +118,7 @@
     }
     const double unseen = context_.fleet.evidence_scale(Scope::location) - 1;
     if (in_flight < kLeastInFlight * unseen * static_cast<double>(order.size())) return;
-    std::ranges::stable_partition(order, [&](const Upstream* cache) {
+    std::stable_partition(order.begin(), order.end(), [&](const Upstream* cache) {
       const double own_weight = context_.workload.weight(cache->server);
       const double crowded = kCrowdedFactor * transfer_time / weight * own_weight;
       return cache->transfer_time_in_flight <= std::max(kNeverCrowded, crowded);
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -94,9 +94,9 @@
     Upstream* upstream = context_.upstreams.find(result.server);
     if (!upstream || (!upstream->health_check_pending && !result.is_late)) return false;
     upstream->health_check_pending = upstream->health_check_pending && result.is_late;
-    if (result.ok || result.is_alive) note_health_response(*upstream, result);
-    upstream->health_check_passed = result.ok;
-    if (result.ok) return false;
+    if (result.is_healthy || result.is_alive) note_health_response(*upstream, result);
+    upstream->health_check_passed = result.is_healthy;
+    if (result.is_healthy) return false;
     if (result.is_alive) {  // overloaded: spared for a while, not lost
       if (upstream->is_parent() || upstream->on_probation) eject(*upstream);
       return false;
@@ -191,7 +191,7 @@
     upstream.unanswered_health_checks = 0;
     // A connection from before the silence proves that the process has not restarted.
     if (result.connection_age > context_.now - upstream.silent_since) upstream.was_silent = false;
-    if (result.ok && upstream.is_parent() && upstream.on_probation) record_success(upstream);
+    if (result.is_healthy && upstream.is_parent() && upstream.on_probation) record_success(upstream);
   }
   bool judge_silence(Upstream& upstream) {
     const bool is_news = !upstream.on_probation;
--- a/src/policy_state/routing_context.h
+++ b/src/policy_state/routing_context.h
@@ -15,8 +15,8 @@
 namespace alderspur::policy {
 
 struct RoutingContext {
-  RoutingContext(const Settings& router_settings, std::uint64_t seed)
-      : settings(router_settings),
+  RoutingContext(Settings router_settings, std::uint64_t seed)
+      : settings(std::move(router_settings)),
         upstreams(settings.location),
         workload(settings),
         fleet(settings),
@@ -35,7 +35,7 @@
   bool fill_outcomes_are_told = false;
   std::vector<Action>* actions = nullptr;
 
-  void emit(Action action) const { actions->push_back(std::move(action)); }
+  void emit(const Action& action) const { actions->push_back(action); }
   const ClassSettings& class_settings(const Request& request) const {
     return settings.classes[request.class_id.value];
   }
--- a/src/policy_state/workload_model.cpp
+++ b/src/policy_state/workload_model.cpp
@@ -7,14 +7,14 @@
 using estimators::kSecond;
 
 double WorkloadModel::transfer_time(const Request& request) const {
-  const double pace = settings_.stream_kb_per_s;
+  const double pace = settings_.stream_kb_per_second;
   if (estimators::positive_or_zero(request.size_kb) > 0 && pace > 0) return request.size_kb / pace;
   return class_transfer_time(request.class_id);
 }
 
 double WorkloadModel::class_transfer_time(ClassId class_id) const {
   const ClassEstimates& estimates = by_class_[class_id.value];
-  const double pace = settings_.stream_kb_per_s;
+  const double pace = settings_.stream_kb_per_second;
   if (estimates.size_kb.has_samples && pace > 0) return estimates.size_kb.value / pace;
   if (estimates.hit_time.has_samples) return estimates.hit_time.value;
   return static_cast<double>(settings_.classes[class_id.value].latency_objective) / kSecond;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -81,11 +81,11 @@
   // ---- Servers ----
 
   void on(const EndpointUpdate& update) {
-    if (update.failed) {
+    if (update.has_failed) {
       set_timer(context_.now + kSubscribeAgainAfter, {TimerKind::subscribe_again});
       return;
     }
-    if (update.full) context_.upstreams.retain(update.servers);
+    if (update.is_complete) context_.upstreams.retain(update.servers);
     for (const auto& server : update.servers) apply(server);
     context_.upstreams.regroup();
   }
@@ -174,7 +174,7 @@
     const bool ask_again = !on_probation && parts_.fills.suspect_source(state, attempt, outcome);
     attempt.never_ran = policy::never_ran(outcome.result);
     record_outcome(state, attempt, outcome, upstream, ask_again);
-    if (outcome.finished || outcome.result == AttemptResult::ok) return attempts_.finish(state);
+    if (outcome.response_delivered || outcome.result == AttemptResult::ok) return attempts_.finish(state);
     if (state.is_open && !state.attempt_in_flight()) {
       attempts_.follow_up(state, attempt, outcome, upstream, ask_again);
     }
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -226,9 +226,9 @@
         r.u32();
         const auto list = r.u32();
         al::EndpointUpdate update;
-        update.full = mode == 1 || mode == 2;
-        update.failed = mode > 2;
-        if (!update.failed) {
+        update.is_complete = mode == 1 || mode == 2;
+        update.has_failed = mode > 2;
+        if (!update.has_failed) {
           const auto found = lists_.find(list);
           if (found == lists_.end()) throw WireError("a membership names a list that was not sent");
           for (const auto& l : found->second) {
@@ -272,8 +272,8 @@
         o.fill_outcome = note <= 10 ? static_cast<al::FillOutcome>(note) : al::FillOutcome::none;
         o.result = result_of(r.u16());
         o.server = r.store();
-        o.finished = r.u8() != 0;
-        o.first_byte = r.u32();
+        o.response_delivered = r.u8() != 0;
+        o.time_to_first_byte = r.u32();
         o.attempt = {r.u8()};
         o.elapsed = r.u32();
         const auto gauge = r.gauge();
@@ -290,7 +290,7 @@
       case 8: {
         al::HealthCheckResult p;
         p.server = r.store();
-        p.ok = r.u16() == 0;
+        p.is_healthy = r.u16() == 0;
         p.elapsed = r.u32();
         const auto gauge = r.gauge();
         if (instance) p.report = instance->report(gauge);
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -220,7 +220,7 @@
     settings.classes.resize(2);
     settings.classes[1].idempotency = Idempotency::idempotent_with_key;
     settings.max_attempts = 3;
-    settings.may_cancel = settings.sends_retry_after = true;
+    settings.can_cancel_attempts = settings.sends_retry_after = true;
     core::Engine engine(settings, seed, deadlines, [&] { return now; });
     Silent backend;
     Heard front;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -582,12 +582,12 @@
     c.latency_objective = 250'000;
     settings.classes = {c};
     settings.max_attempts = 3;
-    settings.may_cancel = true;
+    settings.can_cancel_attempts = true;
     settings.has_fills = settings.can_join_fills = true;
     engine.emplace(settings, 1, deadlines, [this] { return time; });
     engine->attach(recorder);
     alderspur::EndpointUpdate fleet;
-    fleet.full = true;
+    fleet.is_complete = true;
     fleet.servers = {
         {{1}, alderspur::Role::cache, {0}, {0}, alderspur::ServerStatus::ready, 1, 0},
         {{9}, alderspur::Role::origin, {0}, {0}, alderspur::ServerStatus::ready, 1, 0}};
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -35,7 +35,7 @@
   once.idempotency = Idempotency::not_idempotent;
   s.classes = {parts, pages, keyed, once};
   s.max_attempts = 6;
-  s.may_cancel = s.sends_retry_after = true;
+  s.can_cancel_attempts = s.sends_retry_after = true;
   s.max_retry_after = 2 * second;
   s.cache_slow_start_fraction = 0.2;
   s.cache_slow_start_time = 20 * second;
@@ -43,7 +43,7 @@
   s.parent_slow_start_fraction = 0.1;
   s.parent_slow_start_time = 20 * second;
   s.purge_propagation_time = 6 * second;
-  s.stream_kb_per_s = 1000;
+  s.stream_kb_per_second = 1000;
   s.weights = WeightKind::nominal;
   s.can_join_fills = s.has_fills = true;
   return s;
@@ -114,7 +114,7 @@
     o.server = sends[id].at(attempt).server;
     o.result = result;
     o.fill_outcome = note;
-    o.finished = result == AttemptResult::ok;
+    o.response_delivered = result == AttemptResult::ok;
     o.elapsed = elapsed;
     return o;
   }
@@ -1116,7 +1116,7 @@
     // What was asked long ago comes at last, from the origin.
     AttemptOutcome o = bed.outcome(waiting.front(), AttemptResult::ok,
                                    FillOutcome::filled_by_origin, 0, 4 * second);
-    o.first_byte = 3800 * ms;
+    o.time_to_first_byte = 3800 * ms;
     bed.tell(o);
     waiting.erase(waiting.begin());
   }
