--- a/bench/config_language_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -25,8 +25,9 @@
   }
   std::vector<std::string> match(const std::string&) override {
     std::vector<std::string> out;
-    for (const auto& [p, t] : files)
+    for (const auto& [p, t] : files) {
       if (p != "main.alder") out.push_back(p);
+    }
     return out;
   }
   std::map<std::string, std::string> files;
@@ -37,10 +38,11 @@
   m.files["main.alder"] =
       "include \"r/*\"\nclass a {\n  repeat = safe\n  deadline = 1 s\n}\npool p {\n  role = "
       "cache\n}\n";
-  for (std::size_t i = 0; i < routes; ++i)
+  for (std::size_t i = 0; i < routes; ++i) {
     m.files["r/" + std::to_string(i / 5000)] += "route r" + std::to_string(i) +
                                                 " {\n  path = \"/s" + std::to_string(i) +
                                                 "/{object}/{part}\"\n  class = a\n  pool = p\n}\n";
+  }
   return m;
 }
 
@@ -55,21 +57,23 @@
 }
 void Format(benchmark::State& state) {
   const auto m = program(static_cast<std::size_t>(state.range(0)));
-  for (auto _ : state)
+  for (auto _ : state) {
     for (const auto& [path, text] : m.files) {
       diagnostics::Findings f;
       config_language::Sources sources;
       benchmark::DoNotOptimize(
           config_language::format(config_language::parse(sources, sources.add(path, text), f)));
     }
+  }
 }
 void Compile(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
   diagnostics::Findings f;
   const auto p = config_language::load("main.alder", m, f);
   const auto meaning = config_language::check(p, f);
-  for (auto _ : state)
+  for (auto _ : state) {
     benchmark::DoNotOptimize(std::make_unique<routing::Table>(meaning, p.sources));
+  }
 }
 void Differ(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
@@ -85,9 +89,10 @@
   const auto meaning = config_language::check(p, f);
   const routing::Table table(meaning, p.sources);
   std::vector<std::string> paths;
-  for (std::size_t i = 0; i < 1000; ++i)
+  for (std::size_t i = 0; i < 1000; ++i) {
     paths.push_back("/s" + std::to_string(i * 7919 % static_cast<std::size_t>(state.range(0))) +
                     "/7f3a9c21e0b4d655/3");
+  }
   std::size_t i = 0;
   for (auto _ : state) {
     const routing::Question q{"img.example", paths[i++ % paths.size()], "GET", "edge", {}, {}, i};
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -64,8 +64,9 @@
   }
   std::vector<Listed> near() const {
     std::vector<Listed> out;
-    for (std::size_t i = 0; i < boxes_.size(); ++i)
+    for (std::size_t i = 0; i < boxes_.size(); ++i) {
       out.push_back({"s" + std::to_string(i), boxes_[i].address()});
+    }
     return out;
   }
   // Servers of the own point, and so many of another point that nothing is ever sent to.
@@ -82,10 +83,11 @@
         << "\nstate = \"in_service\"\ncell = 0\n";
     };
     for (const auto& s : near) server(s.id, "cache", "point = \"edge\"", s.address, "4.0");
-    for (std::size_t i = 0; i < far; ++i)
+    for (std::size_t i = 0; i < far; ++i) {
       server("f" + std::to_string(i), "cache", "point = \"far\"",
              "127.9.0." + std::to_string(1 + i / 60'000) + ":" + std::to_string(1 + i % 60'000),
              i < changed ? "5.0" : "4.0");
+    }
     server("o", "origin", "hub = \"hub\"", origin_.address(), "10.0");
     std::ofstream(folder_ + "/next") << t.str();
   }
@@ -121,8 +123,9 @@
   bool said(const std::string& what) const { return text_.find(what) != std::string::npos; }
   void read_log() {
     char buffer[65536];
-    for (ssize_t n; (n = ::read(log_fd_, buffer, sizeof buffer)) > 0;)
+    for (ssize_t n; (n = ::read(log_fd_, buffer, sizeof buffer)) > 0;) {
       text_.append(buffer, static_cast<std::size_t>(n));
+    }
   }
   long longest_hold() {
     const std::string key = "longest hold us ";
@@ -249,8 +252,9 @@
     }
     first.push_back(net::unix_now() - begun);
     in_force.push_back(taken);
-    for (const Time end = net::unix_now() + 20'000; net::unix_now() < end;)
+    for (const Time end = net::unix_now() + 20'000; net::unix_now() < end;) {
       rig.play(), client.poll(true);
+    }
   }
   const auto say = [&](const char* what, const std::vector<Time>& v) {
     std::printf(
@@ -272,8 +276,9 @@
   double p99[2] = {};
   for (const bool reloads : {false, true, false, true}) {
     std::vector<std::unique_ptr<HttpClient>> clients;
-    for (std::uint64_t i = 0; i < 8; ++i)
+    for (std::uint64_t i = 0; i < 8; ++i) {
       clients.push_back(std::make_unique<HttpClient>(rig.http_at, i << 40));
+    }
     std::vector<Time> took;
     Time next_list = 0, next_ask = 0;
     std::thread writer;
@@ -337,8 +342,9 @@
         "force\",\"ms\":%.0f,\"requests\":%zu,\"p99_us\":%ld}\n",
         static_cast<double>(net::unix_now() - begun) / 1e3, took.size(),
         static_cast<long>(part(took, 0.99)));
-    for (const Time end = net::unix_now() + 1'500'000; net::unix_now() < end;)
+    for (const Time end = net::unix_now() + 1'500'000; net::unix_now() < end;) {
       rig.play(), client.poll(true);
+    }
   }
   std::printf("{\"what\":\"longest that the loop was held by membership\",\"us\":%ld}\n",
               rig.longest_hold());
@@ -390,7 +396,7 @@
 int idle(const std::string& program) {
   for (const bool http : {true, false}) {
     double least[3] = {1e9, 1e9, 1e9};
-    for (int round = 0; round < 3; ++round)
+    for (int round = 0; round < 3; ++round) {
       for (int what = 0; what < 3; ++what) {
         Rig rig(program, 10);
         rig.list(1, rig.near(), what == 2 ? 5'000 : 0);
@@ -398,6 +404,7 @@
         rig.start();
         least[what] = std::min(least[what], cost(rig, http, what == 1 ? 10'000 : 0));
       }
+    }
     std::printf(
         "{\"front\":\"%s\",\"us_a_request\":%.1f,\"with_10000_idle\":%.1f,\"ratio\":%.2f,\"with_"
         "5000_"
--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -27,9 +27,10 @@
   auto secret = text.str();
   while (!secret.empty() && (secret.back() == '\n' || secret.back() == '\r')) secret.pop_back();
   if (!in) throw config::Error("cannot read the secret of the cluster, " + path);
-  if (secret.size() < kSecretLeast)
+  if (secret.size() < kSecretLeast) {
     throw config::Error("the secret of the cluster, " + path +
                         ", has under 32 characters; use random ones");
+  }
   return secret;
 }
 
@@ -99,8 +100,9 @@
   cluster::Identity self;
   self.name = s.member.empty() ? node.config().name : s.member;
   self.point = s.point, self.share = s.share, self.version = ALDERSPUR_VERSION;
-  if (self.name.empty())
+  if (self.name.empty()) {
     throw config::Error("this member of the cluster has no name: set [cluster] member");
+  }
   self.epoch = cluster::next_epoch(s.state, net::unix_now(), error);
   if (!error.empty()) log.record(kName, log::Level::warning, "epoch_unusable", {{"reason", error}});
   cluster::ClusterTransport::Hooks hooks;
@@ -158,8 +160,9 @@
 void ClusterService::tell_members() {
   if (members_.empty() || !link_) return;
   std::vector<std::string> names;
-  for (const auto& s : link_->membership().members())
+  for (const auto& s : link_->membership().members()) {
     if (s.member.state <= cluster::State::suspect) names.push_back(s.member.identity.name);
+  }
   for (const auto& then : members_) then(names);
 }
 
@@ -182,24 +185,28 @@
   }
   std::string in;
   char buffer[16384];
-  for (ssize_t n; (n = ::recv(fd.get(), buffer, sizeof buffer, 0)) > 0;)
+  for (ssize_t n; (n = ::recv(fd.get(), buffer, sizeof buffer, 0)) > 0;) {
     in.append(buffer, static_cast<std::size_t>(n));
+  }
   const auto head = in.find("\r\n\r\n");
   if (head == std::string::npos || !in.starts_with("HTTP/1.1 ")) return {};
   return {std::atoi(in.c_str() + 9), in.substr(head + 4)};
 }
 
 int cluster_members(const std::string& address, bool json) {
-  if (!net::parse_address(address))
+  if (!net::parse_address(address)) {
     return std::fprintf(stderr, "alderspur: '%s' is no address\n", address.c_str()), kUsage;
+  }
   const auto [status, view] = ask_operators(address, "GET", "/control/cluster");
-  if (!status)
+  if (!status) {
     return std::fprintf(stderr, "alderspur: nobody answers at %s\n", address.c_str()), kFinding;
+  }
   rapidjson::Document j;
   j.Parse<rapidjson::kParseIterativeFlag>(view.c_str());
-  if (status != 200 || j.HasParseError() || !j.IsObject() || !j.HasMember("members"))
+  if (status != 200 || j.HasParseError() || !j.IsObject() || !j.HasMember("members")) {
     return std::fprintf(stderr, "alderspur: %s has no cluster: %s", address.c_str(), view.c_str()),
            kFinding;
+  }
   if (json) return std::fputs(view.c_str(), stdout), kYes;
   const auto line = [](const rapidjson::Value& m, const char* state, const std::string& since) {
     std::printf("%-24s %-22s %-10s %-8s %8s\n", m["name"].GetString(), m["address"].GetString(),
@@ -209,8 +216,9 @@
               static_cast<unsigned long long>(j["seen"].GetUint64()),
               static_cast<unsigned long long>(j["known"].GetUint64()));
   line(j["self"], "this", "");
-  for (const auto& m : j["members"].GetArray())
+  for (const auto& m : j["members"].GetArray()) {
     line(m, m["state"].GetString(), std::to_string(m["for_ms"].GetInt64() / 1000) + " s");
+  }
   return std::string_view(j["whole"].GetString()) == "whole" ? kYes : kFinding;
 }
 
--- a/src/app/language.cpp
+++ b/src/app/language.cpp
@@ -108,10 +108,12 @@
     const std::string query = mark < request.size() ? "&" + request.substr(mark + 1) + "&" : "";
     routing::Question q{host, path, method, options.point, {}, {}, 0};
     q.header = [&](std::string_view name) -> std::optional<std::string_view> {
-      for (const auto& h : options.headers)
+      for (const auto& h : options.headers) {
         if (const auto is = h.find('=');
-            is != std::string::npos && std::string_view(h).substr(0, is) == name)
+            is != std::string::npos && std::string_view(h).substr(0, is) == name) {
           return std::string_view(h).substr(is + 1);
+        }
+      }
       return {};
     };
     q.query = [&](std::string_view name) -> std::optional<std::string_view> {
@@ -128,13 +130,16 @@
     }
     std::printf("%s: route %s, class %s", request.c_str(), where("route", m->route->name).c_str(),
                 where("class", m->route->cls).c_str());
-    if (m->target.pool)
+    if (m->target.pool) {
       std::printf(", pool %s", where("pool", table.pools()[*m->target.pool].name).c_str());
-    if (m->target.policy)
+    }
+    if (m->target.policy) {
       std::printf(", policy %s", where("policy", table.policies()[*m->target.policy].name).c_str());
-    for (const auto& [name, value] : m->captures)
+    }
+    for (const auto& [name, value] : m->captures) {
       std::printf(", %s=%.*s", std::string(name).c_str(), static_cast<int>(value.size()),
                   value.data());
+    }
     if (!m->route->splits.empty()) std::printf("; splits send others elsewhere");
     std::printf("\n");
   }
@@ -149,12 +154,14 @@
     return kUsage;
   }
   auto changes = config_language::differ(a.meaning, b.meaning);
-  if (by_risk)
+  if (by_risk) {
     std::stable_sort(changes.begin(), changes.end(),
                      [](auto& x, auto& y) { return x.risk > y.risk; });
+  }
   if (!json) {
-    for (const auto& c : changes)
+    for (const auto& c : changes) {
       std::printf("%-4s  %s\n", config_language::word(c.risk), c.text.c_str());
+    }
     return changes.empty() ? kYes : kFinding;
   }
   rapidjson::StringBuffer buffer;
--- a/src/app/routes.cpp
+++ b/src/app/routes.cpp
@@ -27,24 +27,28 @@
     for (const auto& r : out->table->routes()) {
       const auto it = std::find(names.begin(), names.end(), r.cls);
       out->classes.push_back(static_cast<std::uint32_t>(it - names.begin()));
-      if (it == names.end())
+      if (it == names.end()) {
         found.error("S002", r.place, "the router's configuration has no class " + r.cls);
-      else if (config.settings.classes[out->classes.back()].never_cached)
+      } else if (config.settings.classes[out->classes.back()].never_cached) {
         found.error("S002", r.place,
                     "class " + r.cls + " runs at the origin and cannot be fetched by links");
+      }
       const auto named = [&](const char* capture) {
         return std::any_of(r.path.begin(), r.path.end(), [&](auto& s) {
           return s.kind == config_language::Segment::Kind::capture && s.text == capture;
         });
       };
-      if (!named("object"))
+      if (!named("object")) {
         found.error("S002", r.place, "the path of route " + r.name + " has no {object}",
                     "the signed front takes object and part from {object} and {part}");
+      }
     }
   }
-  for (const auto& f : found.list())
-    if (f.severity == diagnostics::Severity::error && findings.size() < kTold)
+  for (const auto& f : found.list()) {
+    if (f.severity == diagnostics::Severity::error && findings.size() < kTold) {
       findings.push_back(diagnostics::to_string(f));
+    }
+  }
   return found.good() ? out : nullptr;
 }
 
@@ -62,8 +66,9 @@
     : node_(node), file_(std::move(file)), log_(log), wakeup_(node.loop()) {
   std::vector<std::string> findings;
   table_ = compile(file_, node.config(), findings);
-  if (!table_)
+  if (!table_) {
     throw config::Error("the routes do not check: " + (findings.empty() ? file_ : findings[0]));
+  }
   log_.record(kName, log::Level::info, "table_taken", {{"routes", table_->table->routes().size()}});
 }
 Routes::~Routes() = default;
@@ -86,8 +91,9 @@
 void Routes::take(TablePtr table, const std::vector<std::string>& findings) {
   reading_ = false;
   if (!table) {
-    for (const auto& f : findings)
+    for (const auto& f : findings) {
       log_.record(kName, log::Level::error, "table_refused", {{"reason", f}});
+    }
   } else {
     const auto before = std::exchange(table_, std::move(table));
     std::vector<std::string> named;
@@ -126,9 +132,11 @@
   }
   found.limit = table_->deadlines[found.cls] > 0 ? table_->deadlines[found.cls] : 2'500'000;
   // A policy may only tighten.
-  if (m->target.policy)
-    if (const auto d = table_->table->policies()[*m->target.policy].deadline)
+  if (m->target.policy) {
+    if (const auto d = table_->table->policies()[*m->target.policy].deadline) {
       found.limit = std::min(found.limit, *d);
+    }
+  }
   auto held = std::make_unique<Held>();
   held->table = table_;
   held->route = m->route;
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -104,9 +104,10 @@
   std::string target = "/control/versions?author=" + consensus::plain(author, 40);
   std::replace(target.begin(), target.end(), ' ', '_');
   if (!base.empty()) target += "&base=" + base;
-  if (!trial.first.empty())
+  if (!trial.first.empty()) {
     target += "&first=" + trial.first + "&hold=" + trial.hold + "&harm=" + trial.harm +
               (trial.go_on ? "&then=go" : "");
+  }
   return follow(at, ask_operators(at, "PUT", target, encode(content)));
 }
 
@@ -122,8 +123,9 @@
 
 int cluster_versions(const std::string& at, bool json) {
   const auto asked = ask_operators(at, "GET", "/control/versions");
-  if (asked.status != 200)
+  if (asked.status != 200) {
     return say(asked.status ? asked.text : "nobody answers at " + at, kFinding);
+  }
   if (json) return std::fputs(asked.text.c_str(), stdout), kYes;
   rapidjson::Document j;
   j.Parse<rapidjson::kParseIterativeFlag>(asked.text.c_str());
@@ -133,9 +135,11 @@
                 static_cast<unsigned long long>(v["number"].GetUint64()), v["state"].GetString(),
                 v["author"].GetString(), static_cast<unsigned long long>(v["base"].GetUint64()),
                 v["note"].GetString());
-    if (v.HasMember("first"))
-      for (const auto& n : v["first"].GetArray())
+    if (v.HasMember("first")) {
+      for (const auto& n : v["first"].GetArray()) {
         std::printf("         on trial at %s\n", n.GetString());
+      }
+    }
   };
   line("acting", j["acting"]);
   if (j.HasMember("pending")) line("pending", j["pending"]);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -82,11 +82,13 @@
   s.location = {count(at(j, "zone"))};
   s.router_count = count(at(j, "replicas-of-me"), 1);
   const Json& routers = at(domain, "instances-by-zone");
-  for (std::size_t i = 0; routers.IsArray() && i < routers.Size(); ++i)
+  for (std::size_t i = 0; routers.IsArray() && i < routers.Size(); ++i) {
     s.router_count_by_location.push_back(count(item(routers, i)));
+  }
   const Json& classes = at(j, "classes");
-  for (std::size_t i = 0; classes.IsArray() && i < classes.Size(); ++i)
+  for (std::size_t i = 0; classes.IsArray() && i < classes.Size(); ++i) {
     s.classes.push_back(read_class(item(classes, i), domain, i));
+  }
   s.max_attempts = count(at(limits, "max-attempts"), 1);
   s.can_cancel_attempts = flag(at(limits, "may-cancel"));
   s.health_checks_allowed = flag(at(limits, "probing"));
@@ -116,9 +118,10 @@
   n.zones = words(at(settings, "azs"));
   n.kinds = words(at(settings, "shapes"));
   const Json& classes = at(settings, "classes");
-  for (std::size_t i = 0; classes.IsArray() && i < classes.Size(); ++i)
+  for (std::size_t i = 0; classes.IsArray() && i < classes.Size(); ++i) {
     n.classes.push_back(word(at(item(classes, i), "name"))),
         n.give_up.push_back(micros(at(item(classes, i), "give-up")));
+  }
   n.report_fields = words(at(at(settings, "load-report"), "fields"));
   n.parent_kind = static_cast<int>(real(at(at(settings, "domain"), "upper-kind"), -1));
   n.origin_kind = static_cast<int>(real(at(at(settings, "domain"), "source-kind"), -1));
@@ -163,8 +166,9 @@
     const Json& members = at(pool, "members");
     // Danger: a whole list without its members would empty the one in force.
     if (!members.IsArray()) return {};
-    for (std::size_t i = 0; i < members.Size(); ++i)
+    for (std::size_t i = 0; i < members.Size(); ++i) {
       n.members.push_back(read_member(item(members, i), names));
+    }
   }
   if (const Json& flush = at(j, "flush"); flush.IsObject()) {
     n.flush.emplace();
@@ -219,8 +223,9 @@
   const Json& known = at(j, "known");
   c.known = at(known, "rev").IsUint64() ? at(known, "rev").GetUint64() : 0;
   const Json& notices = at(known, "notices");
-  for (std::size_t i = 0; notices.IsArray() && i < notices.Size(); ++i)
+  for (std::size_t i = 0; notices.IsArray() && i < notices.Size(); ++i) {
     if (auto n = notice_of(item(notices, i), c.names)) c.notices.push_back(std::move(*n));
+  }
   return c;
 }
 
--- a/src/config_language/differ.cpp
+++ b/src/config_language/differ.cpp
@@ -21,11 +21,13 @@
 // What can hurt most: where requests go, what may be repeated, and what is let through no longer.
 Risk risk_of(const std::string& field, bool falls) {
   for (const char* high :
-       {"class", "pool", "path", "host", "method", "repeat", "uncached", "role", "dedup-window"})
+       {"class", "pool", "path", "host", "method", "repeat", "uncached", "role", "dedup-window"}) {
     if (field == high) return Risk::high;
+  }
   for (const char* limit :
-       {"max-in-flight", "max-rate", "deadline", "attempt-deadline", "queue", "burst"})
+       {"max-in-flight", "max-rate", "deadline", "attempt-deadline", "queue", "burst"}) {
     if (field == limit) return falls ? Risk::high : Risk::some;
+  }
   return field == "worth" || field == "renew" || field == "join" ? Risk::low : Risk::some;
 }
 
@@ -33,15 +35,17 @@
  public:
   std::vector<Change> run(const Meaning& from, const Meaning& to) {
     const auto a = by_key(from), b = by_key(to);
-    for (const auto& [key, d] : a)
+    for (const auto& [key, d] : a) {
       if (!b.contains(key)) add(Risk::high, key, "", "is gone" + routed(*d));
+    }
     for (const auto& d : to.declarations) {
       const auto key = key_of(d);
       const auto it = a.find(key);
-      if (it == a.end())
+      if (it == a.end()) {
         add(key.first == "route" ? Risk::some : Risk::low, key, "", "is new" + routed(d));
-      else
+      } else {
         settings(key, "", it->second->settings, d.settings), splits(key, *it->second, d);
+      }
     }
     return std::move(out_);
   }
@@ -67,15 +71,18 @@
     for (const auto& [name, was] : a) {
       const auto it = b.find(name);
       const auto field = prefix + name;
-      if (it == b.end())
+      if (it == b.end()) {
         add(risk_of(name, false), key, field,
             field + " was " + was.shown + " and is not given any more");
-      else
+      } else {
         setting(key, field, name, was, it->second);
+      }
     }
-    for (const auto& [name, is] : b)
-      if (!a.contains(name))
+    for (const auto& [name, is] : b) {
+      if (!a.contains(name)) {
         add(risk_of(name, true), key, prefix + name, prefix + name + " is now given: " + is.shown);
+      }
+    }
   }
   void setting(const Key& key, const std::string& field, const std::string& name,
                const Setting& was, const Setting& is) {
@@ -88,26 +95,29 @@
     auto a = was.texts, b = is.texts;
     if (!ordered(name)) std::sort(a.begin(), a.end()), std::sort(b.begin(), b.end());
     if (a == b) return;
-    if (name == "path")
+    if (name == "path") {
       return add(Risk::high, key, field,
                  "takes requests for " + is.shown + " in place of " + was.shown);
-    if (name == "pool" || name == "policy" || name == "class")
+    }
+    if (name == "pool" || name == "policy" || name == "class") {
       return add(risk_of(name, false), key, field,
                  "goes to " + name + " " + is.shown + " in place of " + was.shown);
+    }
     add(risk_of(name, false), key, field, field + " changes from " + was.shown + " to " + is.shown);
   }
   void splits(const Key& key, const Declaration& a, const Declaration& b) {
     for (std::size_t i = 0; i < std::max(a.splits.size(), b.splits.size()); ++i) {
       const auto which = "split " + std::to_string(i + 1);
-      if (i >= a.splits.size())
+      if (i >= a.splits.size()) {
         add(Risk::high, key, which, which + " is new, of " + percent(b.splits[i].part));
-      else if (i >= b.splits.size())
+      } else if (i >= b.splits.size()) {
         add(Risk::high, key, which, which + " of " + percent(a.splits[i].part) + " is gone");
-      else {
-        if (a.splits[i].part != b.splits[i].part)
+      } else {
+        if (a.splits[i].part != b.splits[i].part) {
           add(Risk::high, key, which,
               which + (b.splits[i].part > a.splits[i].part ? " rises from " : " falls from ") +
                   percent(a.splits[i].part) + " to " + percent(b.splits[i].part));
+        }
         settings(key, which + " ", a.splits[i].settings, b.splits[i].settings);
       }
     }
--- a/src/config_language/files.cpp
+++ b/src/config_language/files.cpp
@@ -14,8 +14,9 @@
   const auto status = std::filesystem::status(path, code);
   if (!std::filesystem::exists(status)) return error = "there is no such file", std::nullopt;
   // Danger: a FIFO would hold the reader for ever, and a device has no end.
-  if (!std::filesystem::is_regular_file(status))
+  if (!std::filesystem::is_regular_file(status)) {
     return error = "it is no regular file", std::nullopt;
+  }
   std::ifstream in(path, std::ios::binary);
   std::string text(kTextMost + 1, '\0');  // one byte over the bound shows that it is too large
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
@@ -27,8 +28,9 @@
 std::vector<std::string> FileLoader::match(const std::string& pattern) {
   glob_t found{};
   std::vector<std::string> out;
-  if (::glob(pattern.c_str(), 0, nullptr, &found) == 0)
+  if (::glob(pattern.c_str(), 0, nullptr, &found) == 0) {
     for (std::size_t i = 0; i < found.gl_pathc; ++i) out.emplace_back(found.gl_pathv[i]);
+  }
   ::globfree(&found);
   return out;
 }
--- a/src/config_language/format.cpp
+++ b/src/config_language/format.cpp
@@ -10,14 +10,15 @@
 std::string quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
-    if (c == '"' || c == '\\')
+    if (c == '"' || c == '\\') {
       (out += '\\') += c;
-    else if (c == '\n')
+    } else if (c == '\n') {
       out += "\\n";
-    else if (c == '\t')
+    } else if (c == '\t') {
       out += "\\t";
-    else
+    } else {
       out += c;
+    }
   }
   return out + "\"";
 }
--- a/src/config_language/load.cpp
+++ b/src/config_language/load.cpp
@@ -28,16 +28,18 @@
     if (!text) return false;
     all_ += text->size();
     if (program_.trees.size() >= kFilesMost || all_ > kAllMost) {
-      if (!std::exchange(full_, true))
+      if (!std::exchange(full_, true)) {
         findings_.error("A008", {path, 0, 0}, "the program has too many files or bytes",
                         std::to_string(kFilesMost) + " files and 16 MiB are the bounds");
+      }
       return true;
     }
     const auto id = program_.sources.add(path, std::move(*text));
     program_.trees.push_back(parse(program_.sources, id, findings_));
     chain_.push_back({path, {}});
-    for (const auto& s : program_.trees[program_.trees.size() - 1].statements)
+    for (const auto& s : program_.trees[program_.trees.size() - 1].statements) {
       statements_of(s, path);
+    }
     chain_.pop_back();
     return true;
   }
@@ -65,9 +67,10 @@
     const auto target = normal((std::filesystem::path(path).parent_path() / wanted).string());
     const bool pattern = wanted.find_first_of("*?") != std::string::npos;
     const auto paths = pattern ? loader_.match(target) : std::vector<std::string>{target};
-    if (paths.empty())
+    if (paths.empty()) {
       findings_.warn("A010", program_.sources.place(s.arguments[0].span),
                      "no file is named by " + wanted);
+    }
     for (const auto& p : paths) include(normal(p), s);
   }
 
@@ -77,9 +80,10 @@
     bool cycle = false;
     for (const auto& step : chain_) {
       cycle |= step.path == path;
-      if (cycle)
+      if (cycle) {
         told +=
             step.path + ":" + std::to_string(program_.sources.place(step.include).line) + " -> ";
+      }
     }
     if (cycle) {
       findings_.error("A011", place, "include cycle: " + told + path,
@@ -109,8 +113,9 @@
 Program load(const std::string& root, Loader& loader, diagnostics::Findings& findings) {
   Program out;
   std::string error;
-  if (!Reader(out, loader, findings).file(normal(root), error))
+  if (!Reader(out, loader, findings).file(normal(root), error)) {
     findings.error("A010", {root, 0, 0}, "cannot read " + root + ": " + error);
+  }
   return out;
 }
 
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -43,11 +43,13 @@
   if (a < 0x80) return 1;
   if (a >= 0xc2 && a <= 0xdf && more(b)) return 2;
   if (a >= 0xe0 && a <= 0xef && more(b) && more(c) && !(a == 0xe0 && b < 0xa0) &&
-      !(a == 0xed && b > 0x9f))
+      !(a == 0xed && b > 0x9f)) {
     return 3;
+  }
   if (a >= 0xf0 && a <= 0xf4 && more(b) && more(c) && more(d) && !(a == 0xf0 && b < 0x90) &&
-      !(a == 0xf4 && b > 0x8f))
+      !(a == 0xf4 && b > 0x8f)) {
     return 4;
+  }
   return 0;
 }
 
@@ -58,8 +60,9 @@
 
   std::vector<Token> all() {
     std::vector<Token> out;
-    do out.push_back(next());
-    while (out.back().kind != Kind::end);
+    do {
+      out.push_back(next());
+    } while (out.back().kind != Kind::end);
     return out;
   }
 
@@ -100,8 +103,9 @@
       return t;
     }
     if (digit(c)) return number(begin);
-    if (std::string_view("={}[],;").find(c) != std::string_view::npos)
+    if (std::string_view("={}[],;").find(c) != std::string_view::npos) {
       return ++at_, make(Kind::punctuation, begin);
+    }
     const std::size_t n = utf8(text_, at_);
     if (n == 0 || static_cast<unsigned char>(c) < 32) {
       ++at_;
@@ -125,8 +129,9 @@
     }
     Token t = make(Kind::comment, begin);
     while (!t.text.empty() &&
-           (t.text.back() == ' ' || t.text.back() == '\t' || t.text.back() == '\r'))
+           (t.text.back() == ' ' || t.text.back() == '\t' || t.text.back() == '\r')) {
       t.text.pop_back();
+    }
     return t;
   }
   Token word(std::size_t begin, Kind kind) {
@@ -137,8 +142,9 @@
     std::string content;
     bool good = true;
     for (++at_; peek() != '"';) {
-      if (at_ >= text_.size() || peek() == '\n')
+      if (at_ >= text_.size() || peek() == '\n') {
         return fault("A002", begin, "the string has no end", "close it with \" on the same line");
+      }
       if (peek() == '\\') {
         const char e = peek(1);
         const std::string_view from = "\"\\nt", to = "\"\\\n\t";
@@ -146,7 +152,7 @@
         if (i == std::string_view::npos || e == '\0') {
           const std::size_t bad = at_++;
           (void)fault("A003", bad, std::string("no escape is written \\") + (e >= 32 ? e : '?'),
-                      "\\\" \\\\ \\n and \\t are known");
+                      R"(\" \\ \n and \t are known)");
           good = false;
           continue;
         }
@@ -173,9 +179,10 @@
     while (digit(peek()) || peek() == '.') ++at_;
     const auto digits = text_.substr(begin, at_ - begin);
     double value = 0;
-    if (!core::parse_number(digits, value) || digits.back() == '.' || digits.size() > 18)
+    if (!core::parse_number(digits, value) || digits.back() == '.' || digits.size() > 18) {
       return fault("A004", begin, "'" + std::string(digits) + "' is no number",
                    "digits, with one point at most");
+    }
     const std::size_t end = at_;
     while (peek() == ' ' || peek() == '\t') ++at_;
     const std::size_t from = at_;
@@ -229,10 +236,11 @@
   const Token& take() { return tokens_[is(Kind::end) ? at_ : at_++]; }
 
   static void blank(std::vector<std::string>& comments, bool& gap) {
-    if (comments.empty())
+    if (comments.empty()) {
       gap = true;
-    else
+    } else {
       comments.emplace_back();
+    }
   }
   // Comments and empty lines up to the next thing that is neither.
   void margin(std::vector<std::string>& comments, bool& gap) {
@@ -269,10 +277,11 @@
       Statement s;
       s.before = std::move(before);
       s.gap = gap && !out.empty();
-      if (statement(s, depth))
+      if (statement(s, depth)) {
         out.push_back(std::move(s));
-      else
+      } else {
         faulty = true, recover();
+      }
     }
   }
 
@@ -353,8 +362,9 @@
     v.text.clear();
     for (;;) {
       std::vector<std::string> before;
-      for (; is(Kind::line_end) || is(Kind::comment); take())
+      for (; is(Kind::line_end) || is(Kind::comment); take()) {
         if (is(Kind::comment)) before.push_back(now().text);
+      }
       if (is(']')) {
         v.tail = std::move(before);
         v.span.end = take().span.end;
@@ -372,10 +382,11 @@
         if (is(Kind::comment)) v.items.back().before.push_back(now().text);
         take();
       }
-      if (is(','))
+      if (is(',')) {
         take();
-      else if (!is(']') && !is('}') && !is(Kind::end))
+      } else if (!is(']') && !is('}') && !is(Kind::end)) {
         return expected("',' or ']'");
+      }
     }
   }
 
@@ -410,8 +421,9 @@
 }  // namespace
 
 const Unit* unit(std::string_view name) {
-  for (const auto& u : kUnits)
+  for (const auto& u : kUnits) {
     if (u.name == name) return &u;
+  }
   return nullptr;
 }
 const char* word(Measure m) {
--- a/src/config_language/schema.cpp
+++ b/src/config_language/schema.cpp
@@ -83,13 +83,15 @@
 }
 
 const DeclarationKind* declaration_kind(std::string_view name) {
-  for (const auto& k : declaration_kinds())
+  for (const auto& k : declaration_kinds()) {
     if (k.name == name) return &k;
+  }
   return nullptr;
 }
 const Field* field(const DeclarationKind& kind, std::string_view key) {
-  for (const auto& f : kind.fields)
+  for (const auto& f : kind.fields) {
     if (f.key == key) return &f;
+  }
   return nullptr;
 }
 
--- a/src/config_language/source.cpp
+++ b/src/config_language/source.cpp
@@ -6,8 +6,9 @@
 
 std::uint32_t Sources::add(std::string name, std::string text) {
   File f{std::move(name), std::move(text), {0}};
-  for (std::uint32_t i = 0; i < f.text.size(); ++i)
+  for (std::uint32_t i = 0; i < f.text.size(); ++i) {
     if (f.text[i] == '\n') f.lines.push_back(i + 1);
+  }
   files_.push_back(std::move(f));
   return static_cast<std::uint32_t>(files_.size() - 1);
 }
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -88,8 +88,9 @@
   const bool refused = verdict == FinalStatus::rejected;
   ++counters_.admitted;
   ++(refused ? counters_.rejected : counters_.failed);
-  if (cls < class_counters_.size())
+  if (cls < class_counters_.size()) {
     ++(refused ? class_counters_[cls].rejected : class_counters_[cls].failed);
+  }
 }
 
 void Engine::cancel_request(RequestHandle ticket) {
@@ -101,8 +102,9 @@
 }
 
 void Engine::finish_all_now() {
-  for (const auto& [ticket, held] : requests_)
+  for (const auto& [ticket, held] : requests_) {
     if (held.open) finish_now(ticket);
+  }
 }
 
 // What it asked in its last moment may still begin: the platform allows 0.1 s.
@@ -113,8 +115,9 @@
   deadlines_.set(it->second.no_more_from, [this, ticket] {
     const auto h = requests_.find(ticket);
     if (h == requests_.end()) return;
-    for (const AttemptId id : h->second.attempts)
+    for (const AttemptId id : h->second.attempts) {
       if (!was_written(id)) abandon_attempt(id, module::AttemptResult::already_finished);
+    }
   });
 }
 
@@ -128,8 +131,9 @@
   if (it == attempts_.end() || it->second.written) return;
   it->second.written = now();
   if (it->second.unsent.first) deadlines_.cancel(it->second.unsent);
-  if (const auto h = requests_.find(it->second.ticket); h != requests_.end())
+  if (const auto h = requests_.find(it->second.ticket); h != requests_.end()) {
     h->second.written = true;
+  }
   ++counters_.forwarded;
   ++class_counters_[it->second.order.class_id].forwarded;
 }
@@ -161,8 +165,9 @@
   // would be out beside the first: it must not leave before the abort is there.
   const bool given_up = reply.result == module::AttemptResult::cancelled ||
                         reply.result == module::AttemptResult::reset;
-  if (!given_up || !a.written)
+  if (!given_up || !a.written) {
     return waiting_events_.push_back({module::AttemptOutcome{}, a.ticket, attempt, reply});
+  }
   deadlines_.set(now() + kOnWay, [this, ticket = a.ticket, attempt, result = reply.result] {
     waiting_events_.push_back(
         {module::AttemptOutcome{}, ticket, attempt, {result, false, {}, {}, 0, {}}});
@@ -259,7 +264,7 @@
     ++counters_.served;
     ++class_counters_[held.request.class_id.value].served;
     if (e.reply.not_modified) ++counters_.not_modified;
-    effects_.push_back(
+    effects_.emplace_back(
         Respond{e.ticket,
                 held.front,
                 {FinalStatus::served, e.reply.not_modified, 0, e.reply.body, e.reply.tag, false}});
@@ -280,20 +285,21 @@
     const auto* refuse = std::get_if<module::Reject>(&action);
     const auto* fail = std::get_if<module::Fail>(&action);
     if (!refuse && !fail) {
-      effects_.push_back(std::move(action));
+      effects_.emplace_back(std::move(action));
       continue;
     }
     const auto it = requests_.find(refuse ? refuse->id.value : fail->id.value);
     if (it == requests_.end() || !it->second.open) continue;
     OpenRequest& held = it->second;
     ++(refuse ? counters_.rejected : counters_.failed);
-    if (const auto cls = held.request.class_id.value; cls < class_counters_.size())
+    if (const auto cls = held.request.class_id.value; cls < class_counters_.size()) {
       ++(refuse ? class_counters_[cls].rejected : class_counters_[cls].failed);
+    }
     Response answer;
     answer.status = refuse ? FinalStatus::rejected : FinalStatus::failed;
     answer.timed_out = now_ >= held.deadline;
     answer.retry_after = refuse ? refuse->retry_after : 0;
-    effects_.push_back(Respond{it->first, held.front, answer});
+    effects_.emplace_back(Respond{it->first, held.front, answer});
     finish_request(held);
   }
 }
@@ -341,15 +347,17 @@
              sending(held.request)};
   ++held.out;
   // Danger: the client may have left in this very batch, after the module decided to send.
-  if (!held.open || now_ >= held.no_more_from)
+  if (!held.open || now_ >= held.no_more_from) {
     return on_upstream_response(id,
                                 {module::AttemptResult::already_finished, false, {}, {}, 0, {}});
+  }
   a.timeout = deadlines_.set(a.order.deadline,
                              [this, id] { abandon_attempt(id, module::AttemptResult::timeout); });
-  if (!held.written && now_ < held.unsent_until)
+  if (!held.written && now_ < held.unsent_until) {
     a.unsent = deadlines_.set(held.unsent_until, [this, id] {
       abandon_attempt(id, module::AttemptResult::connect_failed);
     });
+  }
   upstream_client_->send(id, s.server);
 }
 
@@ -360,8 +368,9 @@
 
 void Engine::cancel(const module::Cancel& c) {
   const auto it = requests_.find(c.id.value);
-  if (it != requests_.end() && c.attempt.value < it->second.attempts.size())
+  if (it != requests_.end() && c.attempt.value < it->second.attempts.size()) {
     abandon_attempt(it->second.attempts[c.attempt.value], module::AttemptResult::cancelled);
+  }
 }
 
 void Engine::abandon_attempt(AttemptId attempt, module::AttemptResult result) {
@@ -384,11 +393,12 @@
     const auto it = requests_.find(ticket);
     if (it == requests_.end() || it->second.open || it->second.out > 0) continue;
     open_request_bytes_ -= it->second.body.size();
-    for (auto [i, to] = handles_by_id_.equal_range(it->second.id); i != to; ++i)
+    for (auto [i, to] = handles_by_id_.equal_range(it->second.id); i != to; ++i) {
       if (i->second == ticket) {
         handles_by_id_.erase(i);
         break;
       }
+    }
     requests_.erase(it);
   }
   finished_requests_.clear();
--- a/src/diagnostics/diagnostics.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -33,8 +33,9 @@
     return;
   }
   // Danger: what a file holds comes back in messages; a terminal or a log must not obey it.
-  for (char& c : finding.text)
+  for (char& c : finding.text) {
     if (static_cast<unsigned char>(c) < 32 || c == 127) c = '?';
+  }
   if (finding.text.size() > kTextMost) finding.text.resize(kTextMost), finding.text += "...";
   list_.push_back(std::move(finding));
 }
@@ -65,11 +66,14 @@
   std::string_view best;
   std::size_t least = std::max<std::size_t>(2, word.size() / 3) + 1;
   if (word.size() > 64) return {};
-  for (const auto c : candidates)
-    if (c.size() == word.size() && strncasecmp(c.data(), word.data(), c.size()) == 0)
+  for (const auto c : candidates) {
+    if (c.size() == word.size() && strncasecmp(c.data(), word.data(), c.size()) == 0) {
       return std::string(c);
-  for (const auto c : candidates)
+    }
+  }
+  for (const auto c : candidates) {
     if (const auto d = distance(word, c); d < least) least = d, best = c;
+  }
   return std::string(best);
 }
 
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -33,8 +33,9 @@
   node.config_path = path;
   node.run();
   // Danger: a disk that hangs would hold the end of the process until somebody kills it.
-  if (!node.settle())
+  if (!node.settle()) {
     std::fputs("the shared folder hangs, ending without it\n", stderr), ::_exit(0);
+  }
   return 0;
 }
 
--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -1,13 +1,13 @@
 #include "file_watch/source.h"
 
 #include <fcntl.h>
-#include <limits.h>
 #include <sys/stat.h>
 #include <unistd.h>
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cerrno>
+#include <climits>
 #include <cstring>
 #include <ctime>
 #include <utility>
@@ -102,8 +102,9 @@
          {static_cast<std::uint64_t>(is.st_dev), static_cast<std::uint64_t>(is.st_ino),
           static_cast<std::uint64_t>(is.st_mode), static_cast<std::uint64_t>(is.st_size),
           static_cast<std::uint64_t>(nanos(is.st_mtim)),
-          static_cast<std::uint64_t>(nanos(is.st_ctim))})
+          static_cast<std::uint64_t>(nanos(is.st_ctim))}) {
       identity.push_back(v);
+    }
     young |= nanos(is.st_ctim) > nanos(now) - kGrain;
   };
   struct stat is {};
@@ -137,8 +138,9 @@
       return out;
     }
     out.texts.pieces.resize(piece_names_.size());
-    for (std::size_t i = 0; i < piece_names_.size() && read_all; ++i)
+    for (std::size_t i = 0; i < piece_names_.size() && read_all; ++i) {
       read_all = read(path_ + "/" + piece_names_[i], budget, out.texts.pieces[i], out.error);
+    }
   }
   // What changed while it was read is read again.
   Identity after;
--- a/src/file_watch/watcher.cpp
+++ b/src/file_watch/watcher.cpp
@@ -40,9 +40,10 @@
       judge_(std::move(judge)),
       shared_(std::make_shared<Shared>(settings, std::move(pieces))) {
   shared_->owner = this;
-  if (shared_->inotify.get() >= 0)
+  if (shared_->inotify.get() >= 0) {
     ready_ = std::make_unique<net::IoWatcher>(loop.raw(), shared_->inotify.get(),
                                               [this](int) { events(); });
+  }
 }
 Watcher::~Watcher() {
   shared_->owner = nullptr;
@@ -64,10 +65,11 @@
   submit();
 }
 void Watcher::look_now() {
-  if (out_)
+  if (out_) {
     again_ = true;
-  else
+  } else {
     schedule(0);
+  }
 }
 
 void Watcher::schedule(core::Time at) {
@@ -93,15 +95,17 @@
     for (std::size_t i = 0; i < look.directories.size(); ++i) {
       const int fd = shared->inotify.get();
       const int wd = fd < 0 ? -1 : ::inotify_add_watch(fd, look.directories[i].c_str(), kMask);
-      if (wd >= 0)
+      if (wd >= 0) {
         watched.names[wd].insert(look.names[i]);
-      else if (fd < 0 || (errno != ENOENT && errno != ENOTDIR))
+      } else if (fd < 0 || (errno != ENOENT && errno != ENOTDIR)) {
         watched.complete = false;
+      }
     }
     const Observation sight = look.sight;
     Apply apply;
-    if (sight == Observation::content || sight == Observation::unreadable)
+    if (sight == Observation::content || sight == Observation::unreadable) {
       apply = judge(std::move(look));
+    }
     wakeup.post([shared, sight, watched = std::move(watched), apply = std::move(apply)] {
       if (shared->owner) shared->owner->took(watched, sight, apply);
     });
@@ -114,8 +118,9 @@
 void Watcher::took(Watched watched, Observation sight, const Apply& apply) {
   out_ = false;
   // Watches on directories that the path no longer leads through only make noise.
-  for (const auto& [wd, names] : watched_.names)
+  for (const auto& [wd, names] : watched_.names) {
     if (!watched.names.contains(wd)) ::inotify_rm_watch(shared_->inotify.get(), wd);
+  }
   watched_ = std::move(watched);
   if (!watched_.complete) ++counters_.no_watch;
   if (sight == Observation::content) ++counters_.contents;
@@ -123,10 +128,11 @@
   if (sight == Observation::unsettled) ++counters_.unsettled;
   if (apply) apply();
   const core::Time now = net::unix_now();
-  if (std::exchange(again_, false))
+  if (std::exchange(again_, false)) {
     schedule(now);
-  else
+  } else {
     schedule(now + (sight == Observation::unsettled ? settings_.settle : settings_.poll));
+  }
 }
 
 bool Watcher::concerns(int descriptor, std::uint32_t mask, const char* name) const {
--- a/src/file_watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -1,11 +1,11 @@
 #include "file_watch/worker.h"
 
 #include <pthread.h>
-#include <signal.h>
 #include <sys/resource.h>
 #include <sys/syscall.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <exception>
 #include <utility>
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -30,8 +30,9 @@
 }
 int on_value(http_parser* p, const char* at, std::size_t n) {
   auto& s = *static_cast<Parsing*>(p->data);
-  if (s.request->fields.size() < kFieldsMost)
+  if (s.request->fields.size() < kFieldsMost) {
     s.request->fields.emplace_back(s.name, std::string_view(at, n));
+  }
   std::string_view* field = same(s.name, "host")            ? &s.request->host
                             : same(s.name, "authorization") ? &s.request->authorization
                             : same(s.name, "cookie")        ? &s.request->cookie
@@ -128,8 +129,9 @@
     // The length is what the request announced less what has come: never wait for more than will be
     // read.
     const bool announced = (parser.flags & F_CONTENTLENGTH) != 0 && !state.done;
-    if (request.body.size() > limits.body || (announced && parser.content_length > limits.body))
+    if (request.body.size() > limits.body || (announced && parser.content_length > limits.body)) {
       return request.error = 413, true;
+    }
     if (!state.done) return false;
     bytes.remove_prefix(used);
   } else {
@@ -144,14 +146,16 @@
   const bool reads = request.method == Method::get || request.method == Method::head;
   // A body that is not read leaves nothing behind it on this connection that could be told from it.
   if (!state.reads_body && (has_body || !reads)) request.keep_alive = false;
-  if (state.repeated || parser.upgrade || (!state.reads_body && has_body && reads))
+  if (state.repeated || parser.upgrade || (!state.reads_body && has_body && reads)) {
     request.error = 400;
+  }
   return true;
 }
 
 std::optional<std::string_view> Request::field(std::string_view name) const {
-  for (const auto& [n, v] : fields)
+  for (const auto& [n, v] : fields) {
     if (same(n, name)) return v;
+  }
   return {};
 }
 
@@ -163,9 +167,10 @@
   if (!a.etag.empty()) ((out += "ETag: \"") += a.etag) += "\"\r\n";
   if (a.status == 401) out += "WWW-Authenticate: Bearer\r\n";
   if (a.status == 405) ((out += "Allow: ") += a.allow) += "\r\n";
-  if (a.status == 503)
+  if (a.status == 503) {
     out += "Retry-After: " +
            std::to_string(std::max<core::Time>(1, (a.retry_after + 999'999) / 1'000'000)) + "\r\n";
+  }
   out += a.keep_alive ? "Connection: keep-alive\r\n\r\n" : "Connection: close\r\n\r\n";
   return out;
 }
@@ -174,8 +179,9 @@
   while (!query.empty()) {
     const auto part = query.substr(0, query.find('&'));
     query.remove_prefix(std::min(query.size(), part.size() + 1));
-    if (part.substr(0, part.find('=')) == name)
+    if (part.substr(0, part.find('=')) == name) {
       return part.size() > name.size() ? part.substr(name.size() + 1) : std::string_view();
+    }
   }
   return {};
 }
@@ -186,8 +192,9 @@
     header.remove_prefix(std::min(header.size(), part.size() + 1));
     while (part.starts_with(' ')) part.remove_prefix(1);
     while (part.ends_with(' ')) part.remove_suffix(1);
-    if (part.size() > name.size() && part.starts_with(name) && part[name.size()] == '=')
+    if (part.size() > name.size() && part.starts_with(name) && part[name.size()] == '=') {
       return part.substr(name.size() + 1);
+    }
   }
   return {};
 }
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -62,7 +62,7 @@
       // Little's law the other way round: of `out` held for `held` each, one leaves every held /
       // out; it has to be as many as stand over the limit.
       const double held = g.held > 0 ? g.held : kHeldAtFirst;
-      const double over = static_cast<double>(g.out - *a.rule.max_in_flight + 1);
+      const auto over = static_cast<double>(g.out - *a.rule.max_in_flight + 1);
       const Time after =
           bounded(held * over / static_cast<double>(std::max<std::size_t>(1, g.out)));
       if (after > v.retry_after) v.gate = a.gate, v.retry_after = after;
@@ -90,7 +90,7 @@
     Gate& g = it->second;
     --g.out;
     if (now <= since) continue;
-    const double held = static_cast<double>(now - since);
+    const auto held = static_cast<double>(now - since);
     g.held = g.held > 0 ? g.held + kLearn * (held - g.held) : held;
   }
 }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -29,14 +29,15 @@
   std::string out;
   for (const char c : text) {
     const auto u = static_cast<unsigned char>(c);
-    if (c == '"' || c == '\\')
+    if (c == '"' || c == '\\') {
       (out += '\\') += c;
-    else if (c == '\n')
+    } else if (c == '\n') {
       out += "\\n";
-    else if (u < 32 || u == 127)
+    } else if (u < 32 || u == 127) {
       out += json ? fmt::format("\\u{:04x}", u) : "?";
-    else
+    } else {
       out += c;
+    }
   }
   return out;
 }
@@ -49,8 +50,9 @@
 std::string value_text(const Value& value, bool json) {
   if (const auto* i = std::get_if<std::int64_t>(&value)) return fmt::format("{}", *i);
   if (const auto* b = std::get_if<bool>(&value)) return *b ? "true" : "false";
-  if (const auto* d = std::get_if<double>(&value))
+  if (const auto* d = std::get_if<double>(&value)) {
     return std::isfinite(*d) ? fmt::format("{:g}", *d) : json ? "null" : "nan";
+  }
   const auto text = blotted(std::get<std::string>(value));
   return json ? '"' + escaped(text, true) + '"' : quoted(text);
 }
@@ -111,10 +113,11 @@
 }
 
 void Log::write(Level level, const std::string& text) {
-  if (sink_)
+  if (sink_) {
     sink_(text);
-  else
+  } else {
     out_->write(level, text);
+  }
 }
 
 void Log::record(std::string_view subsystem, Level level, std::string_view event,
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -137,10 +137,11 @@
   if (events & EV_WRITE) {
     flush();
     if (closed_) return;
-    if (lingering_ && unwritten() == 0)
+    if (lingering_ && unwritten() == 0) {
       end_our_side();
-    else if (!lingering_ && handler_.on_written)
+    } else if (!lingering_ && handler_.on_written) {
       handler_.on_written();
+    }
   }
   if (!closed_ && (events & EV_READ)) lingering_ ? throw_away() : read();
   if (!closed_) watch();
@@ -149,8 +150,9 @@
 // One read a turn: a second one could move the buffer under slices handed out in the same turn.
 void Connection::read() {
   if (consumed_) return;
-  if (in_.size() - in_size_ < kReadLeast)
+  if (in_.size() - in_size_ < kReadLeast) {
     in_.resize(std::max(in_.size() * 2, in_size_ + kReadLeast));
+  }
   const ssize_t got =
       ::recv(fd_.get(), in_.data() + in_size_, std::min(in_.size() - in_size_, kReadMost), 0);
   if (got < 0) {
@@ -182,8 +184,9 @@
   std::memmove(in_.data(), in_.data() + consumed_, in_size_ - consumed_);
   in_size_ -= consumed_;
   consumed_ = 0;
-  if (in_size_ == 0)
+  if (in_size_ == 0) {
     std::string().swap(in_);  // most connections are idle: what they hold must be next to nothing
+  }
 }
 
 void Connection::write(std::string_view head, std::string_view body, std::string_view tail) {
@@ -244,8 +247,9 @@
   setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (shared) setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
   if (fd_.get() < 0 || ::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) < 0 ||
-      ::listen(fd_.get(), 512) < 0)
+      ::listen(fd_.get(), 512) < 0) {
     throw std::runtime_error("cannot listen on " + to_string(at) + ": " + std::strerror(errno));
+  }
   watcher_ = std::make_unique<IoWatcher>(loop.raw(), fd_.get(), [this](int) { accept_some(); });
   watcher_->want(EV_READ);
 }
@@ -273,12 +277,13 @@
   while (watcher_) {
     if (!all && !may_accept_()) return false;
     Fd fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (fd.get() >= 0)
+    if (fd.get() >= 0) {
       on_accept_(std::move(fd));
-    else if (!all && (errno == EMFILE || errno == ENFILE))
+    } else if (!all && (errno == EMFILE || errno == ENFILE)) {
       return false;
-    else if (errno != EINTR && errno != ECONNABORTED)
+    } else if (errno != EINTR && errno != ECONNABORTED) {
       break;
+    }
   }
   stop();
   return true;
--- a/src/net/lingering.cpp
+++ b/src/net/lingering.cpp
@@ -9,14 +9,15 @@
 
 Lingering::Lingering(core::Deadlines& deadlines) : deadlines_(deadlines) {}
 Lingering::~Lingering() {
-  for (auto& one : all_)
+  for (auto& one : all_) {
     if (!one.ended) deadlines_.cancel(one.until);
+  }
 }
 
 void Lingering::take(std::unique_ptr<Connection> connection) {
   if (!connection || connection->closed()) return;
   if (size() >= kLingeringMost) cut_oldest();
-  const Place place = all_.insert(all_.end(), One{std::move(connection)});
+  const auto place = all_.insert(all_.end(), One{std::move(connection)});
   place->until = deadlines_.set(unix_now() + kLingerTime, [this, place] { end(place); });
   place->connection->linger([this, place] { end(place); });
 }
@@ -30,15 +31,16 @@
 }
 
 bool Lingering::cut_oldest() {
-  const Place oldest = std::find_if(all_.begin(), all_.end(), [](auto& one) { return !one.ended; });
+  const auto oldest = std::find_if(all_.begin(), all_.end(), [](auto& one) { return !one.ended; });
   if (oldest == all_.end()) return false;
   end(oldest);
   return true;
 }
 
 bool Lingering::fit(std::size_t others, std::size_t most) {
-  while (others + size() >= most)
+  while (others + size() >= most) {
     if (!cut_oldest()) return false;
+  }
   return true;
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,10 +1,9 @@
 #include "net/loop.h"
 
-#include <signal.h>
-#include <time.h>
-
 #include <algorithm>
 #include <atomic>
+#include <csignal>
+#include <ctime>
 
 #include "net/lingering.h"
 
--- a/src/platform/cache_protocol.cpp
+++ b/src/platform/cache_protocol.cpp
@@ -51,8 +51,9 @@
   // After a length of 0 the closing CR LF reads as an empty line.
   while (bytes.starts_with("\r\n")) bytes.remove_prefix(2);
   const auto end = bytes.find("\r\n");
-  if (end == std::string_view::npos)
+  if (end == std::string_view::npos) {
     return bytes.size() > kLineMost ? Parsed::unreadable : Parsed::partial;
+  }
   if (end > kLineMost) return Parsed::unreadable;
   std::string_view line = bytes.substr(0, end);
   answer = {};
@@ -62,8 +63,9 @@
   std::size_t length = 0;
   if (answer.id.empty() || answer.word.empty()) return Parsed::unreadable;
   // Without its length a line says nothing of where the answer ends.
-  if (fields.empty() || !core::parse_number(line, length) || length > kBodyMost)
+  if (fields.empty() || !core::parse_number(line, length) || length > kBodyMost) {
     return Parsed::unreadable;
+  }
   if (fields == "-") fields = {};
   while (!fields.empty()) {
     std::string_view value = cut(fields, ',');
@@ -72,8 +74,9 @@
     if (name == "rep") answer.report = value;
     core::Time ms = 0;
     if (name == "t0") {
-      if (!core::parse_number(value, ms) || ms < 0 || ms > core::Time{1} << 50)
+      if (!core::parse_number(value, ms) || ms < 0 || ms > core::Time{1} << 50) {
         return Parsed::unreadable;
+      }
       answer.born = ms * 1000;
     }
   }
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -68,9 +68,11 @@
     members.push_back(m);
     if (!ahead_.empty()) told_[m.server.id] = {n.number, m};
   }
-  if (n.complete)
-    for (const auto& [id, later] : told_)
+  if (n.complete) {
+    for (const auto& [id, later] : told_) {
       if (later.first > n.number) members.push_back(later.second);
+    }
+  }
   sink_.update_endpoints(n.complete, members);
 }
 
@@ -141,13 +143,15 @@
     if (notice->pool || notice->flush) apply(*notice);
     const std::uint64_t last =
         ahead_.empty() ? notice->number : std::max(notice->number, *ahead_.rbegin());
-    if (last <= held_)
+    if (last <= held_) {
       gap_since_ = 0;
-    else if (!gap_since_)
+    } else if (!gap_since_) {
       gap_since_ = heard_;
+    }
   }
-  if (bytes.size() > kLineMost)
+  if (bytes.size() > kLineMost) {
     return engine_.log_invalid_input(core::InvalidInput::watch_event, bytes), -1;
+  }
   return static_cast<std::ptrdiff_t>(before - bytes.size());
 }
 
--- a/src/platform/rpc_codec.cpp
+++ b/src/platform/rpc_codec.cpp
@@ -106,36 +106,39 @@
     const auto c = static_cast<unsigned char>(bytes[at++]);
     const auto number = [&](std::size_t width) {
       std::uint64_t n = 0;
-      for (std::size_t i = 0; i < width; ++i)
+      for (std::size_t i = 0; i < width; ++i) {
         n = n << 8 | static_cast<unsigned char>(bytes[at + i]);
+      }
       return n;
     };
     std::size_t width = 0;  // of the length or count that follows the first byte
     std::uint64_t skip = 0;
     if (c == 0xc1) return Parsed::unreadable;
-    if (c >= 0xc4 && c <= 0xc9)
+    if (c >= 0xc4 && c <= 0xc9) {
       width = std::size_t{1} << (c - 0xc4) % 3;
-    else if (c >= 0xd9 && c <= 0xdb)
+    } else if (c >= 0xd9 && c <= 0xdb) {
       width = std::size_t{1} << (c - 0xd9);
-    else if (c >= 0xdc && c <= 0xdf)
+    } else if (c >= 0xdc && c <= 0xdf) {
       width = std::size_t{2} << (c - 0xdc) % 2;
+    }
     if (bytes.size() - at < width) return Parsed::partial;
-    if (c >= 0x80 && c <= 0x8f)
+    if (c >= 0x80 && c <= 0x8f) {
       items += 2u * (c & 15u);
-    else if (c >= 0x90 && c <= 0x9f)
+    } else if (c >= 0x90 && c <= 0x9f) {
       items += c & 15u;
-    else if (c >= 0xa0 && c <= 0xbf)
+    } else if (c >= 0xa0 && c <= 0xbf) {
       skip = c & 31u;
-    else if (c >= 0xdc && c <= 0xdf)
+    } else if (c >= 0xdc && c <= 0xdf) {
       items += number(width) * (c < 0xde ? 1 : 2);
-    else if (width)
+    } else if (width) {
       skip = width + number(width) + (c >= 0xc7 && c <= 0xc9 ? 1 : 0);
-    else if (c == 0xca || c == 0xcb)
+    } else if (c == 0xca || c == 0xcb) {
       skip = c == 0xca ? 4 : 8;
-    else if (c >= 0xcc && c <= 0xd3)
+    } else if (c >= 0xcc && c <= 0xd3) {
       skip = std::uint64_t{1} << c % 4;
-    else if (c >= 0xd4 && c <= 0xd8)
+    } else if (c >= 0xd4 && c <= 0xd8) {
       skip = 1 + (std::uint64_t{1} << (c - 0xd4));
+    }
     if (c >= 0xdc && c <= 0xdf) skip = width;
     if (at + skip + items - 1 > most) return Parsed::unreadable;
     if (bytes.size() - at < skip) return Parsed::partial;
@@ -151,15 +154,17 @@
   const auto first = static_cast<unsigned char>(bytes[0]);
   if (first != 0x93 && first != 0x94) return Parsed::unreadable;  // an array of three or four
   std::size_t size = 0;
-  if (const auto measured = measure(bytes, size, kMessageMost); measured != Parsed::whole)
+  if (const auto measured = measure(bytes, size, kMessageMost); measured != Parsed::whole) {
     return measured;
+  }
   msgpack_unpacked unpacked;
   msgpack_unpacked_init(&unpacked);
   const std::unique_ptr<msgpack_unpacked, void (*)(msgpack_unpacked*)> guard(
       &unpacked, msgpack_unpacked_destroy);
   std::size_t used = 0;
-  if (msgpack_unpack_next(&unpacked, bytes.data(), size, &used) != MSGPACK_UNPACK_SUCCESS)
+  if (msgpack_unpack_next(&unpacked, bytes.data(), size, &used) != MSGPACK_UNPACK_SUCCESS) {
     return Parsed::unreadable;
+  }
   bytes.remove_prefix(used);
   return read_call(unpacked.data, call);
 }
@@ -167,8 +172,9 @@
 bool to_request_view(const Call& c, const ClassForm& form, core::RequestView& d) {
   double limit = 0;
   if (!c.well_formed || !core::is_hex_word(c.txn, 16) || !core::is_hex_word(c.item, 16) ||
-      !core::is_plain_word(c.seen) || !core::parse_number(c.item, d.object, 16))
+      !core::is_plain_word(c.seen) || !core::parse_number(c.item, d.object, 16)) {
     return false;
+  }
   if (form.keyed ? !core::is_hex_word(c.unique, 32) : !c.unique.empty()) return false;
   if (!core::parse_number(c.limit, limit) || limit < 1 || limit > kLimitMost) return false;
   d.time_limit = static_cast<core::Time>(limit * 1000);
@@ -176,8 +182,9 @@
   if (!core::parse_number(c.slice, d.part) || d.part > kPartMost) return false;
   if (!core::parse_number(c.set, d.group) || d.group > kGroupMost) return false;
   if (!c.ram.empty() &&
-      (!core::parse_number(c.ram, d.size_kb) || d.size_kb < 0 || d.size_kb > kSizeMost))
+      (!core::parse_number(c.ram, d.size_kb) || d.size_kb < 0 || d.size_kb > kSizeMost)) {
     return false;
+  }
   if (c.body.size() > (form.write ? kBodyMost : 0)) return false;
   d.id = c.txn;
   d.idempotency_key = c.unique;
--- a/src/platform/rpc_front.cpp
+++ b/src/platform/rpc_front.cpp
@@ -191,10 +191,11 @@
     bytes = rest;
     whole = client.asked = true;
   }
-  if (bytes.empty())
+  if (bytes.empty()) {
     client.begun = 0;
-  else if (whole || !client.begun)
+  } else if (whole || !client.begun) {
     client.begun = engine_.now();
+  }
   return static_cast<std::ptrdiff_t>(before - bytes.size());
 }
 
@@ -316,8 +317,9 @@
     c->connection->end_turn();
     count(*c);
     if ((c->ending && c->open.empty() && c->connection->unwritten() == 0) ||
-        (c->asked && may_part(*c)))
+        (c->asked && may_part(*c))) {
       let_go(*c, true);
+    }
   }
   // Half messages that together take too much: whoever has kept one for longest has had its time.
   while (unread_ > memory_ / kUnreadPart) {
@@ -369,10 +371,12 @@
     }
     if (!parting_) continue;
     const std::size_t open = c->open.size();
-    if (now < parting_since_ + third)
+    if (now < parting_since_ + third) {
       c->least_open = std::min(c->least_open, open);
-    else if (open <= c->least_open + (now > parting_since_ + 2 * third ? 1 : 0) || now >= leave_by_)
+    } else if (open <= c->least_open + (now > parting_since_ + 2 * third ? 1 : 0) ||
+               now >= leave_by_) {
       see_off(*c);
+    }
   }
   deadlines_.set(now + kPartEvery, [this] { part(); });
 }
@@ -392,8 +396,9 @@
 void RpcFront::end() {
   leave();
   if (listener_) listener_->stop_empty(), listener_.reset();
-  for (auto& c : clients_)  // who has just come is refused and goes by part()
+  for (auto& c : clients_) {  // who has just come is refused and goes by part()
     if (!c->dead && (c->asked || c->begun || engine_.now() > c->since + kNew)) see_off(*c);
+  }
 }
 
 void RpcFront::cut() {
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -64,8 +64,9 @@
   bool heard() const { return !doubted || connection->last_read > doubted; }
   core::Time first(core::Time Open::*when,
                    core::Time now) const {  // of the attempts open here; now: none
-    for (const auto& [id, o] : open)
+    for (const auto& [id, o] : open) {
       if (o.attempt) now = std::min(now, o.*when);
+    }
     return now;
   }
   std::size_t load() const { return open.size() + waiting.size() + probes.size(); }
@@ -102,16 +103,18 @@
   const bool moved = known && address && member.address != s.member.address;
   const bool restarted = known && member.server.started_at > s.member.server.started_at;
   const std::string last_good = std::exchange(s.member, member).address;
-  if (address)
+  if (address) {
     s.address = *address;
-  else
+  } else {
     s.member.address = last_good;
-  if (!address && member.server.status != al::ServerStatus::gone)
+  }
+  if (!address && member.server.status != al::ServerStatus::gone) {
     engine_.log_invalid_input(core::InvalidInput::address, member.name + ' ' + member.address);
+  }
   // A process that started anew knows nothing of what its forerunner was asked.
   if (moved || restarted) {
     give_back(member.server.id);  // nobody is to blame for what waited
-    for (std::size_t i = 0, n = s.links.size(); i < n; ++i) lost(*s.links[i], net::Closed::reset);
+    for (auto& link : s.links) lost(*link, net::Closed::reset);
   }
   if (member.server.status != al::ServerStatus::ready) out_of_service(s);
   return member.server.status == al::ServerStatus::gone || s.address.sin_port != 0;
@@ -147,8 +150,9 @@
   const std::string key(id);
   for (auto& link : server.links) {
     if (link->dead || link->retired || link->load() >= config_.streams) continue;
-    if (link->burnt.contains(key) || link->open.contains(key) || link->checked || !link->heard())
+    if (link->burnt.contains(key) || link->open.contains(key) || link->checked || !link->heard()) {
       continue;
+    }
     if (stale(*link)) {
       drop(*link);
       continue;
@@ -160,8 +164,9 @@
   const auto& links = server.links;
   const auto coming = [](auto& l) { return !l->dead && l->connection->connecting(); };
   if (best->load() >= kShare && links.size() < kLinksMost &&
-      std::none_of(links.begin(), links.end(), coming))
+      std::none_of(links.begin(), links.end(), coming)) {
     dial(server);
+  }
   return best;
 }
 
@@ -190,9 +195,10 @@
   const auto it = servers_.find(id);
   const core::UpstreamRequest* order = engine_.upstream_request(attempt);
   Link* link = it != servers_.end() && order ? pick(*it->second, order->id) : nullptr;
-  if (!link)
+  if (!link) {
     return engine_.on_upstream_response(attempt,
                                         {AttemptResult::connect_failed, false, {}, {}, 0, {}});
+  }
   where_[attempt] = link;
   link->waiting.push_back(attempt);
   write_waiting(*link);
@@ -217,9 +223,11 @@
   // own connection.
   if (link.open.contains(std::string(order->id))) return send(attempt, order->server);
   std::string source;
-  if (order->fill && order->fill->source != order->server)
-    if (const auto s = servers_.find(order->fill->source); s != servers_.end())
+  if (order->fill && order->fill->source != order->server) {
+    if (const auto s = servers_.find(order->fill->source); s != servers_.end()) {
       source = s->second->member.name;
+    }
+  }
   const auto line =
       fetch_line(*order, config_.names.classes[order->class_id], source, engine_.now());
   Open& open = link.open[std::string(order->id)];
@@ -238,15 +246,17 @@
   link.up = engine_.now();
   const auto probes = std::move(link.probes);
   link.probes.clear();
-  for (const auto& tag : probes)
+  for (const auto& tag : probes) {
     if (link.open.contains(tag)) link.connection->write("stats " + tag + "\r\n");
+  }
 }
 
 void UpstreamPool::mark_written(Link& link) {
   const auto total = link.connection->written_total();
   for (; !link.unwritten.empty() && link.unwritten.front().first <= total;
-       link.unwritten.pop_front())
+       link.unwritten.pop_front()) {
     engine_.mark_written(link.unwritten.front().second);
+  }
 }
 
 // Danger: a spoilt line can read well. What is passed on must be what this request asked for: kept
@@ -255,9 +265,10 @@
 bool UpstreamPool::plausible(const CacheResponse& answer, AttemptId attempt) const {
   const core::UpstreamRequest* order = engine_.upstream_request(attempt);
   if (!order) return true;  // over already, nothing is passed on
-  if (answer.word == "still_good")
+  if (answer.word == "still_good") {
     return answer.body.empty() && !order->client_copy_tag.empty() &&
            answer.sum == order->client_copy_tag;
+  }
   if (answer.word != "served") return true;
   if (config_.settings.classes[order->class_id].never_cached) return !answer.body.empty();
   return !answer.sum.empty() && answer.born > 0;
@@ -315,7 +326,8 @@
 // and a large answer in one piece is due only once its own sending time is over.
 void UpstreamPool::hear(Link& link) {
   const core::Time now = engine_.now(), oldest = link.first(&Open::sent, now);
-  if (oldest < now) response_interval_.learn(static_cast<double>(now - std::max(oldest, link.answered_at)));
+  if (oldest < now)
+    response_interval_.learn(static_cast<double>(now - std::max(oldest, link.answered_at)));
   link.answered_at = now;
 }
 
@@ -334,10 +346,11 @@
       // Danger: connections are reset while the machine is well. Only a refused one, or the next,
       // says more.
       const auto id = link.server->member.server.id;
-      if (why != net::Closed::refused && o.tries < kProbeTries)
+      if (why != net::Closed::refused && o.tries < kProbeTries) {
         send_health_check(id, o.sent, o.tries + 1);
-      else
+      } else {
         engine_.on_health_check_result(id, false, engine_.now() - o.sent, {});
+      }
       continue;
     }
     where_.erase(o.attempt);
@@ -405,8 +418,9 @@
     if (l->dead || l->retired) continue;
     if (!l->heard() || l->connection->connecting()) ++waiting, doubted = l.get();
     const bool quiet = !l->open.empty() && l->connection->last_read <= engine_.now() - kQuiet;
-    if (!fresh && l->heard() && !l->checked && !l->connection->connecting() && !quiet)
+    if (!fresh && l->heard() && !l->checked && !l->connection->connecting() && !quiet) {
       best = l.get();
+    }
   }
   if (best) return best;
   return waiting < kDoubted ? dial(server) : doubted;
@@ -423,10 +437,11 @@
   open.sent = since;
   open.tries = tries;
   open.timeout = deadlines_.set(since + kProbeTime, [this, link, tag] { overdue(*link, tag); });
-  if (link->connection->connecting())
+  if (link->connection->connecting()) {
     link->probes.push_back(tag);
-  else
+  } else {
     link->connection->write("stats " + tag + "\r\n");
+  }
 }
 
 void UpstreamPool::overdue(Link& link, const std::string& tag) {
@@ -469,9 +484,11 @@
 }
 void UpstreamPool::share(std::uint32_t processes) {
   link_limit_ = link_limit(processes);
-  for (auto& [id, s] : linked_)
-    for (auto& link : s->links)
+  for (auto& [id, s] : linked_) {
+    for (auto& link : s->links) {
       if (link_count_ > link_limit_ && !link->dead && link->load() == 0) drop(*link);
+    }
+  }
 }
 
 bool UpstreamPool::listed(al::ServerId server) const {
@@ -482,19 +499,22 @@
 void UpstreamPool::give_back(al::ServerId server) {
   const auto it = linked_.find(server);
   if (it == linked_.end()) return;
-  for (auto& link : it->second->links)
+  for (auto& link : it->second->links) {
     for (const AttemptId attempt : std::exchange(link->waiting, {})) {
       where_.erase(attempt);
       engine_.return_unsent(attempt);
     }
+  }
 }
 
 void UpstreamPool::sweep() {
   const core::Time now = engine_.now();
   deadlines_.set(now + kSweep, [this] { sweep(); });
-  for (auto& [id, s] : linked_)
-    for (auto& link : s->links)
+  for (auto& [id, s] : linked_) {
+    for (auto& link : s->links) {
       if (!link->dead && stale(*link)) drop(*link);
+    }
+  }
 }
 
 // Closed, and not written to, before the cache closes it: a command that crosses its close might
@@ -506,9 +526,11 @@
 void UpstreamPool::watch_links() {
   deadlines_.set(engine_.now() + kWatch, [this] { watch_links(); });
   // By index: a probe that is asked again opens another connection.
-  for (auto& [id, s] : linked_)
-    for (std::size_t i = 0; i < s->links.size(); ++i)
-      if (Link& link = *s->links[i]; !link.dead && !link.connection->connecting()) watch(link);
+  for (auto& [id, s] : linked_) {
+    for (auto& i : s->links) {
+      if (Link& link = *i; !link.dead && !link.connection->connecting()) watch(link);
+    }
+  }
 }
 
 // Danger: an answer that comes byte by byte for ever keeps its connection from looking silent, and
@@ -517,8 +539,9 @@
   if (link.connection->unread() == 0) return link.half_since = 0, false;
   if (!link.half_since) link.half_since = now;
   core::Time sending = 0;
-  for (const auto& [id, o] : link.open)
+  for (const auto& [id, o] : link.open) {
     if (o.attempt) sending = std::max(sending, o.due - o.sent);
+  }
   const core::Time took = now - link.half_since;
   const auto at_pace = static_cast<core::Time>(link.connection->unread()) * 1'000'000 / kSlowest;
   return took > kHalf + 2 * sending && at_pace < took;
@@ -532,11 +555,15 @@
     ++engine_.counters().silent_upstream_connections;
     return lost(link, net::Closed::unreadable);
   }
-  if (link.checked && (link.check.empty() || link.connection->last_read >= link.checked))
+  if (link.checked && (link.check.empty() || link.connection->last_read >= link.checked)) {
     link.checked = 0;
+  }
   const core::Time quiet = now - std::max(link.first(&Open::due, now), link.connection->last_read);
-  if (quiet <= std::max(kQuiet, static_cast<core::Time>(response_interval_.value + kUnusualDevs * response_interval_.deviation)))
+  if (quiet <=
+      std::max(kQuiet, static_cast<core::Time>(response_interval_.value +
+                                               kUnusualDevs * response_interval_.deviation))) {
     return;
+  }
   // Nothing can be asked behind half an answer.
   if (link.connection->unread() > 0 || (link.checked && now > link.checked + kWord)) {
     ++engine_.counters().silent_upstream_connections;
@@ -553,8 +580,9 @@
 void UpstreamPool::end_turn() {
   for (Server* s : std::exchange(touched_, {})) {
     s->touched = false;
-    for (auto& link : s->links)
+    for (auto& link : s->links) {
       if (!link->dead) link->connection->end_turn();
+    }
     std::erase_if(s->links, [](auto& link) { return link->dead; });
     if (!s->links.empty()) continue;
     const auto id = s->member.server.id;
--- a/src/platform/upstream_pool.h
+++ b/src/platform/upstream_pool.h
@@ -11,8 +11,8 @@
 
 #include "config/config.h"
 #include "core/engine.h"
-#include "net/connection.h"
 #include "estimators/estimators.h"
+#include "net/connection.h"
 
 namespace alderspur::platform {
 
@@ -86,7 +86,8 @@
   std::unordered_map<core::AttemptId, Link*> where_;
   std::size_t link_count_ = 0, link_limit_;
   std::uint64_t last_probe_ = 0;
-  estimators::MovingAverage response_interval_;  // on connections with work: from being asked, or an answer, to the next answer
+  estimators::MovingAverage response_interval_;  // on connections with work: from being asked, or
+                                                 // an answer, to the next answer
 };
 
 }  // namespace alderspur::platform
--- a/src/policy/fill_policy.h
+++ b/src/policy/fill_policy.h
@@ -133,7 +133,8 @@
                           outcome.fill_outcome == FillOutcome::fill_limit_reached ||
                           (source_failed(outcome) && is_origin) || was_kept_out;
     // Where the first byte is told, the link's part does not count.
-    const Time waited = outcome.time_to_first_byte > 0 ? outcome.time_to_first_byte : outcome.elapsed;
+    const Time waited =
+        outcome.time_to_first_byte > 0 ? outcome.time_to_first_byte : outcome.elapsed;
     if (fetched || is_stuck) admission_.learn_origin(request, waited, is_stuck);
   }
   void judge_parent(Upstream& parent, const AttemptState& attempt, const AttemptOutcome& outcome,
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -121,10 +121,11 @@
     respond(client, request.error);
     return static_cast<std::ptrdiff_t>(before);
   }
-  if (!client.head && request.method != http::Method::get)
+  if (!client.head && request.method != http::Method::get) {
     respond(client, 405);
-  else
+  } else {
     ask(client, request);
+  }
   return static_cast<std::ptrdiff_t>(before - bytes.size());
 }
 
@@ -133,8 +134,9 @@
                                      std::string_view query) {
   if (guide_) return guide_->find(request, path, query);
   const config::Signed::Route* route = nullptr;
-  for (const auto& r : settings_.routes)
+  for (const auto& r : settings_.routes) {
     if (path.starts_with(r.prefix)) route = &r;
+  }
   const auto rest = route ? path.substr(route->prefix.size()) : std::string_view();
   const auto slash = rest.find('/');
   if (!route || slash == std::string_view::npos) return {};
@@ -147,8 +149,9 @@
   core::RequestView d;
   auto found = find(request, path, query);
   if (!found || found->object.size() != 16 || !core::parse_number(found->object, d.object, 16) ||
-      !core::parse_number(found->part, d.part))
+      !core::parse_number(found->part, d.part)) {
     return respond(client, 404);
+  }
   d.object_text = found->object;
   d.class_id = found->cls;
 
@@ -156,10 +159,11 @@
   std::string token;
   std::string_view text;
   if (const auto pfx = query.starts_with("pfx=") ? 0 : query.find("&pfx=");
-      pfx != std::string_view::npos)
+      pfx != std::string_view::npos) {
     text = query.substr(pfx ? pfx + 1 : 0);
-  else if (query.find("&sig=") != std::string_view::npos)
+  } else if (query.find("&sig=") != std::string_view::npos) {
     text = request.target;
+  }
   Check check = Check::missing;
   Claims claims;
   if (text.empty()) {
@@ -179,10 +183,11 @@
     return respond(client, status_of(check));
   }
   if ((!claims.set.empty() && !core::parse_number(claims.set, d.group)) ||
-      (!claims.ram.empty() && !core::parse_number(claims.ram, d.size_kb)))
+      (!claims.ram.empty() && !core::parse_number(claims.ram, d.size_kb))) {
     return respond(client, 400);
+  }
 
-  if (guide_)
+  if (guide_) {
     if (const core::Time later = guide_->admit(*found, engine_.now()); later > 0) {
       ++engine_.counters().over_limit;
       core::Response refused;
@@ -190,6 +195,7 @@
       refused.retry_after = later;
       return respond(client, 503, refused);
     }
+  }
   char id[17];
   std::snprintf(id, sizeof id, "%016llx",
                 static_cast<unsigned long long>(mix(random_ += 0x9e3779b97f4a7c15ULL)));
@@ -256,7 +262,7 @@
 }
 
 void HttpFront::end_turn() {
-  for (std::size_t i = 0; i < touched_.size(); ++i) settle(*touched_[i]);
+  for (auto& i : touched_) settle(*i);
   const auto touched = std::exchange(touched_, {});
   for (Client* c : touched) {
     c->touched = false;
@@ -272,8 +278,9 @@
 void HttpFront::leave() {
   leaving_ = true;
   listener_.stop_empty();
-  for (auto& c : clients_)
+  for (auto& c : clients_) {
     if (rests(*c)) drop(*c, true);
+  }
 }
 
 bool HttpFront::rests(const Client& c) const {
--- a/src/signed_url/token.cpp
+++ b/src/signed_url/token.cpp
@@ -72,8 +72,9 @@
   std::string out(in.size() / 4 * 3, '\0');
   if (EVP_DecodeBlock(reinterpret_cast<unsigned char*>(out.data()),
                       reinterpret_cast<const unsigned char*>(in.data()),
-                      static_cast<int>(in.size())) < 0)
+                      static_cast<int>(in.size())) < 0) {
     return {};
+  }
   out.resize(out.size() - padding);
   return out;
 }
@@ -82,8 +83,9 @@
   unsigned char mac[EVP_MAX_MD_SIZE];
   unsigned int size = 0;
   if (!HMAC(EVP_sha256(), key.secret.data(), static_cast<int>(key.secret.size()),
-            reinterpret_cast<const unsigned char*>(text.data()), text.size(), mac, &size))
+            reinterpret_cast<const unsigned char*>(text.data()), text.size(), mac, &size)) {
     return {};
+  }
   return base64url({reinterpret_cast<const char*>(mac), size});
 }
 
@@ -94,8 +96,9 @@
   const auto text = signed_text.substr(0, at), given = signed_text.substr(at + 5);
   const auto query = text.find('?');
   Fields f;
-  if (!f.read(query == std::string_view::npos ? text : text.substr(query + 1)))
+  if (!f.read(query == std::string_view::npos ? text : text.substr(query + 1))) {
     return Check::malformed;
+  }
   std::int64_t exp = 0, nbf = 0;
   if (!seconds(f.exp, exp) || (f.nbf.data() && !seconds(f.nbf, nbf))) return Check::malformed;
   const auto key = std::find_if(keys_.begin(), keys_.end(), [&](auto& k) { return k.id == f.kid; });
@@ -103,11 +106,13 @@
   const auto expected = signature(*key, text);
   // In constant time: how far a forged signature agrees must not show in how long the answer takes.
   if (expected.empty() || expected.size() != given.size() ||
-      CRYPTO_memcmp(expected.data(), given.data(), given.size()) != 0)
+      CRYPTO_memcmp(expected.data(), given.data(), given.size()) != 0) {
     return Check::bad_signature;
+  }
   // A link names its path itself; a token names the prefix. One that names neither opens nothing.
-  if (query != std::string_view::npos ? text.substr(0, query) != path : !below(path, f.pfx))
+  if (query != std::string_view::npos ? text.substr(0, query) != path : !below(path, f.pfx)) {
     return Check::wrong_path;
+  }
   if (now < nbf - skew_) return Check::too_early;
   if (now >= exp + skew_) return Check::expired;
   claims = {f.set, f.ram};
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -24,8 +24,9 @@
   T number() {
     T value = 0;
     const auto part = take(sizeof(T));
-    for (std::size_t i = 0; i < sizeof(T); ++i)
+    for (std::size_t i = 0; i < sizeof(T); ++i) {
       value |= static_cast<T>(T(static_cast<unsigned char>(part[i])) << (8 * i));
+    }
     return value;
   }
   std::uint8_t u8() { return number<std::uint8_t>(); }
@@ -52,8 +53,9 @@
  public:
   template <class T>
   void number(T value) {
-    for (std::size_t i = 0; i < sizeof(T); ++i)
+    for (std::size_t i = 0; i < sizeof(T); ++i) {
       out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+    }
   }
   void u8(std::uint8_t v) { number(v); }
   void u16(std::uint16_t v) { number(v); }
@@ -162,8 +164,9 @@
   h.clock = r.u64();
   h.records = r.u32();
   h.number = r.u32();
-  if (h.clock > static_cast<std::uint64_t>(std::numeric_limits<al::Time>::max() / 4))
+  if (h.clock > static_cast<std::uint64_t>(std::numeric_limits<al::Time>::max() / 4)) {
     throw WireError("the clock is out of range");
+  }
   return h;
 }
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -32,12 +32,14 @@
       throw simulator_adapter::WireError("input ends inside a batch header");
     }
     const auto header = simulator_adapter::read_header(head);
-    if (!read_exactly(body, header.length))
+    if (!read_exactly(body, header.length)) {
       throw simulator_adapter::WireError("input ends inside a batch");
+    }
     const std::string reply = host.answer(header, body);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() ||
-        std::fflush(stdout) != 0)
+        std::fflush(stdout) != 0) {
       throw simulator_adapter::WireError("cannot write the reply");
+    }
   }
 }
 
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -50,8 +50,9 @@
   if (!core::parse_number(text.substr(0, end), value)) return {};
   auto unit = text.substr(end);
   while (unit.starts_with(' ')) unit.remove_prefix(1);
-  for (const auto& u : units)
+  for (const auto& u : units) {
     if (u.name == unit) return value * u.factor;
+  }
   return {};
 }
 
@@ -61,7 +62,7 @@
 std::optional<double> parse_size(std::string_view text) { return quantity(text, kSizes); }
 
 std::string duration_text(std::int64_t us) {
-  const double v = static_cast<double>(us);
+  const auto v = static_cast<double>(us);
   if (us >= 3'600'000'000 && us % 3'600'000'000 == 0) return number_text(v / 3600e6) + " h";
   if (us >= 1'000'000) return number_text(v / 1e6) + " s";
   if (us >= 1000) return number_text(v / 1e3) + " ms";
@@ -80,15 +81,17 @@
   return node_ ? tree(node_).get(key) : nullptr;
 }
 void Table::wrong(std::string_view key, std::string text, std::string mend) {
-  if (findings_)
+  if (findings_) {
     findings_->error("F003", place(key), std::string(key) + ": " + text, std::move(mend));
+  }
 }
 
 std::optional<std::string> Table::text(std::string_view key, bool required) {
   const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) {
-    if (required && findings_)
+    if (required && findings_) {
       findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
+    }
     return {};
   }
   if (const auto* s = n->as_string()) return s->get();
@@ -102,10 +105,11 @@
   const auto* list = n->as_array();
   if (!list) return wrong(key, "a list of texts in quotes is wanted here"), out;
   for (const auto& item : *list) {
-    if (const auto* s = item.as_string())
+    if (const auto* s = item.as_string()) {
       out.push_back(s->get());
-    else
+    } else {
       return wrong(key, "a list of texts in quotes is wanted here"), std::vector<std::string>();
+    }
   }
   return out;
 }
@@ -113,8 +117,9 @@
                                            std::int64_t most, bool required) {
   const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) {
-    if (required && findings_)
+    if (required && findings_) {
       findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
+    }
     return {};
   }
   const auto* i = n->as_integer();
@@ -129,8 +134,9 @@
 std::optional<double> Table::real(std::string_view key, double least, double most, bool required) {
   const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) {
-    if (required && findings_)
+    if (required && findings_) {
       findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
+    }
     return {};
   }
   const auto v = n->is_number() ? n->value<double>() : std::nullopt;
@@ -194,8 +200,9 @@
   Table out;
   const auto* n = static_cast<const ::toml::node*>(find(key));
   if (!n) return out;
-  if (!n->is_table())
+  if (!n->is_table()) {
     return wrong(key, "a table is wanted here", "[" + std::string(key) + "]"), out;
+  }
   out.node_ = n->as_table();
   out.origin_ = origin_;
   out.findings_ = findings_;
@@ -210,9 +217,10 @@
   out.reserve(a->size());
   for (const auto& e : *a) {
     if (!e.is_table()) {
-      if (findings_)
+      if (findings_) {
         findings_->error("F003", place_of(e.source(), *origin_),
                          std::string(key) + ": not a table");
+      }
       continue;
     }
     Table t;
@@ -227,10 +235,11 @@
   std::vector<std::pair<std::string, std::string>> out;
   if (!node_) return out;
   for (const auto& [k, v] : tree(node_)) {
-    if (const auto* s = v.as_string())
+    if (const auto* s = v.as_string()) {
       out.emplace_back(k.str(), s->get());
-    else if (findings_)
+    } else if (findings_) {
       findings_->error("F003", place_of(v.source(), *origin_), "a text in quotes is wanted here");
+    }
   }
   return out;
 }
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -54,12 +54,13 @@
   http::Request request;
   if (!http::next_request(bytes, request, {kHeadMost, kBodyMost})) return 0;
   Reply reply{request.error, {}};
-  if (!request.error)
+  if (!request.error) {
     reply = request.target != "/v3/discovery:endpoints" ? Reply{404, {}}
             : request.method != http::Method::post
                 ? Reply{405, {}}
                 : discover(request.body, settings_.cluster, engine_.endpoint_statuses(),
                            [this](auto id) { return caches_.address(id); });
+  }
   const bool keep = !request.error && request.keep_alive;
   http::Answer answer;
   answer.status = reply.status;
@@ -79,10 +80,11 @@
   if (client.dead) return;
   client.dead = true;
   deadlines_.cancel(client.timeout);
-  if (orderly)
+  if (orderly) {
     loop_.lingering().take(std::move(client.connection));
-  else
+  } else {
     client.connection->close();
+  }
 }
 
 void Server::end_turn() {
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -33,8 +33,9 @@
 }
 std::vector<fs::path> files(const char* folder) {
   std::vector<fs::path> out;
-  for (const auto& e : fs::directory_iterator(kCorpus / folder))
+  for (const auto& e : fs::directory_iterator(kCorpus / folder)) {
     if (e.path().extension() == ".alder") out.push_back(e.path());
+  }
   std::sort(out.begin(), out.end());
   return out;
 }
@@ -85,15 +86,17 @@
         return e.code == x.code && e.line == x.place.line &&
                line.find(e.words) != std::string::npos;
       });
-      if (it == expected.end())
+      if (it == expected.end()) {
         ADD_FAILURE() << "not expected: " << line;
-      else
+      } else {
         expected.erase(it);
+      }
     }
-    for (const auto& e : expected)
+    for (const auto& e : expected) {
       ADD_FAILURE() << path.filename() << ": missing " << e.line << ' ' << e.code << ' ' << e.words
                     << "; said:\n"
                     << said;
+    }
   }
 }
 
@@ -105,8 +108,9 @@
     config_language::FileLoader loader;
     const auto program = config_language::load(path.string(), loader, f);
     (void)config_language::check(program, f);
-    for (const auto& x : f.list())
+    for (const auto& x : f.list()) {
       if (x.severity == diagnostics::Severity::error) ADD_FAILURE() << diagnostics::to_string(x);
+    }
     const auto text = text_of(path), once = formatted(text, f), twice = formatted(once, f);
     const auto beside = path.string() + ".formatted";
     EXPECT_EQ(once, fs::exists(beside) ? text_of(beside) : text) << path;
@@ -149,9 +153,11 @@
   std::vector<std::string> match(const std::string& pattern) override {
     std::vector<std::string> out;
     const auto star = pattern.find('*');
-    for (const auto& [p, t] : files)
-      if (p.starts_with(pattern.substr(0, star)) && p.ends_with(pattern.substr(star + 1)))
+    for (const auto& [p, t] : files) {
+      if (p.starts_with(pattern.substr(0, star)) && p.ends_with(pattern.substr(star + 1))) {
         out.push_back(p);
+      }
+    }
     return out;
   }
   std::map<std::string, std::string> files;
@@ -195,8 +201,9 @@
 
 TEST(Includes, DepthAndNumberAreBounded) {
   Memory m;
-  for (int i = 0; i < 60; ++i)
+  for (int i = 0; i < 60; ++i) {
     m.files["f" + std::to_string(i)] = "include \"f" + std::to_string(i + 1) + "\"\n";
+  }
   diagnostics::Findings f;
   (void)config_language::load("f0", m, f);
   EXPECT_EQ(f.list().at(0).code, "A007");
@@ -227,10 +234,11 @@
       const auto at = below(text.size());
       static const std::string kBits[] = {"\n", "\n\n", " # c\n", "{", "}",   "[",  "]",
                                           ",",  ";",    "\"",     "=", "20%", "$x", "# d\n"};
-      if (random() % 3 == 0)
+      if (random() % 3 == 0) {
         text.erase(at, 1 + below(20));
-      else
+      } else {
         text.insert(at, kBits[below(std::size(kBits))]);
+      }
     }
     diagnostics::Findings f;
     config_language::Sources sources;
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -20,9 +20,11 @@
  protected:
   // Answers every fetch that waits, once.
   void answer_all(const std::string& body) {
-    for (auto& b : box)
-      for (auto& c : b.commands)
+    for (auto& b : box) {
+      for (auto& c : b.commands) {
         if (std::exchange(c.word, "answered") == "fetch") Box::answer(c, "served", body);
+      }
+    }
   }
   std::size_t aborts() const { return box[0].count("abort") + box[1].count("abort"); }
   std::string object(unsigned n) {
@@ -51,8 +53,9 @@
   // Takes what has come up; the fillers end, so that later ones can.
   void let_up() {
     for (const int fd : std::exchange(fillers_, {})) ::close(fd);
-    for (int fd; (fd = ::accept(fd_, nullptr, nullptr)) >= 0;)
+    for (int fd; (fd = ::accept(fd_, nullptr, nullptr)) >= 0;) {
       taken.push_back(std::make_unique<loopback::Socket>(fd));
+    }
     for (auto& s : taken) s->poll();
   }
   bool got(const std::string& word) const {
@@ -499,9 +502,11 @@
   ASSERT_EQ(fetch(2)->from, got.from);
   got.from->write(got.id + " served " + loopback::dated("t") + " 240000\r\n");
   ASSERT_TRUE(until([&] { return got.from->write("x"), fetches() == 4; }));
-  for (auto& b : box)
-    for (auto& cmd : b.commands)
+  for (auto& b : box) {
+    for (auto& cmd : b.commands) {
       if (cmd.from != got.from) Box::answer(cmd, "served", "whole");
+    }
+  }
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
   for (const auto& a : answers(c->in)) EXPECT_EQ(a.body, "whole");
 }
@@ -537,9 +542,11 @@
   ASSERT_TRUE(until([&] { return !answers(c->in).empty(); }));
   EXPECT_EQ(answers(c->in)[0].body, "in time");
   ASSERT_TRUE(until([&] { return fetches() >= 2; }));
-  for (auto& b : box)
-    for (auto& cmd : b.commands)
+  for (auto& b : box) {
+    for (auto& cmd : b.commands) {
       if (cmd.id != got.id && !cmd.from->ended) Box::answer(cmd, "served", "the other");
+    }
+  }
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
   settle();
   EXPECT_EQ(answers(c->in).size(), 2u);
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -26,8 +26,9 @@
     std::string s = good;
     for (unsigned n = random() % 4; n-- > 0;) s[random() % s.size()] = static_cast<char>(random());
     if (random() % 3 == 0) s.resize(random() % (s.size() + 1));
-    if (random() % 5 == 0)
+    if (random() % 5 == 0) {
       s.insert(random() % (s.size() + 1), s.substr(0, random() % (s.size() + 1)));
+    }
     const std::vector<char> exact(s.begin(), s.end());
     read({exact.data(), exact.size()});
   }
@@ -42,7 +43,7 @@
     for (auto before = bytes.size() + 1; bytes.size() < before;) {
       before = bytes.size();
       if (platform::next_call(bytes, call) != platform::Parsed::whole) break;
-      if (!platform::to_request_view(call, {true, true, 0}, demand)) continue;
+      if (!platform::to_request_view(call, {true, true, false}, demand)) continue;
       ++whole;
       EXPECT_EQ((std::string(demand.id) += demand.object_text).find_first_of(" ,=\r\n"),
                 std::string::npos);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -46,8 +46,9 @@
 TEST(Limits, ARequestThatOneGateRefusesCostsTheOthersNothing) {
   Limits l;
   auto a = l.ask({full("route r", 1)}, 0);
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     EXPECT_FALSE(l.ask({rate("pool p", 1, 1), full("route r", 1)}, 0).admitted);
+  }
   EXPECT_EQ(l.in_flight("pool p"), 0u);
   EXPECT_TRUE(l.ask({rate("pool p", 1, 1)}, 0).admitted) << "its token is still there";
   EXPECT_EQ(l.counters("route r").refused_full, 5u);
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -15,9 +15,7 @@
 using loopback::answers;
 using loopback::Box;
 using loopback::Command;
-using loopback::pack;
 using loopback::request;
-using loopback::str;
 
 const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 class Platform : public loopback::BoardStory {};
@@ -114,8 +112,9 @@
            {"slice", {"", "-1", "1e12", "4000000000"}},
            {"set", {"", "256", "x", "-1"}},
            {"ram", {"inf", "-1", "1e300"}},
-           {"unique", {kKey}}})
+           {"unique", {kKey}}}) {
     for (const auto& value : values) good->write(request(++id, "asset", {{field, value}}));
+  }
   ASSERT_TRUE(until([&] { return answers(good->in).size() == id; }));
   for (const auto& a : answers(good->in)) EXPECT_EQ(a.error, "Failed") << a.id;
   // Answered, so counted: what a client was told is in the figures, though nothing was sent for it.
@@ -186,9 +185,11 @@
     got.from->write(got.id + ' ' + spoilt);
     ASSERT_TRUE(until([&] { return got.from->poll(), got.from->ended; })) << spoilt;
     ASSERT_TRUE(until([&] { return fetches() == asked + 2 || answers(c->in).size() == id; }));
-    for (auto& b : box)
-      for (auto& cmd : b.commands)
+    for (auto& b : box) {
+      for (auto& cmd : b.commands) {
         if (cmd.id == got.id && !cmd.from->ended) Box::answer(cmd, "served", "good");
+      }
+    }
     ASSERT_TRUE(until([&] { return answers(c->in).size() == id; })) << spoilt;
     EXPECT_NE(answers(c->in).back().body, "bytes");
     for (auto& b : box) b.commands.clear();
@@ -222,10 +223,13 @@
   // Until it holds, the boxes answer probes on all connections but that one.
   bool until_but(const loopback::Socket* silent, const std::function<bool()>& holds) {
     return until([&] {
-      for (auto* b : {&box[0], &box[1], &origin})
-        for (auto& cmd : b->commands)
-          if ((cmd.word == "alive" || cmd.word == "stats") && cmd.from != silent)
+      for (auto* b : {&box[0], &box[1], &origin}) {
+        for (auto& cmd : b->commands) {
+          if ((cmd.word == "alive" || cmd.word == "stats") && cmd.from != silent) {
             Box::answer(cmd, "green"), cmd.word = "answered";
+          }
+        }
+      }
       return holds();
     });
   }
@@ -241,8 +245,9 @@
     ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == 2; }));
     const Command first = *fetch(1), second = *fetch(2);
     ASSERT_EQ(first.from, second.from);
-    if (half)
+    if (half) {
       first.from->write(first.id + " served " + loopback::dated("t") + " 100\r\nhalf of it");
+    }
     ASSERT_TRUE(until_but(first.from, [&] { return fetches() == 4; }));
     for (std::size_t i = 3; i <= 4; ++i) {
       EXPECT_EQ(&box_of(*fetch(i)), &box_of(first));
@@ -327,8 +332,9 @@
     ASSERT_TRUE(until([&] { return fetches() == i; }));
   }
   std::map<loopback::Socket*, int> open;
-  for (auto& b : box)
+  for (auto& b : box) {
     for (auto& cmd : b.commands) ++open[cmd.from];
+  }
   EXPECT_LE(open.size(), 12u);
   for (const auto& [from, n] : open) EXPECT_LE(n, 12);
   EXPECT_GE(open.size(), 4u);
@@ -358,8 +364,9 @@
       EXPECT_LE(at[i], (round + 1) * 350'000);
       ++in_10_ms[at[i] / 10'000];
     }
-    for (const auto& [slot, n] : in_10_ms)
+    for (const auto& [slot, n] : in_10_ms) {
       EXPECT_LE(n, 15) << "of 100 in one 10 ms, round " << round;
+    }
   }
   std::mt19937_64 once(7), again(7);
   EXPECT_EQ(alderspur::platform::pause_before_dial(once),
@@ -379,8 +386,9 @@
   w->write(gone(2, "s-a", box[0]) + "2\nnot json\n");
   settle();
   auto c = client(front->address());
-  for (unsigned i = 1; i <= 8; ++i)
+  for (unsigned i = 1; i <= 8; ++i) {
     c->write(request(i, "asset", {{"item", "000000000000000" + std::to_string(i)}}));
+  }
   ASSERT_TRUE(until([&] { return fetches() == 8; }));
   EXPECT_EQ(box[0].count("fetch"), 0u);
   w->close();
@@ -419,10 +427,11 @@
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "bad_notice"), 1);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "bad_address"), 1);
   auto c = client(front->address());
-  for (unsigned i = 1; i <= 12; ++i)
+  for (unsigned i = 1; i <= 12; ++i) {
     c->write(request(i, "asset",
                      {{"txn", "00000000000000" + std::to_string(10 + i)},
                       {"item", "00000000000000" + std::to_string(10 + i)}}));
+  }
   ASSERT_TRUE(until([&] { return fetches() == 12; }));
   EXPECT_GT(box[0].count("fetch"), 0u) << "the address that was good stays";
   EXPECT_GT(box[1].count("fetch"), 0u);
@@ -442,9 +451,10 @@
     lines.push_back(event + ' ' + text);
   });
   const core::Time second = 1'000'000;
-  for (int i = 0; i < 1000; ++i)
+  for (int i = 0; i < 1000; ++i) {
     complaints.report(core::InvalidInput::watch_event, second + i * 1000,
                       "\x1b[2J" + std::string(500, 'x'));
+  }
   complaints.report(core::InvalidInput::frame, second);
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_EQ(lines[0].find('\x1b'), std::string::npos);
@@ -514,9 +524,11 @@
   }
   quick->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 25; }));
-  for (auto& b : box)
-    if (!b.commands.empty() && b.commands.back().from)
+  for (auto& b : box) {
+    if (!b.commands.empty() && b.commands.back().from) {
       Box::answer(b.commands.back(), "served", "quick");
+    }
+  }
   ASSERT_TRUE(until([&] { return answers(quick->in).size() == 1; }));
   watched.push_back(slow.get());
   ASSERT_TRUE(
@@ -542,15 +554,17 @@
   member.address = net::to_string(at);
   caches->update(member);
   auto c = client(front->address());
-  for (unsigned i = 1; i <= 6; ++i)
+  for (unsigned i = 1; i <= 6; ++i) {
     c->write(request(
         i, "plan-accept",
         {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}, {"limit", limit}}));
+  }
   std::size_t answered = 0;
   ASSERT_TRUE(until([&] {
-    for (; answered < box[1].commands.size(); ++answered)
+    for (; answered < box[1].commands.size(); ++answered) {
       if (box[1].commands[answered].word == "fetch")
         Box::answer(box[1].commands[answered], "served", "moved");
+    }
     return answers(c->in).size() == 6;
   }));
   EXPECT_EQ(engine->counters().attempts_reset + engine->counters().attempts_timeout, 0u);
@@ -673,7 +687,7 @@
 // A client leaves in the turn in which its attempt fails, or in the 50 ms before the next one may
 // leave.
 TEST_F(Core, ForAClientThatHasLeftNoNextAttemptBegins) {
-  for (const bool ended_its_side : {false, true})
+  for (const bool ended_its_side : {false, true}) {
     for (const bool in_the_turn : {true, false}) {
       recorder.sent.clear();
       const auto ticket = take();
@@ -683,10 +697,11 @@
       const auto result =
           in_the_turn ? alderspur::AttemptResult::overloaded : alderspur::AttemptResult::reset;
       engine->on_upstream_response(recorder.sent[0], {result, false, {}, {}, 0, {}});
-      if (ended_its_side)
+      if (ended_its_side) {
         engine->stop_retrying(ticket), time += in_the_turn ? 50'000 : 0;
-      else
+      } else {
         engine->cancel_request(ticket);
+      }
       engine->run();
       time += 50'000;
       deadlines.run_due(time);
@@ -695,6 +710,7 @@
       EXPECT_EQ(engine->open_request_count(), 0u);
       EXPECT_FALSE(engine->is_open("a"));
     }
+  }
   EXPECT_EQ(recorder.answers.size(), 2u) << "who may still be there is answered";
 }
 
@@ -726,8 +742,9 @@
       buffer += piece;
       std::string_view bytes = buffer;
       platform::CacheResponse a;
-      while (platform::next_answer(bytes, a) == platform::Parsed::whole)
+      while (platform::next_answer(bytes, a) == platform::Parsed::whole) {
         got.push_back(std::string(a.id) + a.word.substr(0, 3).data()[0] + std::string(a.body));
+      }
       buffer = std::string(bytes);
     }
     EXPECT_EQ(got, (std::vector<std::string>{"asxyz", "bn", "p1g"})) << cut;
--- a/tests/process.h
+++ b/tests/process.h
@@ -23,10 +23,11 @@
                    const std::string& operators = {}, bool pipe = false) {
     char name[] = "/tmp/alderspur-test-XXXXXX";
     folder_ = ::mkdtemp(name);
-    if (pipe)
+    if (pipe) {
       EXPECT_EQ(::mkfifo((folder_ + "/config.json").c_str(), 0600), 0);
-    else
+    } else {
       configure(config);
+    }
     int ends[2];
     EXPECT_EQ(::pipe(ends), 0);
     pid_ = ::fork();
@@ -76,8 +77,9 @@
   std::size_t descriptors() const {
     std::size_t n = 0;
     for ([[maybe_unused]] const auto& e :
-         std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd"))
+         std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd")) {
       ++n;
+    }
     return n;
   }
   std::size_t resident() const {  // bytes
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -51,8 +51,9 @@
     FILE* out = ::popen(command.c_str(), "r");
     said.clear();
     char buffer[4096];
-    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, out)) > 0;)
+    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, out)) > 0;) {
       said.append(buffer, n);
+    }
     const int status = ::pclose(out);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
@@ -66,8 +67,9 @@
   EXPECT_EQ(run("check --help"), 0);
   EXPECT_TRUE(says("Example:"));
   for (const char* usage :
-       {"", "chek a.toml", "check", "run", "diff a.toml", "check --colour a.toml"})
+       {"", "chek a.toml", "check", "run", "diff a.toml", "check --colour a.toml"}) {
     EXPECT_EQ(run(usage), 2) << usage;
+  }
   EXPECT_EQ(run("check a.toml b.toml"), 0) << said;
   write("bad.toml", list(1, "in_sevrice", "4.0"));
   EXPECT_EQ(run("check a.toml bad.toml"), 1);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -147,11 +147,13 @@
   Bed a;
   std::map<std::uint64_t, std::uint64_t> home;
   std::set<std::uint64_t> used;
-  for (std::uint64_t o = 1; o <= 60; ++o)
+  for (std::uint64_t o = 1; o <= 60; ++o) {
     used.insert(home[o] = a.serve(o, 100, static_cast<std::uint32_t>(o)));
+  }
   EXPECT_EQ(used.size(), 4u);
-  for (std::uint64_t o = 1; o <= 60; ++o)
+  for (std::uint64_t o = 1; o <= 60; ++o) {
     EXPECT_EQ(a.serve(o, 100, 99), home[o]) << "parts share the home";
+  }
   Bed b(site(),
         {cache(1), cache(2), cache(3), upstream(20, Role::parent), upstream(30, Role::origin)});
   for (std::uint64_t o = 1; o <= 60; ++o) {
@@ -166,8 +168,9 @@
   auto other = site();
   other.location = {4};
   auto there_fleet = fleet();
-  for (auto& s : there_fleet)
+  for (auto& s : there_fleet) {
     if (s.role == Role::cache) s.location = {4}, s.id.value += 100;
+  }
   Bed there(other, there_fleet, 99);
   std::set<std::uint64_t> parents;
   for (std::uint64_t o = 1; o <= 40; ++o) {
@@ -221,8 +224,9 @@
   }
   ASSERT_EQ(given[1] + given[2] + given[3] + given[4], 40);
   const std::uint64_t hot = 99999, home = bed.serve(hot);
-  for (int i = 2; i <= 8; ++i)
+  for (int i = 2; i <= 8; ++i) {
     EXPECT_EQ(bed.serve(hot), home) << "x is at most 700 before request " << i;
+  }
   EXPECT_NE(bed.serve(hot), home) << "x = 800: the set has its second cache";
 }
 TEST(HotSet, OrdinaryObjectsKeepOneHome) {
@@ -262,8 +266,9 @@
   actions = bed.tell(
       Request{{50}, {1}, {0}, {0}, 0, std::numeric_limits<double>::quiet_NaN(), second, false});
   bool refused = false;
-  for (auto& a : actions)
+  for (auto& a : actions) {
     if (auto* r = std::get_if<Reject>(&a)) refused = r->retry_after > 0;
+  }
   EXPECT_TRUE(refused);
 }
 TEST(Answers, UnknownThingsAreIgnored) {
@@ -330,8 +335,9 @@
   for (int i = 0; i < 20; ++i) bed.end(bed.ask(7), AttemptResult::not_sent);
   bed.end(id, AttemptResult::not_sent);
   EXPECT_EQ(bed.sends[id].size(), 2u) << "it goes on, out of no budget of retries";
-  for (const auto& s : bed.router.endpoint_statuses(bed.now))
+  for (const auto& s : bed.router.endpoint_statuses(bed.now)) {
     EXPECT_TRUE(s.is_usable) << s.server.id.value;
+  }
 }
 
 TEST(Effects, NeverTwoAttemptsOut) {
@@ -351,11 +357,12 @@
   bed.end(out, AttemptResult::error);
   for (std::uint64_t o = 1; o < 60; ++o) bed.ask(o);
   bed.advance(2 * second);  // second copies too
-  for (auto& [id, sends] : bed.sends)
+  for (auto& [id, sends] : bed.sends) {
     for (std::size_t i = id == out ? 1 : 0; i < sends.size(); ++i) {
       EXPECT_NE(sends[i].server.value, home);
       EXPECT_NE(sends[i].fill->source.value, 20u);
     }
+  }
 }
 TEST(Drains, AnEmptiedListStopsAllSends) {
   Bed bed;
@@ -369,9 +376,11 @@
 // s.
 double sent_to(Bed& bed, std::uint64_t server, bool as_source) {
   double n = 0;
-  for (auto& [id, sends] : bed.sends)
-    for (auto& s : sends)
+  for (auto& [id, sends] : bed.sends) {
+    for (auto& s : sends) {
       n += (as_source ? s.fill->source.value : s.server.value) == server ? 0.1 : 0;
+    }
+  }
   return n;
 }
 TEST(Cold, ABurstDoesNotSpendMoreThanAColdCacheCanDo) {
@@ -421,14 +430,18 @@
   for (Time t = 0; t < 40 * second; t += 5 * ms) {
     for (auto& b : beds) b.advance(5 * ms);
     if (t == 30 * second) born = beds[0].now;
-    for (std::size_t i = 0; i < routers && t >= 30 * second && t <= 32 * second; ++i)
-      for (auto x : servers)
-        if (x.id.value == victim && hears(i) == t)
+    for (std::size_t i = 0; i < routers && t >= 30 * second && t <= 32 * second; ++i) {
+      for (auto x : servers) {
+        if (x.id.value == victim && hears(i) == t) {
           x.started_at = born, beds[i].tell(EndpointUpdate{false, false, {x}});
+        }
+      }
+    }
     if (stirred && t == 31 * second) {
       auto known = servers;
-      for (auto& x : known)
+      for (auto& x : known) {
         if (x.id.value == victim) x.started_at = born;
+      }
       std::vector<Bed> after;
       for (std::size_t i = 0; i < routers; ++i) {
         if (i % 10 < 3) {
@@ -453,7 +466,7 @@
       if (b.sends[id].empty()) continue;
       const Send first = b.sends[id][0];
       const bool hits_it = (parent ? first.fill->source : first.server).value == victim;
-      if (born && hits_it && t >= hears(at)) sent.push_back({b.now, work});
+      if (born && hits_it && t >= hears(at)) sent.emplace_back(b.now, work);
       b.end(id, AttemptResult::ok, FillOutcome::filled);
     }
   }
@@ -461,8 +474,9 @@
   for (std::size_t i = 0; i < sent.size(); ++i) {
     double sum = 0;
     for (std::size_t k = i; k < sent.size() && sent[k].first <= sent[i].first + s.overload_window;
-         ++k)
+         ++k) {
       sum += sent[k].second;
+    }
     const double from = parent ? s.parent_slow_start_fraction : s.cache_slow_start_fraction;
     const double grown =
         static_cast<double>(sent[i].first - born) / static_cast<double>(20 * second);
@@ -500,7 +514,7 @@
 class Fleets : public ::testing::TestWithParam<std::tuple<std::size_t, How>> {};
 TEST_P(Fleets, SumOnAColdServerStaysWithinItsBudgetAndChance) {
   const auto [routers, how] = GetParam();
-  for (const bool parent : {true, false})
+  for (const bool parent : {true, false}) {
     for (const auto& [told, capacity] : {std::pair{true, 40}, {true, 6}, {false, 40}, {false, 6}}) {
       SCOPED_TRACE((parent ? "parent of " : "cache of ") + std::to_string(capacity) +
                    (told ? ", told" : ""));
@@ -508,6 +522,7 @@
       EXPECT_LE(sum.over, 0);
       EXPECT_GT(sum.part, capacity > 10 ? 0.1 : 0.04) << "and it is used";
     }
+  }
 }
 INSTANTIATE_TEST_SUITE_P(Cold, Fleets,
                          ::testing::Combine(::testing::Values(3, 20, 30, 300),
@@ -611,8 +626,9 @@
       ASSERT_FALSE(bed.sends[id].empty());
       if (home == 0) home = bed.sends[id][0].server.value;
       EXPECT_EQ(bed.sends[id][0].server.value, home) << "the cache stays in";
-      for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
+      for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
         bed.end(id, result, FillOutcome::source_refused, k);
+      }
       EXPECT_EQ(bed.answers[id], 1);
     }
     EXPECT_NE(bed.sends[bed.ask(1)][0].fill->source, bed.sends[RequestId{1}][0].fill->source);
@@ -638,8 +654,9 @@
   std::size_t attempts = 0;
   for (int i = 0; i < 500; ++i) {
     const auto id = bed.ask(static_cast<std::uint64_t>(i));
-    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
+    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
       bed.end(id, AttemptResult::overloaded, FillOutcome::none, k);
+    }
     attempts += bed.sends[id].size();
     EXPECT_EQ(bed.answers[id], 1);
   }
@@ -694,8 +711,9 @@
       out.push_back(bed.ask(static_cast<std::uint64_t>(i % 40), 0, 400));
       refused += bed.answers[out.back()];
       if (out.size() < 30) continue;
-      if (bed.answers[out.front()] == 0)
+      if (bed.answers[out.front()] == 0) {
         bed.end(out.front(), AttemptResult::ok, FillOutcome::hit, 0, takes);
+      }
       out.erase(out.begin());
     }
     for (auto id : out) {
@@ -768,8 +786,9 @@
         others += !concerned && o > 100;
         if (bed.end(id, fails ? AttemptResult::error : AttemptResult::ok, FillOutcome::none, k,
                     20 * ms);
-            !fails)
+            !fails) {
           break;
+        }
       }
       refused += bed.answers[id];
     }
@@ -934,9 +953,10 @@
           bed.ask(o, 0, o % 10 == 0 ? 1200 : 200);  // of 48 transfers, 6 are this router's
       refused += bed.answers[id];
       bed.advance(120 * ms);
-      if (o > 2 && bed.answers[RequestId{id.value - 2}] == 0)
+      if (o > 2 && bed.answers[RequestId{id.value - 2}] == 0) {
         bed.end(RequestId{id.value - 2}, AttemptResult::ok, FillOutcome::none, 0,
                 o % 4 == 0 ? 2 * second : 300 * ms);
+      }
     }
   }
   EXPECT_LE(refused, 40) << "of 4,000";
@@ -1011,10 +1031,11 @@
     ASSERT_EQ(fills_by(bed, parent, 100, 140), 0);
     bed.advance(2 * second);
     bed.tell(HealthCheckResult{parent, true, 2 * second, {}, up, true, true});
-    if (up > 10 * second)
+    if (up > 10 * second) {
       EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
-    else
+    } else {
       EXPECT_LT(fills_by(bed, parent, 200, 300), 20) << "it may be a new one: cold";
+    }
   }
 }
 // Guards against holding requests on a point whose caches are all known to be out: probes find them
@@ -1023,8 +1044,9 @@
   Bed bed(probing_site());
   for (std::uint64_t o = 1; o <= 40; ++o) {
     const auto id = bed.ask(o);
-    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k)
+    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
       bed.end(id, AttemptResult::connect_failed, FillOutcome::none, k);
+    }
   }
   const auto id = bed.ask(100);
   EXPECT_TRUE(bed.sends[id].empty());
@@ -1042,8 +1064,9 @@
     out.push_back(bed.ask(static_cast<std::uint64_t>(i % 40), 0, 1500));
     refused += bed.answers[out.back()];
     if (out.size() < 12) continue;
-    if (bed.answers[out.front()] == 0)
+    if (bed.answers[out.front()] == 0) {
       bed.end(out.front(), AttemptResult::ok, FillOutcome::none, 0, 1550 * ms);
+    }
     out.erase(out.begin());
   }
   EXPECT_EQ(refused, 0);
@@ -1154,9 +1177,9 @@
 void expect_answers(Bed& bed) {
   for (std::uint64_t o = 1; o <= 30; ++o) {
     const auto id = bed.ask(o);
-    if (!bed.sends[id].empty())
+    if (!bed.sends[id].empty()) {
       bed.end(id, AttemptResult::ok, FillOutcome::hit);
-    else {
+    } else {
       EXPECT_EQ(bed.answers[id], 1) << "given up at once";
     }
     bed.advance(20 * ms);
@@ -1180,8 +1203,9 @@
   Bed bed;
   for (std::uint64_t o = 1; o <= 60; ++o) bed.serve(o);
   std::vector<Server> later;
-  for (std::uint64_t i = 101; i <= 104; ++i)
+  for (std::uint64_t i = 101; i <= 104; ++i) {
     later.push_back(cache(i, ServerStatus::ready, bed.now));
+  }
   later.push_back(upstream(30, Role::origin));
   bed.tell(EndpointUpdate{true, false, later});
   bed.sends.clear();
@@ -1241,9 +1265,11 @@
   bed.tell(Ban{{20}, true});
   const auto sent_to = [&](std::uint64_t server) {
     std::size_t n = 0;
-    for (const auto& [id, list] : bed.sends)
-      for (const auto& s : list)
+    for (const auto& [id, list] : bed.sends) {
+      for (const auto& s : list) {
         n += s.server == ServerId{server} || (s.fill && s.fill->source == ServerId{server});
+      }
+    }
     return n;
   };
   const auto ask_many = [&](std::uint64_t from) {
@@ -1294,13 +1320,15 @@
     std::size_t n = 0;
     for (std::size_t i = 0; i < shares.size(); ++i) {
       Bed bed(site(), fleet(), 7 + i);
-      for (std::uint64_t id = 1; id <= 4; ++id)
+      for (std::uint64_t id = 1; id <= 4; ++id) {
         bed.tell(EndpointUpdate{false, false, {cache(id, ServerStatus::ready, bed.now)}});
+      }
       bed.tell(BudgetShare{shares[i], 0});
       for (std::uint64_t o = 0; o < 800; ++o) {
         const auto id = bed.ask(o, 0, 200);
-        if (bed.sends.contains(id))
+        if (bed.sends.contains(id)) {
           ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
+        }
         bed.advance(5 * ms);
       }
     }
@@ -1327,13 +1355,15 @@
     std::size_t n = 0;
     for (std::size_t i = 0; i < routers; ++i) {
       Bed bed(told, fleet(), 7 + i);
-      for (std::uint64_t id = 1; id <= 4; ++id)
+      for (std::uint64_t id = 1; id <= 4; ++id) {
         bed.tell(EndpointUpdate{false, false, {cache(id, ServerStatus::ready, bed.now)}});
+      }
       if (!parts.empty()) bed.tell(BudgetShare{1, 0, parts[i], parts[i]});
       for (std::uint64_t o = 0; o < 800; ++o) {
         const auto id = bed.ask(o, 0, 200);
-        if (bed.sends.contains(id))
+        if (bed.sends.contains(id)) {
           ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
+        }
         bed.advance(5 * ms);
       }
     }
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -98,9 +98,11 @@
     return status(s);
   }
   void serve_all() {
-    for (; served < box.commands.size(); ++served)
-      if (box.commands[served].word == "fetch")
+    for (; served < box.commands.size(); ++served) {
+      if (box.commands[served].word == "fetch") {
         Box::answer(box.commands[served], "served", "bytes", loopback::dated("t"));
+      }
+    }
   }
   bool logged(const std::string& what) const {
     return std::any_of(lines.begin(), lines.end(),
@@ -147,9 +149,10 @@
 TEST_F(RoutesInService, ATableIsSwappedWholeUnderRequests) {
   const auto version = [&](const char* cls, const char* most) {
     std::string t;
-    for (const char* n : {"x", "y", "z"})
+    for (const char* n : {"x", "y", "z"}) {
       t += route(n, std::string("/") + n + "/{object}", cls,
                  std::string("  max-in-flight = ") + most + "\n");
+    }
     return t;
   };
   write(version("asset", "100"));
@@ -158,14 +161,16 @@
   std::vector<loopback::Socket*> asked;
   std::size_t swaps = 0;
   for (int round = 0; round < 12; ++round) {
-    for (const char* n : {"x", "y", "z"})
+    for (const char* n : {"x", "y", "z"}) {
       asked.push_back(&ask(std::string("/") + n + "/" + object));
+    }
     const auto fetches = asked.size();
     ASSERT_TRUE(until([&] { return box.count("fetch") == fetches; }));
     // All three of one round were decided by one table.
     const auto& c = box.commands;
-    for (std::size_t i = c.size() - 3; i < c.size(); ++i)
+    for (std::size_t i = c.size() - 3; i < c.size(); ++i) {
       EXPECT_EQ(c[i].fields.at("lane"), round % 2 ? "video" : "asset") << round;
+    }
     const auto before = routes->in_force();
     write(version(round % 2 ? "asset" : "video", round % 2 ? "100" : "99"));
     routes->reload();
@@ -194,8 +199,9 @@
   write(route("few", "/f/{object}", "asset", "  max-in-flight = 2\n") +
         route("other", "/o/{object}", "asset"));
   start();
-  for (int i = 0; i < 3; ++i)
+  for (int i = 0; i < 3; ++i) {
     EXPECT_EQ(answered(ask("/f/" + object, true)), 403) << "a forged link takes no room";
+  }
   auto& a = ask("/f/" + object);
   auto& b = ask("/f/" + object);
   ASSERT_TRUE(until([&] { return box.count("fetch") == 2; }));
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -29,8 +29,9 @@
   diagnostics::Findings f;
   const auto program = config_language::load("main.alder", loader, f);
   const auto meaning = config_language::check(program, f);
-  for (const auto& x : f.list())
+  for (const auto& x : f.list()) {
     if (x.severity == diagnostics::Severity::error) ADD_FAILURE() << program.sources.render(x);
+  }
   return std::make_unique<routing::Table>(meaning, program.sources);
 }
 std::string route(const std::string& name, const std::string& path, const std::string& more = "") {
@@ -79,8 +80,9 @@
       {"h", "", "GET", "p", "none"},
       {"h", "/v/y/", "GET", "p", "below"},
   };
-  for (const auto& c : cases)
+  for (const auto& c : cases) {
     EXPECT_EQ(name(*t, ask(c.host, c.path, c.method, c.point)), c.wanted) << c.host << c.path;
+  }
   auto q = ask("h", "/v/y/7");
   q.header = [](std::string_view n) {
     return n == "x-tier" ? std::optional<std::string_view>("beta") : std::nullopt;
@@ -118,8 +120,9 @@
   int port = 0;
   std::string text =
       "format = 1\ngeneration = 1\nservers = 6\n[[hub]]\nname = \"n\"\n[[hub]]\nname = \"s\"\n";
-  for (const char* p : {"e1", "e2", "e3"})
+  for (const char* p : {"e1", "e2", "e3"}) {
     text += std::string("[[point]]\nname = \"") + p + "\"\nhub = \"n\"\n";
+  }
   const auto server = [&](const char* id, const char* role, const char* place, const char* weight,
                           const char* state, int cell) {
     text += std::string("[[server]]\nid = \"") + id + "\"\nrole = \"" + role + "\"\n" +
@@ -161,9 +164,11 @@
   for (const auto& r : t.routes()) {
     std::vector<int> rank;
     int host = r.hosts.empty() ? 1 : 0;
-    for (const auto& h : r.hosts)
-      if (routing::host_fits(h, q.host))
+    for (const auto& h : r.hosts) {
+      if (routing::host_fits(h, q.host)) {
         host = std::max(host, h.starts_with("*.") ? 1 + static_cast<int>(h.size()) : 1000);
+      }
+    }
     bool fits = host > 0;
     rank.push_back(host);
     std::size_t i = 0;
@@ -213,8 +218,9 @@
   std::string text = "class a {\n  repeat = safe\n  deadline = 1 s\n}\n";
   for (int i = 0; i < 25; ++i) {
     std::string more;
-    if (random() % 3 == 0)
-      more += "  host = " + pick({"\"h.x\"", "[\"h.x\", \"*.y\"]", "\"*.x\"", "\"*.h.x\""}) + "\n";
+    if (random() % 3 == 0) {
+      more += "  host = " + pick({"\"h.x\"", R"(["h.x", "*.y"])", "\"*.x\"", "\"*.h.x\""}) + "\n";
+    }
     if (random() % 3 == 0) more += "  method = " + pick({"GET", "POST", "[GET, HEAD]"}) + "\n";
     if (random() % 4 == 0) more += "  point = " + pick({"\"p\"", "\"q\""}) + "\n";
     text += route("r" + std::to_string(i), path(true), more);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -82,7 +82,7 @@
   half->write(asks(21).substr(20) + asks(22).substr(0, 20));
   const auto comes = client();
   comes->write(asks(31));
-  watch.write("{\"rev\":2,\"flush\":{\"collection\":17,\"ms\":" +
+  watch.write(R"({"rev":2,"flush":{"collection":17,"ms":)" +
               std::to_string(net::unix_now() / 1000) + "}}\n{\"rev\":3,\"flu");
   program->configure("{");
   program->signal(SIGHUP);
@@ -93,8 +93,9 @@
     const auto& c = box.commands[i];
     EXPECT_TRUE(c.word != "fetch" || c.fields.contains("agelim")) << i;
   }
-  for (const auto& c : box.commands)
+  for (const auto& c : box.commands) {
     if (c.word == "fetch") Box::answer(c, "served", "bytes");
+  }
   const auto all = {first.get(), second.get(), half.get(), comes.get()};
   ASSERT_TRUE(wait(
       [&] { return std::all_of(all.begin(), all.end(), [](auto* s) { return s->ended; }); }, all));
@@ -184,13 +185,14 @@
   const int listener = loopback::bound(board);  // nobody listens, then nobody accepts
   auto config = config_with(box, net::to_string(board));
   std::string known;
-  for (int i = 2; i <= 5000; ++i)
+  for (int i = 2; i <= 5000; ++i) {
     known += ",{\"rev\":" + std::to_string(i) + R"(,"pool":{"complete":false,"members":[{"id":"x)" +
              std::to_string(i) + R"(","host_port":"127.0.0.9:)" + std::to_string(i) +
              R"(","locality":"edge","flavor":"small","phase":"terminated","size":4}]}})";
+  }
   const std::string end = "]}}]},";
   config.insert(config.find(end) + 3, known);
-  config.replace(config.find("\"rev\":1,\"notices\""), 17, "\"rev\":5000,\"notices\"");
+  config.replace(config.find(R"("rev":1,"notices")"), 17, R"("rev":5000,"notices")");
   ::listen(listener, 0);
   const auto begun = net::unix_now();
   Program p(config);
--- a/tests/signed_test.cpp
+++ b/tests/signed_test.cpp
@@ -32,8 +32,9 @@
   static std::size_t answers(const loopback::Socket& s) {
     std::size_t n = 0;
     for (auto at = s.in.find("HTTP/1.1 "); at != std::string::npos;
-         at = s.in.find("HTTP/1.1 ", at + 1))
+         at = s.in.find("HTTP/1.1 ", at + 1)) {
       ++n;
+    }
     return n;
   }
   // Sends one request on its own connection and plays the box; returns the status.
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -9,17 +9,20 @@
 
 std::string bytes(const std::string& hex) {
   std::string out, digits;
-  for (const char c : hex)
+  for (const char c : hex) {
     if (c != ' ' && c != '\n') digits += c;
-  for (std::size_t i = 0; i + 1 < digits.size(); i += 2)
+  }
+  for (std::size_t i = 0; i + 1 < digits.size(); i += 2) {
     out += static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16));
+  }
   return out;
 }
 template <class T>
 std::string le(T v) {
   std::string out;
-  for (std::size_t i = 0; i < sizeof(T); ++i)
+  for (std::size_t i = 0; i < sizeof(T); ++i) {
     out += static_cast<char>(static_cast<std::uint64_t>(v) >> (8 * i));
+  }
   return out;
 }
 std::string hello(std::uint32_t who, const std::string& json) {
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -44,8 +44,10 @@
   std::string health(const std::string& address) {
     for (const auto& e : body["resources"][0]["endpoints"][0]["lb_endpoints"].GetArray()) {
       const auto& at = e["endpoint"]["address"]["socket_address"];
-      if (at["address"].GetString() + (":" + std::to_string(at["port_value"].GetInt())) == address)
+      if (at["address"].GetString() + (":" + std::to_string(at["port_value"].GetInt())) ==
+          address) {
         return e["health_status"].GetString();
+      }
     }
     return "absent";
   }
