--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -127,7 +127,7 @@
       text_.append(buffer, static_cast<std::size_t>(n));
     }
   }
-  long longest_hold() {
+  std::int64_t longest_hold() {
     const std::string key = "longest hold us ";
     ::kill(pid_, SIGUSR1);
     for (int i = 0; i < 2000 && !said(key); ++i) ::usleep(1000), read_log();
@@ -237,7 +237,7 @@
     // list.
     auto next = near;
     next.push_back({"n" + std::to_string(i), rig.address(2)});
-    rig.list(static_cast<std::uint64_t>(i + 2), next, 0);
+    rig.list(static_cast<std::uint64_t>(i) + 2, next, 0);
     const auto before = rig.fetched(2);
     const Time begun = net::unix_now();
     rig.put();
@@ -283,7 +283,7 @@
     Time next_list = 0, next_ask = 0;
     std::thread writer;
     const auto taken_before = generation;
-    for (const Time end = net::unix_now() + seconds * 1'000'000; net::unix_now() < end;) {
+    for (const Time end = net::unix_now() + Time{seconds} * 1'000'000; net::unix_now() < end;) {
       const Time now = net::unix_now();
       if (reloads && now >= next_list) {
         // 200 weights change each time; written beside, so that the list's making holds up no
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -172,7 +172,9 @@
     }
     if (line.starts_with("digest") && !piece.empty()) {
       const auto content = config::read_text(folder + "/" + piece);
-      line = "digest = \"" + endpoints::digest_text(endpoints::digest_of(content)) + "\"\n";
+      line = "digest = \"";
+      line += endpoints::digest_text(endpoints::digest_of(content));
+      line += "\"\n";
       piece.clear();
     }
     out += line;
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -122,10 +122,9 @@
   } else {
     judged.refusal = settings_.list + " has not settled";
   }
-  if (judged.offer || judged.unchanged) {
-    take(judged);
-  } else if (kept) {
-    take(judged);  // says what is wrong with the files
+  const bool has_list = judged.offer || judged.unchanged;
+  if (has_list || kept) take(judged);  // says what is wrong with the files, if anything
+  if (!has_list && kept) {
     const core::Time age = now - kept->list->taken;
     if (age > settings_.oldest) {
       throw config::Error("no usable list of servers: " + judged.refusal +
--- a/src/app/language.cpp
+++ b/src/app/language.cpp
@@ -120,7 +120,7 @@
       const auto at = query.find("&" + std::string(name) + "=");
       if (at == std::string::npos) return {};
       const auto from = at + name.size() + 2;
-      return std::string_view(query).substr(from, query.find('&', from) - from);
+      return std::string_view{query}.substr(from, query.find('&', from) - from);
     };
     const auto m = table.match(q);
     if (!m) {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -171,7 +171,7 @@
     }
   }
   if (const Json& flush = at(j, "flush"); flush.IsObject()) {
-    n.flush.emplace();
+    n.flush = Notice::Flush{};
     n.flush->object = hex(word(at(flush, "asset")));
     n.flush->group = count(at(flush, "collection"));
     n.flush->at = static_cast<std::int64_t>(std::clamp(real(at(flush, "ms")), 0.0, 1e14)) * 1000;
--- a/src/config_language/format.cpp
+++ b/src/config_language/format.cpp
@@ -72,7 +72,10 @@
         if (!s.opened.empty()) out += "  " + s.opened;
         out += '\n';
         write(s.body, indent + 2, out);
-        for (const auto& c : s.tail) out += c.empty() ? "\n" : pad + "  " + c + "\n";
+        for (const auto& c : s.tail) {
+          if (!c.empty()) out.append(pad).append("  ").append(c);
+          out += '\n';
+        }
         out += pad + "}";
       }
     }
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -77,7 +77,7 @@
   }
   Token fault(const char* code, std::size_t begin, std::string what, std::string mend = {}) {
     if (at_ == begin) ++at_;
-    const Token t = make(Kind::bad, begin);
+    Token t = make(Kind::bad, begin);
     findings_.error(code, sources_.place(t.span), std::move(what), std::move(mend));
     return t;
   }
--- a/src/config_language/source.cpp
+++ b/src/config_language/source.cpp
@@ -25,7 +25,7 @@
   if (line == 0 || line > f.lines.size()) return {};
   const auto begin = f.lines[line - 1];
   const auto end = std::min(f.text.find('\n', begin), f.text.size());
-  return std::string_view(f.text).substr(begin, end - begin);
+  return std::string_view{f.text}.substr(begin, end - begin);
 }
 
 std::string Sources::render(const diagnostics::Finding& finding) const {
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -285,7 +285,7 @@
     const auto* refuse = std::get_if<module::Reject>(&action);
     const auto* fail = std::get_if<module::Fail>(&action);
     if (!refuse && !fail) {
-      effects_.emplace_back(std::move(action));
+      effects_.emplace_back(action);
       continue;
     }
     const auto it = requests_.find(refuse ? refuse->id.value : fail->id.value);
--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -38,13 +38,16 @@
     if (name.empty() || name == ".") continue;
     look.directories.push_back(at);
     look.names.push_back(name);
-    const std::string next = at + (at.ends_with('/') ? "" : "/") + name;
+    std::string next = at;
+    if (!next.ends_with('/')) next += '/';
+    next += name;
     char target[PATH_MAX];
     const ssize_t n = ::readlink(next.c_str(), target, sizeof target);
     if (n > 0 && depth < kLinksMost) {
       const std::string to(target, static_cast<std::size_t>(n));
       identity.push_back(mix(0xcbf29ce484222325ULL, to));
-      walk(to.starts_with('/') ? to : at + "/" + to, depth + 1, look, identity);
+      walk(to.starts_with('/') ? to : std::string(at).append("/").append(to), depth + 1, look,
+           identity);
     }
     at = next;
   }
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -103,7 +103,7 @@
 // fails everything is asked 1 + part times as much, and not as often as clients have patience.
 class RetryBudget {
  public:
-  RetryBudget(double part, double most = 20) : part_(part), most_(most), saved_(most / 2) {}
+  explicit RetryBudget(double part, double most = 20) : part_(part), most_(most), saved_(most / 2) {}
   void first() { saved_ = saved_ + part_ < most_ ? saved_ + part_ : most_; }
   bool further() {
     if (saved_ < 1) return false;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -101,8 +101,8 @@
   spdlog::logger logger_;
 };
 
-Log::Log(const Settings& settings, Sink sink, std::function<core::Time()> clock)
-    : settings_(settings), sink_(std::move(sink)), clock_(clock ? std::move(clock) : wall) {
+Log::Log(Settings settings, Sink sink, std::function<core::Time()> clock)
+    : settings_(std::move(settings)), sink_(std::move(sink)), clock_(clock ? std::move(clock) : wall) {
   if (!sink_) out_ = std::make_unique<Out>();
 }
 Log::~Log() { flush(); }
@@ -142,8 +142,8 @@
     if (!kind.held_back) continue;
     const auto space = name.find(' ');
     write(Level::info,
-          line(clock_(), std::string_view(name).substr(0, space), Level::info,
-               std::string_view(name).substr(space + 1), {}, std::exchange(kind.held_back, 0)));
+          line(clock_(), std::string_view{name}.substr(0, space), Level::info,
+               std::string_view{name}.substr(space + 1), {}, std::exchange(kind.held_back, 0)));
   }
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -48,7 +48,7 @@
 class Log {
  public:
   using Sink = std::function<void(const std::string&)>;  // for tests; without one, standard error
-  explicit Log(const Settings& settings, Sink sink = {}, std::function<core::Time()> clock = {});
+  explicit Log(Settings settings, Sink sink = {}, std::function<core::Time()> clock = {});
   ~Log();
   void record(std::string_view subsystem, Level level, std::string_view event,
               const std::vector<Field>& fields = {});
--- a/src/platform/cache_protocol.cpp
+++ b/src/platform/cache_protocol.cpp
@@ -41,7 +41,7 @@
     if (o.fill->may_join) ways += "+j";
     if (o.fill->cached_only) ways += "+h";
     if (o.fill->refresh_in_background) ways += "+r";
-    if (!ways.empty()) add("ways", std::string_view(ways).substr(1));
+    if (!ways.empty()) add("ways", std::string_view{ways}.substr(1));
   }
   if (!o.client_copy_tag.empty()) add("cached", o.client_copy_tag);
   return line + ' ' + std::to_string(o.body.size()) + "\r\n";
--- a/src/platform/rpc_codec.cpp
+++ b/src/platform/rpc_codec.cpp
@@ -123,7 +123,7 @@
     }
     if (bytes.size() - at < width) return Parsed::partial;
     if (c >= 0x80 && c <= 0x8f) {
-      items += 2u * (c & 15u);
+      items += std::uint64_t{2} * (c & 15u);
     } else if (c >= 0x90 && c <= 0x9f) {
       items += c & 15u;
     } else if (c >= 0xa0 && c <= 0xbf) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -43,7 +43,7 @@
                                                "xds",    "routes",     "cluster"};
   for (const auto& [name, level] : by_subsystem.texts()) {
     if (std::find(levels.begin(), levels.end(), level) == levels.end()) {
-      findings.error("F003", by_subsystem.place(name), name + ": '" + level + "' is no level");
+      findings.error("F003", by_subsystem.place(name), name + ": '" + std::string(level).append("' is no level"));
     }
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       const auto near = diagnostics::nearest(name, known);
@@ -87,7 +87,7 @@
   const bool files = m.fleet.authority != endpoints::Authority::board;
   if (const auto v = t.text("list", files)) m.list = path_in(folder, *v);
   if (const auto v = t.text("state")) m.state = path_in(folder, *v);
-  if (const auto v = t.duration("oldest", kSecond, 365 * 24 * kHour)) m.oldest = *v;
+  if (const auto v = t.duration("oldest", kSecond, std::int64_t{365} * 24 * kHour)) m.oldest = *v;
   if (const auto v = t.duration("settle", kMilli, 400 * kMilli)) m.settle = *v;
   if (const auto v = t.duration("poll", 20 * kMilli, 3600 * kSecond)) m.poll = *v;
   if (const auto v = t.real("most_out", 0, 1)) m.bounds.most_out = *v;
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -50,7 +50,6 @@
       deadlines_(deadlines),
       engine_(engine),
       settings_(settings),
-      config_(config),
       clock_(std::move(clock)),
       guide_(guide),
       checker_(
--- a/src/signed_url/http_front.h
+++ b/src/signed_url/http_front.h
@@ -51,7 +51,6 @@
   core::Deadlines& deadlines_;
   core::Engine& engine_;
   const config::Signed& settings_;
-  const config::Config& config_;
   std::function<core::Time()> clock_;
   RouteSelector* guide_;
   Checker checker_;
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -25,7 +25,7 @@
     T value = 0;
     const auto part = take(sizeof(T));
     for (std::size_t i = 0; i < sizeof(T); ++i) {
-      value |= static_cast<T>(T(static_cast<unsigned char>(part[i])) << (8 * i));
+      value |= static_cast<T>(static_cast<T>(static_cast<unsigned char>(part[i])) << (8 * i));
     }
     return value;
   }
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -80,7 +80,7 @@
   asked_.push_back(key);
   return node_ ? tree(node_).get(key) : nullptr;
 }
-void Table::wrong(std::string_view key, std::string text, std::string mend) {
+void Table::wrong(std::string_view key, const std::string& text, std::string mend) {
   if (findings_) {
     findings_->error("F003", place(key), std::string(key) + ": " + text, std::move(mend));
   }
--- a/src/toml/document.h
+++ b/src/toml/document.h
@@ -54,7 +54,7 @@
  private:
   friend class Document;
   const void* find(std::string_view key);
-  void wrong(std::string_view key, std::string text, std::string mend = {});
+  void wrong(std::string_view key, const std::string& text, std::string mend = {});
   struct Measure {  // of a number with its unit, in a text
     std::optional<double> (*parse)(std::string_view);
     std::string (*shown)(std::int64_t);
--- a/src/xds/eds.cpp
+++ b/src/xds/eds.cpp
@@ -36,7 +36,7 @@
     w.StartObject();
     w.Key("endpoint"), w.StartObject(), w.Key("address"), w.StartObject();
     w.Key("socket_address"), w.StartObject();
-    w.Key("address"), text(w, std::string_view(at).substr(0, colon));
+    w.Key("address"), text(w, std::string_view{at}.substr(0, colon));
     w.Key("port_value"), w.Int(std::atoi(at.c_str() + colon + 1));
     w.EndObject(), w.EndObject(), w.EndObject();
     const bool draining = s.server.status == al::ServerStatus::draining;
@@ -61,18 +61,18 @@
   rapidjson::Document j;
   j.Parse<rapidjson::kParseIterativeFlag>(request.data(), request.size());
   const auto member = [&](const char* name) {
-    const auto it = j.FindMember(name);
-    return it != j.MemberEnd() && it->value.IsString()
-               ? std::string_view(it->value.GetString(), it->value.GetStringLength())
-               : std::string_view();
+    if (!j.HasMember(name) || !j[name].IsString()) return std::string_view();
+    return std::string_view(j[name].GetString(), j[name].GetStringLength());
   };
   if (j.HasParseError() || !j.IsObject()) return {400, {}};
   if (const auto type = member("type_url"); !type.empty() && type != kType) return {400, {}};
   bool named = true;
-  if (const auto names = j.FindMember("resource_names");
-      names != j.MemberEnd() && names->value.IsArray()) {
-    named = names->value.Empty();
-    for (const auto& n : names->value.GetArray()) named |= n.IsString() && cluster == n.GetString();
+  if (j.HasMember("resource_names") && j["resource_names"].IsArray()) {
+    const auto& names = j["resource_names"];
+    named = names.Empty();
+    for (const auto& name : names.GetArray()) {
+      named |= name.IsString() && cluster == name.GetString();
+    }
   }
   rapidjson::StringBuffer resource;
   Writer inner(resource);
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -60,7 +60,7 @@
         "\xdf\xff\xff\xff\xff"s, "\xc9\x7f\xff\xff\xff"s, "\xc1"s}) {
     const std::string message =
         "\x94\x00\x01\xa5"
-        "asset" +
+        "asset"s +
         claim;
     std::string_view bytes = message;
     platform::Call call;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -100,7 +100,7 @@
 RC_GTEST_PROP(Limits, HoldOverAnyTrafficAndConserveWhatTheyGive, ()) {
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   const std::uint32_t most = 1 + random() % 8, burst = 1 + random() % 5;
-  const double a_second = 1 + random() % 200;
+  const auto a_second = static_cast<double>(1 + random() % 200);
   Limits l;
   std::vector<Permit> held;
   std::deque<Time> admitted;
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -72,7 +72,7 @@
   at.sin_family = AF_INET;
   at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   socklen_t size = sizeof at;
-  ::bind(fd, reinterpret_cast<sockaddr*>(&at), size);
+  EXPECT_EQ(::bind(fd, reinterpret_cast<sockaddr*>(&at), size), 0);
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
   return fd;
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -156,6 +156,7 @@
   EXPECT_GT(net::unix_now(), started + 1'500'000);
   EXPECT_FALSE(idle->ended);
   std::vector<std::unique_ptr<loopback::Socket>> many;
+  many.reserve(70);
   for (int i = 0; i < 70; ++i) many.push_back(client(front->address()));  // the story allows 64
   auto& last = *many.back();
   last.write(request(1, "asset", {}));
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -74,9 +74,10 @@
 // A router, a clock and what it has asked for; knows nothing of how it decides.
 struct Bed {
   Bed(Bed&&) = default;
-  explicit Bed(Settings s = site(), std::vector<Server> servers = fleet(), std::uint64_t seed = 7)
-      : router(s, seed) {
-    tell(EndpointUpdate{true, false, servers});
+  explicit Bed(const Settings& settings = site(), std::vector<Server> servers = fleet(),
+               std::uint64_t seed = 7)
+      : router(settings, seed) {
+    tell(EndpointUpdate{true, false, std::move(servers)});
   }
   std::vector<Action> tell(const Event& e) {
     std::vector<Action> actions;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -114,9 +114,9 @@
 struct Lines {
   std::vector<std::string> out;
   core::Time now = 1'764'576'000'000'000;
-  log::Log log(log::Settings s) {
+  log::Log log(log::Settings settings) {
     return log::Log(
-        s, [this](const std::string& l) { out.push_back(l); }, [this] { return now; });
+        std::move(settings), [this](const std::string& l) { out.push_back(l); }, [this] { return now; });
   }
 };
 
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -252,7 +252,7 @@
       {"generation back", list(0, {{"a", &box[0]}, {"x", &stranger}})},
       {"the point emptied", list(3, {{"x", &stranger, "draining"}})},
       {"reused", list(1, {{"a", &box[0]}, {"b", &box[1]}, {"x", &stranger}})},
-      {"noise", std::string("\xff\xfe\x00[[server]]\n", 15)},
+      {"noise", std::string("\xff\xfe\x00[[server]]\n\x00", 15)},
       {"unknown keys", with + "colour = \"red\"\n"},
       {"an unknown zone",
        [&] {
