--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -32,10 +32,10 @@
       std::make_unique<Replica>(settings, (static_cast<std::uint64_t>(random()) << 32) ^ random());
   node_.on_ban([this](const hot_restart::BanChange& change) { called(change); });
   node_.on_ready([this] { return begun_ && replica_->caught_up(); });
-  node_.engine().on_purge(
-      [this](std::optional<std::uint64_t> object, std::uint32_t group, core::Time at) {
-        handle(Purged{{object.has_value(), object.value_or(group), at}});
-      });
+  node_.engine().on_purge([this](const core::PurgeNotice& notice) {
+    handle(Purged{
+        {notice.object.has_value(), notice.object.value_or(notice.group), notice.unix_time}});
+  });
   cluster_.on_replica([this](const std::string& from, std::string_view bytes) {
     if (begun_) handle(Frame{from, std::string(bytes)});
   });
@@ -127,7 +127,7 @@
     return;  // caches have dropped it by themselves
   }
   const auto object = f.object ? std::optional(f.id) : std::nullopt;
-  node_.engine().purge(object, f.object ? 0 : static_cast<std::uint32_t>(f.id), f.at);
+  node_.engine().purge({object, f.object ? 0 : static_cast<std::uint32_t>(f.id), f.at});
 }
 
 void ReplicationService::save() {
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -47,7 +47,7 @@
   node.on_counters([&] {
     std::vector<log::Field> fields{{"open", node.engine().open_request_count()},
                                    {"links", node.upstream_pool().links()}};
-    for (const auto& [name, value] : core::fields(node.engine().counters())) {
+    for (const auto& [name, value] : core::named_counters(node.engine().counters())) {
       fields.emplace_back(name, value);
     }
     log.record("router", log::Level::info, "counters", fields);
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,35 +1,66 @@
-// What the program took in, sent and answered; printed on request and at exit.
+// Counts of what the program took in, forwarded and answered since its start; logged on request and
+// at exit.
 #pragma once
 
 #include <cstdint>
 #include <string>
-#include <utility>
 #include <vector>
 
 namespace alderspur::core {
 
 struct Counters {
-  std::uint64_t admitted = 0, forwarded = 0, health_checks = 0;
-  std::uint64_t served = 0, not_modified = 0, rejected = 0, failed = 0, cancelled = 0;
-  std::uint64_t attempts_ok = 0, attempts_miss = 0, attempts_overloaded = 0, attempts_error = 0,
-                attempts_timeout = 0, attempts_connect_failed = 0, attempts_reset = 0,
-                attempts_cancelled = 0;
-  std::uint64_t late_responses = 0, stale_responses = 0, purges = 0, endpoint_updates = 0;
-  std::uint64_t invalid_frames = 0, invalid_requests = 0, invalid_responses = 0,
-                deferred_accepts = 0;
-  std::uint64_t invalid_tokens = 0, slow_readers = 0, silent_upstream_connections = 0,
-                silent_clients = 0, idle_clients = 0, over_limit = 0;
+  // Requests: `admitted` ones end as served, rejected, failed or cancelled.
+  std::uint64_t admitted = 0;
+  std::uint64_t forwarded = 0;  // attempts written whole to servers
+  std::uint64_t health_checks = 0;
+  std::uint64_t served = 0;
+  std::uint64_t not_modified = 0;  // of those served: the client's copy was current
+  std::uint64_t rejected = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t cancelled = 0;
+  // Attempts, by their end.
+  std::uint64_t attempts_ok = 0;
+  std::uint64_t attempts_miss = 0;
+  std::uint64_t attempts_overloaded = 0;
+  std::uint64_t attempts_error = 0;
+  std::uint64_t attempts_timeout = 0;
+  std::uint64_t attempts_connect_failed = 0;
+  std::uint64_t attempts_reset = 0;
+  std::uint64_t attempts_cancelled = 0;
+  // Responses that came after their attempt was over, or from a copy older than was asked for.
+  std::uint64_t late_responses = 0;
+  std::uint64_t stale_responses = 0;
+  std::uint64_t purges = 0;
+  std::uint64_t endpoint_updates = 0;
+  // Input that cannot be used.
+  std::uint64_t invalid_frames = 0;
+  std::uint64_t invalid_requests = 0;
+  std::uint64_t invalid_responses = 0;
+  std::uint64_t invalid_tokens = 0;
+  // Connections.
+  std::uint64_t deferred_accepts = 0;
+  std::uint64_t slow_readers = 0;
+  std::uint64_t silent_upstream_connections = 0;
+  std::uint64_t silent_clients = 0;
+  std::uint64_t idle_clients = 0;
+  std::uint64_t over_limit = 0;  // clients cut off for what they left unread
 };
 
-// The same requests by their class. A request taken ends as served, refused, failed or withdrawn.
+/// The same of one class of requests.
 struct ClassCounters {
-  std::uint64_t served = 0, rejected = 0, failed = 0;
-  std::uint64_t forwarded = 0;  // attempts written whole to servers
+  std::uint64_t served = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t forwarded = 0;
 };
 
-// All of them by their names, for records of logs.
-std::vector<std::pair<const char*, std::uint64_t>> fields(const Counters& counters);
-// One line with all of them.
-std::string text(const Counters& counters);
+struct NamedCounter {
+  const char* name;
+  std::uint64_t value;
+};
+/// All of them by their names, for records of logs.
+std::vector<NamedCounter> named_counters(const Counters& counters);
+/// One line with all of them: "counters: admitted 2 forwarded 2 ...".
+std::string to_line(const Counters& counters);
 
 }  // namespace alderspur::core
--- a/src/core/rate_limited_log.h
+++ b/src/core/rate_limited_log.h
@@ -1,8 +1,9 @@
-// What arrives and cannot be used, told to whoever keeps the log: one line a kind in ten seconds,
-// so that a flood of it costs neither the log nor the loop. No I/O; the loop's thread only.
+// Log lines about input that cannot be used: one line a kind in ten seconds, so that a flood of it
+// costs neither the log nor the loop. No I/O of its own; the loop's thread only.
 //
-// A line says how many of its kind were passed over since the one before. Foreign text in it is cut
-// to 80 characters, and whatever does not print is shown as a dot. Clients' words are never quoted.
+// A line says how many of its kind were suppressed since the one before. Foreign text in it is cut
+// to 80 characters, and whatever does not print is shown as a dot. What clients send is never
+// quoted.
 #pragma once
 
 #include <array>
@@ -21,8 +22,8 @@
 class RateLimitedLog {
  public:
   using Sink = std::function<void(const std::string& event, const std::string& text)>;
-  void set_sink(Sink say) { sink_ = std::move(say); }
-  // `quote`: what arrived, or whom it is about; empty: nothing to show.
+  void set_sink(Sink sink) { sink_ = std::move(sink); }
+  /// `quote`: what arrived, or whom it is about; empty: nothing to show.
   void report(InvalidInput kind, Time now, std::string_view quote = {});
 
  private:
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -29,7 +29,7 @@
   begin();
 }
 HotRestartCoordinator::~HotRestartCoordinator() {
-  if (next_.first) deadlines_.cancel(next_);
+  if (next_.is_set()) deadlines_.cancel(next_);
   worker_.reset();
 }
 
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -52,7 +52,7 @@
   while (ahead_.contains(held_ + 1)) ahead_.erase(++held_);
   if (ahead_.size() > kAheadMost) held_ = *ahead_.begin(), ahead_.erase(ahead_.begin());
   if (n.pool) tell(n);
-  if (n.flush) engine_.purge(n.flush->object, n.flush->group, n.flush->at);
+  if (n.flush) engine_.purge({n.flush->object, n.flush->group, n.flush->at});
   if (ahead_.empty()) told_.clear();
 }
 
--- a/src/platform/edge_router.cpp
+++ b/src/platform/edge_router.cpp
@@ -71,7 +71,7 @@
 // Who else acts as this router: budgets and limits are shared, and whoever comes after us takes our
 // clients once our end is planned.
 void EdgeRouter::others(const hot_restart::PeerSummary& others, double share) {
-  engine_.set_budget_share(share, others.door, all_, here_);
+  engine_.set_budget_share({share, others.door, all_, here_});
   upstream_pool_.share(others.count + 1);
   if (!complete_) return;  // still in the constructor: the front is not there yet
   front_.share(others.count + 1);
@@ -98,8 +98,8 @@
 
 void EdgeRouter::cluster_share(double all, double here) {
   all_ = all, here_ = here;
-  engine_.set_budget_share(hot_restart_ ? hot_restart_->share() : 1,
-                           hot_restart_ ? hot_restart_->others().door : 0, all, here);
+  engine_.set_budget_share({hot_restart_ ? hot_restart_->share() : 1,
+                            hot_restart_ ? hot_restart_->others().door : 0, all, here});
 }
 
 // A planned end is cut off no sooner than this after it began: the longest time a client waits, 3 s
@@ -160,7 +160,7 @@
   if (counted_) return counted_();
   say_("counters", "open " + std::to_string(engine_.open_request_count()) +
                        ", connections to servers " + std::to_string(upstream_pool_.links()) + "; " +
-                       core::text(engine_.counters()));
+                       core::to_line(engine_.counters()));
 }
 
 void EdgeRouter::turn() {
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -240,7 +240,7 @@
 }
 
 void UpstreamPool::come_up(Link& link) {
-  if (link.dial.first == 0 || link.connection->connecting()) return;
+  if (link.dial.is_set() == 0 || link.connection->connecting()) return;
   deadlines_.cancel(link.dial);
   link.dial = {};
   link.up = engine_.now();
@@ -349,7 +349,7 @@
       if (why != net::Closed::refused && o.tries < kProbeTries) {
         send_health_check(id, o.sent, o.tries + 1);
       } else {
-        engine_.on_health_check_result(id, false, engine_.now() - o.sent, {});
+        engine_.on_health_check_result({id, false, engine_.now() - o.sent, {}});
       }
       continue;
     }
@@ -373,7 +373,7 @@
   if (link.dead) return;
   link.dead = true;
   touch(*link.server);
-  if (link.dial.first) deadlines_.cancel(link.dial);
+  if (link.dial.is_set()) deadlines_.cancel(link.dial);
   link.connection->close();
   --link_count_;
 }
@@ -431,7 +431,7 @@
   std::string tag("p");
   tag += std::to_string(++last_probe_);
   Link* link = it != servers_.end() ? link_for_probe(*it->second, tries > 1) : nullptr;
-  if (!link) return engine_.on_health_check_result(id, false, engine_.now() - since, {});
+  if (!link) return engine_.on_health_check_result({id, false, engine_.now() - since, {}});
   Open& open = link->open[tag];
   link->used = engine_.now();
   open.sent = since;
@@ -451,7 +451,7 @@
   it->second.overdue = true;
   it->second.timeout = deadlines_.set(now + kLateWord, [this, l = &link, tag] { forget(*l, tag); });
   if (link.connection->last_read <= it->second.sent) link.doubted = now;
-  engine_.on_health_check_result(link.server->member.server.id, false, now - it->second.sent, {});
+  engine_.on_health_check_result({link.server->member.server.id, false, now - it->second.sent, {}});
 }
 
 void UpstreamPool::forget(Link& link, const std::string& tag) {
@@ -468,8 +468,8 @@
   std::erase(link.probes, tag);
   link.open.erase(it);
   const core::Time now = engine_.now(), up = link.up ? now - link.up : 0;
-  engine_.on_health_check_result(link.server->member.server.id, ok, now - open.sent,
-                                 report_of(report), up, true, open.overdue);
+  engine_.on_health_check_result({link.server->member.server.id, ok, now - open.sent,
+                                  report_of(report), up, true, open.overdue});
 }
 
 std::string UpstreamPool::address(al::ServerId server) const {
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -229,8 +229,8 @@
   ASSERT_TRUE(run_until([&] { return old.program->ended(); }, 3'600'000))
       << "SIGKILL would have come";
   for (std::string line = old.program->line(); !line.empty(); line = old.program->line())
-    if (const auto at = line.find("| served "); at != std::string::npos)
-      by_old = std::stoull(line.substr(at + 9));
+    if (const auto at = line.find(" served "); at != std::string::npos)
+      by_old = std::stoull(line.substr(at + 8));
   EXPECT_EQ(old.program->exit_code(), 0);
   run_for(300'000);
   finish();
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -425,8 +425,8 @@
   w->write(
       listing(3, member("s-b", box[1].address(), "terminated")));  // a repeat tells nothing new
   settle();
-  EXPECT_EQ(std::count(lines.begin(), lines.end(), "bad_notice"), 1);
-  EXPECT_EQ(std::count(lines.begin(), lines.end(), "bad_address"), 1);
+  EXPECT_EQ(std::count(lines.begin(), lines.end(), "invalid_watch_event"), 1);
+  EXPECT_EQ(std::count(lines.begin(), lines.end(), "invalid_address"), 1);
   auto c = client(front->address());
   for (unsigned i = 1; i <= 12; ++i) {
     c->write(request(i, "asset",
@@ -719,7 +719,7 @@
   take();
   engine->run();
   ASSERT_TRUE(engine->upstream_request(recorder.sent[0])->fill->may_join);
-  engine->purge({}, 3, time - 50'000);
+  engine->purge({{}, 3, time - 50'000});
   engine->run();
   const auto& fill = *engine->upstream_request(recorder.sent[0])->fill;
   EXPECT_EQ(fill.max_age, 48'000);
