--- a/src/cluster_transport/transport.cpp
+++ b/src/cluster_transport/transport.cpp
@@ -63,7 +63,7 @@
 
 void ClusterTransport::arm() {
   const Time next = membership_->next();
-  if (due_ && due_->first == next) return;
+  if (due_ && due_->at == next) return;
   if (due_) deadlines_.cancel(*due_), due_.reset();
   if (next == std::numeric_limits<Time>::max()) return;
   due_ = deadlines_.set(next, [this] {
