--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -4,20 +4,54 @@
 #include <bit>
 #include <cmath>
 #include <limits>
-#include <set>
 
 namespace alderspur::simulator_adapter {
 namespace al = ::alderspur;
 
 namespace {
 
+/// Records of a batch, by their code on the wire.
+enum class RecordCode : std::uint8_t {
+  init = 1,
+  members = 2,
+  request = 3,
+  first_byte = 4,
+  outcome = 5,
+  client_left = 6,
+  timer = 7,
+  probed = 8,
+  peer = 9,
+  stop = 10,
+  purge = 11,
+  list = 12
+};
+
+/// Actions of a reply, by their code on the wire.
+enum class ActionCode : std::uint8_t {
+  refuse = 3,
+  send_with_fill = 4,
+  send = 5,
+  subscribe = 6,
+  probe = 7,
+  fail = 8,
+  timer = 10,
+  cancel = 12
+};
+
+constexpr std::uint8_t kMayJoinBit = 1;
+constexpr std::uint8_t kCachedOnlyBit = 2;
+constexpr std::uint8_t kRefreshBit = 8;
+constexpr std::uint16_t kWriteBit = 4;
+/// Larger numbers that come as floats are taken for absent ones.
+constexpr float kLargestWholeNumber = 1e9F;
+
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
-  std::string_view take(std::size_t n) {
-    if (bytes_.size() < n) throw WireError("a record ends early");
-    const auto part = bytes_.substr(0, n);
-    bytes_.remove_prefix(n);
+  std::string_view take(std::size_t size) {
+    if (bytes_.size() < size) throw WireError("a record ends early");
+    const auto part = bytes_.substr(0, size);
+    bytes_.remove_prefix(size);
     return part;
   }
   template <class T>
@@ -34,16 +68,22 @@
   std::uint32_t u32() { return number<std::uint32_t>(); }
   std::uint64_t u64() { return number<std::uint64_t>(); }
   float f32() { return std::bit_cast<float>(u32()); }
-  al::ServerId store() {
-    const std::uint64_t address = u32(), port = u16();
+  /// A whole number that stands as a float; 0 where it is out of range.
+  std::uint32_t whole_f32() {
+    const float value = f32();
+    return value >= 0 && value < kLargestWholeNumber ? static_cast<std::uint32_t>(value) : 0;
+  }
+  al::ServerId server_id() {
+    const std::uint64_t address = u32();
+    const std::uint64_t port = u16();
     return {address | port << 32};
   }
-  std::vector<float> gauge() {
+  std::vector<float> gauges() {
     std::vector<float> values(u8());
-    for (auto& v : values) v = f32();
+    for (auto& value : values) value = f32();
     return values;
   }
-  bool done() const { return bytes_.empty(); }
+  bool is_at_end() const { return bytes_.empty(); }
 
  private:
   std::string_view bytes_;
@@ -54,85 +94,143 @@
   template <class T>
   void number(T value) {
     for (std::size_t i = 0; i < sizeof(T); ++i) {
-      out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+      bytes_.push_back(static_cast<char>(value >> (8 * i) & 0xff));
     }
   }
-  void u8(std::uint8_t v) { number(v); }
-  void u16(std::uint16_t v) { number(v); }
-  void u32(std::uint32_t v) { number(v); }
-  void u64(std::uint64_t v) { number(v); }
-  void span(al::Time v) {
-    u32(static_cast<std::uint32_t>(
-        std::clamp<al::Time>(v, 0, std::numeric_limits<std::int32_t>::max())));
+  void u8(std::uint8_t value) { number(value); }
+  void u16(std::uint16_t value) { number(value); }
+  void u32(std::uint32_t value) { number(value); }
+  void u64(std::uint64_t value) { number(value); }
+  void duration(al::Time value) {
+    constexpr al::Time kLongest = std::numeric_limits<std::int32_t>::max();
+    u32(static_cast<std::uint32_t>(std::clamp<al::Time>(value, 0, kLongest)));
   }
-  void store(al::ServerId id) {
+  void server_id(al::ServerId id) {
     u32(static_cast<std::uint32_t>(id.value & 0xffffffff));
     u16(static_cast<std::uint16_t>(id.value >> 32));
   }
-  std::string out;
+  const std::string& bytes() const { return bytes_; }
+
+ private:
+  std::string bytes_;
 };
 
-al::AttemptResult result_of(std::uint16_t disposition) {
-  switch (disposition) {
+al::AttemptResult read_result(Reader& reader) {
+  switch (reader.u16()) {
     case 0:
       return al::AttemptResult::ok;
-    case 8:
-      return al::AttemptResult::overloaded;
+    case 1:
+      return al::AttemptResult::cancelled;
     case 4:
       return al::AttemptResult::timeout;
-    case 14:
-      return al::AttemptResult::connect_failed;
+    case 5:
+      return al::AttemptResult::miss;
+    case 8:
+      return al::AttemptResult::overloaded;
+    case 9:
+      return al::AttemptResult::already_finished;
     case 10:
       return al::AttemptResult::reset;
+    case 14:
+      return al::AttemptResult::connect_failed;
+    default:  // 13, and what this version does not know: it may have run
+      return al::AttemptResult::error;
+  }
+}
+
+al::FillOutcome read_fill_outcome(Reader& reader) {
+  const std::uint32_t code = reader.u32();
+  constexpr auto kLast = static_cast<std::uint32_t>(al::FillOutcome::origin_failed);
+  return code <= kLast ? static_cast<al::FillOutcome>(code) : al::FillOutcome::none;
+}
+
+al::ServerStatus read_status(Reader& reader) {
+  switch (reader.u8()) {
     case 1:
-      return al::AttemptResult::cancelled;
-    case 9:
-      return al::AttemptResult::already_finished;
-    case 5:
-      return al::AttemptResult::miss;
+      return al::ServerStatus::ready;
+    case 2:
+      return al::ServerStatus::draining;
     default:
-      return al::AttemptResult::error;  // 13, and what this version does not know: it may have run
+      return al::ServerStatus::gone;
   }
 }
 
-void write_action(Writer& w, std::uint32_t who, const al::Action& action) {
-  const auto head = [&](std::uint8_t code) {
-    w.u8(code);
-    w.u32(who);
+al::Request read_request(Reader& reader) {
+  al::Request request;
+  request.id = {reader.u64()};
+  request.part = reader.whole_f32();
+  request.size_kb = reader.f32();
+  request.time_budget = reader.u32();
+  reader.u16();  // the client's location
+  request.class_id = {reader.u16()};
+  request.is_write = (reader.u16() & kWriteBit) != 0;
+  request.group = {reader.whole_f32()};
+  request.object = {reader.u64()};
+  return request;
+}
+
+al::ResponseStarted read_response_started(Reader& reader) {
+  al::ResponseStarted started;
+  started.id = {reader.u64()};
+  started.attempt = {reader.u8()};
+  reader.server_id();
+  reader.u32();  // since when
+  return started;
+}
+
+al::Purge read_purge(Reader& reader) {
+  al::Purge purge;
+  const std::uint64_t object = reader.u64();
+  if (object != 0) purge.object = al::ObjectId{object};
+  purge.group = {reader.u16()};
+  purge.age = reader.u32();
+  return purge;
+}
+
+void write_send(Writer& writer, const al::Send& send) {
+  writer.u64(send.id.value);
+  writer.server_id(send.server);
+  writer.duration(std::max<al::Time>(send.timeout, 1));
+  if (!send.fill) return;
+  const al::Fill& fill = *send.fill;
+  writer.server_id(fill.source);
+  writer.u8(static_cast<std::uint8_t>(fill.cache_rank));
+  writer.duration(fill.max_age);
+  const unsigned flags = (fill.may_join ? kMayJoinBit : 0U) |
+                         (fill.cached_only ? kCachedOnlyBit : 0U) |
+                         (fill.refresh_in_background ? kRefreshBit : 0U);
+  writer.u8(static_cast<std::uint8_t>(flags));
+}
+
+void write_action(Writer& writer, std::uint32_t instance, const al::Action& action) {
+  const auto begin = [&](ActionCode code) {
+    writer.u8(static_cast<std::uint8_t>(code));
+    writer.u32(instance);
   };
   if (const auto* send = std::get_if<al::Send>(&action)) {
-    head(send->fill ? 4 : 5);
-    w.u64(send->id.value);
-    w.store(send->server);
-    w.span(std::max<al::Time>(send->timeout, 1));
-    if (!send->fill) return;
-    w.store(send->fill->source);
-    w.u8(static_cast<std::uint8_t>(send->fill->cache_rank));
-    w.span(send->fill->max_age);
-    w.u8(static_cast<std::uint8_t>((send->fill->may_join ? 1 : 0) |
-                                   (send->fill->cached_only ? 2 : 0) |
-                                   (send->fill->refresh_in_background ? 8 : 0)));
-  } else if (const auto* refuse = std::get_if<al::Reject>(&action)) {
-    head(3);
-    w.u64(refuse->id.value);
-    w.span(refuse->retry_after);
+    begin(send->fill ? ActionCode::send_with_fill : ActionCode::send);
+    write_send(writer, *send);
+  } else if (const auto* reject = std::get_if<al::Reject>(&action)) {
+    begin(ActionCode::refuse);
+    writer.u64(reject->id.value);
+    writer.duration(reject->retry_after);
   } else if (const auto* fail = std::get_if<al::Fail>(&action)) {
-    head(8);
-    w.u64(fail->id.value);
+    begin(ActionCode::fail);
+    writer.u64(fail->id.value);
   } else if (const auto* cancel = std::get_if<al::Cancel>(&action)) {
-    head(12);
-    w.u64(cancel->id.value);
-    w.u8(static_cast<std::uint8_t>(cancel->attempt.value));
-  } else if (const auto* probe = std::get_if<al::HealthCheck>(&action)) {
-    head(7);
-    w.store(probe->server);
+    begin(ActionCode::cancel);
+    writer.u64(cancel->id.value);
+    writer.u8(static_cast<std::uint8_t>(cancel->attempt.value));
+  } else if (const auto* check = std::get_if<al::HealthCheck>(&action)) {
+    begin(ActionCode::probe);
+    writer.server_id(check->server);
   } else if (const auto* timer = std::get_if<al::SetTimer>(&action)) {
-    head(10);
-    w.u32(timer->timer.value);
-    w.u64(static_cast<std::uint64_t>(timer->at));
+    begin(ActionCode::timer);
+    writer.u32(timer->timer.value);
+    writer.u64(static_cast<std::uint64_t>(timer->at));
   } else {
-    head(6);
-    w.u8(1);
+    begin(ActionCode::subscribe);
+    writer.u8(1);
   }
 }
 
@@ -142,15 +240,37 @@
   al::Router router;
   config::Names names;
 
-  al::LoadReport report(const std::vector<float>& gauge) const {
-    al::LoadReport r;
-    for (std::size_t i = 0; i < gauge.size() && i < names.report_fields.size(); ++i) {
-      if (!std::isfinite(gauge[i])) continue;
-      if (names.report_fields[i] == "outstanding") r.in_flight = gauge[i];
-      if (names.report_fields[i] == "utilization") r.utilization = gauge[i];
-      if (names.report_fields[i] == "x1") r.link_or_fill_utilization = gauge[i];
+  al::LoadReport load_report(const std::vector<float>& gauges) const {
+    al::LoadReport report;
+    for (std::size_t i = 0; i < gauges.size() && i < names.report_fields.size(); ++i) {
+      if (!std::isfinite(gauges[i])) continue;
+      const std::string& field = names.report_fields[i];
+      if (field == "outstanding") report.in_flight = gauges[i];
+      if (field == "utilization") report.utilization = gauges[i];
+      if (field == "x1") report.link_or_fill_utilization = gauges[i];
     }
-    return r;
+    return report;
+  }
+  al::AttemptOutcome read_outcome(Reader& reader) const {
+    al::AttemptOutcome outcome;
+    outcome.id = {reader.u64()};
+    outcome.fill_outcome = read_fill_outcome(reader);
+    outcome.result = read_result(reader);
+    outcome.server = reader.server_id();
+    outcome.response_delivered = reader.u8() != 0;
+    outcome.time_to_first_byte = reader.u32();
+    outcome.attempt = {reader.u8()};
+    outcome.elapsed = reader.u32();
+    outcome.report = load_report(reader.gauges());
+    return outcome;
+  }
+  al::HealthCheckResult read_health_check(Reader& reader) const {
+    al::HealthCheckResult result;
+    result.server = reader.server_id();
+    result.is_healthy = reader.u16() == 0;
+    result.elapsed = reader.u32();
+    result.report = load_report(reader.gauges());
+    return result;
   }
 };
 
@@ -158,16 +278,16 @@
 Host::~Host() = default;
 
 BatchHeader read_header(std::string_view bytes) {
-  Reader r(bytes);
-  BatchHeader h;
-  h.length = r.u32();
-  h.clock = r.u64();
-  h.records = r.u32();
-  h.number = r.u32();
-  if (h.clock > static_cast<std::uint64_t>(std::numeric_limits<al::Time>::max() / 4)) {
+  Reader reader(bytes);
+  BatchHeader header;
+  header.length = reader.u32();
+  header.clock = reader.u64();
+  header.records = reader.u32();
+  header.number = reader.u32();
+  if (header.clock > static_cast<std::uint64_t>(std::numeric_limits<al::Time>::max() / 4)) {
     throw WireError("the clock is out of range");
   }
-  return h;
+  return header;
 }
 
 std::pair<al::Settings, config::Names> read_settings(std::string_view text) {
@@ -178,156 +298,130 @@
   }
 }
 
-std::string Host::answer(const BatchHeader& header, std::string_view body) {
-  Reader r(body);
-  const auto now = static_cast<al::Time>(header.clock);
-  std::vector<al::Action> actions;
-  std::map<std::uint32_t, Writer>
-      replies;  // an instance that is killed later in the batch acts no more
+/// The reading of one batch.
+class Host::Batch {
+ public:
+  Batch(Host& host, const BatchHeader& header, std::string_view body)
+      : host_(host), header_(header), reader_(body) {}
 
-  for (std::uint32_t n = 0; n < header.records; ++n) {
-    const auto code = r.u8();
-    if (code == 12) {
-      const auto id = r.u32();
-      const auto entries = r.u32();
-      std::vector<Listed> list;
-      for (std::uint32_t i = 0; i < entries; ++i) {
-        Listed l;
-        l.server.id = r.store();
-        l.server.location = {r.u16()};
-        l.kind = r.u8();
-        l.server.cell = {r.u16()};
-        const auto readiness = r.u8();
-        l.server.status = readiness == 1   ? al::ServerStatus::ready
-                          : readiness == 2 ? al::ServerStatus::draining
-                                           : al::ServerStatus::gone;
-        l.server.weight = r.f32();
-        l.server.started_at = static_cast<al::Time>(std::min<std::uint64_t>(r.u64(), 1ULL << 60));
-        list.push_back(l);
-      }
-      lists_[id] = std::move(list);
-      continue;
-    }
-    const auto who = r.u32();
-    const auto it = instances_.find(who);
-    Instance* instance = it == instances_.end() ? nullptr : &it->second;
-    al::Event event = al::ClientGone{};
+  std::string reply() {
+    for (std::uint32_t i = 0; i < header_.records; ++i) read_record();
+    if (!reader_.is_at_end()) throw WireError("a batch is longer than its records");
+    std::string actions;
+    for (const auto& [instance, writer] : replies_) actions += writer.bytes();
+    Writer head;
+    head.u32(static_cast<std::uint32_t>(actions.size()));
+    head.u32(header_.number);
+    return head.bytes() + actions;
+  }
+
+ private:
+  void read_record() {
+    const auto code = static_cast<RecordCode>(reader_.u8());
+    if (code == RecordCode::list) return read_list();
+    const std::uint32_t id = reader_.u32();
     switch (code) {
-      case 1: {
-        const auto seed = r.u64();
-        auto [settings, names] = read_settings(r.take(r.u32()));
-        replies.erase(who);
-        instances_.insert_or_assign(who, Instance{al::Router(settings, seed), std::move(names)});
-        continue;
-      }
-      case 10:
-        replies.erase(who);
-        instances_.erase(who);
-        continue;
-      case 2: {
-        const auto mode = r.u8();
-        r.u32();
-        const auto list = r.u32();
-        al::EndpointUpdate update;
-        update.is_complete = mode == 1 || mode == 2;
-        update.has_failed = mode > 2;
-        if (!update.has_failed) {
-          const auto found = lists_.find(list);
-          if (found == lists_.end()) throw WireError("a membership names a list that was not sent");
-          for (const auto& l : found->second) {
-            auto server = l.server;
-            if (instance && l.kind == instance->names.parent_kind) server.role = al::Role::parent;
-            if (instance && l.kind == instance->names.origin_kind) server.role = al::Role::origin;
-            update.servers.push_back(server);
-          }
-        }
-        event = std::move(update);
-        break;
-      }
-      case 3: {
-        al::Request q;
-        q.id = {r.u64()};
-        const float part = r.f32();
-        q.part = part >= 0 && part < 1e9f ? static_cast<std::uint32_t>(part) : 0;
-        q.size_kb = r.f32();
-        q.time_budget = r.u32();
-        r.u16();
-        q.class_id = {r.u16()};
-        q.is_write = (r.u16() & 4) != 0;
-        const float group = r.f32();
-        q.group = {group >= 0 && group < 1e9f ? static_cast<std::uint32_t>(group) : 0};
-        q.object = {r.u64()};
-        event = q;
-        break;
-      }
-      case 4: {
-        const al::RequestId id{r.u64()};
-        const al::AttemptNo attempt{r.u8()};
-        r.store();
-        r.u32();
-        event = al::ResponseStarted{id, attempt};
-        break;
-      }
-      case 5: {
-        al::AttemptOutcome o;
-        o.id = {r.u64()};
-        const auto note = r.u32();
-        o.fill_outcome = note <= 10 ? static_cast<al::FillOutcome>(note) : al::FillOutcome::none;
-        o.result = result_of(r.u16());
-        o.server = r.store();
-        o.response_delivered = r.u8() != 0;
-        o.time_to_first_byte = r.u32();
-        o.attempt = {r.u8()};
-        o.elapsed = r.u32();
-        const auto gauge = r.gauge();
-        if (instance) o.report = instance->report(gauge);
-        event = o;
-        break;
-      }
-      case 6:
-        event = al::ClientGone{{r.u64()}};
-        break;
-      case 7:
-        event = al::TimerExpired{{r.u32()}};
-        break;
-      case 8: {
-        al::HealthCheckResult p;
-        p.server = r.store();
-        p.is_healthy = r.u16() == 0;
-        p.elapsed = r.u32();
-        const auto gauge = r.gauge();
-        if (instance) p.report = instance->report(gauge);
-        event = p;
-        break;
-      }
-      case 9:
-        r.u32();
-        r.take(r.u16());
-        continue;
-      case 11: {
-        al::Purge p;
-        const auto object = r.u64();
-        if (object != 0) p.object = al::ObjectId{object};
-        p.group = {r.u16()};
-        p.age = r.u32();
-        event = p;
+      case RecordCode::init:
+        return start_instance(id);
+      case RecordCode::stop:
+        replies_.erase(id);
+        host_.instances_.erase(id);
+        return;
+      case RecordCode::peer:
+        reader_.u32();
+        reader_.take(reader_.u16());
+        return;
+      default:
         break;
-      }
+    }
+    const auto found = host_.instances_.find(id);
+    const bool is_known = found != host_.instances_.end();
+    // What concerns an unknown instance is read all the same, to find the next record.
+    static const Instance unknown{al::Router({}, 0), {}};
+    const al::Event event = read_event(code, is_known ? found->second : unknown);
+    if (!is_known) return;
+    actions_.clear();
+    found->second.router.handle(static_cast<al::Time>(header_.clock), event, actions_);
+    for (const auto& action : actions_) write_action(replies_[id], id, action);
+  }
+  al::Event read_event(RecordCode code, const Instance& instance) {
+    switch (code) {
+      case RecordCode::members:
+        return read_endpoint_update(instance.names);
+      case RecordCode::request:
+        return read_request(reader_);
+      case RecordCode::first_byte:
+        return read_response_started(reader_);
+      case RecordCode::outcome:
+        return instance.read_outcome(reader_);
+      case RecordCode::client_left:
+        return al::ClientGone{{reader_.u64()}};
+      case RecordCode::timer:
+        return al::TimerExpired{{reader_.u32()}};
+      case RecordCode::probed:
+        return instance.read_health_check(reader_);
+      case RecordCode::purge:
+        return read_purge(reader_);
       default:
-        throw WireError("unknown record code " + std::to_string(code));
+        throw WireError("unknown record code " + std::to_string(static_cast<unsigned>(code)));
+    }
+  }
+  void read_list() {
+    const std::uint32_t id = reader_.u32();
+    const std::uint32_t size = reader_.u32();
+    std::vector<ListedServer> list;
+    for (std::uint32_t i = 0; i < size; ++i) {
+      constexpr std::uint64_t kLatestStart = 1ULL << 60;
+      ListedServer listed;
+      al::Server& server = listed.server;
+      server.id = reader_.server_id();
+      server.location = {reader_.u16()};
+      listed.kind = reader_.u8();
+      server.cell = {reader_.u16()};
+      server.status = read_status(reader_);
+      server.weight = reader_.f32();
+      server.started_at = static_cast<al::Time>(std::min(reader_.u64(), kLatestStart));
+      list.push_back(listed);
     }
-    if (!instance) continue;
-    actions.clear();
-    instance->router.handle(now, event, actions);
-    for (const auto& action : actions) write_action(replies[who], who, action);
+    host_.lists_[id] = std::move(list);
   }
-  if (!r.done()) throw WireError("a batch is longer than its records");
-  Writer reply;
-  std::string orders;
-  for (const auto& [who, writer] : replies) orders += writer.out;
-  reply.u32(static_cast<std::uint32_t>(orders.size()));
-  reply.u32(header.number);
-  return reply.out + orders;
+  void start_instance(std::uint32_t id) {
+    const std::uint64_t seed = reader_.u64();
+    auto [settings, names] = read_settings(reader_.take(reader_.u32()));
+    replies_.erase(id);
+    host_.instances_.insert_or_assign(id, Instance{al::Router(settings, seed), std::move(names)});
+  }
+  al::EndpointUpdate read_endpoint_update(const config::Names& names) {
+    const std::uint8_t mode = reader_.u8();
+    reader_.u32();
+    const std::uint32_t list = reader_.u32();
+    al::EndpointUpdate update;
+    update.is_complete = mode == 1 || mode == 2;
+    update.has_failed = mode > 2;
+    if (update.has_failed) return update;
+    const auto found = host_.lists_.find(list);
+    if (found == host_.lists_.end()) {
+      throw WireError("a membership names a list that was not sent");
+    }
+    for (const ListedServer& listed : found->second) {
+      al::Server server = listed.server;
+      if (listed.kind == names.parent_kind) server.role = al::Role::parent;
+      if (listed.kind == names.origin_kind) server.role = al::Role::origin;
+      update.servers.push_back(server);
+    }
+    return update;
+  }
+
+  Host& host_;
+  const BatchHeader& header_;
+  Reader reader_;
+  std::vector<al::Action> actions_;
+  /// By instance: one that is stopped later in the batch acts no more.
+  std::map<std::uint32_t, Writer> replies_;
+};
+
+std::string Host::answer(const BatchHeader& header, std::string_view body) {
+  return Batch(*this, header, body).reply();
 }
 
 }  // namespace alderspur::simulator_adapter
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,4 +1,5 @@
-// The simulator's wire: frames in and out, and their translation to the router's interface.
+// The simulator's wire: batches of records in, actions out, and their translation to the router's
+// interface. Numbers are little-endian, times microseconds. No I/O; one thread.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +14,7 @@
 
 namespace alderspur::simulator_adapter {
 
+/// A malformed frame; what() says what is wrong with it.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -25,30 +27,32 @@
   std::uint32_t records = 0;
   std::uint32_t number = 0;
 };
+/// From kBatchHeader bytes. Throws WireError if the clock is out of range.
 BatchHeader read_header(std::string_view bytes);
 
-// Settings as the wire states them. Throws WireError if they are not a JSON object or lack a class
-// list.
+/// Settings as the wire states them. Throws WireError if they are not a JSON object or lack a class
+/// list.
 std::pair<alderspur::Settings, config::Names> read_settings(std::string_view json);
 
-// Hosts the instances that the frames speak of. Instances share nothing but the numbered lists.
+/// Hosts the router instances that the frames speak of. They share nothing but the numbered lists.
 class Host {
  public:
   Host();
   ~Host();
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
-  // One batch in, the complete reply out. Throws WireError on a malformed frame.
+  /// One batch in, the complete reply out. Throws WireError on a malformed frame.
   std::string answer(const BatchHeader& header, std::string_view body);
 
  private:
   struct Instance;
-  struct Listed {
+  class Batch;
+  struct ListedServer {
     alderspur::Server server;
     std::uint8_t kind = 0;
   };
   std::map<std::uint32_t, Instance> instances_;
-  std::map<std::uint32_t, std::vector<Listed>> lists_;
+  std::map<std::uint32_t, std::vector<ListedServer>> lists_;
 };
 
 }  // namespace alderspur::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -5,16 +5,18 @@
 
 #include "simulator_adapter/codec.h"
 
-using namespace alderspur;
-
 namespace {
 
-// Reads exactly n bytes in steps, so that a false length cannot claim memory that never arrives.
-bool read_exactly(std::string& out, std::size_t n) {
+namespace simulator_adapter = alderspur::simulator_adapter;
+
+// Reads exactly `size` bytes in steps, so that a false length cannot claim memory that never
+// arrives.
+bool read_exactly(std::string& out, std::size_t size) {
   constexpr std::size_t kStep = 1 << 20;
   out.clear();
-  while (out.size() < n) {
-    const std::size_t have = out.size(), want = std::min(kStep, n - have);
+  while (out.size() < size) {
+    const std::size_t have = out.size();
+    const std::size_t want = std::min(kStep, size - have);
     out.resize(have + want);
     const std::size_t got = std::fread(out.data() + have, 1, want, stdin);
     out.resize(have + got);
@@ -25,7 +27,8 @@
 
 int serve() {
   simulator_adapter::Host host;
-  std::string head, body;
+  std::string head;
+  std::string body;
   for (;;) {
     if (!read_exactly(head, simulator_adapter::kBatchHeader)) {
       if (head.empty() && !std::ferror(stdin)) return 0;
