--- a/bench/cluster/processes.cpp
+++ b/bench/cluster/processes.cpp
@@ -1,126 +1,170 @@
 // Figures of the membership between processes of the program, each link through a gate of the rig:
-// times to form, to know of a death and to heal, and what a member sends, computes and holds at
-// rest. Times are to 0.1 s, as views are asked. Usage: cluster_processes PROCESSES...
+// times to form a cluster, to learn of a failure and to heal, and what a member sends, computes and
+// holds at rest. Times are to 0.1 s, as views are polled. Usage: cluster_processes PROCESSES...
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
+#include <exception>
 
 #include "cluster/rig.h"
 
 namespace {
 
-using namespace alderspur;
+namespace net = alderspur::net;
 using rig::kSecond;
 using rig::Rig;
 using rig::Time;
 
-struct Used {
-  double cpu = 0;  // seconds
-  std::size_t kb = 0;
-};
-Used used(pid_t pid) {
-  Used u;
-  std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
-  std::string word;
-  for (int i = 0; i < 13; ++i) in >> word;  // the name has no space
-  double user = 0, system = 0;
-  in >> user >> system;
-  u.cpu = (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+constexpr std::size_t kMinProcesses = 3;
+constexpr std::size_t kMaxProcesses = 60;
+constexpr std::size_t kFailures = 6;
+constexpr std::size_t kMaxVictims = 5;     // different processes that are killed
+constexpr int kFieldsBeforeUserTime = 13;  // of /proc/PID/stat; the program's name has no space
+
+double in_seconds(Time duration) { return static_cast<double>(duration) / 1e6; }
+
+double quantile(std::vector<double> values, double fraction) {
+  if (values.empty()) return -1;
+  std::sort(values.begin(), values.end());
+  const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
+  return values[std::min(values.size() - 1, index)];
+}
+
+double cpu_seconds(pid_t pid) {
+  std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
+  std::string skipped;
+  for (int i = 0; i < kFieldsBeforeUserTime; ++i) stat >> skipped;
+  double user = 0;
+  double system = 0;
+  stat >> user >> system;
+  return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+}
+
+std::size_t resident_kb(pid_t pid) {
   std::ifstream pages("/proc/" + std::to_string(pid) + "/statm");
-  std::size_t size = 0, resident = 0;
+  std::size_t size = 0;
+  std::size_t resident = 0;
   pages >> size >> resident;
-  u.kb = resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE)) / 1024;
-  return u;
+  return resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE)) / 1024;
 }
-double seconds(Time t) { return static_cast<double>(t) / 1e6; }
-double part(std::vector<double> v, double p) {
-  std::sort(v.begin(), v.end());
-  return v.empty() ? -1
-                   : v[std::min(v.size() - 1,
-                                static_cast<std::size_t>(p * static_cast<double>(v.size())))];
+
+std::size_t count_informed(Rig& cluster, std::size_t victim) {
+  const auto name = "n" + std::to_string(victim);
+  std::size_t informed = 0;
+  for (const auto i : cluster.all()) {
+    if (i != victim && cluster.view(i).states[name] == "failed") ++informed;
+  }
+  return informed;
 }
 
-void deaths(Rig& r, std::size_t n) {
-  std::vector<double> first, all;
-  for (int k = 0; k < 6; ++k) {
-    const auto victim = n - 1 - static_cast<std::size_t>(k) % (n > 5 ? 5 : n - 1);
-    r.kill(victim);
-    const Time at = net::unix_now();
-    double earliest = 0;
-    r.until([&] {
-      std::size_t know = 0;
-      for (const auto i : r.all())
-        if (i != victim) know += r.view(i).states["n" + std::to_string(victim)] == "failed";
-      if (know && earliest == 0) earliest = seconds(net::unix_now() - at);
-      return know + 1 == n;
+void print_failure_times(Rig& cluster, std::size_t size) {
+  std::vector<double> known_by_first;
+  std::vector<double> known_by_all;
+  const std::size_t victims = size > kMaxVictims ? kMaxVictims : size - 1;
+  for (std::size_t i = 0; i < kFailures; ++i) {
+    const std::size_t victim = size - 1 - i % victims;
+    cluster.kill(victim);
+    const Time killed_at = net::unix_now();
+    double first = 0;
+    cluster.until([&] {
+      const std::size_t informed = count_informed(cluster, victim);
+      if (informed > 0 && first == 0) first = in_seconds(net::unix_now() - killed_at);
+      return informed + 1 == size;
     });
-    first.push_back(earliest), all.push_back(seconds(net::unix_now() - at));
-    r.start(victim);
-    r.until([&] { return r.whole(r.all()); });
+    known_by_first.push_back(first);
+    known_by_all.push_back(in_seconds(net::unix_now() - killed_at));
+    cluster.start(victim);
+    cluster.until([&] { return cluster.whole(cluster.all()); });
   }
   std::printf("  death known by the first p50 %.1f max %.1f s, by all p50 %.1f max %.1f s\n",
-              part(first, 0.5), part(first, 1), part(all, 0.5), part(all, 1));
+              quantile(known_by_first, 0.5), quantile(known_by_first, 1),
+              quantile(known_by_all, 0.5), quantile(known_by_all, 1));
 }
 
-void rest(Rig& r, std::size_t n) {
-  r.run(30 * kSecond);  // the news of the start have been told
-  struct Sum {
-    double cpu = 0, datagrams = 0, bytes = 0;
-    std::size_t kb = 0;
-  };
-  const auto sum = [&] {
-    Sum s;
-    for (const auto i : r.all()) {
-      const auto u = used(r.pid(i));
-      auto v = r.view(i);
-      s.cpu += u.cpu, s.kb = std::max(s.kb, u.kb);
-      s.datagrams += static_cast<double>(v.counts["datagrams_out"]);
-      s.bytes += static_cast<double>(v.counts["bytes_out"]);
-    }
-    return s;
-  };
-  const auto a = sum();
-  const Time from = net::unix_now();
-  r.run(20 * kSecond);
-  const auto b = sum();
-  const double each = seconds(net::unix_now() - from) * static_cast<double>(n);
+struct Usage {
+  double cpu_seconds = 0;  // of all, as the following
+  double datagrams = 0;
+  double bytes = 0;
+  std::size_t max_resident_kb = 0;  // of one
+};
+
+Usage usage_of(Rig& cluster) {
+  Usage usage;
+  for (const auto i : cluster.all()) {
+    auto view = cluster.view(i);
+    usage.cpu_seconds += cpu_seconds(cluster.pid(i));
+    usage.max_resident_kb = std::max(usage.max_resident_kb, resident_kb(cluster.pid(i)));
+    usage.datagrams += static_cast<double>(view.counts["datagrams_out"]);
+    usage.bytes += static_cast<double>(view.counts["bytes_out"]);
+  }
+  return usage;
+}
+
+void print_load_at_rest(Rig& cluster, std::size_t size) {
+  cluster.run(30 * kSecond);  // until the updates of the start have been told
+  const auto before = usage_of(cluster);
+  const Time started_at = net::unix_now();
+  cluster.run(20 * kSecond);
+  const auto after = usage_of(cluster);
+  const double member_seconds =
+      in_seconds(net::unix_now() - started_at) * static_cast<double>(size);
   std::printf(
       "  a member and second at rest: %.1f datagrams, %.0f bytes, %.2f ms of CPU; resident at most "
       "%.1f MB\n",
-      (b.datagrams - a.datagrams) / each, (b.bytes - a.bytes) / each, (b.cpu - a.cpu) / each * 1e3,
-      static_cast<double>(b.kb) / 1024);
+      (after.datagrams - before.datagrams) / member_seconds,
+      (after.bytes - before.bytes) / member_seconds,
+      (after.cpu_seconds - before.cpu_seconds) / member_seconds * 1e3,
+      static_cast<double>(after.max_resident_kb) / 1024);
 }
 
-void play(std::size_t n) {
-  Rig r(n);
-  rig::Setup s;
-  s.period = "300 ms";
-  for (const auto i : r.all()) r.configure(i, s);
-  const Time began = net::unix_now();
-  r.start_all();
-  const bool formed = r.until([&] { return r.whole(r.all()); }, 60 * kSecond);
-  std::printf("%zu processes: formed in %.1f s%s\n", n, seconds(net::unix_now() - began),
-              formed ? "" : " (NOT)");
-  rest(r, n);
-  deaths(r, n);
-  std::vector<std::size_t> low, high;
-  for (const auto i : r.all()) (i < n / 2 ? low : high).push_back(i);
-  r.cut(low, high);
-  r.run(15 * kSecond);
-  r.cut(low, high, false);
-  const Time healed = net::unix_now();
-  const bool whole = r.until([&] { return r.whole(r.all()); }, 60 * kSecond);
-  std::printf("  healed after halves in %.1f s%s\n", seconds(net::unix_now() - healed),
-              whole ? "" : " (NOT)");
+void print_partition_time(Rig& cluster, std::size_t size) {
+  std::vector<std::size_t> first_half;
+  std::vector<std::size_t> second_half;
+  for (const auto i : cluster.all()) (i < size / 2 ? first_half : second_half).push_back(i);
+  cluster.cut(first_half, second_half);
+  cluster.run(15 * kSecond);
+  cluster.cut(first_half, second_half, false);
+  const Time healed_at = net::unix_now();
+  const bool is_whole = cluster.until([&] { return cluster.whole(cluster.all()); }, 60 * kSecond);
+  std::printf("  healed after halves in %.1f s%s\n", in_seconds(net::unix_now() - healed_at),
+              is_whole ? "" : " (NOT)");
+}
+
+void measure(std::size_t size) {
+  Rig cluster(size);
+  rig::Setup setup;
+  setup.period = "300 ms";
+  for (const auto i : cluster.all()) cluster.configure(i, setup);
+  const Time started_at = net::unix_now();
+  cluster.start_all();
+  const bool has_formed = cluster.until([&] { return cluster.whole(cluster.all()); }, 60 * kSecond);
+  std::printf("%zu processes: formed in %.1f s%s\n", size, in_seconds(net::unix_now() - started_at),
+              has_formed ? "" : " (NOT)");
+  print_load_at_rest(cluster, size);
+  print_failure_times(cluster, size);
+  print_partition_time(cluster, size);
   std::fflush(stdout);
 }
 
+int run(int argc, char** argv) {
+  for (int i = 1; i < argc; ++i) {
+    const std::size_t size = std::strtoul(argv[i], nullptr, 10);
+    if (size < kMinProcesses || size > kMaxProcesses) {
+      std::fprintf(stderr, "cluster_processes: 3 to 60 processes\n");
+      return 2;
+    }
+    measure(size);
+  }
+  return 0;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
-  for (int i = 1; i < argc; ++i) {
-    const int n = std::atoi(argv[i]);
-    if (n < 3 || n > 60) return std::fprintf(stderr, "cluster_processes: 3 to 60 processes\n"), 2;
-    play(static_cast<std::size_t>(n));
+  try {
+    return run(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "cluster_processes: %s\n", error.what());
+    return 1;
   }
 }
--- a/tests/cluster/schedule.h
+++ b/tests/cluster/schedule.h
@@ -6,136 +6,233 @@
 #pragma once
 
 #include <algorithm>
+#include <array>
+#include <csignal>
 #include <cstdint>
+#include <functional>
+#include <optional>
 #include <random>
 #include <set>
 #include <sstream>
 #include <string>
+#include <string_view>
+#include <utility>
 #include <vector>
 
-#include "rig.h"
+#include "cluster/rig.h"
 
 namespace rig {
 
+/// In the order in which random_schedule() draws them.
+enum class StepKind : std::uint8_t {
+  kill,
+  start,
+  stop,
+  resume,
+  cut,
+  one_way_cut,
+  stall,
+  loss,
+  heal
+};
+
+constexpr std::array<std::string_view, 9> kStepNames = {"kill",   "start", "stop", "go",  "cut",
+                                                        "oneway", "stall", "loss", "heal"};
+constexpr std::size_t kMinScheduledProcesses = 2;
+constexpr std::size_t kMaxScheduledProcesses = 30;
+
 struct Step {
-  Time at = 0;
-  std::string what;
-  std::size_t a = 0, b = 0;
+  Time at = 0;  // microseconds from the beginning
+  StepKind kind = StepKind::heal;
+  std::size_t first = 0;   // the process, or the percentage of a loss
+  std::size_t second = 0;  // the other process, where the fault is between two
 };
+
 struct Schedule {
   std::size_t processes = 0;
   std::vector<Step> steps;
 };
 
-inline bool pair_of(const std::string& what) {
-  return what == "cut" || what == "oneway" || what == "stall";
+inline bool is_between_two(StepKind kind) {
+  return kind == StepKind::cut || kind == StepKind::one_way_cut || kind == StepKind::stall;
+}
+
+inline std::string to_string(const Schedule& schedule) {
+  std::ostringstream line;
+  line << schedule.processes << " processes:";
+  for (const auto& step : schedule.steps) {
+    line << ' ' << step.at / 1000 << ' ' << kStepNames.at(static_cast<std::size_t>(step.kind));
+    if (step.kind != StepKind::heal) line << ' ' << step.first;
+    if (is_between_two(step.kind)) line << ' ' << step.second;
+    line << ';';
+  }
+  return line.str();
 }
 
-inline std::string written(const Schedule& s) {
-  std::ostringstream out;
-  out << s.processes << " processes:";
-  for (const auto& x : s.steps) {
-    out << ' ' << x.at / 1000 << ' ' << x.what;
-    if (x.what != "heal") out << ' ' << x.a;
-    if (pair_of(x.what)) out << ' ' << x.b;
-    out << ';';
+// The text between two semicolons, which begins with a number; nothing where it is malformed.
+inline std::optional<Step> parse_step(Time at_milliseconds, std::istringstream& text,
+                                      std::size_t processes) {
+  std::string name;
+  text >> name;
+  const auto* const found = std::find(kStepNames.begin(), kStepNames.end(), name);
+  if (found == kStepNames.end() || at_milliseconds < 0) return std::nullopt;
+  Step step;
+  step.at = at_milliseconds * 1000;
+  step.kind = static_cast<StepKind>(found - kStepNames.begin());
+  if (step.kind != StepKind::heal && !(text >> step.first)) return std::nullopt;
+  if (is_between_two(step.kind) && !(text >> step.second)) return std::nullopt;
+  const bool names_processes = step.kind != StepKind::loss && step.kind != StepKind::heal;
+  if (names_processes && (step.first >= processes || step.second >= processes)) {
+    return std::nullopt;
   }
-  return out.str();
+  return step;
 }
 
-// Without steps: unreadable.
-inline Schedule read_schedule(const std::string& line) {
-  Schedule s;
-  std::istringstream in(line);
+/// Without steps: the line is malformed.
+inline Schedule parse_schedule(const std::string& line) {
+  Schedule schedule;
+  std::istringstream input(line);
   std::string word;
-  if (!(in >> s.processes >> word) || word != "processes:" || s.processes < 2 || s.processes > 30)
+  if (!(input >> schedule.processes >> word) || word != "processes:") return {};
+  if (schedule.processes < kMinScheduledProcesses || schedule.processes > kMaxScheduledProcesses) {
     return {};
-  for (std::string text; std::getline(in, text, ';');) {
-    std::istringstream step(text);
-    Step x;
-    if (!(step >> x.at >> x.what)) continue;  // the end
-    static const std::set<std::string> kWords = {"kill",   "start", "stop", "go",  "cut",
-                                                 "oneway", "stall", "loss", "heal"};
-    const bool numbers = (x.what == "heal" || step >> x.a) && (!pair_of(x.what) || step >> x.b);
-    const bool known = kWords.contains(x.what) && numbers;
-    const bool there =
-        x.what == "loss" || x.what == "heal" || (x.a < s.processes && x.b < s.processes);
-    if (!known || !there || x.at < 0) return {};
-    x.at *= 1000;
-    s.steps.push_back(std::move(x));
   }
-  return s;
+  for (std::string part; std::getline(input, part, ';');) {
+    std::istringstream text(part);
+    Time at_milliseconds = 0;
+    if (!(text >> at_milliseconds)) continue;  // the end
+    const auto step = parse_step(at_milliseconds, text, schedule.processes);
+    if (!step) return {};
+    schedule.steps.push_back(*step);
+  }
+  return schedule;
 }
 
-// Faults over `time`, in an order in which they make sense: who is dead is not stopped.
-inline Schedule drawn(std::uint64_t seed, std::size_t processes, Time time) {
+// Which processes do not run, so that a schedule makes sense: a killed process is not stopped.
+struct Downtime {
+  std::set<std::size_t> killed;
+  std::set<std::size_t> stopped;
+};
+
+// The step of that kind on `one`, or on a process for which it makes sense; nothing where there is
+// none.
+inline std::optional<Step> draw_step(StepKind kind, std::size_t one, std::size_t processes,
+                                     Downtime& down) {
+  switch (kind) {
+    case StepKind::kill:
+      if (down.killed.contains(one) || down.killed.size() + 2 >= processes) return std::nullopt;
+      down.killed.insert(one);
+      down.stopped.erase(one);
+      return Step{0, kind, one, 0};
+    case StepKind::start: {
+      if (down.killed.empty()) return std::nullopt;
+      const auto killed = down.killed.extract(down.killed.begin()).value();
+      return Step{0, kind, killed, 0};
+    }
+    case StepKind::stop:
+      if (down.killed.contains(one) || !down.stopped.insert(one).second) return std::nullopt;
+      return Step{0, kind, one, 0};
+    case StepKind::resume: {
+      if (down.stopped.empty()) return std::nullopt;
+      const auto stopped = down.stopped.extract(down.stopped.begin()).value();
+      return Step{0, kind, stopped, 0};
+    }
+    default:
+      return Step{0, kind, one, 0};
+  }
+}
+
+/// Faults over `duration`.
+inline Schedule random_schedule(std::uint64_t seed, std::size_t processes, Time duration) {
   std::mt19937_64 random(seed);
-  Schedule s{processes, {}};
-  std::set<std::size_t> dead, stopped;
-  for (Time at = 0; at < time; at += 300'000 + static_cast<Time>(random() % 1'200'000)) {
-    const std::size_t a = random() % processes,
-                      b = (a + 1 + random() % (processes - 1)) % processes;
-    const auto add = [&](const char* what, std::size_t x = 0, std::size_t y = 0) {
-      s.steps.push_back({at, what, x, y});
-    };
-    switch (random() % 9) {
-      case 0:
-        if (!dead.contains(a) && dead.size() + 2 < processes)
-          add("kill", a), dead.insert(a), stopped.erase(a);
-        break;
-      case 1:
-        if (!dead.empty()) add("start", *dead.begin()), dead.erase(dead.begin());
-        break;
-      case 2:
-        if (!dead.contains(a) && stopped.insert(a).second) add("stop", a);
-        break;
-      case 3:
-        if (!stopped.empty()) add("go", *stopped.begin()), stopped.erase(stopped.begin());
-        break;
-      case 4:
-        add("cut", a, b);
-        break;
-      case 5:
-        add("oneway", a, b);
-        break;
-      case 6:
-        add("stall", a, b);
-        break;
-      case 7:
-        add("loss", random() % 30);
-        break;
-      case 8:
-        add("heal");
-        break;
+  Schedule schedule{processes, {}};
+  Downtime down;
+  Time at = 0;
+  while (at < duration) {
+    const std::size_t one = random() % processes;
+    const std::size_t other = (one + 1 + random() % (processes - 1)) % processes;
+    const auto kind = static_cast<StepKind>(random() % kStepNames.size());
+    if (auto step = draw_step(kind, one, processes, down)) {
+      step->at = at;
+      if (is_between_two(kind)) step->second = other;
+      if (kind == StepKind::loss) step->first = random() % 30;
+      if (kind == StepKind::heal) step->first = 0;
+      schedule.steps.push_back(*step);
     }
+    at += 300'000 + static_cast<Time>(random() % 1'200'000);
   }
-  return s;
+  return schedule;
 }
 
-// Plays it to its end, then mends everything. `meanwhile` is called between the steps.
-inline void play(
-    Rig& r, const Schedule& s, const std::function<void()>& meanwhile = [] {}) {
-  std::set<std::size_t> dead, stopped;
-  const auto heal = [&] { r.each_way([](Fault& f) { f = {}; }); };
-  const auto go = [&](std::size_t i) { r.signal(i, SIGCONT), stopped.erase(i); };
-  const Time from = net::unix_now();
-  for (const auto& x : s.steps) {
-    while (net::unix_now() < from + x.at)
-      r.run(std::min<Time>(50'000, from + x.at - net::unix_now())), meanwhile();
-    if (x.what == "kill" && dead.insert(x.a).second) stopped.erase(x.a), r.kill(x.a);
-    if (x.what == "start" && dead.erase(x.a)) r.start(x.a);
-    if (x.what == "stop" && !dead.contains(x.a) && stopped.insert(x.a).second)
-      r.signal(x.a, SIGSTOP);
-    if (x.what == "go" && stopped.contains(x.a)) go(x.a);
-    if (x.what == "cut") r.cut({x.a}, {x.b});
-    if (x.what == "oneway") r.way(x.a, x.b).cut = true;
-    if (x.what == "stall") r.way(x.a, x.b).stall = true;
-    if (x.what == "loss") r.each_way([&](Fault& f) { f.loss = static_cast<unsigned>(x.a); });
-    if (x.what == "heal") heal();
+/// Plays a schedule on a rig.
+class SchedulePlayer {
+ public:
+  explicit SchedulePlayer(Rig& cluster) : cluster_(cluster) {}
+
+  /// To its end; then everything is mended. `meanwhile` is called between the steps.
+  void play(const Schedule& schedule, const std::function<void()>& meanwhile) {
+    const Time started_at = net::unix_now();
+    for (const auto& step : schedule.steps) {
+      const Time due_at = started_at + step.at;
+      while (net::unix_now() < due_at) {
+        cluster_.run(std::min<Time>(50'000, due_at - net::unix_now()));
+        meanwhile();
+      }
+      take(step);
+    }
+    heal_links();
+    while (!down_.stopped.empty()) resume(*down_.stopped.begin());
+    for (const auto i : down_.killed) cluster_.start(i);
+  }
+
+ private:
+  void heal_links() {
+    cluster_.each_way([](Fault& fault) { fault = {}; });
   }
-  heal();
-  while (!stopped.empty()) go(*stopped.begin());
-  for (const auto i : dead) r.start(i);
+  void resume(std::size_t i) {
+    cluster_.signal(i, SIGCONT);
+    down_.stopped.erase(i);
+  }
+  void take(const Step& step) {
+    switch (step.kind) {
+      case StepKind::kill:
+        if (!down_.killed.insert(step.first).second) return;
+        down_.stopped.erase(step.first);
+        return cluster_.kill(step.first);
+      case StepKind::start:
+        if (down_.killed.erase(step.first) > 0) cluster_.start(step.first);
+        return;
+      case StepKind::stop:
+        if (down_.killed.contains(step.first)) return;
+        if (down_.stopped.insert(step.first).second) cluster_.signal(step.first, SIGSTOP);
+        return;
+      case StepKind::resume:
+        if (down_.stopped.contains(step.first)) resume(step.first);
+        return;
+      case StepKind::cut:
+        return cluster_.cut({step.first}, {step.second});
+      case StepKind::one_way_cut:
+        cluster_.way(step.first, step.second).cut = true;
+        return;
+      case StepKind::stall:
+        cluster_.way(step.first, step.second).stall = true;
+        return;
+      case StepKind::loss: {
+        const auto percent = static_cast<unsigned>(step.first);
+        return cluster_.each_way([percent](Fault& fault) { fault.loss = percent; });
+      }
+      case StepKind::heal:
+        return heal_links();
+    }
+  }
+
+  Rig& cluster_;
+  Downtime down_;
+};
+
+inline void play(
+    Rig& cluster, const Schedule& schedule, const std::function<void()>& meanwhile = [] {}) {
+  SchedulePlayer(cluster).play(schedule, meanwhile);
 }
 
 }  // namespace rig
--- a/tests/replication/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -31,13 +31,15 @@
     if (status.HasParseError() || !status.IsObject() || !status.HasMember("replica")) return view;
     view.has_answered = true;
     view.is_caught_up = status["replica"]["caught_up"].GetBool();
-    for (const auto& ban : status["replica"]["bans"].GetArray())
+    for (const auto& ban : status["replica"]["bans"].GetArray()) {
       view.banned.insert(ban["server"].GetString());
+    }
     return view;
   }
   bool all_caught_up() {
-    for (const auto router : r->all())
+    for (const auto router : r->all()) {
       if (!replica_view(router).is_caught_up) return false;
+    }
     return true;
   }
   bool banned_at(const std::vector<std::size_t>& routers, bool is_banned) {
