--- a/src/cluster/packing.h
+++ b/src/cluster/packing.h
@@ -2,7 +2,7 @@
 // order.
 //
 // Further elements at the end of an array are passed over, so that a later version may add some.
-// Texts are printable and of kWordMost characters where nothing else is said. No I/O.
+// Texts are printable and of kMaxNameLength characters where nothing else is said. No I/O.
 #pragma once
 
 #include <msgpack.h>
@@ -12,8 +12,8 @@
 #include <string>
 #include <string_view>
 
-#include "cluster/membership.h"
-#include "platform/rpc_codec.h"
+#include "cluster/member.h"
+#include "msgpack_codec/measure.h"
 
 namespace alderspur::cluster {
 
@@ -94,7 +94,7 @@
       return good = false, std::string_view();
     return {o.via.bin.ptr, o.via.bin.size};
   }
-  std::string text(std::size_t most = kWordMost) {
+  std::string text(std::size_t most = kMaxNameLength) {
     const auto& o = next();
     if (o.type != MSGPACK_OBJECT_STR || o.via.str.size > most) return good = false, std::string();
     // Such words come into logs and answers.
@@ -114,9 +114,9 @@
 struct Unpacked {
   explicit Unpacked(std::string_view bytes) {
     msgpack_unpacked_init(&m);
+    const auto measured = msgpack_codec::measure_item(bytes, bytes.size());
+    if (measured.status != msgpack_codec::MeasureStatus::complete) return;
     std::size_t used = 0;
-    if (platform::measure(bytes, used, bytes.size()) != platform::Parsed::whole) return;
-    used = 0;
     good = msgpack_unpack_next(&m, bytes.data(), bytes.size(), &used) == MSGPACK_UNPACK_SUCCESS &&
            used == bytes.size();
   }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -43,7 +43,8 @@
                                                "xds",    "routes",     "cluster"};
   for (const auto& [name, level] : by_subsystem.texts()) {
     if (std::find(levels.begin(), levels.end(), level) == levels.end()) {
-      findings.error("F003", by_subsystem.place(name), name + ": '" + std::string(level).append("' is no level"));
+      findings.error("F003", by_subsystem.place(name),
+                     name + ": '" + std::string(level).append("' is no level"));
     }
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       const auto near = diagnostics::nearest(name, known);
@@ -133,49 +134,48 @@
     into = *v;
     const bool plain =
         std::all_of(v->begin(), v->end(), [](char x) { return x > ' ' && x <= '~' && x != '"'; });
-    if (v->empty() || v->size() > cluster::kWordMost || !plain) {
+    if (v->empty() || v->size() > cluster::kMaxNameLength || !plain)
       findings.error("S002", t.place(key),
                      std::string(key) + " is not a word of 1 to 64 printing characters");
-    }
-  };
-  short_word("name", c.name, true);
-  short_word("member", c.member, false);
-  short_word("point", c.point, false);
-  if (const auto v = t.text("listen", true)) c.listen = *v, listens(t, *v, findings);
-  if (const auto v = t.text("advertise")) {
-    c.advertise = *v;
-    if (!net::parse_address(*v)) {
-      findings.error("S002", t.place("advertise"), "'" + *v + "' is no address");
-    }
   }
-  if (const auto v = t.text("secret", true)) c.secret = path_in(folder, *v);
-  if (const auto v = t.text("state")) c.state = path_in(folder, *v);
-  if (const auto v = t.real("share", 0, 1)) c.share = *v;
-  c.replicate = t.flag("replicate").value_or(true);
-  for (const auto& seed : t.words("seeds")) {
-    if (!net::parse_address(seed)) {
-      findings.error("S002", t.place("seeds"), "'" + seed + "' is no address of a seed",
-                     "write numbers and a port, such as 127.0.0.1:7480");
-    }
-    c.seeds.push_back(seed);
-  }
-  if (const auto v = t.duration("period", 50 * kMilli, 60 * kSecond)) {
-    // All times of the rules keep their proportions.
-    const double by = static_cast<double>(*v) / static_cast<double>(m.period);
-    for (auto* x :
-         {&m.answer, &m.gossip, &m.reach, &m.refresh, &m.suspicion_least, &m.suspicion_most}) {
-      *x = static_cast<core::Time>(static_cast<double>(*x) * by);
-    }
-    m.period = *v;
+};
+short_word("name", c.name, true);
+short_word("member", c.member, false);
+short_word("point", c.point, false);
+if (const auto v = t.text("listen", true)) c.listen = *v, listens(t, *v, findings);
+if (const auto v = t.text("advertise")) {
+  c.advertise = *v;
+  if (!net::parse_address(*v)) {
+    findings.error("S002", t.place("advertise"), "'" + *v + "' is no address");
   }
-  if (const auto v = t.duration("forget", 10 * kSecond, 24 * kHour)) m.forget = *v;
-  if (t.has("agreement")) read_agreement(t.table("agreement"), c, findings);
-  if (m.forget < 5 * m.suspicion_most) {
-    findings.error("S002", t.place("forget"), "forget is shorter than five suspicions",
-                   "old news could outlive it");
+}
+if (const auto v = t.text("secret", true)) c.secret = path_in(folder, *v);
+if (const auto v = t.text("state")) c.state = path_in(folder, *v);
+if (const auto v = t.real("share", 0, 1)) c.share = *v;
+c.replicate = t.flag("replicate").value_or(true);
+for (const auto& seed : t.words("seeds")) {
+  if (!net::parse_address(seed)) {
+    findings.error("S002", t.place("seeds"), "'" + seed + "' is no address of a seed",
+                   "write numbers and a port, such as 127.0.0.1:7480");
   }
-  t.finish();
-  return c;
+  c.seeds.push_back(seed);
+}
+if (const auto v = t.duration("period", 50 * kMilli, 60 * kSecond)) {
+  // All times of the rules keep their proportions.
+  const double by = static_cast<double>(*v) / static_cast<double>(m.probe_interval);
+  for (auto* x : {&m.probe_timeout, &m.gossip_interval, &m.reconnect_interval, &m.refresh_interval,
+                  &m.min_suspicion_timeout, &m.max_suspicion_timeout})
+    *x = static_cast<core::Time>(static_cast<double>(*x) * by);
+  m.probe_interval = *v;
+}
+if (const auto v = t.duration("forget", 10 * kSecond, 24 * kHour)) m.forget_after = *v;
+if (t.has("agreement")) read_agreement(t.table("agreement"), c, findings);
+if (m.forget_after < 5 * m.max_suspicion_timeout)
+  findings.error("S002", t.place("forget"), "forget is shorter than five suspicions",
+                 "old news could outlive it");
+}
+t.finish();
+return c;
 }
 
 void read_signed(toml::Table t, Settings& out, diagnostics::Findings& findings) {
