--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -66,17 +66,16 @@
   if (!error.empty() || (kept && !stored))
     log_.record(kName, log::Level::warning, "not_read",
                 {{"reason", error.empty() ? "not of this form" : error}});
-}
-begun_ = true;
-handle(BansLoaded{stored.value_or(BanSet())});
-saved_ = stored ? replica_->bans().digest() : 0;
-handle(PeersChanged{others_});
-binding_ = true;
-for (const auto& s : replica_->bans().banned_servers()) node_.ban({s, true});
-binding_ = false;
-for (const auto& s : node_.bans())
-  if (!replica_->bans().is_banned(s)) called({s, true});
-for (const auto& change : std::exchange(early_, {})) called(change);
+  begun_ = true;
+  handle(BansLoaded{stored.value_or(BanSet())});
+  saved_ = stored ? replica_->bans().digest() : 0;
+  handle(PeersChanged{others_});
+  binding_ = true;
+  for (const auto& s : replica_->bans().banned_servers()) node_.ban({s, true});
+  binding_ = false;
+  for (const auto& s : node_.bans())
+    if (!replica_->bans().is_banned(s)) called({s, true});
+  for (const auto& change : std::exchange(early_, {})) called(change);
 }
 
 // By hand, here; what was made elsewhere comes in by SetBan and is no call.
@@ -95,8 +94,7 @@
   for (const auto& a : actions) carry_out(a);
   if (!std::holds_alternative<PurgeObserved>(event))
     save();  // a purge changes no ban, and there may be many
-}
-arm();
+  arm();
 }
 
 void ReplicationService::arm() {
@@ -109,56 +107,55 @@
 }
 
 void ReplicationService::carry_out(const replication::Action& action) {
-  if (const auto* s = std::get_if<replication::SendFrame>(&action)) {
+  if (const auto* s = std::get_if<replication::SendFrame>(&action))
     return cluster_.send_replica(s->to, s->bytes);
-    if (const auto* b = std::get_if<SetBan>(&action)) {
-      log_.record(kName, log::Level::info, b->is_banned ? "banned" : "lifted",
-                  {{"server", b->server}});
-      binding_ = true;
-      node_.ban({b->server, b->is_banned});
-      binding_ = false;
-      return;
-    }
-    const PurgeFloor& f = std::get<ApplyPurge>(action).floor;
-    if (f.at < node_.engine().now() - settles_ - kOld)
-      return;  // caches have dropped it by themselves
-    const auto object = f.is_object ? std::optional(f.id) : std::nullopt;
-    node_.engine().purge({object, f.is_object ? 0 : static_cast<std::uint32_t>(f.id), f.at});
+  if (const auto* b = std::get_if<SetBan>(&action)) {
+    log_.record(kName, log::Level::info, b->is_banned ? "banned" : "lifted",
+                {{"server", b->server}});
+    binding_ = true;
+    node_.ban({b->server, b->is_banned});
+    binding_ = false;
+    return;
   }
+  const PurgeFloor& f = std::get<ApplyPurge>(action).floor;
+  if (f.at < node_.engine().now() - settles_ - kOld)
+    return;  // caches have dropped it by themselves
+  const auto object = f.is_object ? std::optional(f.id) : std::nullopt;
+  node_.engine().purge({object, f.is_object ? 0 : static_cast<std::uint32_t>(f.id), f.at});
+}
 
-  void ReplicationService::save() {
-    if (path_.empty() || !begun_ || saving_ || replica_->bans().digest() == saved_) return;
-    const auto digest = replica_->bans().digest();
-    saving_ = writer_.submit([this, path = path_, digest, text = replica_->bans().encode()] {
-      const auto error = store::replace_file(path, text);
-      wakeup_.post([this, digest, error] {
-        saving_ = false;
-        if (error.empty()) {
-          saved_ = digest;
-        } else {
-          log_.record(kName, log::Level::error, "not_written",
-                      {{"reason", error}});  // again with the next event
-        }
-      });
+void ReplicationService::save() {
+  if (path_.empty() || !begun_ || saving_ || replica_->bans().digest() == saved_) return;
+  const auto digest = replica_->bans().digest();
+  saving_ = writer_.submit([this, path = path_, digest, text = replica_->bans().encode()] {
+    const auto error = store::replace_file(path, text);
+    wakeup_.post([this, digest, error] {
+      saving_ = false;
+      if (error.empty())
+        saved_ = digest;
+      else
+        log_.record(kName, log::Level::error, "not_written",
+                    {{"reason", error}});  // again with the next event
     });
-  }
+  });
+}
 
-  void ReplicationService::view(Writer & w) const {
-    const auto& c = replica_->counters();
-    w.Key("replica"), w.StartObject();
-    w.Key("caught_up"), w.Bool(begun_ && replica_->is_caught_up());
-    w.Key("bans"), w.StartArray();
-    for (const auto& [dot, ban] : replica_->bans().bans()) {
-      w.StartObject();
-      text(w, "server", ban.server), text(w, "by", dot.author.name), text(w, "cause", ban.cause);
-      w.Key("at_ms"), w.Int64(ban.at / 1000);
-      w.EndObject();
-    }
-    w.EndArray();
-    w.Key("floors"), w.Uint64(replica_->floors().size());
-    w.Key("compared"), w.Uint64(c.comparisons), w.Key("same"), w.Uint64(c.identical),
-        w.Key("refused"), w.Uint64(c.rejected);
+void ReplicationService::view(Writer& w) const {
+  const auto& c = replica_->counters();
+  w.Key("replica"), w.StartObject();
+  w.Key("caught_up"), w.Bool(begun_ && replica_->is_caught_up());
+  w.Key("bans"), w.StartArray();
+  for (const auto& [dot, ban] : replica_->bans().bans()) {
+    w.StartObject();
+    text(w, "server", ban.server), text(w, "by", dot.author.name), text(w, "cause", ban.cause);
+    w.Key("at_ms"), w.Int64(ban.at / 1000);
     w.EndObject();
   }
+  w.EndArray();
+  w.Key("floors"), w.Uint64(replica_->floors().size());
+  w.Key("compared"), w.Uint64(c.comparisons), w.Key("same"), w.Uint64(c.identical),
+      w.Key("refused"), w.Uint64(c.rejected);
+  w.EndObject();
+}
 
 }  // namespace alderspur::app
