--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -93,75 +93,102 @@
   const Route* found = nullptr;
 };
 
-Table::Table(const config_language::Meaning& meaning, const config_language::Sources& sources)
-    : any_(std::make_unique<Node>()) {
-  std::map<std::string, std::uint32_t> pools, policies;
-  for (const auto& d : meaning.declarations) {
-    if (d.kind->name == "pool" && pools.emplace(d.name, pools_.size()).second) {
-      pools_.push_back(pool_of(d));
-      pools_.back().place = sources.place(d.span);
-    }
-    if (d.kind->name == "policy" && policies.emplace(d.name, policies_.size()).second) {
-      policies_.push_back(policy_of(d));
+// Pools, policies and routes refer to each other by name in the program, and by place in the table.
+struct Table::Builder {
+  Table& table;
+  const config_language::Meaning& meaning;
+  const config_language::Sources& sources;
+  std::map<std::string, std::uint32_t> pools{};
+  std::map<std::string, std::uint32_t> policies{};
+
+  void build() {
+    for (const auto& declaration : meaning.declarations) add_pool_or_policy(declaration);
+    for (const auto& declaration : meaning.declarations) {
+      if (declaration.kind->name == "pool") add_fallbacks(declaration);
+      if (declaration.kind->name == "route") add_route(declaration);
     }
+    for (std::uint32_t route = 0; route < table.routes_.size(); ++route) index_route(route);
   }
-  const auto target = [&](const config_language::Settings& s) {
-    Target t;
-    if (const auto p = texts(s, "pool"); !p.empty() && pools.contains(p[0])) {
-      t.pool = pools.at(p[0]);
+
+ private:
+  void add_pool_or_policy(const config_language::Declaration& declaration) {
+    const std::string& name = declaration.name;
+    const auto next_pool = static_cast<std::uint32_t>(table.pools_.size());
+    const auto next_policy = static_cast<std::uint32_t>(table.policies_.size());
+    if (declaration.kind->name == "pool" && pools.emplace(name, next_pool).second) {
+      table.pools_.push_back(pool_of(declaration));
+      table.pools_.back().place = sources.place(declaration.span);
     }
-    if (const auto p = texts(s, "policy"); !p.empty() && policies.contains(p[0])) {
-      t.policy = policies.at(p[0]);
+    if (declaration.kind->name == "policy" && policies.emplace(name, next_policy).second) {
+      table.policies_.push_back(policy_of(declaration));
     }
-    return t;
-  };
-  for (const auto& d : meaning.declarations) {
-    if (d.kind->name == "pool") {
-      for (const auto& name : texts(d.settings, "fallback")) {
-        if (pools.contains(name)) pools_[pools.at(d.name)].fallback.push_back(pools.at(name));
-      }
+  }
+  void add_fallbacks(const config_language::Declaration& declaration) {
+    auto& fallback = table.pools_[pools.at(declaration.name)].fallback;
+    for (const auto& name : texts(declaration.settings, "fallback")) {
+      if (pools.contains(name)) fallback.push_back(pools.at(name));
     }
-    if (d.kind->name != "route") continue;
+  }
+  void add_route(const config_language::Declaration& declaration) {
+    const auto& settings = declaration.settings;
+    const auto paths = texts(settings, "path");
     std::string error;
-    auto path = config_language::segments(
-        texts(d.settings, "path").empty() ? "" : texts(d.settings, "path")[0], error);
-    const auto cls = texts(d.settings, "class");
-    if (!path || cls.empty()) continue;  // a program that does not check
-    Route r;
-    r.name = d.name;
-    r.cls = cls[0];
-    for (const auto& h : texts(d.settings, "host")) r.hosts.push_back(lower(h));
-    r.methods = texts(d.settings, "method");
-    r.points = texts(d.settings, "point");
-    r.points.insert(r.points.end(), d.when.begin(), d.when.end());
-    r.path = std::move(*path);
-    for (const auto& [key, s] : d.settings) {
+    auto path = config_language::segments(paths.empty() ? "" : paths[0], error);
+    const auto classes = texts(settings, "class");
+    if (!path || classes.empty()) return;  // a program that does not check
+    Route route;
+    route.name = declaration.name;
+    route.cls = classes[0];
+    for (const auto& host : texts(settings, "host")) route.hosts.push_back(lower(host));
+    route.methods = texts(settings, "method");
+    route.points = texts(settings, "point");
+    route.points.insert(route.points.end(), declaration.when.begin(), declaration.when.end());
+    route.path = std::move(*path);
+    route.conditions = conditions_of(settings);
+    route.target = target_of(settings);
+    for (const auto& split : declaration.splits) {
+      Target target = target_of(split.settings);
+      if (!target.pool) target.pool = route.target.pool;
+      if (!target.policy) target.policy = route.target.policy;
+      route.splits.emplace_back(split.part, target);
+    }
+    route.limits = limits_of(settings);
+    route.place = sources.place(declaration.span);
+    table.routes_.push_back(std::move(route));
+  }
+  static std::vector<Condition> conditions_of(const config_language::Settings& settings) {
+    std::vector<Condition> conditions;
+    for (const auto& [key, setting] : settings) {
       for (const auto kind : {Condition::Kind::header, Condition::Kind::query}) {
         const std::string_view prefix = kind == Condition::Kind::header ? "header " : "query ";
-        if (key.starts_with(prefix) && !s.texts.empty()) {
-          r.conditions.push_back({kind, key.substr(prefix.size()), s.texts[0]});
-        }
+        if (!key.starts_with(prefix) || setting.texts.empty()) continue;
+        conditions.push_back({kind, key.substr(prefix.size()), setting.texts[0]});
       }
     }
-    r.target = target(d.settings);
-    for (const auto& split : d.splits) {
-      Target t = target(split.settings);
-      if (!t.pool) t.pool = r.target.pool;
-      if (!t.policy) t.policy = r.target.policy;
-      r.splits.emplace_back(split.part, t);
-    }
-    r.limits = limits_of(d.settings);
-    r.place = sources.place(d.span);
-    routes_.push_back(std::move(r));
+    return conditions;
+  }
+  Target target_of(const config_language::Settings& settings) const {
+    Target target;
+    const auto pool = texts(settings, "pool");
+    const auto policy = texts(settings, "policy");
+    if (!pool.empty() && pools.contains(pool[0])) target.pool = pools.at(pool[0]);
+    if (!policy.empty() && policies.contains(policy[0])) target.policy = policies.at(policy[0]);
+    return target;
   }
-  for (std::uint32_t i = 0; i < routes_.size(); ++i) {
-    if (routes_[i].hosts.empty()) insert(*any_, i);
-    for (const auto& h : routes_[i].hosts) {
-      auto& node = h.starts_with("*.") ? suffix_[h.substr(1)] : exact_[h];
-      if (!node) node = std::make_unique<Node>();
-      insert(*node, i);
+  void index_route(std::uint32_t route) {
+    const auto& hosts = table.routes_[route].hosts;
+    if (hosts.empty()) table.insert(*table.any_, route);
+    for (const auto& host : hosts) {
+      auto& root = host.starts_with("*.") ? table.suffix_[host.substr(1)] : table.exact_[host];
+      if (!root) root = std::make_unique<Node>();
+      table.insert(*root, route);
     }
   }
+};
+
+Table::Table(const config_language::Meaning& meaning, const config_language::Sources& sources)
+    : any_(std::make_unique<Node>()) {
+  Builder{*this, meaning, sources}.build();
 }
 Table::~Table() = default;
 
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -101,6 +101,7 @@
  private:
   struct Node;
   struct Walk;
+  struct Builder;
   void insert(Node& root, std::uint32_t route);
   bool search(const Node& node, Walk& walk, std::size_t depth) const;
   bool holds(const Route& route, const Question& question) const;
