--- a/bench/endpoints_bench.cpp
+++ b/bench/endpoints_bench.cpp
@@ -108,8 +108,9 @@
   const auto bytes =
       store::encode({list_of(text_of(static_cast<std::size_t>(state.range(0)), 1, 0)), {}, 1});
   for (auto _ : state) {
-    std::string error;
-    if (!store::decode(bytes, error)) state.SkipWithError(error.c_str());
+    const auto decoded = store::decode_endpoint_state(bytes);
+    if (const auto* error = std::get_if<store::DecodeError>(&decoded))
+      state.SkipWithError(to_string(*error).c_str());
   }
 }
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,49 +1,77 @@
 #include "admin/admin_server.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "net/lingering.h"
 
 namespace alderspur::admin {
 namespace {
 
-constexpr std::size_t kHeadMost = 2 << 10;
-constexpr std::string_view kCaches = "/control/caches/", kVersions = "/control/versions",
-                           kType = "text/plain; version=0.0.4; charset=utf-8";
+constexpr std::size_t kMaxHeadBytes = 2 << 10;
+constexpr std::string_view kReadyPath = "/control/ready";
+constexpr std::string_view kMetricsPath = "/control/counters";
+constexpr std::string_view kClusterPath = "/control/cluster";
+constexpr std::string_view kVersionsPrefix = "/control/versions";
+constexpr std::string_view kCachesPrefix = "/control/caches/";
+constexpr std::string_view kBanSuffix = "/offline";
+constexpr std::string_view kUnbanSuffix = "/online";
+constexpr std::string_view kContentType = "text/plain; version=0.0.4; charset=utf-8";
+
+HttpReply no_such_call() { return {404, "no such call\n"}; }
+
+bool is_read_only_path(std::string_view path) {
+  return path == kReadyPath || path == kMetricsPath || path == kClusterPath;
+}
+
+HttpReply handle_read_only(std::string_view path, http::Method method, AdminHandler& handler) {
+  if (method != http::Method::get) return {405, "ask with GET\n", "GET"};
+  if (path == kReadyPath) {
+    if (handler.is_ready()) return {200, "ready\n"};
+    return {503, "not ready\n"};
+  }
+  if (path == kMetricsPath) return {200, handler.render_metrics()};
+  if (auto view = handler.render_cluster_view()) return {200, std::move(*view)};
+  return {404, "this router is in no cluster\n"};
+}
 
 }  // namespace
 
+/// One operator's connection.
 struct AdminServer::Caller {
   std::uint64_t number = 0;
   std::unique_ptr<net::Connection> connection;
   core::Deadlines::Key timeout{};
-  bool called = false, answered = false, dead = false;
+  bool has_called = false;  // the request is complete
+  bool is_answered = false;
+  bool is_closed = false;
 };
 
 AdminServer::AdminServer(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen,
-                         AdminHandler& desk, std::function<core::Time()> now)
+                         AdminHandler& handler, std::function<core::Time()> now)
     : loop_(loop),
       deadlines_(deadlines),
-      desk_(desk),
+      handler_(handler),
       now_(std::move(now)),
       listener_(
           loop, deadlines, listen, [this] { return make_room(); },
           [this](net::Fd fd) { accept(std::move(fd)); }) {
   listener_.keep_spare();
 }
+
 AdminServer::~AdminServer() {
-  for (auto& c : callers_) drop(*c);
+  for (auto& caller : callers_) close(*caller);
 }
 
-// Danger: callers that open a connection and say nothing would keep those out that have something
-// to say.
+// Closes the oldest connection without a complete request if all are in use: otherwise callers that
+// connect and send nothing would keep everybody else out.
 bool AdminServer::make_room() {
-  const auto alive =
-      std::count_if(callers_.begin(), callers_.end(), [](auto& c) { return !c->dead; });
-  if (static_cast<std::size_t>(alive) < kCallersMost) return true;
-  for (auto& c : callers_) {  // the longest there first
-    if (c->dead || c->called) continue;
-    drop(*c);
+  const auto open_count = std::count_if(callers_.begin(), callers_.end(),
+                                        [](const auto& caller) { return !caller->is_closed; });
+  if (static_cast<std::size_t>(open_count) < kMaxConnections) return true;
+  for (auto& caller : callers_) {  // oldest first
+    if (caller->is_closed || caller->has_called) continue;
+    close(*caller);
     return true;
   }
   return false;
@@ -52,103 +80,123 @@
 void AdminServer::accept(net::Fd fd) {
   auto caller = std::make_unique<Caller>();
   Caller* raw = caller.get();
-  raw->number = ++last_;
+  raw->number = ++last_number_;
   net::Connection::Handler handler;
   handler.half_close = true;
-  handler.on_data = [this, raw](std::string_view bytes) { return take(*raw, bytes); };
+  handler.on_data = [this, raw](std::string_view bytes) { return on_data(*raw, bytes); };
   handler.on_close = [this, raw](net::Closed why) {
-    // A caller may end its side behind its call and still wait for the answer.
-    if (why != net::Closed::by_peer || !raw->called) drop(*raw);
+    // A caller may shut down its sending side after the request and still wait for the reply.
+    if (why != net::Closed::by_peer || !raw->has_called) close(*raw);
   };
   raw->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
-  raw->timeout = deadlines_.set(now_() + kCallTime, [this, raw] { drop(*raw); });
+  raw->timeout = deadlines_.set(now_() + kCallTimeout, [this, raw] { close(*raw); });
   callers_.push_back(std::move(caller));
 }
 
-std::ptrdiff_t AdminServer::take(Caller& caller, std::string_view bytes) {
+// Returns how many bytes are consumed; what follows the first request is discarded.
+std::ptrdiff_t AdminServer::on_data(Caller& caller, std::string_view bytes) {
   const auto all = static_cast<std::ptrdiff_t>(bytes.size());
-  if (caller.called) return all;  // one call a connection
+  if (caller.has_called) return all;
   http::Request request;
-  if (!http::next_request(bytes, request, {kHeadMost, desk_.body_most()})) return 0;
-  caller.called = true;
-  call(caller, request);
+  if (!http::next_request(bytes, request, {kMaxHeadBytes, handler_.max_body_bytes()})) return 0;
+  caller.has_called = true;
+  handle(caller, request);
   return all;
 }
 
-void AdminServer::call(Caller& caller, const http::Request& request) {
-  if (request.error) return respond(caller, request.error, "not a request that can be read\n");
+void AdminServer::handle(Caller& caller, const http::Request& request) {
+  if (request.error) {
+    respond(caller, {request.error, "not a request that can be read\n"});
+    return;
+  }
   const auto path = request.target.substr(0, request.target.find('?'));
-  const bool ready = path == "/control/ready", counters = path == "/control/counters";
-  const bool cluster = path == "/control/cluster";
-  if ((ready || counters || cluster) && request.method != http::Method::get)
-    return respond(caller, 405, "ask with GET\n", "GET");
-  if (ready) {
-    const bool yes = desk_.takes_clients();
-    return respond(caller, yes ? 200 : 503, yes ? "ready\n" : "not ready\n");
+  if (is_read_only_path(path)) {
+    respond(caller, handle_read_only(path, request.method, handler_));
+  } else if (path.starts_with(kVersionsPrefix)) {
+    respond(caller, handle_versions(path, request));
+  } else {
+    handle_ban(caller, path, request);
+  }
+}
+
+HttpReply AdminServer::handle_versions(std::string_view path, const http::Request& request) {
+  const bool is_put = request.method == http::Method::put;
+  if (!is_put && request.method != http::Method::get) return {405, "GET or PUT\n", "GET, PUT"};
+  const auto query = request.target.substr(std::min(path.size() + 1, request.target.size()));
+  auto reply = handler_.handle_versions_call(path.substr(kVersionsPrefix.size()), query,
+                                             is_put ? request.body : std::string());
+  if (reply) return std::move(*reply);
+  return {404, "this router agrees on no versions\n"};
+}
+
+// PUT /control/caches/SERVER/offline or /online
+void AdminServer::handle_ban(Caller& caller, std::string_view path, const http::Request& request) {
+  const bool is_ban = path.ends_with(kBanSuffix);
+  const bool is_unban = path.ends_with(kUnbanSuffix);
+  if (!path.starts_with(kCachesPrefix) || (!is_ban && !is_unban)) {
+    respond(caller, no_such_call());
+    return;
   }
-  if (counters) return respond(caller, 200, desk_.figures());
-  if (cluster) {
-    const auto view = desk_.cluster();
-    return respond(caller, view.empty() ? 404 : 200,
-                   view.empty() ? "this router is in no cluster\n" : view);
+  const auto last_slash = path.rfind('/');
+  if (last_slash <= kCachesPrefix.size()) {  // no name between prefix and suffix
+    respond(caller, no_such_call());
+    return;
   }
-  if (path.starts_with(kVersions)) {
-    const auto query = request.target.substr(std::min(path.size() + 1, request.target.size()));
-    const bool put = request.method == http::Method::put;
-    if (!put && request.method != http::Method::get)
-      return respond(caller, 405, "GET or PUT\n", "GET, PUT");
-    const auto told =
-        desk_.versions(path.substr(kVersions.size()), query, put ? request.body : std::string());
-    return respond(caller, told.status ? told.status : 404,
-                   told.status ? told.text : "this router agrees on no versions\n");
+  if (request.method != http::Method::put) {
+    respond(caller, {405, "ask with PUT\n", "PUT"});
+    return;
   }
-  const bool out = path.ends_with("/offline"), in = path.ends_with("/online");
-  if (!path.starts_with(kCaches) || (!out && !in)) return respond(caller, 404, "no such call\n");
-  const auto verb = path.rfind('/');
-  if (verb <= kCaches.size()) return respond(caller, 404, "no such call\n");
-  if (request.method != http::Method::put) return respond(caller, 405, "ask with PUT\n", "PUT");
-  const auto id = path.substr(kCaches.size(), verb - kCaches.size());
-  desk_.ban(id, out, [this, number = caller.number](int status, const std::string& text) {
-    if (Caller* c = find(number)) respond(*c, status, text);
+  const auto server = path.substr(kCachesPrefix.size(), last_slash - kCachesPrefix.size());
+  // By its number: the connection may be gone before the reply comes.
+  handler_.change_ban(server, is_ban, [this, number = caller.number](const HttpReply& reply) {
+    if (Caller* waiting = find(number)) respond(*waiting, reply);
   });
 }
 
 AdminServer::Caller* AdminServer::find(std::uint64_t number) {
-  for (auto& c : callers_)
-    if (c->number == number && !c->dead) return c.get();
+  for (auto& caller : callers_) {
+    if (caller->number == number && !caller->is_closed) return caller.get();
+  }
   return nullptr;
 }
 
-void AdminServer::respond(Caller& caller, int status, std::string_view text,
-                          std::string_view allow) {
-  if (caller.dead || caller.answered) return;
-  caller.answered = true;
-  http::Answer a;
-  a.status = status;
-  a.length = text.size();
-  a.type = kType;
-  a.allow = allow;
-  a.cacheable = a.keep_alive = false;
-  caller.connection->write(http::response_head(a), text);
+void AdminServer::respond(Caller& caller, const HttpReply& reply) {
+  if (caller.is_closed || caller.is_answered) return;
+  caller.is_answered = true;
+  http::Answer head;
+  head.status = reply.status;
+  head.length = reply.body.size();
+  head.type = kContentType;
+  head.allow = reply.allowed_methods;
+  head.cacheable = false;
+  head.keep_alive = false;
+  caller.connection->write(http::response_head(head), reply.body);
 }
 
-void AdminServer::drop(Caller& caller, bool orderly) {
-  if (std::exchange(caller.dead, true)) return;
+// Marks the caller as closed; false if it was already. It is destroyed at the end of the turn.
+bool AdminServer::retire(Caller& caller) {
+  if (std::exchange(caller.is_closed, true)) return false;
   deadlines_.cancel(caller.timeout);
-  if (orderly)
-    loop_.lingering().take(std::move(caller.connection));
-  else
-    caller.connection->close();
+  return true;
+}
+
+void AdminServer::close(Caller& caller) {
+  if (retire(caller)) caller.connection->close();
+}
+
+// For answered callers: the reply is not cut off by unread input.
+void AdminServer::close_with_linger(Caller& caller) {
+  if (retire(caller)) loop_.lingering().take(std::move(caller.connection));
 }
 
 void AdminServer::end_turn() {
-  for (auto& c : callers_) {
-    if (c->dead) continue;
-    c->connection->end_turn();
-    if (c->answered && c->connection->unwritten() == 0) drop(*c, true);
+  for (auto& caller : callers_) {
+    if (caller->is_closed) continue;
+    caller->connection->end_turn();
+    if (caller->is_answered && caller->connection->unwritten() == 0) close_with_linger(*caller);
   }
-  std::erase_if(callers_, [](auto& c) { return c->dead; });
+  std::erase_if(callers_, [](const auto& caller) { return caller->is_closed; });
   listener_.keep_spare();
 }
 
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,51 +1,41 @@
-// Where operators call: HTTP/1.1, one call a connection, on an address of its own. Thin: what a
-// call means is done by the Desk that stands behind it.
+// The operators' HTTP/1.1 server, on an address of its own; one call per connection. It parses
+// calls and finds the function of the AdminHandler that answers each.
 //
-// Bounded: kCallersMost connections, each with a head of 2 KB, a body where the desk takes one, and
-// kCallTime to complete its call; out of places, whoever has waited longest without a whole call
-// goes. Calls are answered in the turn in which they arrive, whatever else the loop has to do; only
-// a ban waits for its place on the disk, kDiskTime at most.
+// Bounded: at most kMaxConnections connections, each with a request head of 2 KB, a body only where
+// the handler accepts one, and kCallTimeout to complete its request; when all connections are in
+// use, the oldest one without a complete request is closed. Calls are answered in the turn of the
+// event loop in which they arrive; only a ban waits until it is on the disk, for kDiskTimeout at
+// most. Runs on the event loop's thread. Times are microseconds.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "admin/admin_handler.h"
 #include "core/deadlines.h"
 #include "http/message.h"
 #include "net/connection.h"
 
 namespace alderspur::admin {
 
-constexpr std::size_t kCallersMost = 16;
-constexpr core::Time kCallTime = 3'000'000, kDiskTime = 700'000;  // a caller waits 1 s
-
-// What stands behind the calls.
-class AdminHandler {
- public:
-  using Done = std::function<void(int status, std::string text)>;  // once, perhaps later
-  virtual ~AdminHandler() = default;
-  virtual bool takes_clients() = 0;
-  virtual std::string figures() = 0;
-  virtual std::string cluster() { return {}; }  // JSON; empty: there is none
-  // Of versions that routers agree on: a view, and a proposal or the word on one. Status 0: there
-  // are none.
-  struct Told {
-    int status = 0;
-    std::string text;
-  };
-  virtual Told versions(std::string_view, std::string_view, std::string) { return {}; }
-  virtual std::size_t body_most() { return 0; }
-  virtual void ban(std::string_view id, bool out, Done done) = 0;
-};
+constexpr std::size_t kMaxConnections = 16;
+constexpr core::Time kCallTimeout = 3'000'000;
+constexpr core::Time kDiskTimeout = 700'000;  // operators' tools wait 1 s for a reply
 
 class AdminServer {
  public:
   AdminServer(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen,
-              AdminHandler& desk, std::function<core::Time()> now);
+              AdminHandler& handler, std::function<core::Time()> now);
   ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
+
+  /// To be called at the end of each turn of the event loop: writes replies and closes connections.
   void end_turn();
   sockaddr_in address() const { return listener_.address(); }
 
@@ -53,18 +43,23 @@
   struct Caller;
   void accept(net::Fd fd);
   bool make_room();
-  std::ptrdiff_t take(Caller& caller, std::string_view bytes);
-  void call(Caller& caller, const http::Request& request);
-  void respond(Caller& caller, int status, std::string_view text, std::string_view allow = {});
-  void drop(Caller& caller, bool orderly = false);
+  std::ptrdiff_t on_data(Caller& caller, std::string_view bytes);
+  void handle(Caller& caller, const http::Request& request);
+  HttpReply handle_versions(std::string_view path, const http::Request& request);
+  void handle_ban(Caller& caller, std::string_view path, const http::Request& request);
+  static void respond(Caller& caller, const HttpReply& reply);
+  void close(Caller& caller);
+  void close_with_linger(Caller& caller);
+  bool retire(Caller& caller);
   Caller* find(std::uint64_t number);
 
   net::Loop& loop_;
   core::Deadlines& deadlines_;
-  AdminHandler& desk_;
+  AdminHandler& handler_;
   std::function<core::Time()> now_;
-  std::uint64_t last_ = 0;
-  std::vector<std::unique_ptr<Caller>> callers_;  // kCallersMost at most, beside those just dropped
+  std::uint64_t last_number_ = 0;
+  // At most kMaxConnections, and those closed in this turn.
+  std::vector<std::unique_ptr<Caller>> callers_;
   net::Listener listener_;
 };
 
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -1,7 +1,8 @@
-// The figures that operators' scrapers read, in the plain text exposition format. No I/O.
+// The metrics for operators' scrapers in the Prometheus text exposition format. No I/O.
 //
-// Every figure comes from where the thing happens: the engine's ledger, its attempts written whole,
-// and the decision module's own view of the caches. All counts begin at 0 with the process.
+// Each value is read where it is counted: the engine's counters, its attempts written whole to the
+// caches, and the routing policy's own view of the caches. All counters start at 0 with the
+// process.
 #pragma once
 
 #include <string>
@@ -11,7 +12,7 @@
 
 namespace alderspur::admin {
 
-// `classes`: the classes' names, in the order of the settings.
-std::string figures(core::Engine& engine, const std::vector<std::string>& classes);
+/// `class_names`: the names of the request classes, in the order of the settings.
+std::string render_metrics(core::Engine& engine, const std::vector<std::string>& class_names);
 
 }  // namespace alderspur::admin
--- a/src/admin/router_admin_handler.cpp
+++ b/src/admin/router_admin_handler.cpp
@@ -3,63 +3,97 @@
 #include <memory>
 #include <utility>
 
+#include "admin/admin_server.h"
 #include "admin/metrics.h"
 #include "core/parsing.h"
 
 namespace alderspur::admin {
 namespace {
 
-// How long the yes to a ready process waits for the shared folder to say so to the others.
-constexpr core::Time kSayTime = 500'000;
+// How long readiness waits until the other processes can see in the shared directory that this one
+// serves.
+constexpr core::Time kPublishTimeout = 500'000;
+
+/// A reply that is given once: by the disk or by the timeout, whichever comes first.
+struct PendingReply {
+  AdminHandler::ReplyCallback done;
+  core::Deadlines::Key timeout{};
+};
 
 }  // namespace
 
 RouterAdminHandler::RouterAdminHandler(core::Deadlines& deadlines, core::Engine& engine,
-                                       const platform::UpstreamPool& caches,
-                                       hot_restart::HotRestartCoordinator& twin,
-                                       const std::vector<std::string>& classes,
-                                       std::function<bool()> leaving)
+                                       hot_restart::HotRestartCoordinator& hot_restart,
+                                       const std::vector<std::string>& class_names,
+                                       RouterState router)
     : deadlines_(deadlines),
       engine_(engine),
-      caches_(caches),
-      twin_(twin),
-      classes_(classes),
-      leaving_(std::move(leaving)),
-      since_(engine.now()) {}
+      hot_restart_(hot_restart),
+      class_names_(class_names),
+      router_(std::move(router)),
+      started_at_(engine.now()) {}
 
-bool RouterAdminHandler::takes_clients() {
-  if (may_be_ready_ && !may_be_ready_()) return false;
-  return !leaving_() && (twin_.said() || engine_.now() > since_ + kSayTime);
+bool RouterAdminHandler::is_ready() {
+  if (readiness_condition_ && !readiness_condition_()) return false;
+  if (router_.is_draining()) return false;
+  return hot_restart_.is_published() || engine_.now() > started_at_ + kPublishTimeout;
 }
 
-std::string RouterAdminHandler::figures() { return admin::figures(engine_, classes_); }
+std::string RouterAdminHandler::render_metrics() {
+  return admin::render_metrics(engine_, class_names_);
+}
 
-void RouterAdminHandler::ban(std::string_view id, bool out, Done done) {
-  const std::string name(id);
-  const bool banned = core::is_plain_word(id) && twin_.banned(name);
-  if (!banned && (!core::is_plain_word(id) || !caches_.listed(config::server_id(id))))
-    return done(404, "no such cache\n");
-  if (banned != out && twin_.full())
-    return done(503, "too many changes wait for the disk, call again\n");
-  const std::string yes = name + (out ? " is out\n" : " may serve\n");
-  if (banned == out && twin_.on_disk(name)) return done(200, yes);
-  struct Waiting {
-    Done done;
-    core::Deadlines::Key timeout;
-  };
-  auto waiting = std::make_shared<Waiting>(Waiting{std::move(done), {}});
-  const auto end = [this, waiting, yes](const std::string& error) {
-    if (!waiting->done) return;
-    deadlines_.cancel(waiting->timeout);
-    const auto answer = std::exchange(waiting->done, {});
-    if (error.empty())
-      answer(200, yes);
-    else
-      answer(503, "it holds in this process, but is not on the disk: " + error + "\n");
+std::optional<std::string> RouterAdminHandler::render_cluster_view() {
+  if (!cluster_view_) return {};
+  auto view = cluster_view_();
+  if (view.empty()) return {};
+  return view;
+}
+
+std::optional<HttpReply> RouterAdminHandler::handle_versions_call(std::string_view path,
+                                                                  std::string_view query,
+                                                                  const std::string& body) {
+  if (!versions_handler_) return {};
+  return versions_handler_(path, query, body);
+}
+
+void RouterAdminHandler::change_ban(std::string_view server, bool is_banned, ReplyCallback done) {
+  const std::string name(server);
+  const bool is_valid_name = core::is_plain_word(server);
+  const bool was_banned = is_valid_name && hot_restart_.is_banned(name);
+  if (!was_banned && (!is_valid_name || !router_.is_listed(server))) {
+    done({404, "no such cache\n"});
+    return;
+  }
+  if (was_banned != is_banned && hot_restart_.is_full()) {
+    done({503, "too many changes wait for the disk, call again\n"});
+    return;
+  }
+  const std::string success_text = name + (is_banned ? " is out\n" : " may serve\n");
+  if (was_banned == is_banned && hot_restart_.is_saved(name)) {
+    done({200, success_text});
+    return;
+  }
+  save_ban({name, is_banned}, success_text, std::move(done));
+}
+
+void RouterAdminHandler::save_ban(const hot_restart::BanChange& change,
+                                  const std::string& success_text, ReplyCallback done) {
+  auto pending = std::make_shared<PendingReply>(PendingReply{std::move(done), {}});
+  const auto finish = [this, pending, success_text](
+                          const std::optional<hot_restart::SharedDirectoryError>& error) {
+    if (!pending->done) return;
+    deadlines_.cancel(pending->timeout);
+    const auto reply = std::exchange(pending->done, {});
+    if (error) {
+      reply({503, "it holds in this process, but is not on the disk: " + to_string(*error) + "\n"});
+    } else {
+      reply({200, success_text});
+    }
   };
-  waiting->timeout =
-      deadlines_.set(engine_.now() + kDiskTime, [end] { end("the disk does not answer"); });
-  twin_.change({name, out}, end);
+  pending->timeout = deadlines_.set(engine_.now() + kDiskTimeout,
+                                    [finish] { finish(hot_restart::NotResponding{}); });
+  hot_restart_.change_ban(change, finish);
 }
 
 }  // namespace alderspur::admin
--- a/src/admin/router_admin_handler.h
+++ b/src/admin/router_admin_handler.h
@@ -1,55 +1,73 @@
-// What operators' calls mean to a router: its state, its figures, and bans by hand.
+// Answers the operators' calls for one router: readiness, metrics, manual bans, and what the
+// services that run beside the router add (cluster view, versions). Runs on the event loop's
+// thread.
 #pragma once
 
+#include <cstddef>
 #include <functional>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "admin/admin_server.h"
+#include "admin/admin_handler.h"
+#include "core/deadlines.h"
 #include "core/engine.h"
 #include "hot_restart/coordinator.h"
-#include "platform/upstream_pool.h"
 
 namespace alderspur::admin {
 
 class RouterAdminHandler : public AdminHandler {
  public:
+  /// What the handler asks of the router that it belongs to.
+  struct RouterState {
+    std::function<bool()> is_draining;  // a planned shutdown has begun
+    std::function<bool(std::string_view server)> is_listed;
+  };
+  using VersionsHandler = std::function<HttpReply(std::string_view path, std::string_view query,
+                                                  const std::string& body)>;
+
+  /// `class_names`: of the request classes, in the order of the settings. What is passed by
+  /// reference must outlive the handler.
   RouterAdminHandler(core::Deadlines& deadlines, core::Engine& engine,
-                     const platform::UpstreamPool& caches, hot_restart::HotRestartCoordinator& twin,
-                     const std::vector<std::string>& classes, std::function<bool()> leaving);
-
-  bool takes_clients() override;
-  std::string figures() override;
-  std::string cluster() override { return view_ ? view_() : std::string(); }
-  void on_cluster(std::function<std::string()> view) { view_ = std::move(view); }
-  void on_ready(std::function<bool()> may) { may_be_ready_ = std::move(may); }
-  // `what`: the rest of the path; `body`: of a PUT.
-  using Versions =
-      std::function<Told(std::string_view what, std::string_view query, std::string body)>;
-  Told versions(std::string_view what, std::string_view query, std::string body) override {
-    return versions_ ? versions_(what, query, std::move(body)) : Told{};
+                     hot_restart::HotRestartCoordinator& hot_restart,
+                     const std::vector<std::string>& class_names, RouterState router);
+
+  bool is_ready() override;
+  std::string render_metrics() override;
+  std::optional<std::string> render_cluster_view() override;
+  std::optional<HttpReply> handle_versions_call(std::string_view path, std::string_view query,
+                                                const std::string& body) override;
+  std::size_t max_body_bytes() override { return max_body_bytes_; }
+  /// An unknown server gets 404; a call that changes nothing gets 200 like the first. The ban takes
+  /// effect in this turn of the loop; the 200 follows once it is on the disk. Where that fails or
+  /// takes longer than kDiskTimeout: 503, and the ban stays in effect all the same.
+  void change_ban(std::string_view server, bool is_banned, ReplyCallback done) override;
+
+  void set_cluster_view(std::function<std::string()> view) { cluster_view_ = std::move(view); }
+  /// The process reports itself as not ready until this returns true.
+  void set_readiness_condition(std::function<bool()> condition) {
+    readiness_condition_ = std::move(condition);
   }
-  std::size_t body_most() override { return body_most_; }
-  void on_versions(Versions versions, std::size_t body_most) {
-    versions_ = std::move(versions), body_most_ = body_most;
+  void set_versions_handler(VersionsHandler handler, std::size_t max_body_bytes) {
+    versions_handler_ = std::move(handler);
+    max_body_bytes_ = max_body_bytes;
   }
-  // An unknown id gets a no; a call that changes nothing gets a yes like the first. The ban binds
-  // from this turn on; the yes comes once it is on the disk. Where that takes kDiskTime or fails:
-  // 503, and it binds all the same.
-  void ban(std::string_view id, bool out, Done done) override;
 
  private:
+  void save_ban(const hot_restart::BanChange& change, const std::string& success_text,
+                ReplyCallback done);
+
   core::Deadlines& deadlines_;
   core::Engine& engine_;
-  const platform::UpstreamPool& caches_;
-  hot_restart::HotRestartCoordinator& twin_;
-  const std::vector<std::string>& classes_;
-  std::function<bool()> leaving_;
-  std::function<std::string()> view_;
-  std::function<bool()> may_be_ready_;
-  Versions versions_;
-  std::size_t body_most_ = 0;
-  core::Time since_;
+  hot_restart::HotRestartCoordinator& hot_restart_;
+  const std::vector<std::string>& class_names_;
+  RouterState router_;
+  std::function<std::string()> cluster_view_;
+  std::function<bool()> readiness_condition_;
+  VersionsHandler versions_handler_;
+  std::size_t max_body_bytes_ = 0;
+  core::Time started_at_;
 };
 
 }  // namespace alderspur::admin
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -256,8 +256,8 @@
 
 int state(const std::string& folder, bool json) {
   return guarded([&] {
-    const auto restored = store::load(folder + "/membership.state");
-    if (!restored.state) throw config::Error(restored.error);
+    const auto restored = store::load_endpoint_state(folder + "/membership.state");
+    if (!restored.state) throw config::Error(to_string(*restored.error));
     const auto& s = *restored.state;
     const auto age = (now() - s.list->taken) / 1'000'000;
     if (!json) {
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -157,9 +157,10 @@
   const bool given = writer_.submit([this, folder = folder_, w = std::move(w)] {
     const auto error = store::replace_file(content_path(folder, w.digest), w.bytes);
     wakeup_.post([this, digest = w.digest, error] {
-      if (!error.empty())
-        log_.record(kName, log::Level::error, "content_not_written", {{"reason", error}});
-      handle(Written{digest, error.empty()});
+      if (error)
+        log_.record(kName, log::Level::error, "content_not_written",
+                    {{"reason", to_string(*error)}});
+      handle(Written{digest, !error});
     });
   });
   if (!given) wakeup_.post([this, digest] { handle(Written{digest, false}); });
@@ -235,11 +236,14 @@
       for (const auto& h : acting.heard)
         if (const auto x = h->find("servers"); x != h->end()) texts.push_back(x->second);
       const auto text = list_to_act_on(texts, generation, error);
-      if (error.empty()) error = store::write_text(files.servers, text);
+      if (error.empty())
+        if (const auto failure = store::replace_text_file(files.servers, text))
+          error = to_string(*failure);
     }
     if (const auto it = acting.content->find("routes");
         it != acting.content->end() && !files.routes.empty())
-      if (auto e = store::write_text(files.routes, it->second); !e.empty()) error = e;
+      if (const auto failure = store::replace_text_file(files.routes, it->second))
+        error = to_string(*failure);
     wakeup_.post([this, error] {
       writing_ = false;
       if (!error.empty())
@@ -270,8 +274,8 @@
 
 // ---- Operators
 
-admin::AdminHandler::Told ConsensusService::told(std::string_view what, std::string_view query,
-                                                 std::string body) {
+admin::HttpReply ConsensusService::told(std::string_view what, std::string_view query,
+                                        std::string body) {
   if (body.empty() && what.empty()) return {200, view()};
   if (body.empty() && what.starts_with("/proposals/")) {
     const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
@@ -291,8 +295,8 @@
   return {404, "no such call\n"};
 }
 
-admin::AdminHandler::Told ConsensusService::propose(std::string_view what, std::string_view query,
-                                                    const std::string& body) {
+admin::HttpReply ConsensusService::propose(std::string_view what, std::string_view query,
+                                           const std::string& body) {
   Proposal p;
   p.nonce = random_() >> 1 | 1;
   if (const auto nonce =
--- a/src/app/consensus_service.h
+++ b/src/app/consensus_service.h
@@ -51,10 +51,9 @@
   void act(const consensus::ActiveVersion& acting);
   void write_files();
   void measure();
-  admin::AdminHandler::Told told(std::string_view what, std::string_view query, std::string body);
+  admin::HttpReply told(std::string_view what, std::string_view query, std::string body);
   std::string view() const;
-  admin::AdminHandler::Told propose(std::string_view what, std::string_view query,
-                                    const std::string& body);
+  admin::HttpReply propose(std::string_view what, std::string_view query, const std::string& body);
 
   platform::EdgeRouter& node_;
   ClusterService& cluster_;
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -88,10 +88,11 @@
   if (settings_.state.empty()) return {};
   std::error_code ignored;
   std::filesystem::create_directories(settings_.state, ignored);
-  auto restored = store::load(state_path(settings_.state));
+  auto restored = store::load_endpoint_state(state_path(settings_.state));
   if (!restored.state) {
-    if (!restored.absent)
-      log_.record(kName, log::Level::warning, "state_unusable", {{"reason", restored.error}});
+    if (!restored.is_absent)
+      log_.record(kName, log::Level::warning, "state_unusable",
+                  {{"reason", to_string(*restored.error)}});
     return {};
   }
   endpoints::CandidateList offer{
@@ -301,12 +302,12 @@
   const core::Time now = net::unix_now();
   store::EndpointState state{fleet_.in_force(), fleet_.remembered(now), now};
   saving_ = writer_.submit([this, state = std::move(state), path = state_path(settings_.state)] {
-    const auto error = store::save(path, state);
+    const auto error = store::save_endpoint_state(path, state);
     wakeup_.post([this, error] {
       saving_ = false;
-      ++(error.empty() ? counters_.saved : counters_.save_failed);
-      if (!error.empty())
-        log_.record(kName, log::Level::error, "state_not_saved", {{"reason", error}});
+      ++(!error ? counters_.saved : counters_.save_failed);
+      if (error)
+        log_.record(kName, log::Level::error, "state_not_saved", {{"reason", to_string(*error)}});
     });
   });
 }
--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -51,7 +51,9 @@
   writer_.submit([this, path = path_] {
     auto loaded = store::load_file(path, kFileMost);
     wakeup_.post([this, payload = std::move(loaded.payload),
-                  error = loaded.absent ? "" : loaded.error] { begin(payload, error); });
+                  error = loaded.error && !loaded.is_absent ? to_string(*loaded.error) : ""] {
+      begin(payload, error);
+    });
   });
 }
 ReplicationService::~ReplicationService() {
@@ -83,10 +85,10 @@
 void ReplicationService::called(const hot_restart::BanChange& change) {
   if (binding_) return;
   if (!begun_) return early_.push_back(change);
-  if (change.out)
-    handle(CallBan{change.name, "by hand", node_.engine().now()});
+  if (change.is_banned)
+    handle(CallBan{change.server, "by hand", node_.engine().now()});
   else
-    handle(CallLift{change.name});
+    handle(CallLift{change.server});
 }
 
 void ReplicationService::handle(const replication::Event& event) {
@@ -131,11 +133,11 @@
     const auto error = store::replace_file(path, text);
     wakeup_.post([this, digest, error] {
       saving_ = false;
-      if (error.empty())
+      if (!error)
         saved_ = digest;
       else
         log_.record(kName, log::Level::error, "not_written",
-                    {{"reason", error}});  // again with the next event
+                    {{"reason", to_string(*error)}});  // again with the next event
     });
   });
 }
--- a/src/cluster/epoch.cpp
+++ b/src/cluster/epoch.cpp
@@ -21,10 +21,10 @@
   if (loaded.payload && loaded.payload->starts_with(kForm) &&
       core::parse_number(std::string_view(*loaded.payload).substr(kForm.size()), before))
     epoch = std::max(epoch, before + 1);
-  else if (!loaded.absent)
-    error = loaded.error.empty() ? path + " has another form" : loaded.error;
+  else if (!loaded.is_absent)
+    error = loaded.error ? to_string(*loaded.error) : path + " has another form";
   const auto written = store::replace_file(path, std::string(kForm) + std::to_string(epoch));
-  if (!written.empty()) error = written;
+  if (written) error = to_string(*written);
   return epoch;
 }
 
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -115,8 +115,8 @@
   out.error = open();
   if (out.error.empty()) out.error = read(out.saved);
   // Nothing told and nothing stored: a first start that was cut short.
-  if (out.error.empty() && !mark.payload && !(mark.absent && stores_ == 0))
-    out.error = mark.absent ? "agree.mark is missing" : mark.error;
+  if (out.error.empty() && !mark.payload && !(mark.is_absent && stores_ == 0))
+    out.error = mark.is_absent ? "agree.mark is missing" : to_string(*mark.error);
   // A process killed between a store and its mark leaves the database one ahead.
   if (out.error.empty() && mark.payload) {
     const auto said = std::strtoull(mark.payload->c_str(), nullptr, 10);
@@ -126,7 +126,7 @@
   }
   if (out.error.empty() && !mark.payload) out.error = this->mark();
   if (out.error.empty()) return out;
-  out.spoilt = was_there || mark.payload || !mark.absent;
+  out.spoilt = was_there || mark.payload || !mark.is_absent;
   out.saved = {};
   bad_ = true;
   return out;
@@ -190,7 +190,8 @@
 }
 
 std::string LogStore::mark() {
-  return store::replace_file(path("agree.mark"), std::to_string(stores_) + "\n");
+  const auto error = store::replace_file(path("agree.mark"), std::to_string(stores_) + "\n");
+  return error ? to_string(*error) : std::string();
 }
 
 std::string LogStore::change(const Store& s) {
--- a/src/hot_restart/ban_store.cpp
+++ b/src/hot_restart/ban_store.cpp
@@ -8,103 +8,123 @@
 namespace alderspur::hot_restart {
 namespace {
 
-constexpr std::string_view kForm = "bans 1 ";
+// The payload is one line "bans 1 SERIAL", then one line with a server's name for each ban.
+constexpr std::string_view kFormatPrefix = "bans 1 ";
+
+/// Removes the first line from `text` and returns it without its line break.
+std::string_view take_line(std::string_view& text) {
+  const auto end = std::min(text.find('\n'), text.size());
+  const auto line = text.substr(0, end);
+  text.remove_prefix(std::min(text.size(), end + 1));
+  return line;
+}
+
+bool contains(const std::vector<BanChange>& changes, const std::string& server) {
+  return std::any_of(changes.begin(), changes.end(),
+                     [&](const BanChange& change) { return change.server == server; });
+}
 
 }  // namespace
 
-std::string encode(const Bans& bans) {
-  std::string out(kForm);
-  out += std::to_string(bans.serial) + '\n';
-  for (const auto& name : bans.names) (out += name) += '\n';
-  return out;
+std::string encode(const BanList& list) {
+  std::string payload(kFormatPrefix);
+  payload += std::to_string(list.serial);
+  payload += '\n';
+  for (const auto& server : list.servers) {
+    payload += server;
+    payload += '\n';
+  }
+  return payload;
 }
 
-std::optional<Bans> decode_bans(std::string_view payload) {
-  const auto line = [&] {
-    const auto end = std::min(payload.find('\n'), payload.size());
-    const auto text = payload.substr(0, end);
-    payload.remove_prefix(std::min(payload.size(), end + 1));
-    return text;
-  };
-  Bans out;
-  const auto first = line();
-  if (!first.starts_with(kForm) || !core::parse_number(first.substr(kForm.size()), out.serial))
+std::optional<BanList> decode_ban_list(std::string_view payload) {
+  BanList list;
+  const auto first = take_line(payload);
+  if (!first.starts_with(kFormatPrefix) ||
+      !core::parse_number(first.substr(kFormatPrefix.size()), list.serial)) {
     return {};
+  }
   while (!payload.empty()) {
-    const auto name = line();
-    if (name.empty() || !core::is_plain_word(name) || out.names.size() >= kBansMost) return {};
-    out.names.emplace(name);
+    const auto server = take_line(payload);
+    if (server.empty() || !core::is_plain_word(server) || list.servers.size() >= kMaxBans) {
+      return {};
+    }
+    list.servers.emplace(server);
   }
-  return out;
+  return list;
 }
 
-void carry_out(const BanChange& change, std::set<std::string>& names) {
-  if (change.out)
-    names.insert(change.name);
-  else
-    names.erase(change.name);
+void apply(const BanChange& change, std::set<std::string>& servers) {
+  if (change.is_banned) {
+    servers.insert(change.server);
+  } else {
+    servers.erase(change.server);
+  }
 }
 
-void BanStore::call(const BanChange& change) {
-  // A later call on the same server stands for the one that did not reach the disk.
-  std::erase_if(unsaved_, [&](auto& c) { return c.name == change.name; });
-  under_way_.push_back(change);
+void BanStore::begin_change(const BanChange& change) {
+  // The new change replaces an earlier one of the same server that could not be saved.
+  std::erase_if(failed_, [&](const BanChange& failed) { return failed.server == change.server; });
+  pending_.push_back(change);
 }
 
-void BanStore::adopt(const Bans& list) {
-  if (list.serial > list_.serial) list_ = list;
+void BanStore::adopt_if_newer(const BanList& list) {
+  if (list.serial > saved_list_.serial) saved_list_ = list;
 }
-void BanStore::saved(const Bans& list) {
-  if (!under_way_.empty()) under_way_.erase(under_way_.begin());
-  adopt(list);
+
+void BanStore::on_saved(const BanList& list) {
+  if (!pending_.empty()) pending_.erase(pending_.begin());
+  adopt_if_newer(list);
 }
-void BanStore::not_saved() {
-  if (under_way_.empty()) return;
-  const auto change = under_way_.front();
-  under_way_.erase(under_way_.begin());
-  const auto same = [&](auto& c) { return c.name == change.name; };
-  if (std::none_of(under_way_.begin(), under_way_.end(), same)) unsaved_.push_back(change);
+
+void BanStore::on_save_failed() {
+  if (pending_.empty()) return;
+  const BanChange change = pending_.front();
+  pending_.erase(pending_.begin());
+  if (!contains(pending_, change.server)) failed_.push_back(change);
 }
-std::vector<BanChange> BanStore::again() {
-  std::erase_if(unsaved_, [&](auto& c) {
-    return std::any_of(under_way_.begin(), under_way_.end(),
-                       [&](auto& u) { return u.name == c.name; });
-  });
-  const std::size_t room = kUnderWayMost - std::min(kUnderWayMost, under_way_.size());
-  const auto end = unsaved_.begin() + static_cast<std::ptrdiff_t>(std::min(room, unsaved_.size()));
-  std::vector<BanChange> out(unsaved_.begin(), end);
-  unsaved_.erase(unsaved_.begin(), end);
-  under_way_.insert(under_way_.end(), out.begin(), out.end());
-  return out;
+
+void BanStore::on_list_read(const BanList& list) { adopt_if_newer(list); }
+
+std::vector<BanChange> BanStore::retry_failed_changes() {
+  std::erase_if(failed_,
+                [&](const BanChange& change) { return contains(pending_, change.server); });
+  const std::size_t room = kMaxPendingChanges - std::min(kMaxPendingChanges, pending_.size());
+  const auto end = failed_.begin() + static_cast<std::ptrdiff_t>(std::min(room, failed_.size()));
+  std::vector<BanChange> retried(failed_.begin(), end);
+  failed_.erase(failed_.begin(), end);
+  pending_.insert(pending_.end(), retried.begin(), retried.end());
+  return retried;
 }
-void BanStore::seen(const Bans& list) { adopt(list); }
-
-bool BanStore::in_force(const std::string& name) const {
-  bool out = list_.names.contains(name);
-  for (const auto* changes : {&unsaved_, &under_way_})
-    for (const auto& c : *changes)
-      if (c.name == name) out = c.out;
-  return out;
+
+bool BanStore::is_banned(const std::string& server) const {
+  bool is_banned = saved_list_.servers.contains(server);
+  for (const auto* changes : {&failed_, &pending_}) {
+    for (const auto& change : *changes) {
+      if (change.server == server) is_banned = change.is_banned;
+    }
+  }
+  return is_banned;
 }
 
-bool BanStore::settled(const std::string& name) const {
-  for (const auto* changes : {&unsaved_, &under_way_})
-    for (const auto& c : *changes)
-      if (c.name == name) return false;
-  return true;
+bool BanStore::is_saved(const std::string& server) const {
+  return !contains(failed_, server) && !contains(pending_, server);
 }
 
-std::vector<BanChange> BanStore::take() {
-  std::set<std::string> now = list_.names;
-  for (const auto* changes : {&unsaved_, &under_way_})
-    for (const auto& c : *changes) carry_out(c, now);
-  std::vector<BanChange> out;
-  for (const auto& name : now)
-    if (!told_.contains(name)) out.push_back({name, true});
-  for (const auto& name : told_)
-    if (!now.contains(name)) out.push_back({name, false});
-  told_ = std::move(now);
-  return out;
+std::vector<BanChange> BanStore::take_effective_changes() {
+  std::set<std::string> effective = saved_list_.servers;
+  for (const auto* changes : {&failed_, &pending_}) {
+    for (const auto& change : *changes) apply(change, effective);
+  }
+  std::vector<BanChange> result;
+  for (const auto& server : effective) {
+    if (!reported_.contains(server)) result.push_back({server, true});
+  }
+  for (const auto& server : reported_) {
+    if (!effective.contains(server)) result.push_back({server, false});
+  }
+  reported_ = std::move(effective);
+  return result;
 }
 
 }  // namespace alderspur::hot_restart
--- a/src/hot_restart/ban_store.h
+++ b/src/hot_restart/ban_store.h
@@ -1,12 +1,13 @@
-// The bans by hand of one router, as its processes hold them together. No I/O, no clock.
+// The manual bans of one router, as all of its processes share them. No I/O, no clock.
 //
-// What is in force here is the list last known from the disk with the changes laid over it that are
-// still on their way there: a ban binds from the moment it is called, and no older list read
-// meanwhile takes it back. Lists carry a serial that grows with each change; the higher one holds.
-// The processes change the list one after the other (see Folder), so that two changes at once are
-// both kept, in some order.
+// The bans in effect here are the list last read from the disk, overlaid with the changes that have
+// not reached the disk yet: a ban takes effect as soon as it is requested, and reading an older
+// list meanwhile does not undo it. Each change of the list increments its serial number; the list
+// with the higher serial wins. Processes change the list on the disk one after the other (see
+// SharedDirectory), so that of two concurrent changes neither is lost.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <set>
@@ -16,49 +17,60 @@
 
 namespace alderspur::hot_restart {
 
-constexpr std::size_t kBansMost = 4096, kBanFileMost = 1 << 20;
-constexpr std::size_t kUnderWayMost = 24;  // changes that wait for the disk
+constexpr std::size_t kMaxBans = 4096;
+constexpr std::size_t kMaxBanFileBytes = 1 << 20;
+constexpr std::size_t kMaxPendingChanges = 24;  // changes waiting for the disk
 
-struct Bans {
+/// The list of banned servers as it stands in a file.
+struct BanList {
   std::uint64_t serial = 0;
-  std::set<std::string> names;
-  bool operator==(const Bans&) const = default;
+  std::set<std::string> servers;
+  bool operator==(const BanList&) const = default;
 };
-std::string encode(const Bans& bans);
-std::optional<Bans> decode_bans(std::string_view payload);  // empty: not this version's form
+std::string encode(const BanList& list);
+/// Returns nothing if the payload does not have the format of this version.
+std::optional<BanList> decode_ban_list(std::string_view payload);
 
+/// One server is banned, or its ban is lifted.
 struct BanChange {
-  std::string name;
-  bool out = false;
+  std::string server;
+  bool is_banned = false;
 };
-void carry_out(const BanChange& change, std::set<std::string>& names);
+void apply(const BanChange& change, std::set<std::string>& servers);
 
+/// The bans in effect in this process, with the changes that still wait for the disk.
 class BanStore {
  public:
-  // A call. What is in force has changed by exactly this, or by nothing.
-  void call(const BanChange& change);
-  // The oldest call under way has reached the disk, which then held `list`; or it has not, and
-  // stays laid over.
-  void saved(const Bans& list);
-  void not_saved();
-  // The list was read, perhaps as another process left it.
-  void seen(const Bans& list);
+  /// Puts a requested change into effect; it is pending until on_saved() or on_save_failed().
+  void begin_change(const BanChange& change);
+  /// The oldest pending change has reached the disk, which now holds `list`.
+  void on_saved(const BanList& list);
+  /// The oldest pending change could not be saved. It stays in effect and can be retried.
+  void on_save_failed();
+  /// The list was read from the disk, perhaps as another process left it.
+  void on_list_read(const BanList& list);
 
-  bool in_force(const std::string& name) const;
-  bool settled(const std::string& name) const;  // no change of it waits for the disk
-  // What has changed of what is in force since the last call of this, for the core.
-  std::vector<BanChange> take();
-  const Bans& list() const { return list_; }
-  bool full() const { return under_way_.size() >= kUnderWayMost || told_.size() >= kBansMost; }
-  // Calls that did not reach the disk, to be tried again: now under way once more. As many as there
-  // is room for.
-  std::vector<BanChange> again();
+  bool is_banned(const std::string& server) const;
+  /// Whether no change of this server waits for the disk.
+  bool is_saved(const std::string& server) const;
+  /// The changes of the bans in effect since the last call.
+  std::vector<BanChange> take_effective_changes();
+  /// The newest list known to be on the disk.
+  const BanList& saved_list() const { return saved_list_; }
+  /// Whether no further change can be accepted now.
+  bool is_full() const {
+    return pending_.size() >= kMaxPendingChanges || reported_.size() >= kMaxBans;
+  }
+  /// Makes failed changes pending again, as many as there is room for, and returns them.
+  std::vector<BanChange> retry_failed_changes();
 
  private:
-  void adopt(const Bans& list);
-  Bans list_;
-  std::vector<BanChange> under_way_, unsaved_;
-  std::set<std::string> told_;
+  void adopt_if_newer(const BanList& list);
+
+  BanList saved_list_;
+  std::vector<BanChange> pending_;  // being saved, oldest first
+  std::vector<BanChange> failed_;   // not saved; laid over saved_list_ before pending_
+  std::set<std::string> reported_;  // the bans as take_effective_changes() last reported them
 };
 
 }  // namespace alderspur::hot_restart
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -9,179 +9,226 @@
 namespace alderspur::hot_restart {
 namespace {
 
-constexpr double kLeast = 0.05;  // of the router, for a process that takes nothing yet
-constexpr std::chrono::milliseconds kSettle(200);  // a look takes under one
-constexpr double kSmooth = 0.25;  // of a look's rate into the mean: about half a second
+constexpr double kMinShare = 0.05;  // for a process without requests, so that it can begin
+constexpr double kEvenShare = 0.5;  // while neither this process nor its peers have requests
+// Weight of the newest measurement in the mean request rate: a time constant of about half a
+// second.
+constexpr double kRateSmoothing = 0.25;
+constexpr std::chrono::milliseconds kStopTimeout(200);  // a poll takes under one
+constexpr std::chrono::milliseconds kRegistrationPause(10);
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 }  // namespace
 
 HotRestartCoordinator::HotRestartCoordinator(net::Loop& loop, core::Deadlines& deadlines,
                                              std::function<core::Time()> now,
-                                             const std::string& folder, std::string_view key,
-                                             Say say, Hooks hooks)
-    : deadlines_(deadlines), now_(std::move(now)), say_(std::move(say)), hooks_(std::move(hooks)) {
-  word_.share = 1;
-  if (folder.empty()) return;
-  word_.share = 0;
-  folder_ = std::make_shared<SharedDirectory>(folder, key);
+                                             const std::string& directory, std::string_view key,
+                                             LogSink log, Callbacks callbacks)
+    : deadlines_(deadlines),
+      now_(std::move(now)),
+      log_(std::move(log)),
+      callbacks_(std::move(callbacks)) {
+  if (directory.empty()) {
+    status_.share = 1;
+    return;
+  }
+  directory_ = std::make_shared<SharedDirectory>(directory, key);
   wakeup_ = std::make_unique<net::Wakeup>(loop);
   worker_ = std::make_unique<file_watch::Worker>();
   begin();
 }
+
 HotRestartCoordinator::~HotRestartCoordinator() {
-  if (next_.first) deadlines_.cancel(next_);
+  if (next_poll_.first) deadlines_.cancel(next_poll_);
   worker_.reset();
 }
 
-// The start waits here, a bounded time: nothing is served yet.
+// On the worker's thread: claims a slot, waits until the peers have found this process, and takes
+// the first share.
+HotRestartCoordinator::PollResult HotRestartCoordinator::register_process(
+    SharedDirectory& directory) {
+  using std::chrono::microseconds, std::chrono::steady_clock;
+  PollResult result;
+  result.error = directory.claim_slot();
+  result.peers = directory.read_peers();
+  const auto give_up_at = steady_clock::now() + microseconds(kRegistrationTimeout);
+  while (!result.error && !result.peers.all_know_a_peer && steady_clock::now() < give_up_at) {
+    std::this_thread::sleep_for(kRegistrationPause);
+    result.peers = directory.read_peers();
+  }
+  result.bans = directory.read_bans();
+  result.published.known_peers = result.peers.count;
+  if (result.error) {
+    result.published.share = 1;  // no peer can be found
+  } else {
+    result.error = directory.raise_share(result.published, result.peers.count ? kMinShare : 1);
+  }
+  return result;
+}
+
+// Waits for the first poll, a bounded time: nothing is served yet.
 void HotRestartCoordinator::begin() {
-  auto result = std::make_shared<std::promise<Looked>>();
-  auto looked = result->get_future();
-  worker_->submit([folder = folder_, result] {
-    using std::chrono::microseconds, std::chrono::steady_clock;
-    Looked out;
-    out.error = folder->enter();
-    out.others = folder->others();
-    const auto end = steady_clock::now() + microseconds(kKnown);
-    while (out.error.empty() && !out.others.all_know_us && steady_clock::now() < end) {
-      std::this_thread::sleep_for(std::chrono::milliseconds(10));
-      out.others = folder->others();
-    }
-    out.read = folder->read_bans();
-    out.word.counted = out.others.count;
-    if (out.error.empty())
-      out.error = folder->raise(out.word, out.others.count ? kLeast : 1);
-    else
-      out.word.share = 1;  // nothing is known of anybody
-    result->set_value(std::move(out));
-  });
-  if (looked.wait_for(std::chrono::microseconds(kBegin)) == std::future_status::ready)
-    take(looked.get());
-  else
-    word_.share = 1, complain("the shared folder does not answer, starting without what it holds");
-  arm();
+  auto promise = std::make_shared<std::promise<PollResult>>();
+  auto future = promise->get_future();
+  worker_->submit(
+      [directory = directory_, promise] { promise->set_value(register_process(*directory)); });
+  if (future.wait_for(std::chrono::microseconds(kStartTimeout)) == std::future_status::ready) {
+    handle(future.get());
+  } else {
+    status_.share = 1;
+    log_problem("the shared folder does not answer, starting without what it holds");
+  }
+  schedule_poll();
 }
 
-void HotRestartCoordinator::arm() {
-  next_ = deadlines_.set(now_() + kLook, [this] { look(), arm(); });
+void HotRestartCoordinator::schedule_poll() {
+  next_poll_ = deadlines_.set(now_() + kPollInterval, [this] {
+    start_poll();
+    schedule_poll();
+  });
 }
 
-void HotRestartCoordinator::measure() {
+void HotRestartCoordinator::measure_load() {
   const core::Time now = now_();
-  const auto load = hooks_.load();
-  if (measured_ && now > measured_) {
-    const double rate =
-        static_cast<double>(load.taken - taken_) * 1e6 / static_cast<double>(now - measured_);
-    rate_ += kSmooth * (rate - rate_);
+  const Load load = callbacks_.measure_load();
+  if (measured_at_ && now > measured_at_) {
+    const double rate = static_cast<double>(load.admitted_requests - admitted_requests_) *
+                        kMicrosecondsPerSecond / static_cast<double>(now - measured_at_);
+    request_rate_ += kRateSmoothing * (rate - request_rate_);
+  }
+  measured_at_ = now;
+  admitted_requests_ = load.admitted_requests;
+  status_.request_rate = request_rate_;
+  status_.concurrency_limit = load.concurrency_limit;
+}
+
+// In proportion to the request rates, with at least kMinShare for each process.
+double HotRestartCoordinator::wanted_share() const {
+  if (!peers_.count) return 1;
+  const double total_rate = request_rate_ + peers_.request_rate;
+  return std::clamp(total_rate > 0 ? request_rate_ / total_rate : kEvenShare, kMinShare,
+                    1 - kMinShare * peers_.count);
+}
+
+// On the worker's thread.
+HotRestartCoordinator::PollResult HotRestartCoordinator::poll(SharedDirectory& directory,
+                                                              const ProcessStatus& status,
+                                                              double wanted_share,
+                                                              const BanList& known_bans) {
+  PollResult result;
+  result.published = status;
+  result.error = directory.publish(status);
+  if (wanted_share > status.share && !result.error) {
+    result.error = directory.raise_share(result.published, wanted_share);
   }
-  measured_ = now, taken_ = load.taken;
-  word_.rate = rate_;
-  word_.door = load.door;
-}
-
-// By what each takes, with a little for who takes nothing yet.
-double HotRestartCoordinator::wanted() const {
-  if (!others_.count) return 1;
-  const double all = rate_ + others_.rate;
-  return std::clamp(all > 0 ? rate_ / all : 0.5, kLeast, 1 - kLeast * others_.count);
-}
-
-void HotRestartCoordinator::look() {
-  if (looking_) return;  // the disk hangs: what is in force stays
-  for (const auto& change : book_.again()) save(change, {});
-  measure();
-  word_.counted = others_.count;
-  if (wanted() < word_.share) {
-    word_.share = wanted();
-    hooks_.others(others_, word_.share);
+  result.peers = directory.read_peers();
+  result.bans = directory.read_bans();
+  if (result.bans.list.serial < known_bans.serial) {
+    result.error = directory.restore_bans(known_bans);
   }
-  looking_ = worker_->submit(
-      [this, folder = folder_, mine = book_.list(), word = word_, wants = wanted()] {
-        Looked out;
-        out.word = word;
-        out.error = folder->say(word);
-        if (wants > word.share && out.error.empty()) out.error = folder->raise(out.word, wants);
-        out.others = folder->others();
-        out.read = folder->read_bans();
-        if (out.read.bans.serial < mine.serial) out.error = folder->restore(mine);
-        wakeup_->post([this, out = std::move(out)] {
-          looking_ = false;
-          said_ |= out.word.phase == Phase::serving;
-          take(out);
+  return result;
+}
+
+void HotRestartCoordinator::start_poll() {
+  if (is_polling_) return;  // the disk hangs: share, peers and bans stay as they are
+  for (const auto& change : bans_.retry_failed_changes()) save(change, {});
+  measure_load();
+  status_.known_peers = peers_.count;
+  const double wanted = wanted_share();
+  if (wanted < status_.share) {
+    status_.share = wanted;
+    callbacks_.on_peers_changed(peers_, status_.share);
+  }
+  is_polling_ = worker_->submit(
+      [this, directory = directory_, known_bans = bans_.saved_list(), status = status_, wanted] {
+        wakeup_->post([this, result = poll(*directory, status, wanted, known_bans)] {
+          is_polling_ = false;
+          is_published_ |= result.published.phase == ProcessPhase::serving;
+          handle(result);
         });
       });
 }
 
-void HotRestartCoordinator::take(const Looked& looked) {
-  complain(!looked.error.empty() ? looked.error : looked.read.error);
-  book_.seen(looked.read.bans);
-  apply();
-  const bool counts = looked.others.count != others_.count;
-  const bool changed =
-      counts || looked.others.successor != others_.successor || looked.word.share != word_.share;
-  others_ = looked.others;
-  word_.share = looked.word.share;
-  if (counts)
-    say_("twins", std::to_string(others_.count) + " other processes of this router are there");
-  if (changed) hooks_.others(others_, word_.share);
-  if (counts && worker_) look();  // they wait to hear that they are counted
-}
-
-// The same trouble is told once.
-void HotRestartCoordinator::complain(const std::string& error) {
-  if (error == last_error_) return;
-  last_error_ = error;
-  if (!error.empty()) say_("shared_folder", error);
-}
-
-void HotRestartCoordinator::apply() {
-  for (const auto& change : book_.take()) {
-    say_("ban", change.name + (change.out ? " is out by hand" : " may serve again"));
-    hooks_.ban(change);
+void HotRestartCoordinator::handle(const PollResult& result) {
+  const auto& problem = result.error ? result.error : result.bans.error;
+  log_problem(problem ? to_string(*problem) : std::string());
+  bans_.on_list_read(result.bans.list);
+  report_ban_changes();
+  const bool count_changed = result.peers.count != peers_.count;
+  const bool any_changed = count_changed || result.peers.has_successor != peers_.has_successor ||
+                           result.published.share != status_.share;
+  peers_ = result.peers;
+  status_.share = result.published.share;
+  if (count_changed) {
+    log_("peer_processes",
+         std::to_string(peers_.count) + " other processes of this router are there");
+  }
+  if (any_changed) callbacks_.on_peers_changed(peers_, status_.share);
+  // A new peer waits until this process publishes that it has found it.
+  if (count_changed && worker_) start_poll();
+}
+
+// The same problem is logged only once in a row; an empty text means that there is none.
+void HotRestartCoordinator::log_problem(const std::string& text) {
+  if (text == last_problem_) return;
+  last_problem_ = text;
+  if (!text.empty()) log_("shared_folder", text);
+}
+
+void HotRestartCoordinator::report_ban_changes() {
+  for (const auto& change : bans_.take_effective_changes()) {
+    log_("ban", change.server + (change.is_banned ? " is out by hand" : " may serve again"));
+    callbacks_.on_ban_changed(change);
   }
 }
 
-void HotRestartCoordinator::serving() {
-  word_.phase = Phase::serving;
-  if (!folder_) return;
-  said_ = false;
-  look();
+void HotRestartCoordinator::start_serving() {
+  status_.phase = ProcessPhase::serving;
+  if (!directory_) return;
+  is_published_ = false;
+  start_poll();
 }
-void HotRestartCoordinator::leaving() {
-  word_.phase = Phase::leaving;
-  if (folder_) look();
+
+void HotRestartCoordinator::start_draining() {
+  status_.phase = ProcessPhase::draining;
+  if (directory_) start_poll();
 }
 
-bool HotRestartCoordinator::settle() { return !worker_ || worker_->settle(kSettle); }
+bool HotRestartCoordinator::stop_worker() { return !worker_ || worker_->settle(kStopTimeout); }
 
-void HotRestartCoordinator::change(const BanChange& change,
-                                   std::function<void(const std::string& error)> done) {
-  book_.call(change);
-  apply();
-  if (folder_) return save(change, std::move(done));
-  Bans list = book_.list();
+void HotRestartCoordinator::change_ban(const BanChange& change, SaveCallback done) {
+  bans_.begin_change(change);
+  report_ban_changes();
+  if (directory_) {
+    save(change, std::move(done));
+    return;
+  }
+  BanList list = bans_.saved_list();
   ++list.serial;
-  carry_out(change, list.names);
-  book_.saved(list);
+  apply(change, list.servers);
+  bans_.on_saved(list);
   done({});
 }
 
-void HotRestartCoordinator::save(const BanChange& change,
-                                 std::function<void(const std::string& error)> done) {
-  const auto end = [this, done = std::move(done)](const SharedDirectory::Changed& changed) {
-    if (changed.error.empty())
-      book_.saved(changed.bans);
-    else
-      book_.not_saved(), complain(changed.error);
-    apply();
-    if (done) done(changed.error);
-  };
-  const bool submitted =
-      worker_->submit([this, folder = folder_, mine = book_.list(), change, end] {
-        auto changed = folder->change(mine, change);
-        wakeup_->post([changed = std::move(changed), end] { end(changed); });
+void HotRestartCoordinator::finish_save(const BanChangeResult& result, const SaveCallback& done) {
+  if (result.error) {
+    bans_.on_save_failed();
+    log_problem(to_string(*result.error));
+  } else {
+    bans_.on_saved(result.list);
+  }
+  report_ban_changes();
+  if (done) done(result.error);
+}
+
+void HotRestartCoordinator::save(const BanChange& change, SaveCallback done) {
+  const bool is_submitted = worker_->submit(
+      [this, directory = directory_, known_bans = bans_.saved_list(), change, done] {
+        wakeup_->post([this, result = directory->change_ban(known_bans, change), done] {
+          finish_save(result, done);
+        });
       });
-  if (!submitted) end({{}, "too many changes wait for the disk"});
+  if (!is_submitted) finish_save({{}, TooManyPendingChanges{}}, done);
 }
 
 }  // namespace alderspur::hot_restart
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -1,20 +1,28 @@
-// This process beside others of the same router: the one it replaces, or the one that replaces it.
+// Coordinates this process with others of the same router: the one that it replaces, or the one
+// that replaces it. Also the way to the bans that they share.
 //
-// Its worker looks into the shared folder every kLook and hands over what it found; the loop never
-// waits for the disk, but for one bounded moment at the start, before it listens (kBegin): the bans
-// must bind the first send, and a process that is there must have made room in the cold budgets
-// first.
+// A worker thread polls the shared directory every kPollInterval and posts what it found to the
+// event loop. The loop never waits for the disk, with one bounded exception at the start, before
+// the process listens (kStartTimeout): the bans must apply to the first request that is sent, and a
+// process that is already there must first have made room in the slow-start budgets.
 //
-// How the budgets hold: each process holds a share of what the router may do and says it in its
-// place. It lowers it at once and says so afterwards; it raises it only into what the others' words
-// leave free, and acts on that after it has said it. So the sum over all never passes 1, whoever
-// stalls or is killed in between. What is wanted follows the requests that each takes. A new one
-// starts with nothing and takes clients once all others have counted it, or after kKnown.
+// Budgets: each process holds a share of what the router may do and publishes it. It lowers its
+// share at once and publishes that afterwards; it raises its share only into what the published
+// shares of the others leave free, and uses the raise only once it is published. The sum of all
+// shares in use therefore never exceeds 1, whichever process stalls or is killed in between. The
+// wanted share follows each process's request rate. A new process starts with none and serves once
+// all others have found it, or after kRegistrationTimeout.
+//
+// All functions are for the event loop's thread. Times are microseconds.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <memory>
+#include <optional>
+#include <set>
 #include <string>
+#include <string_view>
 
 #include "core/deadlines.h"
 #include "file_watch/worker.h"
@@ -24,78 +32,96 @@
 
 namespace alderspur::hot_restart {
 
-constexpr core::Time kLook = 150'000, kKnown = 700'000, kBegin = 1'500'000;
+constexpr core::Time kPollInterval = 150'000;
+constexpr core::Time kRegistrationTimeout = 700'000;  // to be found by the other processes
+constexpr core::Time kStartTimeout = 1'500'000;       // for the first look at the directory
 
 class HotRestartCoordinator {
  public:
-  using Say = std::function<void(const std::string& event, const std::string& text)>;
+  using LogSink = std::function<void(const std::string& event, const std::string& text)>;
   struct Load {
-    std::uint64_t taken = 0;  // requests, since the start
-    double door = 0;          // see module::Twins
+    std::uint64_t admitted_requests = 0;  // since the start of the process
+    double concurrency_limit = 0;         // see module::BudgetShare
   };
-  struct Hooks {
-    std::function<Load()> load;
-    std::function<void(const BanChange&)> ban;  // what is in force has changed
-    std::function<void(const PeerSummary&, double share)>
-        others;  // as is who else is there, or our share
+  struct Callbacks {
+    std::function<Load()> measure_load;
+    std::function<void(const BanChange&)> on_ban_changed;
+    /// The set of peers, or this process's share, has changed.
+    std::function<void(const PeerSummary&, double share)> on_peers_changed;
   };
-  // `folder` empty: bans are this process's own and nobody else is known of.
+  /// Called once; without an error, the change is on the disk.
+  using SaveCallback = std::function<void(const std::optional<SharedDirectoryError>& error)>;
+
+  /// With an empty `directory` there are no peers, and bans live only as long as this process.
   HotRestartCoordinator(net::Loop& loop, core::Deadlines& deadlines,
-                        std::function<core::Time()> now, const std::string& folder,
-                        std::string_view key, Say say, Hooks hooks);
+                        std::function<core::Time()> now, const std::string& directory,
+                        std::string_view key, LogSink log, Callbacks callbacks);
   ~HotRestartCoordinator();
+  HotRestartCoordinator(const HotRestartCoordinator&) = delete;
+  HotRestartCoordinator& operator=(const HotRestartCoordinator&) = delete;
 
-  void serving();  // clients are taken from now on
-  // Clients are taken and this is on its way to the others; without a folder, at once.
-  bool said() const { return said_; }
-  void leaving();  // a planned end has begun: looks at once who comes after
-  // At the end: false where the disk hangs, and the process must go without its worker.
-  bool settle();
-  const PeerSummary& others() const { return others_; }
-  double share() const { return word_.share; }
+  /// This process accepts clients from now on.
+  void start_serving();
+  /// Whether start_serving() has been published; true at once without a directory.
+  bool is_published() const { return is_published_; }
+  /// A planned shutdown has begun: polls at once for a successor.
+  void start_draining();
+  /// Before the destructor: false if the disk hangs, so that the worker thread cannot be joined and
+  /// the process has to end without it.
+  bool stop_worker();
+  const PeerSummary& peers() const { return peers_; }
+  double share() const { return status_.share; }
 
-  // A call by hand. `done`: empty, or why it is not on the disk; it binds here all the same.
-  void change(const BanChange& change, std::function<void(const std::string& error)> done);
-  const std::set<std::string>& bans() const {
-    return book_.list().names;
-  }  // as they were last read
-  bool banned(const std::string& name) const { return book_.in_force(name); }
-  bool on_disk(const std::string& name) const { return book_.settled(name); }
-  bool full() const { return book_.full(); }  // no further change is taken now
+  /// A manual ban or its end. It takes effect here at once, also if it cannot be saved.
+  void change_ban(const BanChange& change, SaveCallback done);
+  /// The banned servers as last read from the disk.
+  const std::set<std::string>& saved_bans() const { return bans_.saved_list().servers; }
+  bool is_banned(const std::string& server) const { return bans_.is_banned(server); }
+  /// Whether no change of this server waits for the disk.
+  bool is_saved(const std::string& server) const { return bans_.is_saved(server); }
+  /// Whether no further change can be accepted now.
+  bool is_full() const { return bans_.is_full(); }
 
  private:
-  struct Looked {
-    PeerSummary others;
-    ProcessStatus word;  // as it was said
-    SharedDirectory::Read read;
-    std::string error;
+  /// What the worker found, and the status that it published.
+  struct PollResult {
+    PeerSummary peers;
+    ProcessStatus published;
+    BanReadResult bans;
+    std::optional<SharedDirectoryError> error;
   };
+  static PollResult register_process(SharedDirectory& directory);
+  static PollResult poll(SharedDirectory& directory, const ProcessStatus& status,
+                         double wanted_share, const BanList& known_bans);
   void begin();
-  void arm();
-  void look();
-  void take(const Looked& looked);
-  double wanted() const;
-  void measure();
-  void complain(const std::string& error);
-  void apply();
-  void save(const BanChange& change, std::function<void(const std::string& error)> done);
+  void schedule_poll();
+  void start_poll();
+  void handle(const PollResult& result);
+  double wanted_share() const;
+  void measure_load();
+  void log_problem(const std::string& text);
+  void report_ban_changes();
+  void save(const BanChange& change, SaveCallback done);
+  void finish_save(const BanChangeResult& result, const SaveCallback& done);
 
   core::Deadlines& deadlines_;
   std::function<core::Time()> now_;
-  Say say_;
-  Hooks hooks_;
-  std::shared_ptr<SharedDirectory> folder_;  // used on the worker's thread only
-  BanStore book_;
-  PeerSummary others_;
-  ProcessStatus word_;
-  double rate_ = 0;
-  std::uint64_t taken_ = 0;
-  core::Time measured_ = 0;
-  bool said_ = true, looking_ = false;
-  std::string last_error_;
-  core::Deadlines::Key next_{};
+  LogSink log_;
+  Callbacks callbacks_;
+  std::shared_ptr<SharedDirectory> directory_;  // used on the worker's thread only
+  BanStore bans_;
+  PeerSummary peers_;
+  ProcessStatus status_;
+  double request_rate_ = 0;  // smoothed, per second
+  std::uint64_t admitted_requests_ = 0;
+  core::Time measured_at_ = 0;
+  bool is_published_ = true;
+  bool is_polling_ = false;
+  std::string last_problem_;
+  core::Deadlines::Key next_poll_{};
   std::unique_ptr<net::Wakeup> wakeup_;
-  std::unique_ptr<file_watch::Worker> worker_;  // last: its jobs use what stands above
+  // Last, so that it ends first: its jobs use the members above.
+  std::unique_ptr<file_watch::Worker> worker_;
 };
 
 }  // namespace alderspur::hot_restart
--- a/src/hot_restart/shared_directory.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -5,149 +5,182 @@
 #include <unistd.h>
 
 #include <algorithm>
-#include <cerrno>
 #include <chrono>
-#include <cstdio>
-#include <cstring>
-
-#include "store/state_file.h"
+#include <utility>
 
 namespace alderspur::hot_restart {
 namespace {
 
-constexpr int kPlaces = 4;
-constexpr std::size_t kPlaceText = 128;
-constexpr double kRounding = 1e-3;  // of the shares as they are written
+constexpr int kSlotCount = 4;
+constexpr mode_t kFileMode = 0640;
+constexpr double kShareRounding = 1e-3;  // of a sum of shares, which are written with four digits
+constexpr const char* kBanFileA = ".bans.a";
+constexpr const char* kBanFileB = ".bans.b";
+constexpr const char* kLockFile = ".lock";
+
+std::string describe(const store::FileError& error) { return store::to_string(error); }
+std::string describe(const NoFreeSlot& error) {
+  return "all places in " + error.path_prefix + " are taken";
+}
+std::string describe(const UnknownFormat& error) {
+  return error.path + " has a form that this version does not know";
+}
+std::string describe(const NotResponding&) { return "the disk does not answer"; }
+std::string describe(const TooManyPendingChanges&) { return "too many changes wait for the disk"; }
 
-std::string failed(const std::string& what) { return what + ": " + std::strerror(errno); }
-net::Fd open_file(const std::string& path) {
-  return net::Fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, 0640));
+net::Fd open_or_create(const std::string& path) {
+  return net::Fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, kFileMode));
 }
-struct flock whole(short type) {
-  struct flock l {};
-  l.l_type = type;
-  l.l_whence = SEEK_SET;
-  return l;
+
+/// A lock description for fcntl() that covers a whole file.
+struct flock whole_file_lock(decltype(flock::l_type) type) {
+  struct flock lock {};
+  lock.l_type = type;
+  lock.l_whence = SEEK_SET;
+  return lock;
 }
-std::string place_name(int number) { return ".place" + std::to_string(number); }
-std::string usable(std::string_view key) {
-  std::string out(key);
+
+/// The key without characters that have a meaning in paths and addresses.
+std::string file_name_part(std::string_view key) {
+  std::string part(key);
   std::replace_if(
-      out.begin(), out.end(), [](char c) { return c == '/' || c == ':'; }, '-');
-  return out;
+      part.begin(), part.end(), [](char c) { return c == '/' || c == ':'; }, '-');
+  return part;
 }
 
 }  // namespace
 
+std::string to_string(const SharedDirectoryError& error) {
+  return std::visit([](const auto& specific) { return describe(specific); }, error);
+}
+
 SharedDirectory::SharedDirectory(std::string path, std::string_view key)
-    : base_(std::move(path) + "/alderspur-" + usable(key)) {}
+    : path_prefix_(std::move(path) + "/alderspur-" + file_name_part(key)) {}
+
+std::string SharedDirectory::slot_path(int slot) const {
+  return path_of(".place") + std::to_string(slot);
+}
 
-std::string SharedDirectory::enter() {
+std::optional<SharedDirectoryError> SharedDirectory::claim_slot() {
   using std::chrono::duration_cast, std::chrono::microseconds, std::chrono::steady_clock;
-  order_ = duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
-  for (int i = 0; i < kPlaces; ++i) {
-    net::Fd fd = open_file(file(place_name(i)));
-    if (fd.get() < 0) return failed("cannot open " + file(place_name(i)));
-    auto lock = whole(F_WRLCK);
-    if (::fcntl(fd.get(), F_OFD_SETLK, &lock) < 0) continue;  // another process's
-    place_ = std::move(fd);
-    number_ = i;
-    return say({});
+  claimed_at_ = duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
+  for (int slot = 0; slot < kSlotCount; ++slot) {
+    net::Fd file = open_or_create(slot_path(slot));
+    if (file.get() < 0) return store::errno_error(store::FileFault::open_failed, slot_path(slot));
+    auto lock = whole_file_lock(F_WRLCK);
+    const bool is_held_by_another = ::fcntl(file.get(), F_OFD_SETLK, &lock) < 0;
+    if (is_held_by_another) continue;
+    slot_file_ = std::move(file);
+    slot_ = slot;
+    return publish({});
+  }
+  return NoFreeSlot{path_prefix_};
+}
+
+std::optional<SharedDirectoryError> SharedDirectory::publish(const ProcessStatus& status) {
+  if (slot_file_.get() < 0) return claim_slot();
+  const auto text = encode(SlotRecord{status, ::getpid(), claimed_at_});
+  const ssize_t written = ::pwrite(slot_file_.get(), text.data(), kSlotRecordBytes, 0);
+  if (written != static_cast<ssize_t>(kSlotRecordBytes)) {
+    return store::errno_error(store::FileFault::write_failed, slot_path(slot_));
   }
-  return "all places in " + base_ + " are taken";
-}
-
-std::string SharedDirectory::say(const ProcessStatus& w) {
-  if (place_.get() < 0) return enter();
-  char text[kPlaceText + 1] = {};
-  std::snprintf(text, sizeof text, "place 1 %lld %d %u %lld %.4f %.3f %.4f\n",
-                static_cast<long long>(::getpid()), static_cast<int>(w.phase), w.counted,
-                static_cast<long long>(order_), w.share, w.rate, w.door);
-  // One write of fixed length: a reader sees the old text or the new one.
-  if (::pwrite(place_.get(), text, kPlaceText, 0) != static_cast<ssize_t>(kPlaceText))
-    return failed("cannot write " + file(place_name(number_)));
   return {};
 }
 
-PeerSummary SharedDirectory::others() {
-  PeerSummary out;
-  for (int i = 0; i < kPlaces; ++i) {
-    if (i == number_) continue;
-    const net::Fd fd(::open(file(place_name(i)).c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
-    auto lock = whole(F_RDLCK);
-    if (fd.get() < 0 || ::fcntl(fd.get(), F_OFD_GETLK, &lock) < 0 || lock.l_type == F_UNLCK)
-      continue;
-    ++out.count;
-    char text[kPlaceText + 1] = {};
-    long long pid = 0, order = 0;
-    int phase = 0;
-    unsigned counted = 0;
-    double share = 0, rate = 0, door = 0;
-    // One that has its place and has yet to say so, or says it in another form, knows nothing of us
-    // and may hold all there is.
-    if (::pread(fd.get(), text, kPlaceText, 0) <= 0 ||
-        std::sscanf(text, "place 1 %lld %d %u %lld %lf %lf %lf", &pid, &phase, &counted, &order,
-                    &share, &rate, &door) != 7 ||
-        !(share >= 0 && share <= 1 && rate >= 0 && rate < 1e9 && door >= 0 && door < 1e9))
-      counted = 0, phase = 0, share = 1, rate = 0, door = 0;
-    out.successor |= phase == static_cast<int>(Phase::serving) && order > order_;
-    out.all_know_us &= counted > 0;
-    out.share += share;
-    out.rate += rate;
-    out.door = std::max(out.door, door);
+PeerSummary SharedDirectory::read_peers() {
+  PeerSummary summary;
+  for (int slot = 0; slot < kSlotCount; ++slot) {
+    if (slot != slot_) add_peer_in_slot(slot, summary);
   }
-  return out;
-}
-
-// Danger: two that raise at once each read the other's old share. Each writes before it reads, so
-// that at least one of them sees the other's raise; who sees too much takes its own back. Until
-// then nobody acts on it.
-std::string SharedDirectory::raise(ProcessStatus& word, double wanted) {
-  const double before = word.share;
-  word.share = std::min(wanted, 1 - others().share);
-  if (word.share > before) {
-    if (auto error = say(word); !error.empty()) return word.share = before, error;
-    if (word.share + others().share <= 1 + kRounding) return {};
+  return summary;
+}
+
+void SharedDirectory::add_peer_in_slot(int slot, PeerSummary& summary) const {
+  const net::Fd file(::open(slot_path(slot).c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
+  if (file.get() < 0) return;
+  auto lock = whole_file_lock(F_RDLCK);
+  const bool is_held = ::fcntl(file.get(), F_OFD_GETLK, &lock) == 0 && lock.l_type != F_UNLCK;
+  if (!is_held) return;
+  SlotRecordText text{};
+  const bool is_readable = ::pread(file.get(), text.data(), kSlotRecordBytes, 0) > 0;
+  auto record = is_readable ? decode_slot_record(text) : std::nullopt;
+  if (!record) {
+    // A process that has not published yet, or in another format, knows nothing of this one and
+    // may hold the whole of the router's budgets.
+    record.emplace();
+    record->status.share = 1;
   }
-  word.share = before;
-  return say(word);
-}
-
-SharedDirectory::Read SharedDirectory::read_bans() const {
-  Read out;
-  for (const char* name : {".bans.a", ".bans.b"}) {
-    const auto loaded = store::load_file(file(name), kBanFileMost);
-    const auto bans = loaded.payload ? decode_bans(*loaded.payload) : std::nullopt;
-    if (bans && bans->serial >= out.bans.serial) out.bans = *bans;
-    if (!bans && !loaded.absent)
-      out.error = loaded.error.empty() ? file(name) + " has a form that this version does not know"
-                                       : loaded.error;
+  const ProcessStatus& status = record->status;
+  ++summary.count;
+  summary.has_successor |=
+      status.phase == ProcessPhase::serving && record->claimed_at > claimed_at_;
+  summary.all_know_a_peer &= status.known_peers > 0;
+  summary.share += status.share;
+  summary.request_rate += status.request_rate;
+  summary.concurrency_limit = std::max(summary.concurrency_limit, status.concurrency_limit);
+}
+
+// Two processes that raise their shares at the same time could each read the other's old share, and
+// together hold more than the whole. Each therefore publishes before it reads again, so that at
+// least one of them sees the other's raise, and one that sees a sum over 1 takes its own raise
+// back. No process uses its new share before this has returned.
+std::optional<SharedDirectoryError> SharedDirectory::raise_share(ProcessStatus& status,
+                                                                 double wanted) {
+  const double previous = status.share;
+  status.share = std::min(wanted, 1 - read_peers().share);
+  if (status.share > previous) {
+    if (auto error = publish(status)) {
+      status.share = previous;
+      return error;
+    }
+    if (status.share + read_peers().share <= 1 + kShareRounding) return {};
   }
-  return out;
+  status.share = previous;
+  return publish(status);
 }
 
-std::string SharedDirectory::write(const Bans& bans) {
-  return store::replace_file(file(bans.serial % 2 ? ".bans.a" : ".bans.b"), encode(bans));
+BanReadResult SharedDirectory::read_bans() const {
+  BanReadResult result;
+  for (const char* suffix : {kBanFileA, kBanFileB}) {
+    const auto loaded = store::load_file(path_of(suffix), kMaxBanFileBytes);
+    const auto list = loaded.payload ? decode_ban_list(*loaded.payload) : std::nullopt;
+    if (list && list->serial >= result.list.serial) result.list = *list;
+    if (list || loaded.is_absent) continue;
+    if (loaded.error) {
+      result.error = *loaded.error;
+    } else {
+      result.error = UnknownFormat{path_of(suffix)};
+    }
+  }
+  return result;
 }
 
-SharedDirectory::Changed SharedDirectory::change(const Bans& mine, const BanChange& change) {
-  const net::Fd lock = open_file(file(".lock"));
-  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0)
-    return {{}, failed("cannot lock " + file(".lock"))};
-  Bans next = read_bans().bans;
-  if (mine.serial > next.serial) next = mine;
-  carry_out(change, next.names);
+std::optional<SharedDirectoryError> SharedDirectory::write_bans(const BanList& list) {
+  const char* suffix = list.serial % 2 ? kBanFileA : kBanFileB;
+  if (auto error = store::replace_file(path_of(suffix), encode(list))) return *error;
+  return {};
+}
+
+BanChangeResult SharedDirectory::change_ban(const BanList& known, const BanChange& change) {
+  const net::Fd lock = open_or_create(path_of(kLockFile));
+  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0) {
+    return {{}, store::errno_error(store::FileFault::lock_failed, path_of(kLockFile))};
+  }
+  BanList next = read_bans().list;
+  if (known.serial > next.serial) next = known;
+  apply(change, next.servers);
   ++next.serial;
-  auto error = write(next);
+  auto error = write_bans(next);
   return {std::move(next), std::move(error)};
 }
 
-std::string SharedDirectory::restore(const Bans& mine) {
-  const net::Fd lock = open_file(file(".lock"));
-  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0)
-    return failed("cannot lock " + file(".lock"));
-  if (read_bans().bans.serial >= mine.serial) return {};
-  return write(mine);
+std::optional<SharedDirectoryError> SharedDirectory::restore_bans(const BanList& known) {
+  const net::Fd lock = open_or_create(path_of(kLockFile));
+  if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX) < 0) {
+    return store::errno_error(store::FileFault::lock_failed, path_of(kLockFile));
+  }
+  if (read_bans().list.serial >= known.serial) return {};
+  return write_bans(known);
 }
 
 }  // namespace alderspur::hot_restart
--- a/src/platform/edge_router.cpp
+++ b/src/platform/edge_router.cpp
@@ -33,15 +33,15 @@
                        : std::make_unique<hot_restart::HotRestartCoordinator>(
                              loop_, deadlines_, [this] { return engine_.now(); },
                              config_.state_folder, config_.listen, say_,
-                             hot_restart::HotRestartCoordinator::Hooks{
+                             hot_restart::HotRestartCoordinator::Callbacks{
                                  [this] {
                                    return hot_restart::HotRestartCoordinator::Load{
                                        engine_.counters().admitted, engine_.concurrency_limit()};
                                  },
                                  [this](const hot_restart::BanChange& change) {
-                                   const auto id = config::server_id(change.name);
-                                   engine_.set_ban(id, change.out);
-                                   if (change.out) upstream_pool_.give_back(id);
+                                   const auto id = config::server_id(change.server);
+                                   engine_.set_ban(id, change.is_banned);
+                                   if (change.is_banned) upstream_pool_.give_back(id);
                                    if (banned_) banned_(change);
                                  },
                                  [this](const hot_restart::PeerSummary& o, double share) {
@@ -56,27 +56,31 @@
 }
 
 void EdgeRouter::begin_operation() {
-  desk_ = std::make_unique<admin::RouterAdminHandler>(deadlines_, engine_, upstream_pool_,
-                                                      *hot_restart_, config_.names.classes,
-                                                      [this] { return leave_at_ > 0; });
+  desk_ = std::make_unique<admin::RouterAdminHandler>(
+      deadlines_, engine_, *hot_restart_, config_.names.classes,
+      admin::RouterAdminHandler::RouterState{[this] { return leave_at_ > 0; },
+                                             [this](std::string_view server) {
+                                               return upstream_pool_.listed(
+                                                   config::server_id(server));
+                                             }});
   operators_ = std::make_unique<admin::AdminServer>(loop_, deadlines_,
                                                     listen_address(config_.operator_listen), *desk_,
                                                     [this] { return engine_.now(); });
   complete_ = true;
   say_("operator_front", "operators on " + net::to_string(operators_->address()));
-  if (hot_restart_->others().count > 0) others(hot_restart_->others(), hot_restart_->share());
-  hot_restart_->serving();
+  if (hot_restart_->peers().count > 0) others(hot_restart_->peers(), hot_restart_->share());
+  hot_restart_->start_serving();
 }
 
 // Who else acts as this router: budgets and limits are shared, and whoever comes after us takes our
 // clients once our end is planned.
 void EdgeRouter::others(const hot_restart::PeerSummary& others, double share) {
-  engine_.set_budget_share(share, others.door, all_, here_);
+  engine_.set_budget_share(share, others.concurrency_limit, all_, here_);
   upstream_pool_.share(others.count + 1);
   if (!complete_) return;  // still in the constructor: the front is not there yet
   front_.share(others.count + 1);
   if (!leave_at_) return;
-  if (others.successor)
+  if (others.has_successor)
     front_.hand_over(leave_at_ - kLinger + killed_after());
   else
     front_.take_back();
@@ -84,20 +88,21 @@
 
 void EdgeRouter::ban(const hot_restart::BanChange& change) {
   if (hot_restart_)
-    hot_restart_->change(change, [](const std::string&) {});
+    hot_restart_->change_ban(change,
+                             [](const std::optional<hot_restart::SharedDirectoryError>&) {});
   else
-    engine_.set_ban(config::server_id(change.name), change.out);
+    engine_.set_ban(config::server_id(change.server), change.is_banned);
 }
 std::vector<std::string> EdgeRouter::bans() const {
   if (!hot_restart_) return {};
-  const auto& names = hot_restart_->bans();
+  const auto& names = hot_restart_->saved_bans();
   return {names.begin(), names.end()};
 }
 
 void EdgeRouter::cluster_share(double all, double here) {
   all_ = all, here_ = here;
   engine_.set_budget_share(hot_restart_ ? hot_restart_->share() : 1,
-                           hot_restart_ ? hot_restart_->others().door : 0, all, here);
+                           hot_restart_ ? hot_restart_->peers().concurrency_limit : 0, all, here);
 }
 
 // A planned end is cut off no sooner than this after it began: the longest time a client waits, 3 s
@@ -113,8 +118,8 @@
   if (leave_at_) return;
   leave_at_ = engine_.now() + kLinger;
   if (hot_restart_) {
-    hot_restart_->leaving();
-    others(hot_restart_->others(), hot_restart_->share());
+    hot_restart_->start_draining();
+    others(hot_restart_->peers(), hot_restart_->share());
   }
   // Danger: a cache that hangs holds its requests longer than we live, and with the successor dead
   // clients go on asking us, until SIGKILL finds something open.
--- a/src/platform/edge_router.h
+++ b/src/platform/edge_router.h
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "admin/admin_server.h"
 #include "admin/router_admin_handler.h"
 #include "config/config.h"
 #include "core/engine.h"
@@ -39,14 +40,14 @@
   void on_counters(std::function<void()> then) { counted_ = std::move(then); }
   // What operators are told of the cluster; nothing where they cannot call.
   void on_cluster(std::function<std::string()> view) {
-    if (desk_) desk_->on_cluster(std::move(view));
+    if (desk_) desk_->set_cluster_view(std::move(view));
   }
   // This router's part of what all routers, and those of its location, may do together; 0: by told
   // numbers.
   void cluster_share(double all, double here);
   // What operators are told of versions, and what they propose.
-  void on_versions(admin::RouterAdminHandler::Versions versions, std::size_t body_most) {
-    if (desk_) desk_->on_versions(std::move(versions), body_most);
+  void on_versions(admin::RouterAdminHandler::VersionsHandler versions, std::size_t body_most) {
+    if (desk_) desk_->set_versions_handler(std::move(versions), body_most);
   }
   // Of bans by hand, whoever makes them; and one that others made. Unlisted servers as well.
   void on_ban(std::function<void(const hot_restart::BanChange&)> then) {
@@ -56,12 +57,12 @@
   std::vector<std::string> bans() const;
   // The yes to `ready` waits for it.
   void on_ready(std::function<bool()> may) {
-    if (desk_) desk_->on_ready(std::move(may));
+    if (desk_) desk_->set_readiness_condition(std::move(may));
   }
   void on_reload(std::function<void()> then) { reloaded_ = std::move(then); }
   void run();
   // After run(): false where the shared folder hangs, and the process can only be ended by _exit().
-  bool settle() { return !hot_restart_ || hot_restart_->settle(); }
+  bool settle() { return !hot_restart_ || hot_restart_->stop_worker(); }
   void turn();  // of the loop, for whoever drives it by hand
 
   const config::Config& config() const { return config_; }
--- a/src/store/endpoint_state.cpp
+++ b/src/store/endpoint_state.cpp
@@ -1,6 +1,8 @@
 #include "store/endpoint_state.h"
 
 #include <cmath>
+#include <memory>
+#include <utility>
 
 #include "core/parsing.h"
 #include "state_generated.h"
@@ -9,114 +11,179 @@
 namespace {
 
 constexpr std::uint32_t kFormat = 1;
+// 100,000 servers make some 100,000 tables and 200,000 strings; the verifier counts tables only.
+constexpr std::size_t kMaxVerifiedDepth = 16;
+constexpr std::size_t kMaxVerifiedTables = 2'000'000;
+// A first estimate of the buffer's size, which grows where needed.
+constexpr std::size_t kBytesPerServer = 96;
+constexpr std::size_t kBytesOfHead = 64;
+constexpr std::uint8_t kMaxRole = static_cast<std::uint8_t>(Role::origin);
+constexpr std::uint8_t kMaxState = static_cast<std::uint8_t>(endpoints::State::draining);
 
-template <class T, class U>
-flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<T>>> vector_of(
-    flatbuffers::FlatBufferBuilder& b, const std::vector<U>& from, const auto& each) {
-  std::vector<flatbuffers::Offset<T>> out;
-  out.reserve(from.size());
-  for (const auto& x : from) out.push_back(each(x));
-  return b.CreateVector(out);
+/// Creates a vector of what `encode_one` makes of each element.
+template <class Encoded, class Element, class EncodeOne>
+flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<Encoded>>> encode_each(
+    flatbuffers::FlatBufferBuilder& builder, const std::vector<Element>& elements,
+    const EncodeOne& encode_one) {
+  std::vector<flatbuffers::Offset<Encoded>> offsets;
+  offsets.reserve(elements.size());
+  for (const auto& element : elements) offsets.push_back(encode_one(element));
+  return builder.CreateVector(offsets);
 }
-std::string text(const flatbuffers::String* s) { return s ? s->str() : std::string(); }
 
-bool usable(const endpoints::Listed& s, const endpoints::Snapshot& list) {
-  const auto places = s.role == Role::cache ? list.points.size() : list.hubs.size();
-  return !s.name.empty() && core::is_plain_word(s.name) && s.place < places &&
-         std::isfinite(s.weight) && s.weight > 0;
+std::string to_std_string(const flatbuffers::String* text) {
+  return text ? text->str() : std::string();
 }
 
-std::shared_ptr<endpoints::Snapshot> list_of(const fb::State& state) {
+bool is_usable(const endpoints::Listed& server, const endpoints::Snapshot& list) {
+  const auto place_count = server.role == Role::cache ? list.points.size() : list.hubs.size();
+  return !server.name.empty() && core::is_plain_word(server.name) && server.place < place_count &&
+         std::isfinite(server.weight) && server.weight > 0;
+}
+
+std::optional<endpoints::Listed> decode_server(const fb::Server& stored,
+                                               const endpoints::Snapshot& list) {
+  if (stored.role() > kMaxRole || stored.state() > kMaxState) return {};
+  endpoints::Listed server;
+  server.name = to_std_string(stored.name());
+  server.id = endpoints::server_id(server.name);
+  server.address = to_std_string(stored.address());
+  server.role = static_cast<Role>(stored.role());
+  server.place = stored.place();
+  server.state = static_cast<endpoints::State>(stored.state());
+  server.cell = stored.cell();
+  server.weight = stored.weight();
+  if (!is_usable(server, list)) return {};
+  return server;
+}
+
+/// Returns null if the list is inconsistent in itself or does not match its digest.
+endpoints::SnapshotPtr decode_list(const fb::State& state) {
   auto list = std::make_shared<endpoints::Snapshot>();
   list->generation = state.generation();
-  list->source = text(state.source());
+  list->source = to_std_string(state.source());
   list->taken = state.taken();
-  for (const auto* h : *state.hubs()) list->hubs.push_back(text(h));
-  for (const auto* p : *state.points()) {
-    if (p->hub() >= list->hubs.size()) return nullptr;
-    list->points.push_back({text(p->name()), p->hub()});
+  for (const auto* hub : *state.hubs()) list->hubs.push_back(to_std_string(hub));
+  for (const auto* point : *state.points()) {
+    if (point->hub() >= list->hubs.size()) return nullptr;
+    list->points.push_back({to_std_string(point->name()), point->hub()});
   }
-  for (const auto* s : *state.servers()) {
-    endpoints::Listed out;
-    out.name = text(s->name());
-    out.id = endpoints::server_id(out.name);
-    out.address = text(s->address());
-    if (s->role() > 2 || s->state() > 1) return nullptr;
-    out.role = static_cast<Role>(s->role());
-    out.place = s->place();
-    out.state = static_cast<endpoints::State>(s->state());
-    out.cell = s->cell();
-    out.weight = s->weight();
-    if (!usable(out, *list)) return nullptr;
-    list->servers.push_back(std::move(out));
+  for (const auto* stored : *state.servers()) {
+    auto server = decode_server(*stored, *list);
+    if (!server) return nullptr;
+    list->servers.push_back(std::move(*server));
   }
   list->seal();
   return list->digest == state.digest() ? list : nullptr;
 }
 
+bool is_usable(const fb::Remembered& stored) {
+  return std::isfinite(stored.weight()) && std::isfinite(stored.penalty()) &&
+         stored.weight() >= 0 && stored.penalty() >= 0;
+}
+
+std::vector<endpoints::Remembered> decode_remembered(const fb::State& state) {
+  std::vector<endpoints::Remembered> result;
+  for (const auto* stored : *state.remembered()) {
+    if (!is_usable(*stored)) continue;
+    result.push_back({{stored->id()},
+                      stored->born(),
+                      stored->weight(),
+                      stored->penalty(),
+                      stored->penalty_at(),
+                      stored->held()});
+  }
+  return result;
+}
+
+std::string describe(const FileError& error) { return to_string(error); }
+std::string describe(const InvalidState& error) {
+  return error.path + ": " + to_string(error.cause);
+}
+
 }  // namespace
 
+std::string to_string(const DecodeError& error) {
+  switch (error.reason) {
+    case DecodeError::Reason::not_a_state_buffer:
+      return "it is not the buffer of a state";
+    case DecodeError::Reason::unknown_format:
+      return "it has format " + std::to_string(error.format) + ", not " + std::to_string(kFormat);
+    case DecodeError::Reason::inconsistent_list:
+      return "its list does not hold together";
+  }
+  return {};
+}
+
+std::string to_string(const LoadError& error) {
+  return std::visit([](const auto& specific) { return describe(specific); }, error);
+}
+
+// The order in which the parts are created fixes the bytes of the file.
 std::string encode(const EndpointState& state) {
-  const auto& list = *state.list;
-  flatbuffers::FlatBufferBuilder b(64 + list.servers.size() * 96);
-  const auto hubs =
-      vector_of<flatbuffers::String>(b, list.hubs, [&](auto& h) { return b.CreateString(h); });
-  const auto points = vector_of<fb::Point>(
-      b, list.points, [&](auto& p) { return fb::CreatePoint(b, b.CreateString(p.name), p.hub); });
-  const auto servers = vector_of<fb::Server>(b, list.servers, [&](const endpoints::Listed& s) {
-    const auto name = b.CreateString(s.name), address = b.CreateString(s.address);
-    return fb::CreateServer(b, name, address, static_cast<std::uint8_t>(s.role), s.place,
-                            static_cast<std::uint8_t>(s.state), s.cell, s.weight);
-  });
-  const auto remembered =
-      vector_of<fb::Remembered>(b, state.remembered, [&](const endpoints::Remembered& r) {
-        return fb::CreateRemembered(b, r.id.value, r.born, r.weight, r.penalty, r.penalty_at,
-                                    r.held);
+  const endpoints::Snapshot& list = *state.list;
+  flatbuffers::FlatBufferBuilder builder(kBytesOfHead + list.servers.size() * kBytesPerServer);
+  const auto hubs = encode_each<flatbuffers::String>(
+      builder, list.hubs, [&](const std::string& hub) { return builder.CreateString(hub); });
+  const auto points =
+      encode_each<fb::Point>(builder, list.points, [&](const endpoints::Point& point) {
+        return fb::CreatePoint(builder, builder.CreateString(point.name), point.hub);
       });
-  const auto source = b.CreateString(list.source);
+  const auto servers =
+      encode_each<fb::Server>(builder, list.servers, [&](const endpoints::Listed& server) {
+        const auto name = builder.CreateString(server.name);
+        const auto address = builder.CreateString(server.address);
+        return fb::CreateServer(builder, name, address, static_cast<std::uint8_t>(server.role),
+                                server.place, static_cast<std::uint8_t>(server.state), server.cell,
+                                server.weight);
+      });
+  const auto remembered = encode_each<fb::Remembered>(
+      builder, state.remembered, [&](const endpoints::Remembered& server) {
+        return fb::CreateRemembered(builder, server.id.value, server.born, server.weight,
+                                    server.penalty, server.penalty_at, server.held);
+      });
+  const auto source = builder.CreateString(list.source);
   fb::FinishStateBuffer(
-      b, fb::CreateState(b, kFormat, list.generation, source, list.taken, list.digest, state.saved,
-                         hubs, points, servers, remembered));
-  return {reinterpret_cast<const char*>(b.GetBufferPointer()), b.GetSize()};
+      builder, fb::CreateState(builder, kFormat, list.generation, source, list.taken, list.digest,
+                               state.saved_at, hubs, points, servers, remembered));
+  return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-std::optional<EndpointState> decode(std::string_view payload, std::string& error) {
-  // 100,000 servers make some 100,000 tables and 200,000 texts; the verifier counts tables only.
+std::variant<EndpointState, DecodeError> decode_endpoint_state(std::string_view payload) {
   flatbuffers::Verifier verifier(reinterpret_cast<const std::uint8_t*>(payload.data()),
-                                 payload.size(), 16, 2'000'000);
-  if (!fb::VerifyStateBuffer(verifier))
-    return error = "it is not the buffer of a state", std::nullopt;
-  const auto* state = fb::GetState(payload.data());
-  if (state->format() != kFormat)
-    return error = "it has format " + std::to_string(state->format()) + ", not 1", std::nullopt;
-  EndpointState out;
-  const auto list = list_of(*state);
-  if (!list) return error = "its list does not hold together", std::nullopt;
-  out.list = list;
-  out.saved = state->saved();
-  for (const auto* r : *state->remembered()) {
-    if (!std::isfinite(r->weight()) || !std::isfinite(r->penalty()) || r->weight() < 0 ||
-        r->penalty() < 0)
-      continue;
-    out.remembered.push_back(
-        {{r->id()}, r->born(), r->weight(), r->penalty(), r->penalty_at(), r->held()});
+                                 payload.size(), kMaxVerifiedDepth, kMaxVerifiedTables);
+  if (!fb::VerifyStateBuffer(verifier)) {
+    return DecodeError{DecodeError::Reason::not_a_state_buffer, 0};
+  }
+  const fb::State& stored = *fb::GetState(payload.data());
+  if (stored.format() != kFormat) {
+    return DecodeError{DecodeError::Reason::unknown_format, stored.format()};
   }
-  return out;
+  auto list = decode_list(stored);
+  if (!list) return DecodeError{DecodeError::Reason::inconsistent_list, 0};
+  return EndpointState{std::move(list), decode_remembered(stored), stored.saved()};
 }
 
-std::string save(const std::string& path, const EndpointState& state, const StepHook& hook) {
+std::optional<FileError> save_endpoint_state(const std::string& path, const EndpointState& state,
+                                             const WriteStepHook& hook) {
   return replace_file(path, encode(state), hook);
 }
 
-Restored load(const std::string& path) {
-  Restored out;
-  auto loaded = load_file(path, kStateMost);
-  out.absent = loaded.absent;
-  out.error = loaded.error;
-  if (!loaded.payload) return out;
-  out.state = decode(*loaded.payload, out.error);
-  if (!out.state) out.error = path + ": " + out.error;
-  return out;
+LoadedEndpointState load_endpoint_state(const std::string& path) {
+  LoadedEndpointState result;
+  const LoadedFile file = load_file(path, kMaxStateFileBytes);
+  result.is_absent = file.is_absent;
+  if (!file.payload) {
+    if (file.error) result.error = *file.error;
+    return result;
+  }
+  auto decoded = decode_endpoint_state(*file.payload);
+  if (auto* state = std::get_if<EndpointState>(&decoded)) {
+    result.state = std::move(*state);
+  } else {
+    result.error = InvalidState{path, std::get<DecodeError>(decoded)};
+  }
+  return result;
 }
 
 }  // namespace alderspur::store
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -20,7 +20,7 @@
 
 using namespace alderspur;
 using hot_restart::BanChange;
-using hot_restart::Bans;
+using hot_restart::BanList;
 using hot_restart::BanStore;
 using hot_restart::SharedDirectory;
 
@@ -40,25 +40,25 @@
 
 TEST(BanStore, ACallBindsAtOnceAndNoOlderListTakesItBack) {
   BanStore book;
-  book.seen({3, {"a"}});
-  ASSERT_EQ(book.take().size(), 1u);
-  book.call({"b", true});
-  EXPECT_TRUE(book.in_force("b"));
-  book.seen({4, {"a", "c"}});  // another process's change overtakes ours
-  EXPECT_TRUE(book.in_force("b"));
-  EXPECT_TRUE(book.in_force("c"));
-  book.saved({5, {"a", "b", "c"}});
-  book.seen({4, {}});  // read before, told late
-  EXPECT_TRUE(book.in_force("a") && book.in_force("b") && book.in_force("c"));
-  EXPECT_EQ(book.take().size(), 2u);
-  book.call({"a", false});
-  EXPECT_FALSE(book.in_force("a"));
-  book.not_saved();  // the disk refused it
-  EXPECT_FALSE(book.in_force("a"));
-  EXPECT_FALSE(book.settled("a"));
-  EXPECT_EQ(book.again().size(), 1u);
-  book.saved({6, {"b", "c"}});
-  EXPECT_TRUE(book.settled("a"));
+  book.on_list_read({3, {"a"}});
+  ASSERT_EQ(book.take_effective_changes().size(), 1u);
+  book.begin_change({"b", true});
+  EXPECT_TRUE(book.is_banned("b"));
+  book.on_list_read({4, {"a", "c"}});  // another process's change overtakes ours
+  EXPECT_TRUE(book.is_banned("b"));
+  EXPECT_TRUE(book.is_banned("c"));
+  book.on_saved({5, {"a", "b", "c"}});
+  book.on_list_read({4, {}});  // read before, told late
+  EXPECT_TRUE(book.is_banned("a") && book.is_banned("b") && book.is_banned("c"));
+  EXPECT_EQ(book.take_effective_changes().size(), 2u);
+  book.begin_change({"a", false});
+  EXPECT_FALSE(book.is_banned("a"));
+  book.on_save_failed();  // the disk refused it
+  EXPECT_FALSE(book.is_banned("a"));
+  EXPECT_FALSE(book.is_saved("a"));
+  EXPECT_EQ(book.retry_failed_changes().size(), 1u);
+  book.on_saved({6, {"b", "c"}});
+  EXPECT_TRUE(book.is_saved("a"));
 }
 
 // Any order of calls, saves that fail, and lists of others: what was called last for a name is in
@@ -67,48 +67,48 @@
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
     BanStore book;
-    Bans disk;
+    BanList disk;
     std::deque<BanChange> jobs;
     std::map<std::string, bool> last;
     for (int i = 0; i < 200; ++i) {
       const std::string name(1, static_cast<char>('a' + random() % 4));
       switch (random() % 4) {
         case 0:
-          if (book.full()) break;
-          book.call({name, last[name] = random() % 2 == 0});
+          if (book.is_full()) break;
+          book.begin_change({name, last[name] = random() % 2 == 0});
           jobs.push_back({name, last[name]});
           break;
         case 1:
           if (jobs.empty()) break;
           if (random() % 3 == 0) {
-            book.not_saved();
+            book.on_save_failed();
           } else {
             auto& c = jobs.front();
-            hot_restart::carry_out(c, disk.names);
+            hot_restart::apply(c, disk.servers);
             ++disk.serial;
-            book.saved(disk);
+            book.on_saved(disk);
           }
           jobs.pop_front();
           break;
         case 2:
-          book.seen(disk);
+          book.on_list_read(disk);
           break;
         default:
-          for (const auto& c : book.again()) jobs.push_back(c);
+          for (const auto& c : book.retry_failed_changes()) jobs.push_back(c);
       }
       for (const auto& [n, out] : last)
-        ASSERT_EQ(book.in_force(n), out) << "seed " << seed << " step " << i;
+        ASSERT_EQ(book.is_banned(n), out) << "seed " << seed << " step " << i;
     }
   }
 }
 
 TEST_F(Shared, BansOutliveTheProcessAndOneSpoiltFileAtEveryTruncation) {
   auto first = process();
-  ASSERT_EQ(first.enter(), "");
-  ASSERT_EQ(first.change({}, {"s-1", true}).error, "");
-  ASSERT_EQ(first.change({}, {"s-2", true}).error, "");
-  const auto bans = first.change({}, {"s-3", true}).bans;
-  EXPECT_EQ(bans.names, (std::set<std::string>{"s-1", "s-2", "s-3"}));
+  ASSERT_FALSE(first.claim_slot());
+  ASSERT_FALSE(first.change_ban({}, {"s-1", true}).error);
+  ASSERT_FALSE(first.change_ban({}, {"s-2", true}).error);
+  const auto bans = first.change_ban({}, {"s-3", true}).list;
+  EXPECT_EQ(bans.servers, (std::set<std::string>{"s-1", "s-2", "s-3"}));
   // The newest of the two files is spoilt in every way: what the one before held is still there,
   // and whoever holds more in memory puts it back.
   const std::string newest = file(bans.serial % 2 ? ".bans.a" : ".bans.b");
@@ -118,50 +118,50 @@
   for (std::size_t cut = 0; cut < whole.size(); ++cut) {
     std::ofstream(newest, std::ios::binary) << whole.substr(0, cut);
     const auto read = process().read_bans();
-    EXPECT_EQ(read.bans.names, (std::set<std::string>{"s-1", "s-2"})) << cut;
-    EXPECT_NE(read.error, "") << cut;
+    EXPECT_EQ(read.list.servers, (std::set<std::string>{"s-1", "s-2"})) << cut;
+    EXPECT_TRUE(read.error) << cut;
     std::string flipped = whole;
     flipped[cut] = static_cast<char>(flipped[cut] ^ 0x20);
     std::ofstream(newest, std::ios::binary) << flipped;
-    EXPECT_EQ(process().read_bans().bans.names.size(), 2u) << cut;
+    EXPECT_EQ(process().read_bans().list.servers.size(), 2u) << cut;
   }
-  EXPECT_EQ(first.restore(bans), "");
-  EXPECT_EQ(process().read_bans().bans, bans);
+  EXPECT_FALSE(first.restore_bans(bans));
+  EXPECT_EQ(process().read_bans().list, bans);
   std::filesystem::remove(file(".bans.a"));
   std::filesystem::remove(file(".bans.b"));
-  EXPECT_EQ(process().read_bans().bans, Bans{});
-  EXPECT_EQ(process().read_bans().error, "") << "nothing there is no trouble";
+  EXPECT_EQ(process().read_bans().list, BanList{});
+  EXPECT_FALSE(process().read_bans().error) << "nothing there is no trouble";
 }
 
 TEST_F(Shared, AFolderThatCannotBeWrittenIsSaidAndTheChangeIsNotHeldForSaved) {
   SharedDirectory nowhere(folder + "/not-there", "127.0.0.1:4100");
-  EXPECT_NE(nowhere.enter(), "");
-  EXPECT_NE(nowhere.change({}, {"s-1", true}).error, "");
-  EXPECT_EQ(nowhere.others().count, 0u);
+  EXPECT_TRUE(nowhere.claim_slot());
+  EXPECT_TRUE(nowhere.change_ban({}, {"s-1", true}).error);
+  EXPECT_EQ(nowhere.read_peers().count, 0u);
 }
 
 TEST_F(Shared, WhoIsThereIsKnownByALockThatEndsWithItsHolder) {
   auto old = process();
-  ASSERT_EQ(old.enter(), "");
-  EXPECT_EQ(old.others().count, 0u);
+  ASSERT_FALSE(old.claim_slot());
+  EXPECT_EQ(old.read_peers().count, 0u);
   {
     auto next = process();
-    ASSERT_EQ(next.enter(), "");
-    EXPECT_EQ(next.others().count, 1u);
-    EXPECT_FALSE(next.others().all_know_us);
-    ASSERT_EQ(old.say({hot_restart::Phase::serving, 1, 0.9, 0, 0}), "");
-    EXPECT_TRUE(next.others().all_know_us);
-    EXPECT_FALSE(old.others().successor);
-    ASSERT_EQ(next.say({hot_restart::Phase::serving, 1, 0.1, 0, 0}), "");
-    EXPECT_TRUE(old.others().successor);
-    EXPECT_FALSE(next.others().successor) << "the older one is nobody's successor";
+    ASSERT_FALSE(next.claim_slot());
+    EXPECT_EQ(next.read_peers().count, 1u);
+    EXPECT_FALSE(next.read_peers().all_know_a_peer);
+    ASSERT_FALSE(old.publish({hot_restart::ProcessPhase::serving, 1, 0.9, 0, 0}));
+    EXPECT_TRUE(next.read_peers().all_know_a_peer);
+    EXPECT_FALSE(old.read_peers().has_successor);
+    ASSERT_FALSE(next.publish({hot_restart::ProcessPhase::serving, 1, 0.1, 0, 0}));
+    EXPECT_TRUE(old.read_peers().has_successor);
+    EXPECT_FALSE(next.read_peers().has_successor) << "the older one is nobody's successor";
   }
-  EXPECT_EQ(old.others().count, 0u);
+  EXPECT_EQ(old.read_peers().count, 0u);
   // What it left says it serves, and is not believed: nobody holds it.
   std::ofstream(file(".place1")) << "garbage";
   auto third = process();
-  ASSERT_EQ(third.enter(), "");
-  EXPECT_EQ(old.others().count, 1u);
+  ASSERT_FALSE(third.claim_slot());
+  EXPECT_EQ(old.read_peers().count, 1u);
 }
 
 // Whatever each wants, in any order, and read as late as it may be: what they act on is at most one
@@ -173,7 +173,7 @@
     std::vector<hot_restart::ProcessStatus> words(3);
     for (int i = 0; i < 3; ++i) {
       all.push_back(std::make_unique<SharedDirectory>(folder, "k" + std::to_string(seed)));
-      ASSERT_EQ(all.back()->enter(), "");
+      ASSERT_FALSE(all.back()->claim_slot());
     }
     for (int step = 0; step < 60; ++step) {
       const std::size_t i = random() % 3;
@@ -181,10 +181,10 @@
       if (wanted < words[i].share) {
         words[i].share = wanted;  // acted on before it is said
         if (random() % 4) {
-          ASSERT_EQ(all[i]->say(words[i]), "");
+          ASSERT_FALSE(all[i]->publish(words[i]));
         }
       } else {
-        ASSERT_EQ(all[i]->raise(words[i], wanted), "");
+        ASSERT_FALSE(all[i]->raise_share(words[i], wanted));
       }
       EXPECT_LE(words[0].share + words[1].share + words[2].share, 1.002)
           << "seed " << seed << " step " << step;
@@ -293,7 +293,7 @@
   engine.set_ban({2}, true);
   engine.count_rejected(0, core::FinalStatus::rejected);
   engine.run();
-  const auto text = admin::figures(engine, {"asset"});
+  const auto text = admin::render_metrics(engine, {"asset"});
   for (const char* line :
        {"\n# TYPE edge_relay_busy counter\nedge_relay_busy{tier=\"asset\"} 1\n",
         "\nedge_relay_inflight 0\n", "\nedge_relay_hosts_listed 2\n", "\nedge_relay_hosts_down 1\n",
@@ -302,15 +302,15 @@
 }
 
 struct Plain : admin::AdminHandler {
-  bool takes_clients() override { return true; }
-  std::string figures() override { return "f 1\n"; }
-  void ban(std::string_view id, bool, Done done) override {
-    if (id == "later")
+  bool is_ready() override { return true; }
+  std::string render_metrics() override { return "f 1\n"; }
+  void change_ban(std::string_view server, bool, ReplyCallback done) override {
+    if (server == "later")
       waits = std::move(done);
     else
-      done(id == "s-1" ? 200 : 404, std::string(id) + "\n");
+      done({server == "s-1" ? 200 : 404, std::string(server) + "\n"});
   }
-  Done waits;
+  ReplyCallback waits;
 };
 
 class Calls : public ::testing::Test {
@@ -369,7 +369,7 @@
 // Guards against a first send ahead of the first look, and against a yes to a ban that is on no
 // disk.
 TEST_F(Shared, AStartKnowsTheBansAndAYesIsOnTheDisk) {
-  ASSERT_EQ(process().change({}, {"s-1", true}).error, "");
+  ASSERT_FALSE(process().change_ban({}, {"s-1", true}).error);
   core::Deadlines deadlines;
   net::Loop loop(deadlines);
   std::vector<std::string> told;
@@ -377,20 +377,27 @@
     return std::make_unique<hot_restart::HotRestartCoordinator>(
         loop, deadlines, net::unix_now, where, "127.0.0.1:4100",
         [](const std::string&, const std::string&) {},
-        hot_restart::HotRestartCoordinator::Hooks{
+        hot_restart::HotRestartCoordinator::Callbacks{
             [] { return hot_restart::HotRestartCoordinator::Load{}; },
-            [&](const BanChange& c) { told.push_back(c.name); },
+            [&](const BanChange& c) { told.push_back(c.server); },
             [](const hot_restart::PeerSummary&, double) {}});
   };
-  EXPECT_TRUE(twin(folder)->banned("s-1"));
+  EXPECT_TRUE(twin(folder)->is_banned("s-1"));
   EXPECT_EQ(told, std::vector<std::string>{"s-1"});
   const auto lost = twin(folder + "/none");
-  std::optional<std::string> answer;
-  lost->change({"s-2", true}, [&](const std::string& error) { answer = error; });
-  for (int i = 0; i < 5000 && !answer; ++i) ev_run(loop.raw(), EVRUN_NOWAIT), ::usleep(1000);
-  ASSERT_TRUE(answer);
-  EXPECT_NE(*answer, "");
-  EXPECT_TRUE(lost->banned("s-2")) << "it binds all the same";
+  bool is_answered = false;
+  std::optional<hot_restart::SharedDirectoryError> error;
+  lost->change_ban({"s-2", true}, [&](const auto& result) {
+    is_answered = true;
+    error = result;
+  });
+  for (int i = 0; i < 5000 && !is_answered; ++i) {
+    ev_run(loop.raw(), EVRUN_NOWAIT);
+    ::usleep(1000);
+  }
+  ASSERT_TRUE(is_answered);
+  EXPECT_TRUE(error);
+  EXPECT_TRUE(lost->is_banned("s-2")) << "it binds all the same";
 }
 
 // Guards against a first word of the shared folder that meets members of the node not there yet:
@@ -450,7 +457,7 @@
   ASSERT_TRUE(until([&] { return static_cast<bool>(desk.waits); }, {late.get()}));
   for (int i = 0; i < 60; ++i) silent.push_back(caller(""));
   EXPECT_EQ(status("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"), 200);
-  desk.waits(200, "done\n");  // one whose call is under way keeps its place
+  desk.waits({200, "done\n"});  // one whose call is under way keeps its place
   ASSERT_TRUE(until([&] { return late->ended; }, {late.get()}));
   EXPECT_NE(late->in.find(" 200 OK"), std::string::npos);
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -51,14 +51,14 @@
 };
 
 TEST_F(Store, WhatWasSavedComesBack) {
-  EXPECT_TRUE(store::load(path).absent);
+  EXPECT_TRUE(store::load_endpoint_state(path).is_absent);
   const auto saved = state(3, 1000);
-  ASSERT_EQ(store::save(path, saved), "");
-  const auto back = store::load(path);
-  ASSERT_TRUE(back.state) << back.error;
+  ASSERT_FALSE(store::save_endpoint_state(path, saved));
+  const auto back = store::load_endpoint_state(path);
+  ASSERT_TRUE(back.state) << to_string(*back.error);
   EXPECT_EQ(back.state->list->digest, saved.list->digest);
   EXPECT_EQ(back.state->list->generation, 3u);
-  EXPECT_EQ(back.state->saved, 99);
+  EXPECT_EQ(back.state->saved_at, 99);
   ASSERT_EQ(back.state->remembered.size(), 1u);
   EXPECT_EQ(back.state->remembered[0].born, 5);
   EXPECT_TRUE(back.state->remembered[0].held);
@@ -68,13 +68,14 @@
 // Kill -9 at each step of the write: the old content is there or the new one, and the next write
 // goes well.
 TEST_F(Store, AKillAtAnyStepLeavesTheOldOrTheNew) {
-  ASSERT_EQ(store::save(path, state(1, 50)), "");
+  ASSERT_FALSE(store::save_endpoint_state(path, state(1, 50)));
   std::uint64_t before = 1, next = 2;
-  for (const auto at : {store::Step::opened, store::Step::half_written, store::Step::written,
-                        store::Step::synced, store::Step::renamed, store::Step::directory_synced}) {
+  for (const auto at :
+       {store::WriteStep::opened, store::WriteStep::half_written, store::WriteStep::written,
+        store::WriteStep::synced, store::WriteStep::renamed, store::WriteStep::directory_synced}) {
     const pid_t child = ::fork();
     if (child == 0) {
-      store::save(path, state(next, 50 + next), [&](store::Step s) {
+      store::save_endpoint_state(path, state(next, 50 + next), [&](store::WriteStep s) {
         if (s == at) ::kill(::getpid(), SIGKILL);
       });
       ::_exit(0);
@@ -82,23 +83,23 @@
     int status = 0;
     ::waitpid(child, &status, 0);
     ASSERT_TRUE(WIFSIGNALED(status));
-    const auto back = store::load(path);
-    ASSERT_TRUE(back.state) << back.error;
-    EXPECT_EQ(back.state->list->generation, at < store::Step::renamed ? before : next);
+    const auto back = store::load_endpoint_state(path);
+    ASSERT_TRUE(back.state) << to_string(*back.error);
+    EXPECT_EQ(back.state->list->generation, at < store::WriteStep::renamed ? before : next);
     before = back.state->list->generation;
     ++next;
   }
-  ASSERT_EQ(store::save(path, state(100, 10)), "");
-  EXPECT_EQ(store::load(path).state->list->generation, 100u);
+  ASSERT_FALSE(store::save_endpoint_state(path, state(100, 10)));
+  EXPECT_EQ(store::load_endpoint_state(path).state->list->generation, 100u);
 }
 
 TEST_F(Store, ASpoiltFileIsRefusedAndSaysSo) {
-  ASSERT_EQ(store::save(path, state(1, 20)), "");
+  ASSERT_FALSE(store::save_endpoint_state(path, state(1, 20)));
   const auto good = bytes(path);
   const auto refused = [&](const std::string& content) {
     std::ofstream(path, std::ios::binary) << content;
-    const auto back = store::load(path);
-    return !back.state && !back.absent && !back.error.empty();
+    const auto back = store::load_endpoint_state(path);
+    return !back.state && !back.is_absent && back.error.has_value();
   };
   for (std::size_t n = 0; n < good.size(); n += 7) EXPECT_TRUE(refused(good.substr(0, n))) << n;
   for (std::size_t i = 0; i < good.size(); ++i) {
@@ -112,12 +113,12 @@
   for (std::size_t i = 0; i < payload.size(); i += 3) {
     auto wrong = payload;
     wrong[i] = static_cast<char>(wrong[i] ^ 0x41);
-    std::string error;
-    (void)store::decode(wrong, error);  // no crash, no overrun
+
+    (void)store::decode_endpoint_state(wrong);  // no crash, no overrun
   }
-  ASSERT_EQ(store::replace_file(path, "no buffer at all"), "");
-  EXPECT_FALSE(store::load(path).state);
-  EXPECT_NE(store::save(folder + "/absent/x", state(1, 1)), "");
+  ASSERT_FALSE(store::replace_file(path, "no buffer at all"));
+  EXPECT_FALSE(store::load_endpoint_state(path).state);
+  EXPECT_TRUE(store::save_endpoint_state(folder + "/absent/x", state(1, 1)));
 }
 
 }  // namespace
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -402,8 +402,8 @@
                 6),
             kWithin);
   stop();
-  const auto kept = store::load(settings.state + "/membership.state");
-  ASSERT_TRUE(kept.state) << kept.error;
+  const auto kept = store::load_endpoint_state(settings.state + "/membership.state");
+  ASSERT_TRUE(kept.state) << to_string(*kept.error);
   EXPECT_EQ(kept.state->list->generation, 6u);
   ASSERT_EQ(kept.state->remembered.size(), 1u) << "c is new, so cold";
   fs::remove(path);
