--- a/src/hot_restart/ban_store.cpp
+++ b/src/hot_restart/ban_store.cpp
@@ -54,7 +54,7 @@
   return list;
 }
 
-void apply(const BanChange& change, std::set<std::string>& servers) {
+void apply_change(const BanChange& change, std::set<std::string>& servers) {
   if (change.is_banned) {
     servers.insert(change.server);
   } else {
@@ -114,7 +114,7 @@
 std::vector<BanChange> BanStore::take_effective_changes() {
   std::set<std::string> effective = saved_list_.servers;
   for (const auto* changes : {&failed_, &pending_}) {
-    for (const auto& change : *changes) apply(change, effective);
+    for (const auto& change : *changes) apply_change(change, effective);
   }
   std::vector<BanChange> result;
   for (const auto& server : effective) {
--- a/src/hot_restart/ban_store.h
+++ b/src/hot_restart/ban_store.h
@@ -36,7 +36,7 @@
   std::string server;
   bool is_banned = false;
 };
-void apply(const BanChange& change, std::set<std::string>& servers);
+void apply_change(const BanChange& change, std::set<std::string>& servers);
 
 /// The bans in effect in this process, with the changes that still wait for the disk.
 class BanStore {
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -200,12 +200,12 @@
   bans_.begin_change(change);
   report_ban_changes();
   if (directory_) {
-    save(change, std::move(done));
+    save(change, done);
     return;
   }
   BanList list = bans_.saved_list();
   ++list.serial;
-  apply(change, list.servers);
+  apply_change(change, list.servers);
   bans_.on_saved(list);
   done({});
 }
@@ -221,7 +221,7 @@
   if (done) done(result.error);
 }
 
-void HotRestartCoordinator::save(const BanChange& change, SaveCallback done) {
+void HotRestartCoordinator::save(const BanChange& change, const SaveCallback& done) {
   const bool is_submitted = worker_->submit(
       [this, directory = directory_, known_bans = bans_.saved_list(), change, done] {
         wakeup_->post([this, result = directory->change_ban(known_bans, change), done] {
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -101,7 +101,7 @@
   void measure_load();
   void log_problem(const std::string& text);
   void report_ban_changes();
-  void save(const BanChange& change, SaveCallback done);
+  void save(const BanChange& change, const SaveCallback& done);
   void finish_save(const BanChangeResult& result, const SaveCallback& done);
 
   core::Deadlines& deadlines_;
--- a/src/hot_restart/process_status.cpp
+++ b/src/hot_restart/process_status.cpp
@@ -6,6 +6,7 @@
 namespace alderspur::hot_restart {
 namespace {
 
+constexpr int kFieldCount = 7;    // of a record, without the format
 constexpr double kMaxRate = 1e9;  // requests per second
 constexpr double kMaxConcurrencyLimit = 1e9;
 
@@ -35,7 +36,6 @@
 }
 
 std::optional<SlotRecord> decode_slot_record(const SlotRecordText& text) {
-  constexpr int kFieldCount = 7;
   SlotRecord record;
   ProcessStatus& status = record.status;
   int phase = 0;
--- a/src/hot_restart/shared_directory.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -168,7 +168,7 @@
   }
   BanList next = read_bans().list;
   if (known.serial > next.serial) next = known;
-  apply(change, next.servers);
+  apply_change(change, next.servers);
   ++next.serial;
   auto error = write_bans(next);
   return {std::move(next), std::move(error)};
--- a/src/store/state_file.cpp
+++ b/src/store/state_file.cpp
@@ -188,7 +188,8 @@
   std::string content(static_cast<std::size_t>(status.st_size), '\0');
   const bool is_complete = read_all(file.get(), content);
   std::memcpy(&header, content.data(), sizeof header);
-  const std::string_view payload = std::string_view(content).substr(sizeof header);
+  std::string_view payload = content;
+  payload.remove_prefix(sizeof header);
   if (!is_complete || !matches(header, payload)) {
     result.error = FileError{FileFault::checksum_mismatch, path, 0};
     return result;
--- /dev/null
+++ b/tests/hot_restart/shared_directory_fixture.h
@@ -0,0 +1,32 @@
+// A shared directory of a test's own, and access to it as the processes of one router have it.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <cstdlib>
+#include <filesystem>
+#include <string>
+
+#include "hot_restart/shared_directory.h"
+
+namespace alderspur::hot_restart {
+
+constexpr const char* kTestKey = "127.0.0.1:4100";
+
+struct SharedDirectoryTest : ::testing::Test {
+  SharedDirectoryTest() {
+    std::string name = "/tmp/alderspur-test-XXXXXX";
+    directory = ::mkdtemp(name.data());
+  }
+  ~SharedDirectoryTest() override { std::filesystem::remove_all(directory); }
+
+  std::string path_of(const std::string& suffix) const {
+    return directory + "/alderspur-127.0.0.1-4100" + suffix;
+  }
+  /// The directory as one more process of the router uses it.
+  SharedDirectory process() const { return {directory, kTestKey}; }
+
+  std::string directory;
+};
+
+}  // namespace alderspur::hot_restart
