--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -196,7 +196,7 @@
 
 bool HotRestartCoordinator::stop_worker() { return !worker_ || worker_->settle(kStopTimeout); }
 
-void HotRestartCoordinator::change_ban(const BanChange& change, SaveCallback done) {
+void HotRestartCoordinator::change_ban(const BanChange& change, const SaveCallback& done) {
   bans_.begin_change(change);
   report_ban_changes();
   if (directory_) {
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -73,7 +73,7 @@
   double share() const { return status_.share; }
 
   /// A manual ban or its end. It takes effect here at once, also if it cannot be saved.
-  void change_ban(const BanChange& change, SaveCallback done);
+  void change_ban(const BanChange& change, const SaveCallback& done);
   /// The banned servers as last read from the disk.
   const std::set<std::string>& saved_bans() const { return bans_.saved_list().servers; }
   bool is_banned(const std::string& server) const { return bans_.is_banned(server); }
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -97,13 +97,13 @@
   }
   void answer() {
     using Result = AttemptResult;
-    constexpr std::array results{Result::ok,    Result::ok,    Result::overloaded,
-                                 Result::error, Result::reset, Result::connect_failed};
+    constexpr std::array kResults{Result::ok,    Result::ok,    Result::overloaded,
+                                  Result::error, Result::reset, Result::connect_failed};
     const auto attempt = upstream_.open[random_() % upstream_.open.size()];
     if (random_() % 4) engine_.mark_written(attempt);
     std::erase(upstream_.open, attempt);
-    engine_.on_upstream_response(attempt,
-                                 {results[random_() % results.size()], false, "bytes", "t", 0, {}});
+    engine_.on_upstream_response(
+        attempt, {kResults[random_() % kResults.size()], false, "bytes", "t", 0, {}});
   }
 
   std::mt19937 random_;
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -6,6 +6,6 @@
 cmake --build build-tests -j"$(nproc)"
 cmake -B build-tsan -DCMAKE_BUILD_TYPE=Debug -DALDERSPUR_WERROR=ON -DALDERSPUR_TSAN=ON >/dev/null
 cmake --build build-tsan -j"$(nproc)" --target product_tests
-setarch -R build-tsan/product_tests --gtest_filter='Watched.*:Log.*:Store.WhatWasSavedComesBack' --gtest_brief=1
+setarch -R build-tsan/product_tests --gtest_filter='Watched.*:Log.*:EndpointStateTest.LoadsWhatWasSaved' --gtest_brief=1
 bash tests/known_red_test.sh
 bash tests/known_red.sh build-tests KNOWN-RED.txt
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,124 +1,194 @@
-// The state that outlives the process: whole or not at all, whatever ends the writer or spoils the
-// file.
+// The endpoint state on disk: written whole or not at all, and damaged files are refused.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <csignal>
+#include <cstdlib>
 #include <filesystem>
 #include <fstream>
-#include <sstream>
+#include <iterator>
 
 #include "store/endpoint_state.h"
 
+namespace alderspur::store {
 namespace {
 
-using namespace alderspur;
+constexpr std::size_t kHeaderBytes = 24;
 
-class Store : public ::testing::Test {
- protected:
-  void SetUp() override {
-    char name[] = "/tmp/alderspur-store-XXXXXX";
-    folder = ::mkdtemp(name);
-    path = folder + "/membership.state";
+std::string read_file(const std::string& path) {
+  std::ifstream file(path, std::ios::binary);
+  return {std::istreambuf_iterator<char>(file), {}};
+}
+
+EndpointState state_with(std::uint64_t generation, std::size_t server_count) {
+  auto list = std::make_shared<endpoints::Snapshot>();
+  list->generation = generation;
+  list->source = "servers.toml";
+  list->taken = 17;
+  list->hubs = {"north"};
+  list->points = {{"edge-1", 0}};
+  for (std::size_t i = 0; i < server_count; ++i) {
+    endpoints::Listed server;
+    server.name = "s-" + std::to_string(i);
+    server.id = endpoints::server_id(server.name);
+    server.address = "127.0.0.1:" + std::to_string(1 + i % 60000);
+    server.weight = 1 + static_cast<double>(i % 7);
+    list->servers.push_back(server);
   }
-  void TearDown() override { std::filesystem::remove_all(folder); }
-  static store::EndpointState state(std::uint64_t generation, std::size_t servers) {
-    auto list = std::make_shared<endpoints::Snapshot>();
-    list->generation = generation;
-    list->source = "servers.toml";
-    list->taken = 17;
-    list->hubs = {"north"};
-    list->points = {{"edge-1", 0}};
-    for (std::size_t i = 0; i < servers; ++i) {
-      endpoints::Listed s;
-      s.name = "s-" + std::to_string(i);
-      s.id = endpoints::server_id(s.name);
-      s.address = "127.0.0.1:" + std::to_string(1 + i % 60000);
-      s.weight = 1 + static_cast<double>(i % 7);
-      list->servers.push_back(s);
-    }
-    list->seal();
-    return {list, {{endpoints::server_id("s-1"), 5, 2.5, 900, 6, true}}, 99};
+  list->seal();
+  return {list, {{endpoints::server_id("s-1"), 5, 2.5, 900, 6, true}}, 99};
+}
+
+struct EndpointStateTest : ::testing::Test {
+  EndpointStateTest() {
+    std::string name = "/tmp/alderspur-store-XXXXXX";
+    directory = ::mkdtemp(name.data());
+    path = directory + "/membership.state";
   }
-  static std::string bytes(const std::string& of) {
-    std::ifstream in(of, std::ios::binary);
-    std::ostringstream out;
-    out << in.rdbuf();
-    return out.str();
+  ~EndpointStateTest() override { std::filesystem::remove_all(directory); }
+
+  /// Whether a file with this content is refused with an error.
+  bool is_refused(const std::string& content) const {
+    std::ofstream(path, std::ios::binary) << content;
+    const auto loaded = load_endpoint_state(path);
+    return !loaded.state && !loaded.is_absent && loaded.error && !to_string(*loaded.error).empty();
   }
-  std::string folder, path;
+
+  std::string directory;
+  std::string path;
 };
 
-TEST_F(Store, WhatWasSavedComesBack) {
-  EXPECT_TRUE(store::load_endpoint_state(path).is_absent);
-  const auto saved = state(3, 1000);
-  ASSERT_FALSE(store::save_endpoint_state(path, saved));
-  const auto back = store::load_endpoint_state(path);
-  ASSERT_TRUE(back.state) << to_string(*back.error);
-  EXPECT_EQ(back.state->list->digest, saved.list->digest);
-  EXPECT_EQ(back.state->list->generation, 3u);
-  EXPECT_EQ(back.state->saved_at, 99);
-  ASSERT_EQ(back.state->remembered.size(), 1u);
-  EXPECT_EQ(back.state->remembered[0].born, 5);
-  EXPECT_TRUE(back.state->remembered[0].held);
-  EXPECT_TRUE(endpoints::difference(saved.list.get(), *back.state->list).empty());
+TEST_F(EndpointStateTest, LoadsWhatWasSaved) {
+  EXPECT_TRUE(load_endpoint_state(path).is_absent);
+  const auto saved = state_with(3, 1000);
+  ASSERT_FALSE(save_endpoint_state(path, saved));
+  const auto loaded = load_endpoint_state(path);
+  ASSERT_TRUE(loaded.state) << to_string(*loaded.error);
+  EXPECT_EQ(loaded.state->list->digest, saved.list->digest);
+  EXPECT_EQ(loaded.state->list->generation, 3U);
+  EXPECT_EQ(loaded.state->saved_at, 99);
+  ASSERT_EQ(loaded.state->remembered.size(), 1U);
+  EXPECT_EQ(loaded.state->remembered[0].born, 5);
+  EXPECT_TRUE(loaded.state->remembered[0].held);
+  EXPECT_TRUE(endpoints::difference(saved.list.get(), *loaded.state->list).empty());
 }
 
-// Kill -9 at each step of the write: the old content is there or the new one, and the next write
-// goes well.
-TEST_F(Store, AKillAtAnyStepLeavesTheOldOrTheNew) {
-  ASSERT_FALSE(store::save_endpoint_state(path, state(1, 50)));
-  std::uint64_t before = 1, next = 2;
-  for (const auto at :
-       {store::WriteStep::opened, store::WriteStep::half_written, store::WriteStep::written,
-        store::WriteStep::synced, store::WriteStep::renamed, store::WriteStep::directory_synced}) {
+// SIGKILL at each step of the write: either the old content is there or the new one, and the next
+// write succeeds.
+TEST_F(EndpointStateTest, KeepsOldOrNewContentWhenKilledAtAnyStep) {
+  ASSERT_FALSE(save_endpoint_state(path, state_with(1, 50)));
+  std::uint64_t previous = 1;
+  std::uint64_t next = 2;
+  for (const auto kill_at : {WriteStep::opened, WriteStep::half_written, WriteStep::written,
+                             WriteStep::synced, WriteStep::renamed, WriteStep::directory_synced}) {
     const pid_t child = ::fork();
     if (child == 0) {
-      store::save_endpoint_state(path, state(next, 50 + next), [&](store::WriteStep s) {
-        if (s == at) ::kill(::getpid(), SIGKILL);
+      (void)save_endpoint_state(path, state_with(next, 50 + next), [&](WriteStep step) {
+        if (step == kill_at) ::kill(::getpid(), SIGKILL);
       });
       ::_exit(0);
     }
     int status = 0;
     ::waitpid(child, &status, 0);
     ASSERT_TRUE(WIFSIGNALED(status));
-    const auto back = store::load_endpoint_state(path);
-    ASSERT_TRUE(back.state) << to_string(*back.error);
-    EXPECT_EQ(back.state->list->generation, at < store::WriteStep::renamed ? before : next);
-    before = back.state->list->generation;
+    const auto loaded = load_endpoint_state(path);
+    ASSERT_TRUE(loaded.state) << to_string(*loaded.error);
+    EXPECT_EQ(loaded.state->list->generation, kill_at < WriteStep::renamed ? previous : next);
+    previous = loaded.state->list->generation;
     ++next;
   }
-  ASSERT_FALSE(store::save_endpoint_state(path, state(100, 10)));
-  EXPECT_EQ(store::load_endpoint_state(path).state->list->generation, 100u);
+  ASSERT_FALSE(save_endpoint_state(path, state_with(100, 10)));
+  EXPECT_EQ(load_endpoint_state(path).state->list->generation, 100U);
 }
 
-TEST_F(Store, ASpoiltFileIsRefusedAndSaysSo) {
-  ASSERT_FALSE(store::save_endpoint_state(path, state(1, 20)));
-  const auto good = bytes(path);
-  const auto refused = [&](const std::string& content) {
-    std::ofstream(path, std::ios::binary) << content;
-    const auto back = store::load_endpoint_state(path);
-    return !back.state && !back.is_absent && back.error.has_value();
-  };
-  for (std::size_t n = 0; n < good.size(); n += 7) EXPECT_TRUE(refused(good.substr(0, n))) << n;
-  for (std::size_t i = 0; i < good.size(); ++i) {
-    auto flipped = good;
+TEST_F(EndpointStateTest, RefusesADamagedFileWithAnError) {
+  ASSERT_FALSE(save_endpoint_state(path, state_with(1, 20)));
+  const auto intact = read_file(path);
+  for (std::size_t size = 0; size < intact.size(); size += 7) {
+    EXPECT_TRUE(is_refused(intact.substr(0, size))) << size;
+  }
+  for (std::size_t i = 0; i < intact.size(); ++i) {
+    auto flipped = intact;
     flipped[i] = static_cast<char>(flipped[i] ^ 0x20);
-    EXPECT_TRUE(refused(flipped)) << i;
+    EXPECT_TRUE(is_refused(flipped)) << i;
   }
-  EXPECT_TRUE(refused(good + "x"));
-  // A right checksum over wrong content: the verifier and the list's own bounds hold it back.
-  const auto payload = good.substr(24);
+  EXPECT_TRUE(is_refused(intact + "x"));
+  // Wrong content under a matching checksum is stopped by the verifier and the bounds of a list:
+  // neither crash nor overrun.
+  const auto payload = intact.substr(kHeaderBytes);
   for (std::size_t i = 0; i < payload.size(); i += 3) {
     auto wrong = payload;
     wrong[i] = static_cast<char>(wrong[i] ^ 0x41);
-
-    (void)store::decode_endpoint_state(wrong);  // no crash, no overrun
+    (void)decode_endpoint_state(wrong);
   }
-  ASSERT_FALSE(store::replace_file(path, "no buffer at all"));
-  EXPECT_FALSE(store::load_endpoint_state(path).state);
-  EXPECT_TRUE(store::save_endpoint_state(folder + "/absent/x", state(1, 1)));
+  ASSERT_FALSE(replace_file(path, "no buffer at all"));
+  EXPECT_FALSE(load_endpoint_state(path).state);
+  EXPECT_TRUE(save_endpoint_state(directory + "/absent/x", state_with(1, 1)));
+}
+
+// tests/data/store holds a state written by the version before the renaming of the sources.
+std::string stored_state_path() {
+  return std::string(ALDERSPUR_TEST_DATA) + "/store/membership.state";
+}
+
+void expect_server(const endpoints::Snapshot& list, const endpoints::Listed& expected) {
+  const auto* server = list.find(endpoints::server_id(expected.name));
+  ASSERT_TRUE(server) << expected.name;
+  EXPECT_EQ(server->name, expected.name);
+  EXPECT_EQ(server->address, expected.address) << expected.name;
+  EXPECT_EQ(server->role, expected.role) << expected.name;
+  EXPECT_EQ(server->place, expected.place) << expected.name;
+  EXPECT_EQ(server->state, expected.state) << expected.name;
+  EXPECT_EQ(server->cell, expected.cell) << expected.name;
+  EXPECT_EQ(server->weight, expected.weight) << expected.name;
+}
+
+TEST(StoredEndpointState, IsReadWhenWrittenBeforeTheRename) {
+  const auto loaded = load_endpoint_state(stored_state_path());
+  ASSERT_TRUE(loaded.state) << to_string(*loaded.error);
+  EXPECT_EQ(loaded.state->saved_at, 1'764'000'001'000'000);
+  const auto& list = *loaded.state->list;
+  EXPECT_EQ(list.generation, 12U);
+  EXPECT_EQ(list.source, "/etc/alderspur/servers.toml");
+  EXPECT_EQ(list.taken, 1'764'000'000'000'000);
+  EXPECT_EQ(list.digest, 14532761151297823349U);
+  EXPECT_EQ(list.hubs, std::vector<std::string>{"north"});
+  EXPECT_EQ(list.points, (std::vector<endpoints::Point>{{"edge-1", 0}, {"edge-2", 0}}));
+  ASSERT_EQ(list.servers.size(), 4U);
+  using endpoints::State;
+  expect_server(list, {{}, "cache-a", "127.0.0.1:4201", Role::cache, 0, State::in_service, 0, 4});
+  expect_server(list, {{}, "cache-b", "127.0.0.1:4202", Role::cache, 1, State::draining, 3, 2.5});
+  expect_server(list, {{}, "parent-a", "127.0.0.1:4301", Role::parent, 0, State::in_service, 0, 8});
+  expect_server(list,
+                {{}, "origin-a", "127.0.0.1:4401", Role::origin, 0, State::in_service, 1, 10});
+  EXPECT_EQ(list.find({11068878732441099195U}), list.find(endpoints::server_id("cache-a")));
+}
+
+TEST(StoredEndpointState, KeepsWhatWasRememberedBeforeTheRename) {
+  const auto loaded = load_endpoint_state(stored_state_path());
+  ASSERT_TRUE(loaded.state) << to_string(*loaded.error);
+  const auto& remembered = loaded.state->remembered;
+  ASSERT_EQ(remembered.size(), 2U);
+  EXPECT_EQ(remembered[0].id, endpoints::server_id("cache-a"));
+  EXPECT_EQ(remembered[0].born, 1'763'999'000'000'000);
+  EXPECT_EQ(remembered[0].weight, 2.5);
+  EXPECT_EQ(remembered[0].penalty, 1750.5);
+  EXPECT_EQ(remembered[0].penalty_at, 1'763'999'900'000'000);
+  EXPECT_TRUE(remembered[0].held);
+  EXPECT_EQ(remembered[1].id, endpoints::server_id("cache-b"));
+  EXPECT_EQ(remembered[1].born, 0);
+  EXPECT_EQ(remembered[1].weight, 0);
+  EXPECT_EQ(remembered[1].penalty, 300.25);
+  EXPECT_EQ(remembered[1].penalty_at, 1'763'999'950'000'000);
+  EXPECT_FALSE(remembered[1].held);
+}
+
+TEST(StoredEndpointState, IsWrittenWithTheSameBytesAsBeforeTheRename) {
+  const auto loaded = load_endpoint_state(stored_state_path());
+  ASSERT_TRUE(loaded.state) << to_string(*loaded.error);
+  EXPECT_EQ(encode(*loaded.state), read_file(stored_state_path()).substr(kHeaderBytes));
 }
 
 }  // namespace
+}  // namespace alderspur::store
