--- a/bench/endpoints_bench.cpp
+++ b/bench/endpoints_bench.cpp
@@ -59,7 +59,7 @@
 }
 SnapshotPtr list_of(const std::string& text, unsigned threads = 1) {
   diagnostics::Findings f;
-  Limits limits;
+  ListLimits limits;
   limits.threads = threads;
   return read_list(text, "servers.toml", 0, limits, f).list;
 }
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -28,7 +28,7 @@
 
 // A list from a file or a directory, as the running router would read it.
 endpoints::SnapshotPtr read_list(const std::string& path, diagnostics::Findings& findings) {
-  const endpoints::Limits limits;
+  const endpoints::ListLimits limits;
   const bool directory = std::filesystem::is_directory(path);
   const std::string file = directory ? path + "/manifest.toml" : path;
   const auto read = endpoints::read_list(config::read_text(file), file, now(), limits, findings);
@@ -60,7 +60,7 @@
     const auto list = read_list(s.membership->list, findings);
     if (!list) return;
     check_alone(*list, findings);
-    (void)members(*list, config.names.zones, findings);
+    (void)to_members(*list, config.names.zones, findings);
     if (!routes) return;
     for (const auto& pool : routes->table->pools())
       if (routes->table->servers(pool, *list).empty())
@@ -168,7 +168,7 @@
       piece = line.substr(quote + 1, line.find('"', quote + 1) - quote - 1);
     if (line.starts_with("digest") && !piece.empty()) {
       const auto content = config::read_text(folder + "/" + piece);
-      line = "digest = \"" + endpoints::digest_text(endpoints::digest_of(content)) + "\"\n";
+      line = "digest = \"" + endpoints::format_digest(endpoints::compute_digest(content)) + "\"\n";
       piece.clear();
     }
     out += line;
@@ -225,16 +225,16 @@
       Writer w(buffer);
       w.StartObject();
       names(w, "added", d.added, *a, *b), names(w, "removed", d.removed, *a, *b);
-      names(w, "drained", d.drained, *a, *b), names(w, "returned", d.returned, *a, *b);
-      names(w, "moved", d.moved, *a, *b), names(w, "weighted", d.weighted, *a, *b);
-      names(w, "other", d.other, *a, *b);
-      w.Key("places"), w.Bool(d.places);
+      names(w, "drained", d.drained, *a, *b), names(w, "returned", d.reinstated, *a, *b);
+      names(w, "moved", d.moved, *a, *b), names(w, "weighted", d.reweighted, *a, *b);
+      names(w, "other", d.reassigned, *a, *b);
+      w.Key("places"), w.Bool(d.has_location_changes);
       w.EndObject();
       std::printf("%s\n", buffer.GetString());
     } else {
       std::printf("%s\n", summary(a.get(), *b, d).c_str());
     }
-    return d.empty() ? kYes : kFinding;
+    return d.is_empty() ? kYes : kFinding;
   });
 }
 
@@ -259,7 +259,7 @@
     const auto restored = store::load_endpoint_state(folder + "/membership.state");
     if (!restored.state) throw config::Error(to_string(*restored.error));
     const auto& s = *restored.state;
-    const auto age = (now() - s.list->taken) / 1'000'000;
+    const auto age = (now() - s.list->read_at) / 1'000'000;
     if (!json) {
       std::printf("generation %llu of %s, %zu servers, read %lld s ago; remembered of %zu\n",
                   static_cast<unsigned long long>(s.list->generation), s.list->source.c_str(),
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -184,7 +184,7 @@
         if (read.list && findings.good()) endpoints::check_alone(*read.list, findings);
         std::vector<std::uint32_t> points, hubs;
         if (read.list && findings.good())
-          endpoints::zones_of(*read.list, config.names.zones, points, hubs, findings);
+          endpoints::resolve_zones(*read.list, config.names.zones, points, hubs, findings);
         if (!findings.good()) reason = diagnostics::to_string(findings.list()[0]);
       } else if (name == "routes") {
         const auto file = folder + "/checked.alder";
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -18,7 +18,8 @@
 
 std::string state_path(const std::string& folder) { return folder + "/membership.state"; }
 
-std::vector<std::string> piece_names(const std::string& manifest, const endpoints::Limits& limits) {
+std::vector<std::string> piece_names(const std::string& manifest,
+                                     const endpoints::ListLimits& limits) {
   diagnostics::Findings ignored;  // judged with the rest, once all has settled
   std::vector<std::string> out;
   for (const auto& p : endpoints::read_list(manifest, "manifest.toml", 0, limits, ignored).pieces)
@@ -65,7 +66,7 @@
   const core::Time now = node_.engine().now();
   if (!settings_.list.empty()) {
     file_watch::WatchSettings w{settings_.list, settings_.settle, settings_.poll,
-                                settings_.limits.bytes};
+                                settings_.limits.max_bytes};
     watcher_ = std::make_unique<file_watch::Watcher>(
         node_.loop(), node_.deadlines(), wakeup_, reader_, w,
         [limits = settings_.limits](const std::string& text) { return piece_names(text, limits); },
@@ -98,7 +99,7 @@
   endpoints::CandidateList offer{
       restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}, {}};
   diagnostics::Findings findings;
-  zones_of(*offer.list, shared_->zones, offer.point_zones, offer.hub_zones, findings);
+  resolve_zones(*offer.list, shared_->zones, offer.point_zones, offer.hub_zones, findings);
   check_alone(*offer.list, findings);
   if (!findings.good()) {
     log_.record(kName, log::Level::warning, "state_unusable",
@@ -106,14 +107,14 @@
     return {};
   }
   fleet_.restore(restored.state->remembered);
-  fleet_.files(offer, now);
+  fleet_.apply_list(offer, now);
   return offer;
 }
 
 void EndpointController::begin(core::Time now) {
   if (!watcher_) return;
   const auto kept = begin_with_state(now);
-  shared_->bring(fleet_.in_force());
+  shared_->bring(fleet_.current_list());
   const auto look = watcher_->first(kFirst);
   Judged judged;
   if (look)
@@ -124,7 +125,7 @@
     take(judged);
   } else if (kept) {
     take(judged);  // says what is wrong with the files
-    const core::Time age = now - kept->list->taken;
+    const core::Time age = now - kept->list->read_at;
     if (age > settings_.oldest)
       throw config::Error("no usable list of servers: " + judged.refusal +
                           "; the last good one is " + std::to_string(age / 1'000'000) +
@@ -165,7 +166,7 @@
   }
   if (list && findings.good()) {
     endpoints::CandidateList offer{list, in_force, difference(in_force.get(), *list), {}, {}};
-    zones_of(*list, shared.zones, offer.point_zones, offer.hub_zones, findings);
+    resolve_zones(*list, shared.zones, offer.point_zones, offer.hub_zones, findings);
     out.unchanged = in_force && in_force->generation == list->generation;
     if (findings.good() && !out.unchanged) out.offer = std::move(offer);
   }
@@ -187,7 +188,7 @@
     ++counters_.refused;
     if (judged.refusal == last_refusal_) return;  // told already
     last_refusal_ = judged.refusal;
-    const auto& in_force = fleet_.in_force();
+    const auto& in_force = fleet_.current_list();
     log_.record(kName, log::Level::error, "list_refused",
                 {{"reason", judged.refusal},
                  {"findings", judged.findings},
@@ -195,12 +196,12 @@
     return;
   }
   const core::Time begun = net::unix_now();
-  const auto before = fleet_.in_force();
-  if (!fleet_.files(*judged.offer, node_.engine().now())) {
+  const auto before = fleet_.current_list();
+  if (!fleet_.apply_list(*judged.offer, node_.engine().now())) {
     watcher_->look_now();  // something else came into force meanwhile: judge it again
     return;
   }
-  shared_->bring(fleet_.in_force());
+  shared_->bring(fleet_.current_list());
   last_refusal_.clear();
   ++counters_.taken;
   push();
@@ -210,7 +211,7 @@
   log_.record(kName, log::Level::info, "list_taken",
               {{"generation", list.generation},
                {"servers", list.servers.size()},
-               {"change", endpoints::summary(before.get(), list, judged.offer->change)},
+               {"change", endpoints::summary(before.get(), list, judged.offer->difference)},
                {"judged_us", judged.took},
                {"held_us", held}});
   save_soon();
@@ -219,24 +220,24 @@
 void EndpointController::update_endpoints(bool complete,
                                           const std::vector<config::Member>& members) {
   if (settings_.fleet.authority == endpoints::Authority::files) return;
-  fleet_.board(complete, members, node_.engine().now());
+  fleet_.apply_board_update(complete, members, node_.engine().now());
   push();
 }
 
 // Connections hear of a server before the core does, and departures come before whoever takes their
 // place.
 void EndpointController::push() {
-  auto changes = fleet_.take();
+  auto changes = fleet_.take_changes();
   EndpointUpdate update;
   update.servers.reserve(changes.size());
   for (const auto& c : changes) {
     if (!concerns(c.member.server)) continue;
     node_.upstream_pool().update(c.member);
     update.servers.push_back(c.member.server);
-    if (serving_ &&
-        (c.reason == endpoints::Reason::flapping || c.reason == endpoints::Reason::places_differ))
+    if (serving_ && (c.reason == endpoints::Reason::flapping ||
+                     c.reason == endpoints::Reason::locations_differ))
       log_.record(kName, log::Level::warning, "held_out",
-                  {{"id", c.member.name}, {"why", endpoints::word(c.reason)}});
+                  {{"id", c.member.name}, {"why", endpoints::to_string(c.reason)}});
     if (!serving_ || !log_.enabled(kName, log::Level::debug)) continue;
     log_.record(kName, log::Level::debug, "server",
                 {{"id", c.member.name},
@@ -244,7 +245,7 @@
                             : c.member.server.status == ServerStatus::draining ? "draining"
                                                                                : "gone"},
                  {"weight", c.member.server.weight},
-                 {"why", endpoints::word(c.reason)}});
+                 {"why", endpoints::to_string(c.reason)}});
   }
   if (!update.servers.empty()) {
     node_.engine().update_endpoints(std::move(update));
@@ -267,7 +268,7 @@
 }
 
 void EndpointController::arm() {
-  const core::Time next = fleet_.next();
+  const core::Time next = fleet_.next_wakeup();
   if (step_ && step_at_ <= next) return;
   if (step_) node_.deadlines().cancel(*step_), step_.reset();
   if (next == std::numeric_limits<core::Time>::max()) return;
@@ -298,9 +299,9 @@
 }
 
 void EndpointController::save() {
-  if (saving_ || !fleet_.in_force()) return;
+  if (saving_ || !fleet_.current_list()) return;
   const core::Time now = net::unix_now();
-  store::EndpointState state{fleet_.in_force(), fleet_.remembered(now), now};
+  store::EndpointState state{fleet_.current_list(), fleet_.remembered(now), now};
   saving_ = writer_.submit([this, state = std::move(state), path = state_path(settings_.state)] {
     const auto error = store::save_endpoint_state(path, state);
     wakeup_.post([this, error] {
@@ -322,15 +323,16 @@
 
 std::string EndpointController::summary() const {
   const auto& c = fleet_.counters();
-  const auto& list = fleet_.in_force();
+  const auto& list = fleet_.current_list();
   return "generation " + std::to_string(list ? list->generation : 0) + ", known " +
-         std::to_string(fleet_.known()) + " ready " + std::to_string(fleet_.ready()) +
+         std::to_string(fleet_.known_count()) + " ready " + std::to_string(fleet_.ready_count()) +
          "; lists taken " + std::to_string(counters_.taken) + " refused " +
          std::to_string(counters_.refused) + ", changes " + std::to_string(c.changes) +
          " departures " + std::to_string(c.departures) + " weight steps " +
-         std::to_string(c.weight_steps) + " held out " + std::to_string(c.held_out) + " let back " +
-         std::to_string(c.let_back) + ", saved " + std::to_string(counters_.saved) +
-         ", longest hold us " + std::to_string(counters_.longest_apply);
+         std::to_string(c.weight_steps) + " held out " + std::to_string(c.suppressed) +
+         " let back " + std::to_string(c.reinstated) + ", saved " +
+         std::to_string(counters_.saved) + ", longest hold us " +
+         std::to_string(counters_.longest_apply);
 }
 
 }  // namespace alderspur::app
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -76,16 +76,16 @@
     replica = std::make_unique<ReplicationService>(node, *cluster, *settings.cluster, log);
   std::unique_ptr<ConsensusService> versions;
   if (cluster && settings.cluster->agreement) {
-    ConsensusService::Files files{settings.membership ? settings.membership->list : std::string(),
-                                  settings.routes_file,
-                                  [&] {
-                                    if (keeper) keeper->look();
-                                    if (routes) routes->reload();
-                                  },
-                                  [&]() -> std::uint64_t {
-                                    const auto list = keeper ? keeper->fleet().in_force() : nullptr;
-                                    return list ? list->generation : 0;
-                                  }};
+    ConsensusService::Files files{
+        settings.membership ? settings.membership->list : std::string(), settings.routes_file,
+        [&] {
+          if (keeper) keeper->look();
+          if (routes) routes->reload();
+        },
+        [&]() -> std::uint64_t {
+          const auto list = keeper ? keeper->fleet().current_list() : nullptr;
+          return list ? list->generation : 0;
+        }};
     versions = std::make_unique<ConsensusService>(node, *cluster, *settings.cluster,
                                                   std::move(files), log);
   }
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -8,15 +8,15 @@
 namespace alderspur::consensus {
 namespace {
 
-using endpoints::Listed;
+using endpoints::ListedServer;
+using endpoints::ServerState;
 using endpoints::Snapshot;
-using endpoints::State;
 
 using Place = std::pair<Role, std::string>;
-Place place_of(const Snapshot& s, const Listed& l) { return {l.role, s.place_name(l)}; }
+Place place_of(const Snapshot& s, const ListedServer& l) { return {l.role, s.location_name(l)}; }
 
 // True if both tell of one server at one place.
-bool agree(const Snapshot& a, const Listed& x, const Snapshot& b, const Listed& y) {
+bool agree(const Snapshot& a, const ListedServer& x, const Snapshot& b, const ListedServer& y) {
   return place_of(a, x) == place_of(b, y) && x.address == y.address && x.cell == y.cell;
 }
 
@@ -27,30 +27,30 @@
   Snapshot out = newest;
   out.servers.clear();
   std::set<Place> served;
-  std::vector<Listed> unsure;
-  for (const Listed& s : newest.servers) {
-    Listed merged = s;
+  std::vector<ListedServer> unsure;
+  for (const ListedServer& s : newest.servers) {
+    ListedServer merged = s;
     bool sure = true;
     for (const auto& list : lists) {
-      const Listed* other = list->find(s.id);
+      const ListedServer* other = list->find(s.id);
       sure = sure && other && agree(newest, s, *list, *other);
       if (!sure) break;
-      if (other->state == State::draining) merged.state = State::draining;
+      if (other->state == ServerState::draining) merged.state = ServerState::draining;
       merged.weight = std::min(merged.weight, other->weight);
     }
     if (!sure) {
       unsure.push_back(s);
       continue;
     }
-    if (merged.state == State::in_service)
+    if (merged.state == ServerState::in_service)
       served.insert(place_of(newest, s));
-    else if (s.state == State::in_service)
+    else if (s.state == ServerState::in_service)
       unsure.push_back(s);  // draining by an older one only
     out.servers.push_back(std::move(merged));
   }
-  for (const Listed& s : unsure) {
+  for (const ListedServer& s : unsure) {
     if (served.contains(place_of(newest, s))) continue;
-    std::erase_if(out.servers, [&](const Listed& x) { return x.id == s.id; });
+    std::erase_if(out.servers, [&](const ListedServer& x) { return x.id == s.id; });
     out.servers.push_back(s);
   }
   out.seal();
@@ -69,10 +69,10 @@
     std::snprintf(weight, sizeof weight, "%.9g", s.weight);
     if (std::string_view(weight).find_first_of(".e") == std::string_view::npos)
       std::snprintf(weight, sizeof weight, "%.1f", s.weight);
-    out += "[[server]]\nid = \"" + s.name + "\"\nrole = \"" + endpoints::word(s.role) + "\"\n" +
-           (s.role == Role::cache ? "point" : "hub") + " = \"" + list.place_name(s) +
+    out += "[[server]]\nid = \"" + s.name + "\"\nrole = \"" + endpoints::to_string(s.role) +
+           "\"\n" + (s.role == Role::cache ? "point" : "hub") + " = \"" + list.location_name(s) +
            "\"\naddress = \"" + s.address + "\"\nweight = " + weight + "\nstate = \"" +
-           endpoints::word(s.state) + "\"\ncell = " + std::to_string(s.cell) + "\n";
+           endpoints::to_string(s.state) + "\"\ncell = " + std::to_string(s.cell) + "\n";
   }
   return out;
 }
--- a/src/endpoints/check.cpp
+++ b/src/endpoints/check.cpp
@@ -14,17 +14,17 @@
   return std::to_string(static_cast<int>(part * 100 + 0.5)) + "%";
 }
 
-bool serves(const Listed* s) { return s && s->state == State::in_service; }
+bool serves(const ListedServer* s) { return s && s->state == ServerState::in_service; }
 
-void too_much(const Snapshot& next, const std::string& what, const Tally& t, const Bounds& bounds,
-              diagnostics::Findings& findings) {
+void too_much(const Snapshot& next, const std::string& what, const Tally& t,
+              const ChangeLimits& bounds, diagnostics::Findings& findings) {
   if (t.before == 0 ||
-      static_cast<double>(t.out) <= bounds.most_out * static_cast<double>(t.before))
+      static_cast<double>(t.out) <= bounds.max_lost_fraction * static_cast<double>(t.before))
     return;
-  if (next.confirm == next.generation) return;
+  if (next.confirmed_generation == next.generation) return;
   findings.error("L023", {next.source, 0, 0},
                  what + " would lose " + std::to_string(t.out) + " of " + std::to_string(t.before) +
-                     " servers in service at once, over " + percent(bounds.most_out),
+                     " servers in service at once, over " + percent(bounds.max_lost_fraction),
                  "if it is meant, add confirm = " + std::to_string(next.generation));
 }
 
@@ -38,7 +38,7 @@
     ++listed;
     if (!serves(&s)) continue;
     ++in_service;
-    if (s.role == Role::cache) ++by_point[s.place];
+    if (s.role == Role::cache) ++by_point[s.location_index];
   }
   for (std::size_t i = 0; i < by_point.size(); ++i)
     if (by_point[i] == 0)
@@ -48,10 +48,11 @@
   for (const auto& [role, n] : by_role)
     if (n.second == 0)
       findings.error("L022", {list.source, 0, 0},
-                     std::string("no ") + word(role) + " is in service", "leave one in service");
+                     std::string("no ") + to_string(role) + " is in service",
+                     "leave one in service");
 }
 
-void check_change(const Snapshot* in_force, const Snapshot& next, const Bounds& bounds,
+void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& bounds,
                   diagnostics::Findings& findings) {
   if (!in_force) return;
   const Snapshot& old = *in_force;
@@ -78,7 +79,7 @@
     auto& role = roles[was.role];
     ++role.before, role.out += out;
     if (was.role != Role::cache) continue;
-    auto& point = points[old.place_name(was)];
+    auto& point = points[old.location_name(was)];
     ++point.before, point.out += out;
   }
   for (const auto& s : next.servers)
@@ -87,16 +88,16 @@
   for (const auto& [role, t] : roles) {
     if (t.before > 0 && t.left == 0)
       findings.error("L022", {next.source, 0, 0},
-                     std::string("no ") + word(role) + " would be left in service",
+                     std::string("no ") + to_string(role) + " would be left in service",
                      "leave one in service");
     else if (role == Role::parent)
       too_much(next, "the parents", t, bounds, findings);
   }
 }
 
-void zones_of(const Snapshot& list, const std::vector<std::string>& zones,
-              std::vector<std::uint32_t>& points, std::vector<std::uint32_t>& hubs,
-              diagnostics::Findings& findings) {
+void resolve_zones(const Snapshot& list, const std::vector<std::string>& zones,
+                   std::vector<std::uint32_t>& points, std::vector<std::uint32_t>& hubs,
+                   diagnostics::Findings& findings) {
   std::unordered_map<std::string, std::uint32_t> numbers;
   for (std::uint32_t i = 0; i < zones.size(); ++i) numbers.emplace(zones[i], i);
   const std::vector<std::string_view> known(zones.begin(), zones.end());
@@ -115,27 +116,29 @@
   for (const auto& h : list.hubs) hubs.push_back(number("hub", h));
 }
 
-Member member_of(const Snapshot&, const Listed& s, const std::vector<std::uint32_t>& point_zones,
+Member to_member(const Snapshot&, const ListedServer& s,
+                 const std::vector<std::uint32_t>& point_zones,
                  const std::vector<std::uint32_t>& hub_zones) {
   Member m;
   m.name = s.name;
   m.address = s.address;
   m.server.id = s.id;
   m.server.role = s.role;
-  m.server.location = {s.role == Role::cache ? point_zones[s.place] : hub_zones[s.place]};
+  m.server.location = {s.role == Role::cache ? point_zones[s.location_index]
+                                             : hub_zones[s.location_index]};
   m.server.cell = {s.cell};
-  m.server.status = s.state == State::draining ? ServerStatus::draining : ServerStatus::ready;
+  m.server.status = s.state == ServerState::draining ? ServerStatus::draining : ServerStatus::ready;
   m.server.weight = s.weight;
   return m;
 }
 
-std::vector<Member> members(const Snapshot& list, const std::vector<std::string>& zones,
-                            diagnostics::Findings& findings) {
+std::vector<Member> to_members(const Snapshot& list, const std::vector<std::string>& zones,
+                               diagnostics::Findings& findings) {
   std::vector<std::uint32_t> points, hubs;
   std::vector<Member> out;
-  zones_of(list, zones, points, hubs, findings);
+  resolve_zones(list, zones, points, hubs, findings);
   if (!findings.good()) return out;
-  for (const auto& s : list.servers) out.push_back(member_of(list, s, points, hubs));
+  for (const auto& s : list.servers) out.push_back(to_member(list, s, points, hubs));
   return out;
 }
 
--- a/src/endpoints/damping.cpp
+++ b/src/endpoints/damping.cpp
@@ -12,26 +12,26 @@
   return penalty_ * std::exp2(-halves);
 }
 
-void FlapDamping::left(Time now, const DampingSettings& s) {
-  if (!s.on) return;
+void FlapDamping::record_departure(Time now, const DampingSettings& s) {
+  if (!s.is_enabled) return;
   // RFC 2439, 4.2: the ceiling is what decays to the reuse threshold in the longest time of holding
   // out.
-  const double ceiling =
-      s.reuse * std::exp2(static_cast<double>(s.longest) / static_cast<double>(s.half_life));
-  penalty_ = std::min(ceiling, penalty(now, s) + s.departure);
+  const double ceiling = s.reuse_threshold * std::exp2(static_cast<double>(s.max_suppress_time) /
+                                                       static_cast<double>(s.half_life));
+  penalty_ = std::min(ceiling, penalty(now, s) + s.departure_penalty);
   at_ = now;
-  if (penalty_ >= s.suppress) held_ = true;
+  if (penalty_ >= s.suppress_threshold) held_ = true;
 }
 
-bool FlapDamping::held(Time now, const DampingSettings& s) {
-  if (held_ && (!s.on || now >= free_at(now, s))) held_ = false;
+bool FlapDamping::update_suppressed(Time now, const DampingSettings& s) {
+  if (held_ && (!s.is_enabled || now >= reuse_time(now, s))) held_ = false;
   return held_;
 }
 
-Time FlapDamping::free_at(Time now, const DampingSettings& s) const {
-  if (!held_ || penalty_ <= s.reuse) return now;
+Time FlapDamping::reuse_time(Time now, const DampingSettings& s) const {
+  if (!held_ || penalty_ <= s.reuse_threshold) return now;
   // Rounded up: at that time the penalty has reached the threshold.
-  const double halves = std::log2(penalty_ / s.reuse);
+  const double halves = std::log2(penalty_ / s.reuse_threshold);
   return at_ + static_cast<Time>(std::ceil(halves * static_cast<double>(s.half_life)));
 }
 
--- a/src/endpoints/damping.h
+++ b/src/endpoints/damping.h
@@ -16,30 +16,32 @@
 using core::Time;
 
 struct DampingSettings {
-  bool on = true;
-  double departure = 1000;  // added when one leaves service
-  double suppress = 2500;   // held out from here on
-  double reuse = 800;       // and taken back below this
+  bool is_enabled = true;
+  double departure_penalty = 1000;   // added when one leaves service
+  double suppress_threshold = 2500;  // held out from here on
+  double reuse_threshold = 800;      // and taken back below this
   Time half_life = 15'000'000;
-  Time longest = 60'000'000;  // nobody is held out for longer after its last departure
+  Time max_suppress_time = 60'000'000;  // nobody is held out for longer after its last departure
 };
 
 class FlapDamping {
  public:
-  void left(Time now, const DampingSettings& s);
+  void record_departure(Time now, const DampingSettings& s);
   // Whether it is held out now; ends the holding out where the penalty has decayed.
-  bool held(Time now, const DampingSettings& s);
+  bool update_suppressed(Time now, const DampingSettings& s);
   double penalty(Time now, const DampingSettings& s) const;
   // When held() turns false by itself; `now` where it is not held.
-  Time free_at(Time now, const DampingSettings& s) const;
+  Time reuse_time(Time now, const DampingSettings& s) const;
   // Nothing is left worth remembering.
-  bool calm(Time now, const DampingSettings& s) const {
-    return !held_ && penalty(now, s) < s.reuse / 8;
+  bool is_negligible(Time now, const DampingSettings& s) const {
+    return !held_ && penalty(now, s) < s.reuse_threshold / 8;
   }
 
-  void release() { held_ = false; }  // needed in service for another reason; the penalty stays
+  void end_suppression() {
+    held_ = false;
+  }  // needed in service for another reason; the penalty stays
   void restore(double penalty, Time at, bool held) { penalty_ = penalty, at_ = at, held_ = held; }
-  bool held_flag() const { return held_; }
+  bool is_suppressed() const { return held_; }
 
  private:
   double penalty_ = 0;
--- a/src/endpoints/endpoint_set.cpp
+++ b/src/endpoints/endpoint_set.cpp
@@ -18,26 +18,26 @@
 void EndpointSet::restore(const std::vector<Remembered>& remembered) {
   for (const auto& r : remembered) {
     Known& k = known_[r.id.value];
-    k.born = r.born;
+    k.born = r.started_at;
     k.weight = r.weight;
-    k.flaps.restore(r.penalty, r.penalty_at, r.held);
+    k.flaps.restore(r.penalty, r.penalty_at, r.is_suppressed);
   }
 }
 
-bool EndpointSet::files(const CandidateList& offer, Time now) {
+bool EndpointSet::apply_list(const CandidateList& offer, Time now) {
   if (offer.base != list_) return false;
   list_ = offer.list;
   point_zones_ = offer.point_zones;
   hub_zones_ = offer.hub_zones;
   ++counters_.lists;
-  const Difference& d = offer.change;
+  const Difference& d = offer.difference;
   // Danger: a drain that waits behind ten thousand new servers is a drain not kept.
-  for (const auto* urgent : {&d.removed, &d.drained, &d.moved, &d.other})
+  for (const auto* urgent : {&d.removed, &d.drained, &d.moved, &d.reassigned})
     for (const ServerId id : *urgent) evaluate(id, now);
-  for (const auto* rest : {&d.returned, &d.added, &d.weighted})
+  for (const auto* rest : {&d.reinstated, &d.added, &d.reweighted})
     waiting_.insert(waiting_.end(), rest->begin(), rest->end());
   // Points and hubs may have other numbers now, also for servers that are the same.
-  if (d.places && !d.added.empty() && offer.base)
+  if (d.has_location_changes && !d.added.empty() && offer.base)
     for (const auto& s : list_->servers)
       if (known_.contains(s.id.value)) waiting_.push_back(s.id);
   const bool first = !primed_;
@@ -53,7 +53,7 @@
   return true;
 }
 
-void EndpointSet::board(bool complete, const std::vector<Member>& members, Time now) {
+void EndpointSet::apply_board_update(bool complete, const std::vector<Member>& members, Time now) {
   std::vector<ServerId> touched;
   if (complete) {
     std::unordered_set<std::uint64_t> listed;
@@ -80,12 +80,13 @@
 }
 
 void EndpointSet::advance(Time now) {
-  for (std::size_t i = 0; i < kAtOnce && !waiting_.empty(); ++i) {
+  for (std::size_t i = 0; i < kMaxChangesPerTurn && !waiting_.empty(); ++i) {
     const ServerId id = waiting_.front();
     waiting_.pop_front();
     evaluate(id, now);
   }
-  for (std::size_t i = 0; i < kAtOnce && !due_.empty() && due_.begin()->first <= now; ++i) {
+  for (std::size_t i = 0; i < kMaxChangesPerTurn && !due_.empty() && due_.begin()->first <= now;
+       ++i) {
     const ServerId id = due_.begin()->second;
     due_.erase(due_.begin());
     const auto it = known_.find(id.value);
@@ -95,18 +96,18 @@
   }
 }
 
-Time EndpointSet::next() const {
+Time EndpointSet::next_wakeup() const {
   if (!waiting_.empty()) return 0;
   return due_.empty() ? kNever : due_.begin()->first;
 }
 
 Merged EndpointSet::wanted(ServerId id) const {
-  Voices v;
-  v.board_spoke = board_spoke_;
-  v.files_spoke = list_ != nullptr;
+  EndpointSources v;
+  v.has_board_list = board_spoke_;
+  v.has_file_list = list_ != nullptr;
   Member from_files;
   if (const auto* s = list_ ? list_->find(id) : nullptr) {
-    from_files = member_of(*list_, *s, point_zones_, hub_zones_);
+    from_files = to_member(*list_, *s, point_zones_, hub_zones_);
     v.files = &from_files;
   }
   if (const auto it = board_.find(id.value); it != board_.end()) v.board = &it->second;
@@ -127,7 +128,7 @@
   Server& s = next.server;
   k.reason = m.reason;
   if (k.wanted == ServerStatus::ready && s.status != ServerStatus::ready) {
-    k.flaps.left(now, settings_.damping);
+    k.flaps.record_departure(now, settings_.damping);
     ++counters_.departures;
   }
   // Danger: a server that was away has lost what it held, whatever its list says; so may a new one,
@@ -153,7 +154,7 @@
   }
   Time again = kNever;
   if (k.reason == Reason::flapping)
-    again = k.flaps.free_at(now, settings_.damping);
+    again = k.flaps.reuse_time(now, settings_.damping);
   else if (k.wanted == ServerStatus::gone)
     again = now + settings_.damping.half_life;  // to be forgotten
   if (k.wanted != ServerStatus::gone && s.weight != m.member.server.weight)
@@ -166,11 +167,11 @@
 double EndpointSet::step(Known& k, double target, Time now) {
   if (k.weight <= 0) return k.weight = target;
   if (k.weight == target || now < k.step_at) return k.weight;
-  const double most = settings_.weight_step;
+  const double most = settings_.max_weight_factor;
   const double next = std::clamp(target, k.weight / most, k.weight * most);
   if (next != target) ++counters_.weight_steps;
   k.weight = next;
-  k.step_at = now + settings_.weight_every;
+  k.step_at = now + settings_.weight_interval;
   return k.weight;
 }
 
@@ -182,19 +183,19 @@
   const bool counted = !k.told.name.empty() && told.status == ServerStatus::ready &&
                        Place{told.role, told.location.value} == place;
   const std::size_t others = (count == ready_.end() ? 0 : count->second) - (counted ? 1 : 0);
-  bool held = k.wanted == ServerStatus::ready && k.flaps.held(now, settings_.damping);
-  if (held && others == 0) k.flaps.release(), held = false;
+  bool held = k.wanted == ServerStatus::ready && k.flaps.update_suppressed(now, settings_.damping);
+  if (held && others == 0) k.flaps.end_suppression(), held = false;
   if (k.held_in && (!held || *k.held_in != place)) {
     auto& there = held_[*k.held_in];
     there.erase(id);
     if (there.empty()) held_.erase(*k.held_in);
     k.held_in.reset();
-    if (k.wanted == ServerStatus::ready && !held) ++counters_.let_back;
+    if (k.wanted == ServerStatus::ready && !held) ++counters_.reinstated;
   }
   if (held && !k.held_in) {
     held_[place].insert(id);
     k.held_in = place;
-    ++counters_.held_out;
+    ++counters_.suppressed;
   }
   return held;
 }
@@ -232,20 +233,20 @@
 void EndpointSet::forget_if_gone(ServerId id, Known& k, Time now) {
   if (k.wanted != ServerStatus::gone || k.dirty || k.told.server.status != ServerStatus::gone)
     return;
-  if (!k.flaps.calm(now, settings_.damping) && known_.size() <= kKnownMost) return;
+  if (!k.flaps.is_negligible(now, settings_.damping) && known_.size() <= kKnownMost) return;
   wake(id, k, kNever);
   known_.erase(id.value);
 }
 
-std::vector<Change> EndpointSet::take() {
-  std::vector<Change> out;
+std::vector<EndpointChange> EndpointSet::take_changes() {
+  std::vector<EndpointChange> out;
   out.reserve(dirty_.size());
   for (const ServerId id : std::exchange(dirty_, {})) {
     Known& k = known_.at(id.value);
     k.dirty = false;
     out.push_back({k.told, k.reason});
   }
-  std::stable_partition(out.begin(), out.end(), [](const Change& c) {
+  std::stable_partition(out.begin(), out.end(), [](const EndpointChange& c) {
     return c.member.server.status != ServerStatus::ready;
   });
   return out;
@@ -257,7 +258,7 @@
     const auto* s = list_ ? list_->find({id}) : nullptr;
     const double penalty = k.flaps.penalty(now, settings_.damping);
     const bool stepping = s && k.weight > 0 && k.weight != s->weight;
-    const bool calm = k.flaps.calm(now, settings_.damping);
+    const bool calm = k.flaps.is_negligible(now, settings_.damping);
     const Time born = k.born > now - kBornMatters ? k.born : 0;
     if (born == 0 && !stepping && calm) continue;
     out.push_back({{id},
@@ -265,7 +266,7 @@
                    stepping ? k.weight : 0,
                    calm ? 0 : penalty,
                    calm ? 0 : now,
-                   k.flaps.held_flag()});
+                   k.flaps.is_suppressed()});
   }
   // Danger: a new server whose turn has not come yet would pass for a warm one after a restart.
   for (const ServerId id : waiting_)
@@ -280,7 +281,7 @@
   const auto it = known_.find(id.value);
   return it == known_.end() ? Reason::not_in_files : it->second.reason;
 }
-std::size_t EndpointSet::ready() const {
+std::size_t EndpointSet::ready_count() const {
   std::size_t n = 0;
   for (const auto& [place, count] : ready_) n += count;
   return n;
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -31,42 +31,42 @@
 
 struct EndpointSetSettings {
   Authority authority = Authority::files;
-  double weight_step = 1.25;      // a weight grows or falls by at most this factor
-  Time weight_every = 1'000'000;  // in each such time
+  double max_weight_factor = 1.25;   // a weight grows or falls by at most this factor
+  Time weight_interval = 1'000'000;  // in each such time
   DampingSettings damping;
 };
 
 // A list ready to be taken: checked, with its difference from the one that it was checked against.
 struct CandidateList {
   SnapshotPtr list, base;
-  Difference change;
+  Difference difference;
   std::vector<std::uint32_t> point_zones,
       hub_zones;  // the settings' numbers of its points and hubs
 };
 
-struct Change {
+struct EndpointChange {
   Member member;  // status gone: forget it
-  Reason reason = Reason::as_told;
+  Reason reason = Reason::as_listed;
 };
 
 // What must outlive the process, beside the list: only servers of which there is something to say.
 struct Remembered {
   ServerId id{};
-  Time born = 0;
+  Time started_at = 0;
   double weight = 0;  // 0: as listed
   double penalty = 0;
   Time penalty_at = 0;
-  bool held = false;
+  bool is_suppressed = false;
 };
 
 struct EndpointSetCounters {
-  std::uint64_t lists = 0, changes = 0, departures = 0, weight_steps = 0, held_out = 0,
-                let_back = 0;
+  std::uint64_t lists = 0, changes = 0, departures = 0, weight_steps = 0, suppressed = 0,
+                reinstated = 0;
 };
 
 class EndpointSet {
  public:
-  static constexpr std::size_t kAtOnce = 1000;
+  static constexpr std::size_t kMaxChangesPerTurn = 1000;
 
   explicit EndpointSet(const EndpointSetSettings& settings) : settings_(settings) {}
 
@@ -74,20 +74,20 @@
   void restore(const std::vector<Remembered>& remembered);
   // False, and nothing happens, if the offer was reckoned against another list than the one in
   // force.
-  bool files(const CandidateList& offer, Time now);
-  void board(bool complete, const std::vector<Member>& members, Time now);
+  bool apply_list(const CandidateList& offer, Time now);
+  void apply_board_update(bool complete, const std::vector<Member>& members, Time now);
   // Takes the steps that are due and the next part of a large change.
   void advance(Time now);
-  Time next() const;  // when advance() has something to do; the largest Time: never
+  Time next_wakeup() const;  // when advance() has something to do; the largest Time: never
 
   // What has changed since the last call. Not ready first: those bind the sends of the same turn.
-  std::vector<Change> take();
+  std::vector<EndpointChange> take_changes();
 
-  const SnapshotPtr& in_force() const { return list_; }
+  const SnapshotPtr& current_list() const { return list_; }
   std::vector<Remembered> remembered(Time now) const;
   Reason reason(ServerId id) const;
-  std::size_t ready() const;
-  std::size_t known() const { return known_.size(); }
+  std::size_t ready_count() const;
+  std::size_t known_count() const { return known_.size(); }
   const EndpointSetCounters& counters() const { return counters_; }
 
  private:
@@ -95,7 +95,7 @@
   struct Known {
     Member told;                               // as last passed on; gone: never, or no longer
     ServerStatus wanted = ServerStatus::gone;  // before damping
-    Reason reason = Reason::as_told;
+    Reason reason = Reason::as_listed;
     FlapDamping flaps;
     double weight = 0;  // where the steps have come to; 0: not begun
     Time step_at = 0, born = 0, wake = 0;
--- a/src/endpoints/list.cpp
+++ b/src/endpoints/list.cpp
@@ -73,18 +73,18 @@
                    "run `alderspur seal` on the file");
     return false;
   }
-  const auto is = digest_of(text.substr(end + 1));
+  const auto is = compute_digest(text.substr(end + 1));
   if (is == *told) return true;
   findings.error(
       "L006", {file, 1, 1},
-      "the digest is " + digest_text(*told) + " but the bytes after it give " + digest_text(is),
+      "the digest is " + format_digest(*told) + " but the bytes after it give " + format_digest(is),
       "the file is half written, or was edited: run `alderspur seal` on it");
   return false;
 }
 
 // A server as it was read, with the places that a later finding may have to name.
 struct Entry {
-  Listed server;
+  ListedServer server;
   diagnostics::Place id, address;
 };
 
@@ -92,7 +92,7 @@
 // it.
 class Builder {
  public:
-  Builder(Snapshot& list, const Limits& limits) : list_(list), limits_(limits) {
+  Builder(Snapshot& list, const ListLimits& limits) : list_(list), limits_(limits) {
     for (std::uint32_t i = 0; i < list.hubs.size(); ++i) hubs_[list.hubs[i]] = i;
     for (std::uint32_t i = 0; i < list.points.size(); ++i) points_[list.points[i].name] = i;
   }
@@ -124,7 +124,7 @@
                           diagnostics::Findings& findings) const {
     std::vector<Entry> out;
     auto tables = root.tables("server");
-    if (tables.size() > limits_.servers) {
+    if (tables.size() > limits_.max_servers) {
       too_many(tables.size(), root.place(), findings);
       return out;
     }
@@ -135,7 +135,7 @@
   }
 
   void add(std::vector<Entry>&& entries, diagnostics::Findings& findings) {
-    if (list_.servers.size() + entries.size() > limits_.servers)
+    if (list_.servers.size() + entries.size() > limits_.max_servers)
       return too_many(list_.servers.size() + entries.size(), {list_.source, 0, 0}, findings);
     list_.servers.reserve(list_.servers.size() + entries.size());
     for (auto& e : entries) add(std::move(e), findings);
@@ -147,7 +147,7 @@
     const auto id = t.text("id", true);
     const auto role = t.word("role", {"cache", "parent", "origin"}, true);
     const auto address = t.text("address", true);
-    const auto weight = t.real("weight", limits_.weight_least, limits_.weight_most, true);
+    const auto weight = t.real("weight", limits_.min_weight, limits_.max_weight, true);
     const auto state = t.word("state", {"in_service", "draining"}, true);
     const auto cell = t.integer("cell", 0, 4'000'000'000, true);
     const bool cache = !role || *role == "cache";
@@ -165,29 +165,29 @@
       return {};
     }
     Entry e;
-    Listed& s = e.server;
+    ListedServer& s = e.server;
     s.id = server_id(*id);
     s.name = *id;
     s.address = *address;
     s.role = *role == "parent" ? Role::parent : *role == "origin" ? Role::origin : Role::cache;
-    s.place = *at;
-    s.state = *state == "draining" ? State::draining : State::in_service;
+    s.location_index = *at;
+    s.state = *state == "draining" ? ServerState::draining : ServerState::in_service;
     s.cell = static_cast<std::uint32_t>(*cell);
     s.weight = *weight;
     s.line = t.place().line;
-    s.piece = piece;
+    s.piece_index = piece;
     e.id = t.place("id"), e.address = t.place("address");
     return e;
   }
 
   void add(Entry&& e, diagnostics::Findings& findings) {
-    Listed& s = e.server;
+    ListedServer& s = e.server;
     if (const auto [it, first] = ids_.emplace(s.id.value, s.line); !first)
       return findings.error(
           "L008", e.id,
           "server " + s.name + " is listed twice, first at line " + std::to_string(it->second),
           "keep one of the two");
-    if (s.state == State::in_service)
+    if (s.state == ServerState::in_service)
       if (const auto [it, first] = addresses_.emplace(s.address, s.name); !first)
         return findings.error(
             "L009", e.address, s.address + " is the address of " + it->second + " as well",
@@ -198,7 +198,7 @@
   void too_many(std::size_t n, const diagnostics::Place& place,
                 diagnostics::Findings& findings) const {
     findings.error("L013", place, std::to_string(n) + " servers are too many",
-                   "a list may have " + std::to_string(limits_.servers));
+                   "a list may have " + std::to_string(limits_.max_servers));
   }
   static bool named(const toml::Table& t, const std::string& name,
                     diagnostics::Findings& findings) {
@@ -229,7 +229,7 @@
   }
 
   Snapshot& list_;
-  const Limits& limits_;
+  const ListLimits& limits_;
   Names hubs_, points_;
   std::unordered_map<std::uint64_t, std::uint32_t> ids_;
   std::unordered_map<std::string, std::string> addresses_;
@@ -273,8 +273,8 @@
 // first server, or texts over several lines.
 std::optional<std::pair<std::string_view, std::vector<Part>>> cut(std::string_view text,
                                                                   const std::string& file,
-                                                                  const Limits& limits) {
-  if (!limits.in_parts(text.size())) return {};
+                                                                  const ListLimits& limits) {
+  if (!limits.is_read_in_parts(text.size())) return {};
   if (text.find("\"\"\"") != std::string_view::npos || text.find("'''") != std::string_view::npos)
     return {};
   std::vector<Part> parts;
@@ -309,8 +309,9 @@
                  "the file was cut off, or the count was not changed with the list");
 }
 
-std::vector<Piece> read_manifest_pieces(toml::Table& root, diagnostics::Findings& findings) {
-  std::vector<Piece> out;
+std::vector<ManifestPiece> read_manifest_pieces(toml::Table& root,
+                                                diagnostics::Findings& findings) {
+  std::vector<ManifestPiece> out;
   std::unordered_set<std::string> seen;
   for (auto& t : root.tables("piece")) {
     const auto file = t.text("file", true), digest = t.text("digest", true);
@@ -345,8 +346,10 @@
 
 unsigned spare_threads() { return std::clamp(std::thread::hardware_concurrency() / 2, 1U, 4U); }
 
-std::uint64_t digest_of(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
-std::string digest_text(std::uint64_t digest) {
+std::uint64_t compute_digest(std::string_view bytes) {
+  return XXH3_64bits(bytes.data(), bytes.size());
+}
+std::string format_digest(std::uint64_t digest) {
   char out[32];
   std::snprintf(out, sizeof out, "xxh3:%016llx", static_cast<unsigned long long>(digest));
   return out;
@@ -355,13 +358,14 @@
   if (text.starts_with(kDigestKey)) text.remove_prefix(std::min(text.size(), text.find('\n') + 1));
   std::string rest(text);
   if (rest.empty() || rest.back() != '\n') rest += '\n';
-  return std::string(kDigestKey) + digest_text(digest_of(rest)) + "\"\n" + rest;
+  return std::string(kDigestKey) + format_digest(compute_digest(rest)) + "\"\n" + rest;
 }
 
-Read read_list(std::string_view text, const std::string& file, core::Time taken,
-               const Limits& limits, diagnostics::Findings& findings) {
-  Read out;
-  if (!whole(text, file, limits.bytes, findings) || !digest_holds(text, file, findings)) return out;
+ListReadResult read_list(std::string_view text, const std::string& file, core::Time taken,
+                         const ListLimits& limits, diagnostics::Findings& findings) {
+  ListReadResult out;
+  if (!whole(text, file, limits.max_bytes, findings) || !digest_holds(text, file, findings))
+    return out;
   const std::size_t errors = findings.errors();
   const auto parts = cut(text, file, limits);
   toml::Document document(parts ? parts->first : text, file, findings, "L001");
@@ -370,14 +374,15 @@
   (void)root.text("digest");
   (void)root.integer("format", 1, 1, true);
   const auto generation = root.integer("generation", 1, 1LL << 53, true);
-  const auto servers = root.integer("servers", 1, static_cast<std::int64_t>(limits.servers), true);
+  const auto servers =
+      root.integer("servers", 1, static_cast<std::int64_t>(limits.max_servers), true);
   const auto confirm = root.integer("confirm", 1, 1LL << 53);
   auto list = std::make_shared<Snapshot>();
   list->source = file;
-  list->taken = taken;
+  list->read_at = taken;
   list->generation = static_cast<std::uint64_t>(generation.value_or(0));
-  list->confirm = static_cast<std::uint64_t>(confirm.value_or(0));
-  out.announced = static_cast<std::uint64_t>(servers.value_or(0));
+  list->confirmed_generation = static_cast<std::uint64_t>(confirm.value_or(0));
+  out.announced_servers = static_cast<std::uint64_t>(servers.value_or(0));
   Builder builder(*list, limits);
   builder.places(root, findings);
   const bool manifest = root.has("piece");
@@ -391,42 +396,42 @@
     findings.error("L004", root.place("server"), "a manifest lists pieces, not servers",
                    "move the servers into a piece");
   root.finish();
-  if (!manifest) count(*list, out.announced, findings);
+  if (!manifest) count(*list, out.announced_servers, findings);
   if (findings.errors() != errors) return {};
   if (!manifest) list->seal();
   out.list = std::move(list);
   return out;
 }
 
-SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts,
-                        const Limits& limits, diagnostics::Findings& findings) {
+SnapshotPtr read_pieces(const ListReadResult& manifest, const std::vector<std::string>& texts,
+                        const ListLimits& limits, diagnostics::Findings& findings) {
   if (!manifest.list || texts.size() != manifest.pieces.size()) return nullptr;
   auto list = std::make_shared<Snapshot>(*manifest.list);
   std::size_t bytes = 0;
   for (std::size_t i = 0; i < texts.size(); ++i) {
-    const Piece& p = manifest.pieces[i];
+    const ManifestPiece& p = manifest.pieces[i];
     bytes += texts[i].size();
-    if (bytes > limits.bytes) {
+    if (bytes > limits.max_bytes) {
       findings.error("L002", {list->source, p.line, 0},
-                     "the pieces have over " + std::to_string(limits.bytes) + " bytes in all",
+                     "the pieces have over " + std::to_string(limits.max_bytes) + " bytes in all",
                      "list fewer servers");
       return nullptr;
     }
-    if (const auto is = digest_of(texts[i]); is != p.digest)
+    if (const auto is = compute_digest(texts[i]); is != p.digest)
       findings.error("L006", {list->source, p.line, 0},
-                     "piece " + p.file + " has the digest " + digest_text(is) + ", not " +
-                         digest_text(p.digest),
+                     "piece " + p.file + " has the digest " + format_digest(is) + ", not " +
+                         format_digest(p.digest),
                      "the set is half written: write the pieces first and the manifest last");
   }
   if (!findings.good()) return nullptr;
   Builder builder(*list, limits);
   std::vector<Part> parts;
   for (std::size_t i = 0; i < texts.size(); ++i) {
-    list->pieces.push_back(manifest.pieces[i].file);
+    list->piece_files.push_back(manifest.pieces[i].file);
     parts.push_back({texts[i], manifest.pieces[i].file, static_cast<std::uint32_t>(i), 0});
   }
-  read_parts(parts, builder, limits.in_parts(bytes) ? limits.threads : 1, findings);
-  count(*list, manifest.announced, findings);
+  read_parts(parts, builder, limits.is_read_in_parts(bytes) ? limits.threads : 1, findings);
+  count(*list, manifest.announced_servers, findings);
   if (!findings.good()) return nullptr;
   list->seal();
   return list;
--- a/src/endpoints/list.h
+++ b/src/endpoints/list.h
@@ -33,43 +33,43 @@
 
 namespace alderspur::endpoints {
 
-struct Limits {
-  std::size_t bytes = 16 << 20;  // of one text, and of all pieces together
-  std::size_t servers = 100'000;
-  double weight_least = 0.001, weight_most = 1e6;
+struct ListLimits {
+  std::size_t max_bytes = 16 << 20;  // of one text, and of all pieces together
+  std::size_t max_servers = 100'000;
+  double min_weight = 0.001, max_weight = 1e6;
   // Texts of over six parts are read in parts, by so many threads; what comes out does not depend
   // on either. A tree of TOML takes some fourteen times its text, so parts bound the memory as
   // well.
   std::size_t part_bytes = 512 << 10;
   unsigned threads = 1;
-  bool in_parts(std::size_t text) const { return text > 6 * part_bytes; }
+  bool is_read_in_parts(std::size_t text) const { return text > 6 * part_bytes; }
 };
 
-struct Piece {
+struct ManifestPiece {
   std::string file;  // a plain name, no path
   std::uint64_t digest = 0;
   std::uint32_t line = 0;
 };
 // What a text turned out to be. One of the two, or neither if the findings say why.
-struct Read {
-  std::shared_ptr<Snapshot> list;  // sealed, not yet checked against the one in force
-  std::vector<Piece> pieces;       // of a manifest: `list` then has no servers yet
-  std::uint64_t announced = 0;     // servers, as the head counts them
+struct ListReadResult {
+  std::shared_ptr<Snapshot> list;       // sealed, not yet checked against the one in force
+  std::vector<ManifestPiece> pieces;    // of a manifest: `list` then has no servers yet
+  std::uint64_t announced_servers = 0;  // servers, as the head counts them
 };
 
 // How many threads a large text is worth here: half the cores, four at most, the loop keeps its
 // own.
 unsigned spare_threads();
 // Reads one text. `taken` is the time at which it was read.
-Read read_list(std::string_view text, const std::string& file, core::Time taken,
-               const Limits& limits, diagnostics::Findings& findings);
+ListReadResult read_list(std::string_view text, const std::string& file, core::Time taken,
+                         const ListLimits& limits, diagnostics::Findings& findings);
 // Reads the pieces of a manifest, in its order, and completes its list. Null with findings if any
 // is wrong.
-SnapshotPtr read_pieces(const Read& manifest, const std::vector<std::string>& texts,
-                        const Limits& limits, diagnostics::Findings& findings);
+SnapshotPtr read_pieces(const ListReadResult& manifest, const std::vector<std::string>& texts,
+                        const ListLimits& limits, diagnostics::Findings& findings);
 
-std::uint64_t digest_of(std::string_view bytes);
-std::string digest_text(std::uint64_t digest);  // "xxh3:0123456789abcdef"
+std::uint64_t compute_digest(std::string_view bytes);
+std::string format_digest(std::uint64_t digest);  // "xxh3:0123456789abcdef"
 // The text with a right first line `digest = ...`, whatever it had there before.
 std::string with_digest(std::string_view text);
 
--- a/src/endpoints/merge.cpp
+++ b/src/endpoints/merge.cpp
@@ -10,9 +10,9 @@
 }
 
 Merged alone(const Member& m, bool board) {
-  Merged out{m, Reason::as_told};
+  Merged out{m, Reason::as_listed};
   if (m.server.status == ServerStatus::draining)
-    out.reason = board ? Reason::board_drains : Reason::files_drain;
+    out.reason = board ? Reason::board_draining : Reason::files_draining;
   return out;
 }
 bool agree(const Member& a, const Member& b) {
@@ -22,20 +22,20 @@
 
 }  // namespace
 
-const char* word(Authority a) {
+const char* to_string(Authority a) {
   return a == Authority::board ? "board" : a == Authority::files ? "files" : "both";
 }
-const char* word(Reason r) {
+const char* to_string(Reason r) {
   switch (r) {
-    case Reason::as_told:
+    case Reason::as_listed:
       return "as told";
     case Reason::weight_lower:
       return "the lower of two weights";
-    case Reason::board_drains:
+    case Reason::board_draining:
       return "the board says draining";
-    case Reason::files_drain:
+    case Reason::files_draining:
       return "the files say draining";
-    case Reason::places_differ:
+    case Reason::locations_differ:
       return "board and files tell different roles, places, cells or addresses";
     case Reason::not_on_board:
       return "the board does not list it";
@@ -47,9 +47,9 @@
   return "";
 }
 
-std::optional<Merged> merge(Authority authority, const Voices& v) {
-  const bool board = authority != Authority::files && v.board_spoke;
-  const bool files = authority != Authority::board && v.files_spoke;
+std::optional<Merged> merge(Authority authority, const EndpointSources& v) {
+  const bool board = authority != Authority::files && v.has_board_list;
+  const bool files = authority != Authority::board && v.has_file_list;
   const Member* b = board ? v.board : nullptr;
   const Member* f = files ? v.files : nullptr;
   if (!b && !f) return {};
@@ -59,13 +59,13 @@
     out.member.server.status = ServerStatus::gone;
     return out;
   }
-  Merged out{*f, Reason::as_told};
+  Merged out{*f, Reason::as_listed};
   Server& s = out.member.server;
   if (!agree(*b, *f)) {
     // Danger: with two addresses one of them is another machine's; with two places a cold budget is
     // wrong. What says "gone" of itself needs no agreement.
     s.status = ServerStatus::gone;
-    out.reason = Reason::places_differ;
+    out.reason = Reason::locations_differ;
   }
   s.status = care(b->server.status) > care(s.status) ? b->server.status : s.status;
   s.started_at = std::max(s.started_at, b->server.started_at);
@@ -73,11 +73,11 @@
     s.weight = std::min(s.weight, b->server.weight);
     out.reason = std::max(out.reason, Reason::weight_lower);
   }
-  if (out.reason == Reason::places_differ) return out;
+  if (out.reason == Reason::locations_differ) return out;
   if (f->server.status == ServerStatus::draining)
-    out.reason = Reason::files_drain;
+    out.reason = Reason::files_draining;
   else if (b->server.status == ServerStatus::draining)
-    out.reason = Reason::board_drains;
+    out.reason = Reason::board_draining;
   return out;
 }
 
--- a/src/endpoints/merge.h
+++ b/src/endpoints/merge.h
@@ -15,32 +15,32 @@
 namespace alderspur::endpoints {
 
 enum class Authority { board, files, both };
-const char* word(Authority authority);
+const char* to_string(Authority authority);
 
 // Why a server stands as it does; the order is that of care.
 enum class Reason {
-  as_told,
-  weight_lower,  // the two tell different weights
-  board_drains,  // one of the two says draining
-  files_drain,
-  places_differ,  // they tell different roles, places, cells or addresses
+  as_listed,
+  weight_lower,    // the two tell different weights
+  board_draining,  // one of the two says draining
+  files_draining,
+  locations_differ,  // they tell different roles, places, cells or addresses
   not_on_board,
   not_in_files,
   flapping,  // held out by damping
 };
-const char* word(Reason reason);
+const char* to_string(Reason reason);
 
 struct Merged {
   Member member;  // status gone: not to be used at all
-  Reason reason = Reason::as_told;
+  Reason reason = Reason::as_listed;
 };
 
-struct Voices {
+struct EndpointSources {
   const Member* board = nullptr;  // null: it does not list the server
   const Member* files = nullptr;
-  bool board_spoke = false, files_spoke = false;  // a list of it is in force
+  bool has_board_list = false, has_file_list = false;  // a list of it is in force
 };
 // Nothing if neither that counts lists it.
-std::optional<Merged> merge(Authority authority, const Voices& voices);
+std::optional<Merged> merge(Authority authority, const EndpointSources& voices);
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/snapshot.cpp
+++ b/src/endpoints/snapshot.cpp
@@ -30,9 +30,10 @@
 
 }  // namespace
 
-const Listed* Snapshot::find(ServerId id) const {
-  const auto it = std::lower_bound(servers.begin(), servers.end(), id,
-                                   [](const Listed& s, ServerId wanted) { return s.id < wanted; });
+const ListedServer* Snapshot::find(ServerId id) const {
+  const auto it =
+      std::lower_bound(servers.begin(), servers.end(), id,
+                       [](const ListedServer& s, ServerId wanted) { return s.id < wanted; });
   return it != servers.end() && it->id == id ? &*it : nullptr;
 }
 
@@ -50,7 +51,7 @@
   for (const auto& [p, h] : point_names) d.text(p), d.text(h);
   d.number(servers.size());
   for (const auto& s : servers) {
-    d.text(s.name), d.text(s.address), d.text(place_name(s));
+    d.text(s.name), d.text(s.address), d.text(location_name(s));
     d.number(static_cast<int>(s.role)), d.number(static_cast<int>(s.state));
     d.number(s.cell), d.number(s.weight);
   }
@@ -61,7 +62,7 @@
   static const Snapshot kNothing;
   const Snapshot& old = from ? *from : kNothing;
   Difference d;
-  d.places = old.points != to.points || old.hubs != to.hubs;
+  d.has_location_changes = old.points != to.points || old.hubs != to.hubs;
   auto a = old.servers.begin();
   auto b = to.servers.begin();
   while (a != old.servers.end() || b != to.servers.end()) {
@@ -73,17 +74,18 @@
       d.added.push_back((b++)->id);
       continue;
     }
-    const Listed &was = *a++, &is = *b++;
-    if (was.state == State::in_service && is.state == State::draining)
+    const ListedServer &was = *a++, &is = *b++;
+    if (was.state == ServerState::in_service && is.state == ServerState::draining)
       d.drained.push_back(is.id);
     else if (was.address != is.address)
       d.moved.push_back(is.id);
-    else if (was.role != is.role || was.cell != is.cell || old.place_name(was) != to.place_name(is))
-      d.other.push_back(is.id);
+    else if (was.role != is.role || was.cell != is.cell ||
+             old.location_name(was) != to.location_name(is))
+      d.reassigned.push_back(is.id);
     else if (was.state != is.state)
-      d.returned.push_back(is.id);
+      d.reinstated.push_back(is.id);
     else if (was.weight != is.weight)
-      d.weighted.push_back(is.id);
+      d.reweighted.push_back(is.id);
   }
   return d;
 }
@@ -101,18 +103,20 @@
   say(d.added.size(), "added");
   say(d.removed.size(), "removed");
   say(d.drained.size(), "drained");
-  say(d.returned.size(), "back in service");
+  say(d.reinstated.size(), "back in service");
   say(d.moved.size(), "at another address");
-  say(d.weighted.size(), "of another weight");
-  say(d.other.size(), "of another role, place or cell");
-  if (d.places) out += d.size() ? ", points or hubs" : " points or hubs";
-  if (d.empty()) out += " nothing changes";
+  say(d.reweighted.size(), "of another weight");
+  say(d.reassigned.size(), "of another role, place or cell");
+  if (d.has_location_changes) out += d.server_count() ? ", points or hubs" : " points or hubs";
+  if (d.is_empty()) out += " nothing changes";
   return out;
 }
 
-const char* word(Role role) {
+const char* to_string(Role role) {
   return role == Role::cache ? "cache" : role == Role::parent ? "parent" : "origin";
 }
-const char* word(State state) { return state == State::in_service ? "in_service" : "draining"; }
+const char* to_string(ServerState state) {
+  return state == ServerState::in_service ? "in_service" : "draining";
+}
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/snapshot.h
+++ b/src/endpoints/snapshot.h
@@ -17,21 +17,22 @@
 
 namespace alderspur::endpoints {
 
-enum class State : std::uint8_t { in_service, draining };
+enum class ServerState : std::uint8_t { in_service, draining };
 
-struct Listed {
+struct ListedServer {
   ServerId id{};
   std::string name, address;
   Role role = Role::cache;
-  std::uint32_t place = 0;  // caches: in points; parents and origins: in hubs
-  State state = State::in_service;
+  std::uint32_t location_index = 0;  // caches: in points; parents and origins: in hubs
+  ServerState state = ServerState::in_service;
   std::uint32_t cell = 0;
   double weight = 1;
-  std::uint32_t line = 0, piece = 0;  // where it stands; no part of what it means
+  std::uint32_t line = 0, piece_index = 0;  // where it stands; no part of what it means
 
-  bool same(const Listed& o) const {
+  bool same(const ListedServer& o) const {
     return id == o.id && name == o.name && address == o.address && role == o.role &&
-           place == o.place && state == o.state && cell == o.cell && weight == o.weight;
+           location_index == o.location_index && state == o.state && cell == o.cell &&
+           weight == o.weight;
   }
 };
 struct Point {
@@ -42,21 +43,21 @@
 
 struct Snapshot {
   std::uint64_t generation = 0;
-  std::uint64_t confirm = 0;  // the generation whose large removals are meant, 0: none
-  std::string source;         // a path
-  std::vector<std::string> pieces;
-  core::Time taken = 0;      // Unix microseconds at which it was read; not a part of its meaning
+  std::uint64_t confirmed_generation = 0;  // the generation whose large removals are meant, 0: none
+  std::string source;                      // a path
+  std::vector<std::string> piece_files;
+  core::Time read_at = 0;    // Unix microseconds at which it was read; not a part of its meaning
   std::uint64_t digest = 0;  // XXH3 of what it means: the same list in another order has the same
   std::vector<std::string> hubs;
   std::vector<Point> points;
-  std::vector<Listed> servers;
+  std::vector<ListedServer> servers;
 
-  const Listed* find(ServerId id) const;
-  const std::string& place_name(const Listed& s) const {
-    return s.role == Role::cache ? points[s.place].name : hubs[s.place];
+  const ListedServer* find(ServerId id) const;
+  const std::string& location_name(const ListedServer& s) const {
+    return s.role == Role::cache ? points[s.location_index].name : hubs[s.location_index];
   }
-  const std::string& file_of(const Listed& s) const {
-    return s.piece < pieces.size() ? pieces[s.piece] : source;
+  const std::string& file_of(const ListedServer& s) const {
+    return s.piece_index < piece_files.size() ? piece_files[s.piece_index] : source;
   }
   // Sorts and computes the digest; once, by whoever made it.
   void seal();
@@ -66,15 +67,15 @@
 // What of one snapshot differs from another, by meaning. Ids; the removed ones are looked up in
 // `from`.
 struct Difference {
-  std::vector<ServerId> added, removed, drained, returned, moved, weighted, other;
-  bool places = false;  // points or hubs
-  bool empty() const {
-    return added.empty() && removed.empty() && drained.empty() && returned.empty() &&
-           moved.empty() && weighted.empty() && other.empty() && !places;
+  std::vector<ServerId> added, removed, drained, reinstated, moved, reweighted, reassigned;
+  bool has_location_changes = false;  // points or hubs
+  bool is_empty() const {
+    return added.empty() && removed.empty() && drained.empty() && reinstated.empty() &&
+           moved.empty() && reweighted.empty() && reassigned.empty() && !has_location_changes;
   }
-  std::size_t size() const {
-    return added.size() + removed.size() + drained.size() + returned.size() + moved.size() +
-           weighted.size() + other.size();
+  std::size_t server_count() const {
+    return added.size() + removed.size() + drained.size() + reinstated.size() + moved.size() +
+           reweighted.size() + reassigned.size();
   }
 };
 // A null `from` stands for the empty list. A server that differs in several ways is named under the
@@ -83,7 +84,7 @@
 // "generation 7 to 8: 2 added, 1 drained, 3 weights"
 std::string summary(const Snapshot* from, const Snapshot& to, const Difference& difference);
 
-const char* word(Role role);
-const char* word(State state);
+const char* to_string(Role role);
+const char* to_string(ServerState state);
 
 }  // namespace alderspur::endpoints
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -251,10 +251,11 @@
     return all.empty() || std::find(all.begin(), all.end(), one) != all.end();
   };
   for (const auto& s : list.servers) {
-    if (s.role != p.role || s.state != endpoints::State::in_service || s.weight < p.weight_least)
+    if (s.role != p.role || s.state != endpoints::ServerState::in_service ||
+        s.weight < p.weight_least)
       continue;
-    const auto& place = list.place_name(s);
-    const auto& hub = s.role == Role::cache ? list.hubs[list.points[s.place].hub] : place;
+    const auto& place = list.location_name(s);
+    const auto& hub = s.role == Role::cache ? list.hubs[list.points[s.location_index].hub] : place;
     if (s.role == Role::cache && !among(p.points, place)) continue;
     if (among(p.hubs, hub) && among(p.cells, s.cell)) out.push_back(s.id);
   }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -54,17 +54,17 @@
 }
 
 void read_damping(toml::Table t, endpoints::DampingSettings& d, diagnostics::Findings& findings) {
-  if (const auto v = t.flag("on")) d.on = *v;
-  if (const auto v = t.real("departure", 1, 1e6)) d.departure = *v;
-  if (const auto v = t.real("suppress", 1, 1e6)) d.suppress = *v;
-  if (const auto v = t.real("reuse", 1, 1e6)) d.reuse = *v;
+  if (const auto v = t.flag("on")) d.is_enabled = *v;
+  if (const auto v = t.real("departure", 1, 1e6)) d.departure_penalty = *v;
+  if (const auto v = t.real("suppress", 1, 1e6)) d.suppress_threshold = *v;
+  if (const auto v = t.real("reuse", 1, 1e6)) d.reuse_threshold = *v;
   if (const auto v = t.duration("half_life", 100 * kMilli, 24 * kHour)) d.half_life = *v;
-  if (const auto v = t.duration("longest", 100 * kMilli, 24 * kHour)) d.longest = *v;
-  if (d.reuse >= d.suppress)
-    findings.error(
-        "S002", t.place("reuse"), "reuse must be lower than suppress",
-        "a server held out at " + std::to_string(d.suppress) + " would be let back at once");
-  if (d.longest < d.half_life)
+  if (const auto v = t.duration("longest", 100 * kMilli, 24 * kHour)) d.max_suppress_time = *v;
+  if (d.reuse_threshold >= d.suppress_threshold)
+    findings.error("S002", t.place("reuse"), "reuse must be lower than suppress",
+                   "a server held out at " + std::to_string(d.suppress_threshold) +
+                       " would be let back at once");
+  if (d.max_suppress_time < d.half_life)
     findings.error("S002", t.place("longest"), "longest is shorter than half_life",
                    "no penalty could reach suppress");
   t.finish();
@@ -84,15 +84,15 @@
   if (const auto v = t.duration("oldest", kSecond, 365 * 24 * kHour)) m.oldest = *v;
   if (const auto v = t.duration("settle", kMilli, 400 * kMilli)) m.settle = *v;
   if (const auto v = t.duration("poll", 20 * kMilli, 3600 * kSecond)) m.poll = *v;
-  if (const auto v = t.real("most_out", 0, 1)) m.bounds.most_out = *v;
-  if (const auto v = t.real("weight_step", 1.01, 100)) m.fleet.weight_step = *v;
-  if (const auto v = t.duration("weight_every", 10 * kMilli, kHour)) m.fleet.weight_every = *v;
+  if (const auto v = t.real("most_out", 0, 1)) m.bounds.max_lost_fraction = *v;
+  if (const auto v = t.real("weight_step", 1.01, 100)) m.fleet.max_weight_factor = *v;
+  if (const auto v = t.duration("weight_every", 10 * kMilli, kHour)) m.fleet.weight_interval = *v;
   if (const auto v = t.size("most_bytes", 1024, 16 << 20))
-    m.limits.bytes = static_cast<std::size_t>(*v);
+    m.limits.max_bytes = static_cast<std::size_t>(*v);
   if (const auto v = t.integer("most_servers", 1, 100'000))
-    m.limits.servers = static_cast<std::size_t>(*v);
-  if (const auto v = t.real("weight_least", 1e-6, 1e6)) m.limits.weight_least = *v;
-  if (const auto v = t.real("weight_most", 1e-6, 1e9)) m.limits.weight_most = *v;
+    m.limits.max_servers = static_cast<std::size_t>(*v);
+  if (const auto v = t.real("weight_least", 1e-6, 1e6)) m.limits.min_weight = *v;
+  if (const auto v = t.real("weight_most", 1e-6, 1e9)) m.limits.max_weight = *v;
   read_damping(t.table("damping"), m.fleet.damping, findings);
   t.finish();
   return m;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -23,8 +23,8 @@
 
 struct Membership {
   endpoints::EndpointSetSettings fleet;
-  endpoints::Bounds bounds;
-  endpoints::Limits limits;
+  endpoints::ChangeLimits bounds;
+  endpoints::ListLimits limits;
   std::string list;                    // a file, or a directory with a manifest
   std::string state;                   // a directory; empty: nothing is kept through a restart
   core::Time oldest = 86'400'000'000;  // a kept list older than this is not started from
--- a/src/store/endpoint_state.cpp
+++ b/src/store/endpoint_state.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kBytesPerServer = 96;
 constexpr std::size_t kBytesOfHead = 64;
 constexpr std::uint8_t kMaxRole = static_cast<std::uint8_t>(Role::origin);
-constexpr std::uint8_t kMaxState = static_cast<std::uint8_t>(endpoints::State::draining);
+constexpr std::uint8_t kMaxState = static_cast<std::uint8_t>(endpoints::ServerState::draining);
 
 /// Creates a vector of what `encode_one` makes of each element.
 template <class Encoded, class Element, class EncodeOne>
@@ -35,22 +35,22 @@
   return text ? text->str() : std::string();
 }
 
-bool is_usable(const endpoints::Listed& server, const endpoints::Snapshot& list) {
+bool is_usable(const endpoints::ListedServer& server, const endpoints::Snapshot& list) {
   const auto place_count = server.role == Role::cache ? list.points.size() : list.hubs.size();
-  return !server.name.empty() && core::is_plain_word(server.name) && server.place < place_count &&
-         std::isfinite(server.weight) && server.weight > 0;
+  return !server.name.empty() && core::is_plain_word(server.name) &&
+         server.location_index < place_count && std::isfinite(server.weight) && server.weight > 0;
 }
 
-std::optional<endpoints::Listed> decode_server(const fb::Server& stored,
-                                               const endpoints::Snapshot& list) {
+std::optional<endpoints::ListedServer> decode_server(const fb::Server& stored,
+                                                     const endpoints::Snapshot& list) {
   if (stored.role() > kMaxRole || stored.state() > kMaxState) return {};
-  endpoints::Listed server;
+  endpoints::ListedServer server;
   server.name = to_std_string(stored.name());
   server.id = endpoints::server_id(server.name);
   server.address = to_std_string(stored.address());
   server.role = static_cast<Role>(stored.role());
-  server.place = stored.place();
-  server.state = static_cast<endpoints::State>(stored.state());
+  server.location_index = stored.place();
+  server.state = static_cast<endpoints::ServerState>(stored.state());
   server.cell = stored.cell();
   server.weight = stored.weight();
   if (!is_usable(server, list)) return {};
@@ -62,7 +62,7 @@
   auto list = std::make_shared<endpoints::Snapshot>();
   list->generation = state.generation();
   list->source = to_std_string(state.source());
-  list->taken = state.taken();
+  list->read_at = state.taken();
   for (const auto* hub : *state.hubs()) list->hubs.push_back(to_std_string(hub));
   for (const auto* point : *state.points()) {
     if (point->hub() >= list->hubs.size()) return nullptr;
@@ -130,21 +130,21 @@
         return fb::CreatePoint(builder, builder.CreateString(point.name), point.hub);
       });
   const auto servers =
-      encode_each<fb::Server>(builder, list.servers, [&](const endpoints::Listed& server) {
+      encode_each<fb::Server>(builder, list.servers, [&](const endpoints::ListedServer& server) {
         const auto name = builder.CreateString(server.name);
         const auto address = builder.CreateString(server.address);
         return fb::CreateServer(builder, name, address, static_cast<std::uint8_t>(server.role),
-                                server.place, static_cast<std::uint8_t>(server.state), server.cell,
-                                server.weight);
+                                server.location_index, static_cast<std::uint8_t>(server.state),
+                                server.cell, server.weight);
       });
   const auto remembered = encode_each<fb::Remembered>(
       builder, state.remembered, [&](const endpoints::Remembered& server) {
-        return fb::CreateRemembered(builder, server.id.value, server.born, server.weight,
-                                    server.penalty, server.penalty_at, server.held);
+        return fb::CreateRemembered(builder, server.id.value, server.started_at, server.weight,
+                                    server.penalty, server.penalty_at, server.is_suppressed);
       });
   const auto source = builder.CreateString(list.source);
   fb::FinishStateBuffer(
-      builder, fb::CreateState(builder, kFormat, list.generation, source, list.taken, list.digest,
+      builder, fb::CreateState(builder, kFormat, list.generation, source, list.read_at, list.digest,
                                state.saved_at, hubs, points, servers, remembered));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -157,9 +157,10 @@
   for (const char id : std::string("abcdef"))
     for (const auto& x : s.servers)
       if (x.name[0] == id)
-        out += std::string(
-                   1, x.state == endpoints::State::draining ? static_cast<char>(id - 32) : id) +
-               std::to_string(static_cast<int>(x.weight));
+        out +=
+            std::string(
+                1, x.state == endpoints::ServerState::draining ? static_cast<char>(id - 32) : id) +
+            std::to_string(static_cast<int>(x.weight));
   return out;
 }
 
--- a/tests/endpoints_test.cpp
+++ b/tests/endpoints_test.cpp
@@ -166,10 +166,10 @@
   wrong = replaced(wrong, "\"127.2.0.2:90\"", "\"nowhere\"");
   for (const auto& text : {fine, with_point_last, twice, wrong, fine.substr(0, fine.size() - 7)}) {
     diagnostics::Findings one, four;
-    Limits limits;
+    ListLimits limits;
     const auto a = read_list(text, "s", kStart, limits, one);
     limits.part_bytes = 2000, limits.threads = 4;
-    ASSERT_TRUE(limits.in_parts(text.size()));
+    ASSERT_TRUE(limits.is_read_in_parts(text.size()));
     const auto b = read_list(text, "s", kStart, limits, four);
     ASSERT_EQ(a.list == nullptr, b.list == nullptr);
     if (a.list) {
@@ -195,7 +195,7 @@
   head = replaced(head, "servers = 0", "servers = 4");
   for (std::size_t i = 0; i < 2; ++i)
     head += "[[piece]]\nfile = \"p" + std::to_string(i) + ".toml\"\ndigest = \"" +
-            digest_text(digest_of(texts[i])) + "\"\n";
+            format_digest(compute_digest(texts[i])) + "\"\n";
   diagnostics::Findings f;
   const auto manifest = read_list(head, "manifest.toml", kStart, {}, f);
   ASSERT_TRUE(manifest.list);
@@ -232,22 +232,22 @@
     Reason reason;
   };
   const std::vector<Case> cases = {
-      {member(R, 4, 0), member(R, 4, 0), R, 4, 0, Reason::as_told},
+      {member(R, 4, 0), member(R, 4, 0), R, 4, 0, Reason::as_listed},
       {member(R, 2, 9), member(R, 4, 0), R, 2, 9, Reason::weight_lower},
-      {member(R, 4, 0), member(D, 4, 0), D, 4, 0, Reason::files_drain},
-      {member(D, 4, 0), member(R, 4, 0), D, 4, 0, Reason::board_drains},
+      {member(R, 4, 0), member(D, 4, 0), D, 4, 0, Reason::files_draining},
+      {member(D, 4, 0), member(R, 4, 0), D, 4, 0, Reason::board_draining},
       {member(R, 4, 0), {}, G, 4, 0, Reason::not_in_files},
       {{}, member(R, 4, 0), G, 4, 0, Reason::not_on_board},
-      {member(R, 4, 0), member(R, 4, 0, "127.0.0.1:2"), G, 4, 0, Reason::places_differ},
+      {member(R, 4, 0), member(R, 4, 0, "127.0.0.1:2"), G, 4, 0, Reason::locations_differ},
   };
   for (const auto& c : cases) {
     const auto m = merge(Authority::both, {c.board ? &*c.board : nullptr,
                                            c.files ? &*c.files : nullptr, true, true});
     ASSERT_TRUE(m);
-    EXPECT_EQ(m->member.server.status, c.status) << word(c.reason);
-    EXPECT_EQ(m->member.server.weight, c.weight) << word(c.reason);
-    EXPECT_EQ(m->member.server.started_at, c.born) << word(c.reason);
-    EXPECT_EQ(m->reason, c.reason) << word(c.reason);
+    EXPECT_EQ(m->member.server.status, c.status) << to_string(c.reason);
+    EXPECT_EQ(m->member.server.weight, c.weight) << to_string(c.reason);
+    EXPECT_EQ(m->member.server.started_at, c.born) << to_string(c.reason);
+    EXPECT_EQ(m->reason, c.reason) << to_string(c.reason);
   }
   const auto a = member(R, 4, 0), b = member(D, 2, 0);
   EXPECT_EQ(merge(Authority::both, {&a, nullptr, true, false})->member.server.status, R)
@@ -288,18 +288,18 @@
 TEST(Damping, WhoeverComesAndGoesIsHeldOutForAWhile) {
   DampingSettings s;
   FlapDamping f;
-  f.left(0, s);
-  f.left(kSecond, s);
-  EXPECT_FALSE(f.held(kSecond, s)) << "twice may be a restart gone wrong";
-  f.left(2 * kSecond, s);
-  EXPECT_TRUE(f.held(2 * kSecond, s));
-  const Time free = f.free_at(2 * kSecond, s);
-  EXPECT_TRUE(f.held(free - kSecond / 10, s));
-  EXPECT_FALSE(f.held(free, s));
+  f.record_departure(0, s);
+  f.record_departure(kSecond, s);
+  EXPECT_FALSE(f.update_suppressed(kSecond, s)) << "twice may be a restart gone wrong";
+  f.record_departure(2 * kSecond, s);
+  EXPECT_TRUE(f.update_suppressed(2 * kSecond, s));
+  const Time free = f.reuse_time(2 * kSecond, s);
+  EXPECT_TRUE(f.update_suppressed(free - kSecond / 10, s));
+  EXPECT_FALSE(f.update_suppressed(free, s));
   EXPECT_GT(free, 20 * kSecond);
-  for (int i = 0; i < 100; ++i) f.left(free, s);
-  EXPECT_TRUE(f.held(free, s));
-  EXPECT_LE(f.free_at(free, s), free + s.longest + kSecond / 1000)
+  for (int i = 0; i < 100; ++i) f.record_departure(free, s);
+  EXPECT_TRUE(f.update_suppressed(free, s));
+  EXPECT_LE(f.reuse_time(free, s), free + s.max_suppress_time + kSecond / 1000)
       << "never for longer than the bound";
   EXPECT_EQ(f.penalty(free - 50 * kSecond, s), f.penalty(free, s))
       << "a clock that steps back adds nothing";
@@ -315,20 +315,23 @@
         read_list(text_of(generation, servers, "confirm = " + std::to_string(generation) + "\n"),
                   "servers.toml", now, {}, f);
     EXPECT_TRUE(next.list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
-    CandidateList o{
-        next.list, fleet.in_force(), difference(fleet.in_force().get(), *next.list), {}, {}};
-    zones_of(*next.list, {"hub", "edge-1", "edge-2"}, o.point_zones, o.hub_zones, f);
-    EXPECT_TRUE(fleet.files(o, now));
+    CandidateList o{next.list,
+                    fleet.current_list(),
+                    difference(fleet.current_list().get(), *next.list),
+                    {},
+                    {}};
+    resolve_zones(*next.list, {"hub", "edge-1", "edge-2"}, o.point_zones, o.hub_zones, f);
+    EXPECT_TRUE(fleet.apply_list(o, now));
     pull();
     return next.list;
   }
   void at(Time now) {
-    for (int i = 0; i < 1000 && fleet.next() <= now; ++i) fleet.advance(now);
+    for (int i = 0; i < 1000 && fleet.next_wakeup() <= now; ++i) fleet.advance(now);
     pull();
   }
   void pull() {
     bool ready_seen = false;
-    for (const auto& c : fleet.take()) {
+    for (const auto& c : fleet.take_changes()) {
       const bool ready = c.member.server.status == ServerStatus::ready;
       EXPECT_FALSE(ready_seen && !ready) << "departures come first";
       ready_seen |= ready;
@@ -384,7 +387,7 @@
     before = f.told["a"].weight, ++steps;
   }
   EXPECT_EQ(f.told["a"].weight, 16.0);
-  EXPECT_EQ(f.fleet.next(), std::numeric_limits<Time>::max()) << "nothing is left to do";
+  EXPECT_EQ(f.fleet.next_wakeup(), std::numeric_limits<Time>::max()) << "nothing is left to do";
 }
 
 TEST(Fleet, AServerThatFlapsIsHeldOutButNeverTheLastOfItsPlace) {
@@ -445,7 +448,7 @@
   EXPECT_EQ(f.told.size(), 4u);
   f.fleet.advance(kStart + kSecond);
   f.pull();
-  EXPECT_EQ(f.told.size(), 4u + EndpointSet::kAtOnce);
+  EXPECT_EQ(f.told.size(), 4u + EndpointSet::kMaxChangesPerTurn);
   f.at(kStart + kSecond);
   EXPECT_EQ(f.told.size(), 2504u);
 }
@@ -457,8 +460,8 @@
   auto member = [](const char* id, const char* at, std::uint32_t zone) {
     return Member{{server_id(id), Role::cache, {zone}, {0}, ServerStatus::ready, 4, 0}, id, at};
   };
-  f.fleet.board(true, {member("a", "127.0.0.1:1", 1), member("b", "127.0.0.1:3", 1)},
-                kStart + kSecond);
+  f.fleet.apply_board_update(true, {member("a", "127.0.0.1:1", 1), member("b", "127.0.0.1:3", 1)},
+                             kStart + kSecond);
   f.pull();
   EXPECT_EQ(f.told["a"].status, ServerStatus::ready);
   EXPECT_EQ(f.told["b"].status, ServerStatus::gone) << "another address";
@@ -497,7 +500,7 @@
     list = f.list(v, t += static_cast<Time>(random() % 3'000'000));
     for (const auto& [name, s] : f.told) {
       const auto* now = list->find(server_id(name));
-      if (s.status == ServerStatus::ready) RC_ASSERT(now && now->state == State::in_service);
+      if (s.status == ServerStatus::ready) RC_ASSERT(now && now->state == ServerState::in_service);
     }
     if (random() % 2) f.at(t);
   }
@@ -506,7 +509,7 @@
     const auto& told = f.told[s.name];
     RC_ASSERT(told.weight == s.weight);
     RC_ASSERT(told.status ==
-              (s.state == State::in_service ? ServerStatus::ready : ServerStatus::draining));
+              (s.state == ServerState::in_service ? ServerStatus::ready : ServerStatus::draining));
   }
   for (const auto& [name, s] : f.told)
     RC_ASSERT(list->find(server_id(name)) || s.status == ServerStatus::gone);
@@ -550,7 +553,7 @@
     RC_ASSERT(list->generation > 5 || list->digest == in_force->digest);
     diagnostics::Findings g;
     const auto twice = read(text, g, list.get());
-    RC_ASSERT(twice && twice->digest == list->digest && difference(list.get(), *twice).empty());
+    RC_ASSERT(twice && twice->digest == list->digest && difference(list.get(), *twice).is_empty());
   }
 }
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -25,11 +25,11 @@
   auto list = std::make_shared<endpoints::Snapshot>();
   list->generation = generation;
   list->source = "servers.toml";
-  list->taken = 17;
+  list->read_at = 17;
   list->hubs = {"north"};
   list->points = {{"edge-1", 0}};
   for (std::size_t i = 0; i < server_count; ++i) {
-    endpoints::Listed server;
+    endpoints::ListedServer server;
     server.name = "s-" + std::to_string(i);
     server.id = endpoints::server_id(server.name);
     server.address = "127.0.0.1:" + std::to_string(1 + i % 60000);
@@ -69,9 +69,9 @@
   EXPECT_EQ(loaded.state->list->generation, 3U);
   EXPECT_EQ(loaded.state->saved_at, 99);
   ASSERT_EQ(loaded.state->remembered.size(), 1U);
-  EXPECT_EQ(loaded.state->remembered[0].born, 5);
-  EXPECT_TRUE(loaded.state->remembered[0].held);
-  EXPECT_TRUE(endpoints::difference(saved.list.get(), *loaded.state->list).empty());
+  EXPECT_EQ(loaded.state->remembered[0].started_at, 5);
+  EXPECT_TRUE(loaded.state->remembered[0].is_suppressed);
+  EXPECT_TRUE(endpoints::difference(saved.list.get(), *loaded.state->list).is_empty());
 }
 
 // SIGKILL at each step of the write: either the old content is there or the new one, and the next
@@ -132,13 +132,13 @@
   return std::string(ALDERSPUR_TEST_DATA) + "/store/membership.state";
 }
 
-void expect_server(const endpoints::Snapshot& list, const endpoints::Listed& expected) {
+void expect_server(const endpoints::Snapshot& list, const endpoints::ListedServer& expected) {
   const auto* server = list.find(endpoints::server_id(expected.name));
   ASSERT_TRUE(server) << expected.name;
   EXPECT_EQ(server->name, expected.name);
   EXPECT_EQ(server->address, expected.address) << expected.name;
   EXPECT_EQ(server->role, expected.role) << expected.name;
-  EXPECT_EQ(server->place, expected.place) << expected.name;
+  EXPECT_EQ(server->location_index, expected.location_index) << expected.name;
   EXPECT_EQ(server->state, expected.state) << expected.name;
   EXPECT_EQ(server->cell, expected.cell) << expected.name;
   EXPECT_EQ(server->weight, expected.weight) << expected.name;
@@ -151,17 +151,20 @@
   const auto& list = *loaded.state->list;
   EXPECT_EQ(list.generation, 12U);
   EXPECT_EQ(list.source, "/etc/alderspur/servers.toml");
-  EXPECT_EQ(list.taken, 1'764'000'000'000'000);
+  EXPECT_EQ(list.read_at, 1'764'000'000'000'000);
   EXPECT_EQ(list.digest, 14532761151297823349U);
   EXPECT_EQ(list.hubs, std::vector<std::string>{"north"});
   EXPECT_EQ(list.points, (std::vector<endpoints::Point>{{"edge-1", 0}, {"edge-2", 0}}));
   ASSERT_EQ(list.servers.size(), 4U);
-  using endpoints::State;
-  expect_server(list, {{}, "cache-a", "127.0.0.1:4201", Role::cache, 0, State::in_service, 0, 4});
-  expect_server(list, {{}, "cache-b", "127.0.0.1:4202", Role::cache, 1, State::draining, 3, 2.5});
-  expect_server(list, {{}, "parent-a", "127.0.0.1:4301", Role::parent, 0, State::in_service, 0, 8});
+  using endpoints::ServerState;
   expect_server(list,
-                {{}, "origin-a", "127.0.0.1:4401", Role::origin, 0, State::in_service, 1, 10});
+                {{}, "cache-a", "127.0.0.1:4201", Role::cache, 0, ServerState::in_service, 0, 4});
+  expect_server(list,
+                {{}, "cache-b", "127.0.0.1:4202", Role::cache, 1, ServerState::draining, 3, 2.5});
+  expect_server(list,
+                {{}, "parent-a", "127.0.0.1:4301", Role::parent, 0, ServerState::in_service, 0, 8});
+  expect_server(
+      list, {{}, "origin-a", "127.0.0.1:4401", Role::origin, 0, ServerState::in_service, 1, 10});
   EXPECT_EQ(list.find({11068878732441099195U}), list.find(endpoints::server_id("cache-a")));
 }
 
@@ -171,17 +174,17 @@
   const auto& remembered = loaded.state->remembered;
   ASSERT_EQ(remembered.size(), 2U);
   EXPECT_EQ(remembered[0].id, endpoints::server_id("cache-a"));
-  EXPECT_EQ(remembered[0].born, 1'763'999'000'000'000);
+  EXPECT_EQ(remembered[0].started_at, 1'763'999'000'000'000);
   EXPECT_EQ(remembered[0].weight, 2.5);
   EXPECT_EQ(remembered[0].penalty, 1750.5);
   EXPECT_EQ(remembered[0].penalty_at, 1'763'999'900'000'000);
-  EXPECT_TRUE(remembered[0].held);
+  EXPECT_TRUE(remembered[0].is_suppressed);
   EXPECT_EQ(remembered[1].id, endpoints::server_id("cache-b"));
-  EXPECT_EQ(remembered[1].born, 0);
+  EXPECT_EQ(remembered[1].started_at, 0);
   EXPECT_EQ(remembered[1].weight, 0);
   EXPECT_EQ(remembered[1].penalty, 300.25);
   EXPECT_EQ(remembered[1].penalty_at, 1'763'999'950'000'000);
-  EXPECT_FALSE(remembered[1].held);
+  EXPECT_FALSE(remembered[1].is_suppressed);
 }
 
 TEST(StoredEndpointState, IsWrittenWithTheSameBytesAsBeforeTheRename) {
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -34,8 +34,8 @@
     folder = ::mkdtemp(name);
     path = folder + "/servers.toml";
     settings.list = path;
-    settings.fleet.damping.on = false;
-    settings.bounds.most_out = 0.7;
+    settings.fleet.damping.is_enabled = false;
+    settings.bounds.max_lost_fraction = 0.7;
   }
   void TearDown() override {
     stop();
@@ -148,7 +148,7 @@
                        [&](auto& l) { return l.find(what) != std::string::npos; });
   }
   bool in_force(std::uint64_t generation) {
-    return keeper->fleet().in_force()->generation == generation;
+    return keeper->fleet().current_list()->generation == generation;
   }
   // The change acts within a second: by the log's figures and by the first request to the box.
   core::Time change(const std::function<void()>& what, std::uint64_t generation) {
@@ -312,7 +312,7 @@
 }
 
 TEST_F(Watched, ADrainedBoxGetsNothingNewAndARemovedOneNeither) {
-  settings.bounds.most_out = 1;
+  settings.bounds.max_lost_fraction = 1;
   rename_in(list(1, {{"a", &box[0]}, {"b", &box[1]}, {"c", &box[2]}}));
   start();
   ASSERT_TRUE(until([&] {
@@ -359,7 +359,7 @@
     t.replace(t.find("servers = 1"), 11, "servers = " + std::to_string(n));
     for (std::size_t i = 0; i < texts.size(); ++i)
       t += "[[piece]]\nfile = \"p" + std::to_string(i) + ".toml\"\ndigest = \"" +
-           endpoints::digest_text(endpoints::digest_of(texts[i])) + "\"\n";
+           endpoints::format_digest(endpoints::compute_digest(texts[i])) + "\"\n";
     return t;
   };
   const auto put = [&](const std::string& name, const std::string& text) {
