--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -182,9 +182,8 @@
         diagnostics::Findings findings;
         const auto read = endpoints::read_list(text, name, 0, {}, findings);
         if (read.list && findings.good()) endpoints::check_alone(*read.list, findings);
-        std::vector<std::uint32_t> points, hubs;
         if (read.list && findings.good())
-          endpoints::resolve_zones(*read.list, config.names.zones, points, hubs, findings);
+          (void)endpoints::resolve_zones(*read.list, config.names.zones, findings);
         if (!findings.good()) reason = diagnostics::to_string(findings.list()[0]);
       } else if (name == "routes") {
         const auto file = folder + "/checked.alder";
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -97,9 +97,9 @@
     return {};
   }
   endpoints::CandidateList offer{
-      restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}, {}};
+      restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}};
   diagnostics::Findings findings;
-  resolve_zones(*offer.list, shared_->zones, offer.point_zones, offer.hub_zones, findings);
+  offer.zones = resolve_zones(*offer.list, shared_->zones, findings);
   check_alone(*offer.list, findings);
   if (!findings.good()) {
     log_.record(kName, log::Level::warning, "state_unusable",
@@ -165,8 +165,8 @@
     check_change(in_force.get(), *list, s.bounds, findings);
   }
   if (list && findings.good()) {
-    endpoints::CandidateList offer{list, in_force, difference(in_force.get(), *list), {}, {}};
-    resolve_zones(*list, shared.zones, offer.point_zones, offer.hub_zones, findings);
+    endpoints::CandidateList offer{list, in_force, difference(in_force.get(), *list), {}};
+    offer.zones = resolve_zones(*list, shared.zones, findings);
     out.unchanged = in_force && in_force->generation == list->generation;
     if (findings.good() && !out.unchanged) out.offer = std::move(offer);
   }
--- a/src/endpoints/check.cpp
+++ b/src/endpoints/check.cpp
@@ -1,145 +1,193 @@
 #include "endpoints/check.h"
 
-#include <algorithm>
+#include <cmath>
+#include <cstddef>
 #include <map>
+#include <string_view>
 #include <unordered_map>
 
 namespace alderspur::endpoints {
 namespace {
 
-struct Tally {
-  std::size_t before = 0, out = 0, left = 0;
+/// The servers in service of a point or a role in two successive lists.
+struct ServiceChange {
+  std::size_t before = 0;
+  std::size_t lost = 0;  // of those before
+  std::size_t after = 0;
 };
-std::string percent(double part) {
-  return std::to_string(static_cast<int>(part * 100 + 0.5)) + "%";
+
+struct ServiceCount {
+  std::size_t in_service = 0;
+};
+
+std::string percent(double fraction) { return std::to_string(std::lround(fraction * 100)) + "%"; }
+
+bool is_in_service(const ListedServer* server) {
+  return server && server->state == ServerState::in_service;
 }
 
-bool serves(const ListedServer* s) { return s && s->state == ServerState::in_service; }
+diagnostics::Place place_of(const Snapshot& list) { return {list.source, 0, 0}; }
 
-void too_much(const Snapshot& next, const std::string& what, const Tally& t,
-              const ChangeLimits& bounds, diagnostics::Findings& findings) {
-  if (t.before == 0 ||
-      static_cast<double>(t.out) <= bounds.max_lost_fraction * static_cast<double>(t.before))
-    return;
+void check_loss(const Snapshot& next, const std::string& what, const ServiceChange& change,
+                const ChangeLimits& limits, diagnostics::Findings& findings) {
+  const double allowed = limits.max_lost_fraction * static_cast<double>(change.before);
+  if (change.before == 0 || static_cast<double>(change.lost) <= allowed) return;
   if (next.confirmed_generation == next.generation) return;
-  findings.error("L023", {next.source, 0, 0},
-                 what + " would lose " + std::to_string(t.out) + " of " + std::to_string(t.before) +
-                     " servers in service at once, over " + percent(bounds.max_lost_fraction),
+  findings.error("L023", place_of(next),
+                 what + " would lose " + std::to_string(change.lost) + " of " +
+                     std::to_string(change.before) + " servers in service at once, over " +
+                     percent(limits.max_lost_fraction),
                  "if it is meant, add confirm = " + std::to_string(next.generation));
 }
 
+/// Checks the generation; whether the lists' servers are to be compared.
+bool check_generation(const Snapshot& in_force, const Snapshot& next,
+                      diagnostics::Findings& findings) {
+  const std::string remedy = "write a generation over " + std::to_string(in_force.generation);
+  if (next.generation < in_force.generation) {
+    findings.error("L020", place_of(next),
+                   "generation " + std::to_string(next.generation) + " goes back behind " +
+                       std::to_string(in_force.generation) + ", which is in force",
+                   remedy);
+    return false;
+  }
+  if (next.generation > in_force.generation) return true;
+  if (next.digest != in_force.digest) {
+    findings.error(
+        "L021", place_of(next),
+        "generation " + std::to_string(next.generation) + " is in force with other content",
+        remedy);
+  }
+  return false;
+}
+
+struct ServiceChanges {
+  std::map<std::string, ServiceChange> by_point;
+  std::map<Role, ServiceChange> by_role;
+};
+
+ServiceChanges count_changes(const Snapshot& in_force, const Snapshot& next) {
+  ServiceChanges changes;
+  for (const auto& server : in_force.servers) {
+    if (!is_in_service(&server)) continue;
+    const std::size_t lost = is_in_service(next.find(server.id)) ? 0 : 1;
+    auto& role = changes.by_role[server.role];
+    ++role.before;
+    role.lost += lost;
+    if (server.role != Role::cache) continue;
+    auto& point = changes.by_point[in_force.location_name(server)];
+    ++point.before;
+    point.lost += lost;
+  }
+  for (const auto& server : next.servers) {
+    if (is_in_service(&server)) ++changes.by_role[server.role].after;
+  }
+  return changes;
+}
+
+/// Finds a zone's index by name.
+class ZoneIndex {
+ public:
+  explicit ZoneIndex(const std::vector<std::string>& zones) : names_(zones.begin(), zones.end()) {
+    for (std::uint32_t i = 0; i < zones.size(); ++i) indexes_.emplace(zones[i], i);
+  }
+  std::uint32_t find(const Snapshot& list, const char* kind, const std::string& name,
+                     diagnostics::Findings& findings) const {
+    const auto it = indexes_.find(name);
+    if (it != indexes_.end()) return it->second;
+    const auto near = diagnostics::nearest(name, names_);
+    findings.error(
+        "L024", place_of(list),
+        std::string(kind) + " " + name + " is not in this router's settings",
+        near.empty() ? "their zones (azs) name all places" : "did you mean '" + near + "'?");
+    return 0;
+  }
+
+ private:
+  std::vector<std::string_view> names_;
+  std::unordered_map<std::string, std::uint32_t> indexes_;
+};
+
 }  // namespace
 
 void check_alone(const Snapshot& list, diagnostics::Findings& findings) {
-  std::vector<std::size_t> by_point(list.points.size());
-  std::map<Role, std::pair<std::size_t, std::size_t>> by_role;  // listed, in service
-  for (const auto& s : list.servers) {
-    auto& [listed, in_service] = by_role[s.role];
-    ++listed;
-    if (!serves(&s)) continue;
-    ++in_service;
-    if (s.role == Role::cache) ++by_point[s.location_index];
+  std::vector<std::size_t> in_service_by_point(list.points.size());
+  std::map<Role, ServiceCount> by_role;  // of the roles that are listed
+  for (const auto& server : list.servers) {
+    auto& role = by_role[server.role];
+    if (!is_in_service(&server)) continue;
+    ++role.in_service;
+    if (server.role == Role::cache) ++in_service_by_point[server.location_index];
+  }
+  for (std::size_t i = 0; i < list.points.size(); ++i) {
+    if (in_service_by_point[i] > 0) continue;
+    findings.error("L022", place_of(list),
+                   "point " + list.points[i].name + " has no cache in service",
+                   "list one, or remove the point");
+  }
+  for (const auto& [role, count] : by_role) {
+    if (count.in_service > 0) continue;
+    findings.error("L022", place_of(list), std::string("no ") + to_string(role) + " is in service",
+                   "leave one in service");
   }
-  for (std::size_t i = 0; i < by_point.size(); ++i)
-    if (by_point[i] == 0)
-      findings.error("L022", {list.source, 0, 0},
-                     "point " + list.points[i].name + " has no cache in service",
-                     "list one, or remove the point");
-  for (const auto& [role, n] : by_role)
-    if (n.second == 0)
-      findings.error("L022", {list.source, 0, 0},
-                     std::string("no ") + to_string(role) + " is in service",
-                     "leave one in service");
 }
 
-void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& bounds,
+void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& limits,
                   diagnostics::Findings& findings) {
-  if (!in_force) return;
-  const Snapshot& old = *in_force;
-  if (next.generation < old.generation) {
-    findings.error("L020", {next.source, 0, 0},
-                   "generation " + std::to_string(next.generation) + " goes back behind " +
-                       std::to_string(old.generation) + ", which is in force",
-                   "write a generation over " + std::to_string(old.generation));
-    return;
-  }
-  if (next.generation == old.generation) {
-    if (next.digest != old.digest)
-      findings.error(
-          "L021", {next.source, 0, 0},
-          "generation " + std::to_string(next.generation) + " is in force with other content",
-          "write a generation over " + std::to_string(old.generation));
-    return;
+  if (!in_force || !check_generation(*in_force, next, findings)) return;
+  const auto changes = count_changes(*in_force, next);
+  for (const auto& [name, change] : changes.by_point) {
+    check_loss(next, "point " + name, change, limits, findings);
   }
-  std::map<std::string, Tally> points;
-  std::map<Role, Tally> roles;
-  for (const auto& was : old.servers) {
-    if (!serves(&was)) continue;
-    const bool out = !serves(next.find(was.id));
-    auto& role = roles[was.role];
-    ++role.before, role.out += out;
-    if (was.role != Role::cache) continue;
-    auto& point = points[old.location_name(was)];
-    ++point.before, point.out += out;
-  }
-  for (const auto& s : next.servers)
-    if (serves(&s)) ++roles[s.role].left;
-  for (const auto& [name, t] : points) too_much(next, "point " + name, t, bounds, findings);
-  for (const auto& [role, t] : roles) {
-    if (t.before > 0 && t.left == 0)
-      findings.error("L022", {next.source, 0, 0},
+  for (const auto& [role, change] : changes.by_role) {
+    if (change.before > 0 && change.after == 0) {
+      findings.error("L022", place_of(next),
                      std::string("no ") + to_string(role) + " would be left in service",
                      "leave one in service");
-    else if (role == Role::parent)
-      too_much(next, "the parents", t, bounds, findings);
+    } else if (role == Role::parent) {
+      check_loss(next, "the parents", change, limits, findings);
+    }
   }
 }
 
-void resolve_zones(const Snapshot& list, const std::vector<std::string>& zones,
-                   std::vector<std::uint32_t>& points, std::vector<std::uint32_t>& hubs,
-                   diagnostics::Findings& findings) {
-  std::unordered_map<std::string, std::uint32_t> numbers;
-  for (std::uint32_t i = 0; i < zones.size(); ++i) numbers.emplace(zones[i], i);
-  const std::vector<std::string_view> known(zones.begin(), zones.end());
-  const auto number = [&](const char* what, const std::string& name) -> std::uint32_t {
-    const auto it = numbers.find(name);
-    if (it != numbers.end()) return it->second;
-    const auto near = diagnostics::nearest(name, known);
-    findings.error(
-        "L024", {list.source, 0, 0},
-        std::string(what) + " " + name + " is not in this router's settings",
-        near.empty() ? "their zones (azs) name all places" : "did you mean '" + near + "'?");
-    return 0;
-  };
-  points.clear(), hubs.clear();
-  for (const auto& p : list.points) points.push_back(number("point", p.name));
-  for (const auto& h : list.hubs) hubs.push_back(number("hub", h));
+LocationZones resolve_zones(const Snapshot& list, const std::vector<std::string>& zones,
+                            diagnostics::Findings& findings) {
+  const ZoneIndex index(zones);
+  LocationZones result;
+  result.points.reserve(list.points.size());
+  result.hubs.reserve(list.hubs.size());
+  for (const auto& point : list.points) {
+    result.points.push_back(index.find(list, "point", point.name, findings));
+  }
+  for (const auto& hub : list.hubs) {
+    result.hubs.push_back(index.find(list, "hub", hub, findings));
+  }
+  return result;
 }
 
-Member to_member(const Snapshot&, const ListedServer& s,
-                 const std::vector<std::uint32_t>& point_zones,
-                 const std::vector<std::uint32_t>& hub_zones) {
-  Member m;
-  m.name = s.name;
-  m.address = s.address;
-  m.server.id = s.id;
-  m.server.role = s.role;
-  m.server.location = {s.role == Role::cache ? point_zones[s.location_index]
-                                             : hub_zones[s.location_index]};
-  m.server.cell = {s.cell};
-  m.server.status = s.state == ServerState::draining ? ServerStatus::draining : ServerStatus::ready;
-  m.server.weight = s.weight;
-  return m;
+Member to_member(const ListedServer& server, const LocationZones& zones) {
+  const auto& zones_of_role = server.role == Role::cache ? zones.points : zones.hubs;
+  Member member;
+  member.name = server.name;
+  member.address = server.address;
+  member.server.id = server.id;
+  member.server.role = server.role;
+  member.server.location = {zones_of_role[server.location_index]};
+  member.server.cell = {server.cell};
+  member.server.status =
+      server.state == ServerState::draining ? ServerStatus::draining : ServerStatus::ready;
+  member.server.weight = server.weight;
+  return member;
 }
 
 std::vector<Member> to_members(const Snapshot& list, const std::vector<std::string>& zones,
                                diagnostics::Findings& findings) {
-  std::vector<std::uint32_t> points, hubs;
-  std::vector<Member> out;
-  resolve_zones(list, zones, points, hubs, findings);
-  if (!findings.good()) return out;
-  for (const auto& s : list.servers) out.push_back(to_member(list, s, points, hubs));
-  return out;
+  const auto location_zones = resolve_zones(list, zones, findings);
+  if (!findings.good()) return {};
+  std::vector<Member> members;
+  members.reserve(list.servers.size());
+  for (const auto& server : list.servers) members.push_back(to_member(server, location_zones));
+  return members;
 }
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/check.h
+++ b/src/endpoints/check.h
@@ -1,10 +1,11 @@
-// What a list that reads well must still keep, alone and against the list in force. No I/O.
+// Checks a list that is well formed: by itself, and as the successor of the list in force. No I/O.
 //
-// Codes: L020 generation going back, L021 a generation reused with other content, L022 a point or a
-// role without a server in service, L023 too much of a point taken out at once, L024 unknown to
-// this router.
+// Codes of findings: L020 the generation goes back, L021 a generation is reused with other content,
+// L022 a point or a role has no server in service, L023 too many servers leave service at once,
+// L024 a point or hub is unknown to this router.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -14,27 +15,30 @@
 namespace alderspur::endpoints {
 
 struct ChangeLimits {
-  // Of a point's caches in service (and of all parents): a larger part may leave service in one
+  // Of a point's caches in service, or of all parents: a larger part may leave service in one
   // change only if the list says `confirm = GENERATION`.
   double max_lost_fraction = 0.5;
 };
 
-// The list by itself: every point has a cache in service, every role that is listed has one.
+/// Checks that every point has a cache in service, and every role that is listed has a server in
+/// service.
 void check_alone(const Snapshot& list, diagnostics::Findings& findings);
-// Against the one in force; null: there is none.
-void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& bounds,
+/// Checks the change from the list in force; null: there is none.
+void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& limits,
                   diagnostics::Findings& findings);
 
-// Members by the numbers that the router's settings give places. A place that they do not name is
-// an error.
+/// The zones of a list's points and hubs, by their indexes in the list.
+struct LocationZones {
+  std::vector<std::uint32_t> points;
+  std::vector<std::uint32_t> hubs;
+};
+/// Looks up the points and hubs among the zones of the settings; finding L024 for each unknown one.
+LocationZones resolve_zones(const Snapshot& list, const std::vector<std::string>& zones,
+                            diagnostics::Findings& findings);
+
+Member to_member(const ListedServer& server, const LocationZones& zones);
+/// All servers of a list; none if a point or hub is unknown.
 std::vector<Member> to_members(const Snapshot& list, const std::vector<std::string>& zones,
                                diagnostics::Findings& findings);
-Member to_member(const Snapshot& list, const ListedServer& server,
-                 const std::vector<std::uint32_t>& point_zones,
-                 const std::vector<std::uint32_t>& hub_zones);
-// Zones by point and by hub of the list; findings L024 where the settings have none of that name.
-void resolve_zones(const Snapshot& list, const std::vector<std::string>& zones,
-                   std::vector<std::uint32_t>& points, std::vector<std::uint32_t>& hubs,
-                   diagnostics::Findings& findings);
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/damping.cpp
+++ b/src/endpoints/damping.cpp
@@ -4,35 +4,53 @@
 #include <cmath>
 
 namespace alderspur::endpoints {
+namespace {
 
-double FlapDamping::penalty(Time now, const DampingSettings& s) const {
-  // A clock that stepped back must not let a penalty grow.
-  const double halves =
-      static_cast<double>(std::max<Time>(0, now - at_)) / static_cast<double>(s.half_life);
-  return penalty_ * std::exp2(-halves);
+constexpr double kNegligibleFraction = 1.0 / 8;  // of the reuse threshold
+
+}  // namespace
+
+double FlapDamping::penalty(Time now, const DampingSettings& settings) const {
+  // A clock that is set back must not let a penalty grow.
+  const Time age = std::max<Time>(0, now - penalty_at_);
+  const double half_lives = static_cast<double>(age) / static_cast<double>(settings.half_life);
+  return penalty_ * std::exp2(-half_lives);
+}
+
+void FlapDamping::record_departure(Time now, const DampingSettings& settings) {
+  if (!settings.is_enabled) return;
+  // RFC 2439, 4.2: the ceiling decays to the reuse threshold within the maximum suppress time.
+  const double ceiling =
+      settings.reuse_threshold * std::exp2(static_cast<double>(settings.max_suppress_time) /
+                                           static_cast<double>(settings.half_life));
+  penalty_ = std::min(ceiling, penalty(now, settings) + settings.departure_penalty);
+  penalty_at_ = now;
+  if (penalty_ >= settings.suppress_threshold) is_suppressed_ = true;
+}
+
+bool FlapDamping::update_suppressed(Time now, const DampingSettings& settings) {
+  if (is_suppressed_ && (!settings.is_enabled || now >= reuse_time(now, settings))) {
+    is_suppressed_ = false;
+  }
+  return is_suppressed_;
 }
 
-void FlapDamping::record_departure(Time now, const DampingSettings& s) {
-  if (!s.is_enabled) return;
-  // RFC 2439, 4.2: the ceiling is what decays to the reuse threshold in the longest time of holding
-  // out.
-  const double ceiling = s.reuse_threshold * std::exp2(static_cast<double>(s.max_suppress_time) /
-                                                       static_cast<double>(s.half_life));
-  penalty_ = std::min(ceiling, penalty(now, s) + s.departure_penalty);
-  at_ = now;
-  if (penalty_ >= s.suppress_threshold) held_ = true;
+Time FlapDamping::reuse_time(Time now, const DampingSettings& settings) const {
+  if (!is_suppressed_ || penalty_ <= settings.reuse_threshold) return now;
+  const double half_lives = std::log2(penalty_ / settings.reuse_threshold);
+  // Rounded up: by then the penalty has certainly reached the threshold.
+  const double duration = std::ceil(half_lives * static_cast<double>(settings.half_life));
+  return penalty_at_ + static_cast<Time>(duration);
 }
 
-bool FlapDamping::update_suppressed(Time now, const DampingSettings& s) {
-  if (held_ && (!s.is_enabled || now >= reuse_time(now, s))) held_ = false;
-  return held_;
+bool FlapDamping::is_negligible(Time now, const DampingSettings& settings) const {
+  return !is_suppressed_ && penalty(now, settings) < settings.reuse_threshold * kNegligibleFraction;
 }
 
-Time FlapDamping::reuse_time(Time now, const DampingSettings& s) const {
-  if (!held_ || penalty_ <= s.reuse_threshold) return now;
-  // Rounded up: at that time the penalty has reached the threshold.
-  const double halves = std::log2(penalty_ / s.reuse_threshold);
-  return at_ + static_cast<Time>(std::ceil(halves * static_cast<double>(s.half_life)));
+void FlapDamping::restore(double penalty, Time penalty_at, bool is_suppressed) {
+  penalty_ = penalty;
+  penalty_at_ = penalty_at;
+  is_suppressed_ = is_suppressed;
 }
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/damping.h
+++ b/src/endpoints/damping.h
@@ -1,14 +1,11 @@
-// Route flap damping for servers: one that comes and goes earns a penalty that decays, and is held
-// out of service while the penalty is high.
+// Route flap damping for servers: a server that repeatedly leaves service gets a penalty that
+// decays with time, and is kept out of service while the penalty is high.
 //
-// Source: RFC 2439, with its figure of merit, half-life, cut-off (suppress) and reuse thresholds,
-// and its bound on the time that one may be held out. A penalty is a number without unit; 1000 for
-// each departure, as there. Times are microseconds of any one clock. Pure arithmetic; state is one
-// Flaps a server.
+// After RFC 2439: its figure of merit, half-life, cutoff (suppress) and reuse thresholds, and its
+// bound on the time of suppression. A penalty is a number without unit. Times are microseconds of
+// any one clock. Pure arithmetic; the state is one FlapDamping per server.
 #pragma once
 
-#include <cstdint>
-
 #include "core/deadlines.h"
 
 namespace alderspur::endpoints {
@@ -17,36 +14,36 @@
 
 struct DampingSettings {
   bool is_enabled = true;
-  double departure_penalty = 1000;   // added when one leaves service
-  double suppress_threshold = 2500;  // held out from here on
-  double reuse_threshold = 800;      // and taken back below this
+  double departure_penalty = 1000;   // added when a server leaves service
+  double suppress_threshold = 2500;  // suppressed from this penalty on
+  double reuse_threshold = 800;      // reinstated below this penalty
   Time half_life = 15'000'000;
-  Time max_suppress_time = 60'000'000;  // nobody is held out for longer after its last departure
+  Time max_suppress_time = 60'000'000;  // since the last departure
 };
 
 class FlapDamping {
  public:
-  void record_departure(Time now, const DampingSettings& s);
-  // Whether it is held out now; ends the holding out where the penalty has decayed.
-  bool update_suppressed(Time now, const DampingSettings& s);
-  double penalty(Time now, const DampingSettings& s) const;
-  // When held() turns false by itself; `now` where it is not held.
-  Time reuse_time(Time now, const DampingSettings& s) const;
-  // Nothing is left worth remembering.
-  bool is_negligible(Time now, const DampingSettings& s) const {
-    return !held_ && penalty(now, s) < s.reuse_threshold / 8;
-  }
-
-  void end_suppression() {
-    held_ = false;
-  }  // needed in service for another reason; the penalty stays
-  void restore(double penalty, Time at, bool held) { penalty_ = penalty, at_ = at, held_ = held; }
-  bool is_suppressed() const { return held_; }
+  /// The server has left service.
+  void record_departure(Time now, const DampingSettings& settings);
+  /// Whether the server is suppressed now; ends the suppression once the penalty has decayed.
+  bool update_suppressed(Time now, const DampingSettings& settings);
+  double penalty(Time now, const DampingSettings& settings) const;
+  /// When the suppression ends by itself; `now` if the server is not suppressed.
+  Time reuse_time(Time now, const DampingSettings& settings) const;
+  /// Whether the state is no longer worth keeping.
+  bool is_negligible(Time now, const DampingSettings& settings) const;
+
+  /// Ends the suppression because the server is needed in service; the penalty stays.
+  void end_suppression() { is_suppressed_ = false; }
+  /// Continues from a state that an earlier process has stored.
+  void restore(double penalty, Time penalty_at, bool is_suppressed);
+  /// As of the last update.
+  bool is_suppressed() const { return is_suppressed_; }
 
  private:
-  double penalty_ = 0;
-  Time at_ = 0;  // when penalty_ was reckoned
-  bool held_ = false;
+  double penalty_ = 0;  // as of penalty_at_
+  Time penalty_at_ = 0;
+  bool is_suppressed_ = false;
 };
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/endpoint_set.cpp
+++ b/src/endpoints/endpoint_set.cpp
@@ -3,80 +3,112 @@
 #include <algorithm>
 #include <limits>
 
-#include "endpoints/check.h"
-
 namespace alderspur::endpoints {
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
-constexpr std::size_t kKnownMost =
-    250'000;  // beyond it servers that have gone are forgotten at once
-constexpr Time kBornMatters = 600'000'000;  // no server is cold for so long
+// Above this number, servers that are gone are forgotten at once.
+constexpr std::size_t kMaxKnownServers = 250'000;
+// A start that is longer ago no longer matters: no slow start takes that long.
+constexpr Time kMaxStartAge = 600'000'000;
+
+/// Whether two published states are the same for the rest of the program.
+bool is_same(const Member& left, const Member& right) {
+  const Server& before = left.server;
+  const Server& after = right.server;
+  return before.status == after.status && before.weight == after.weight &&
+         before.started_at == after.started_at && before.role == after.role &&
+         before.location == after.location && before.cell == after.cell &&
+         left.address == right.address;
+}
 
 }  // namespace
 
 void EndpointSet::restore(const std::vector<Remembered>& remembered) {
-  for (const auto& r : remembered) {
-    Known& k = known_[r.id.value];
-    k.born = r.started_at;
-    k.weight = r.weight;
-    k.flaps.restore(r.penalty, r.penalty_at, r.is_suppressed);
+  for (const auto& server : remembered) {
+    KnownServer& known = servers_[server.id.value];
+    known.started_at = server.started_at;
+    known.weight = server.weight;
+    known.damping.restore(server.penalty, server.penalty_at, server.is_suppressed);
   }
 }
 
-bool EndpointSet::apply_list(const CandidateList& offer, Time now) {
-  if (offer.base != list_) return false;
-  list_ = offer.list;
-  point_zones_ = offer.point_zones;
-  hub_zones_ = offer.hub_zones;
+bool EndpointSet::apply_list(const CandidateList& candidate, Time now) {
+  if (candidate.base != list_) return false;
+  list_ = candidate.list;
+  zones_ = candidate.zones;
   ++counters_.lists;
-  const Difference& d = offer.difference;
-  // Danger: a drain that waits behind ten thousand new servers is a drain not kept.
-  for (const auto* urgent : {&d.removed, &d.drained, &d.moved, &d.reassigned})
+  queue_changes(candidate, now);
+  if (!has_first_list_) {
+    // Nothing is served before the first list: it is applied at once, and none of its servers
+    // counts as new.
+    apply_all_waiting(now);
+    has_first_list_ = true;
+  }
+  return true;
+}
+
+// Applies departures at once, so that they do not wait behind thousands of new servers, and queues
+// the rest.
+void EndpointSet::queue_changes(const CandidateList& candidate, Time now) {
+  const Difference& changes = candidate.difference;
+  for (const auto* urgent :
+       {&changes.removed, &changes.drained, &changes.moved, &changes.reassigned}) {
     for (const ServerId id : *urgent) evaluate(id, now);
-  for (const auto* rest : {&d.reinstated, &d.added, &d.reweighted})
-    waiting_.insert(waiting_.end(), rest->begin(), rest->end());
-  // Points and hubs may have other numbers now, also for servers that are the same.
-  if (d.has_location_changes && !d.added.empty() && offer.base)
-    for (const auto& s : list_->servers)
-      if (known_.contains(s.id.value)) waiting_.push_back(s.id);
-  const bool first = !primed_;
-  if (first) {  // nothing is served before the first list: it is taken at once, and nobody in it is
-                // new
-    while (!waiting_.empty()) {
-      const ServerId id = waiting_.front();
-      waiting_.pop_front();
-      evaluate(id, now);
+  }
+  for (const auto* others : {&changes.reinstated, &changes.added, &changes.reweighted}) {
+    waiting_.insert(waiting_.end(), others->begin(), others->end());
+  }
+  // Points and hubs may have other zones now, also for servers that have not changed themselves.
+  if (changes.has_location_changes && !changes.added.empty() && candidate.base) {
+    for (const auto& server : list_->servers) {
+      if (servers_.contains(server.id.value)) waiting_.push_back(server.id);
     }
-    primed_ = true;
   }
-  return true;
 }
 
-void EndpointSet::apply_board_update(bool complete, const std::vector<Member>& members, Time now) {
-  std::vector<ServerId> touched;
-  if (complete) {
-    std::unordered_set<std::uint64_t> listed;
-    for (const auto& m : members) listed.insert(m.server.id.value);
-    for (const auto& [id, m] : board_)
-      if (!listed.contains(id)) touched.push_back({id});
-    std::sort(touched.begin(), touched.end());
-    for (const ServerId id : touched) board_.erase(id.value);
-    // The files' servers that the board does not list change with its first word.
-    if (!board_spoke_ && list_)
-      for (const auto& s : list_->servers)
-        if (!listed.contains(s.id.value)) touched.push_back(s.id);
+void EndpointSet::apply_all_waiting(Time now) {
+  while (!waiting_.empty()) {
+    const ServerId id = waiting_.front();
+    waiting_.pop_front();
+    evaluate(id, now);
   }
-  board_spoke_ = true;
-  for (const auto& m : members) {
-    if (m.server.status == ServerStatus::gone)
-      board_.erase(m.server.id.value);
-    else
-      board_[m.server.id.value] = m;
-    touched.push_back(m.server.id);
+}
+
+void EndpointSet::apply_board_update(bool is_complete, const std::vector<Member>& members,
+                                     Time now) {
+  std::vector<ServerId> affected;
+  if (is_complete) affected = remove_unlisted(members);
+  has_board_list_ = true;
+  for (const auto& member : members) {
+    if (member.server.status == ServerStatus::gone) {
+      board_members_.erase(member.server.id.value);
+    } else {
+      board_members_[member.server.id.value] = member;
+    }
+    affected.push_back(member.server.id);
   }
-  for (const ServerId id : touched) evaluate(id, now);
-  if (settings_.authority == Authority::board) primed_ = true;
+  for (const ServerId id : affected) evaluate(id, now);
+  if (settings_.authority == Authority::board) has_first_list_ = true;
+}
+
+// Removes what the board's complete list no longer contains; returns the servers affected.
+std::vector<ServerId> EndpointSet::remove_unlisted(const std::vector<Member>& members) {
+  std::vector<ServerId> affected;
+  std::unordered_set<std::uint64_t> listed;
+  for (const auto& member : members) listed.insert(member.server.id.value);
+  for (const auto& [id, member] : board_members_) {
+    if (!listed.contains(id)) affected.push_back({id});
+  }
+  std::sort(affected.begin(), affected.end());
+  for (const ServerId id : affected) board_members_.erase(id.value);
+  // With the board's first list, its word counts for the files' servers that it does not list.
+  if (!has_board_list_ && list_) {
+    for (const auto& server : list_->servers) {
+      if (!listed.contains(server.id.value)) affected.push_back(server.id);
+    }
+  }
+  return affected;
 }
 
 void EndpointSet::advance(Time now) {
@@ -85,33 +117,34 @@
     waiting_.pop_front();
     evaluate(id, now);
   }
-  for (std::size_t i = 0; i < kMaxChangesPerTurn && !due_.empty() && due_.begin()->first <= now;
-       ++i) {
-    const ServerId id = due_.begin()->second;
-    due_.erase(due_.begin());
-    const auto it = known_.find(id.value);
-    if (it == known_.end()) continue;
-    it->second.wake = 0;
+  for (std::size_t i = 0; i < kMaxChangesPerTurn; ++i) {
+    if (wakeups_.empty() || wakeups_.begin()->first > now) break;
+    const ServerId id = wakeups_.begin()->second;
+    wakeups_.erase(wakeups_.begin());
+    const auto it = servers_.find(id.value);
+    if (it == servers_.end()) continue;
+    it->second.wakeup_at = 0;
     evaluate(id, now);
   }
 }
 
 Time EndpointSet::next_wakeup() const {
   if (!waiting_.empty()) return 0;
-  return due_.empty() ? kNever : due_.begin()->first;
+  return wakeups_.empty() ? kNever : wakeups_.begin()->first;
 }
 
-Merged EndpointSet::wanted(ServerId id) const {
-  EndpointSources v;
-  v.has_board_list = board_spoke_;
-  v.has_file_list = list_ != nullptr;
+Merged EndpointSet::merge_sources(ServerId id) const {
+  EndpointSources sources;
+  sources.has_board_list = has_board_list_;
+  sources.has_file_list = list_ != nullptr;
   Member from_files;
-  if (const auto* s = list_ ? list_->find(id) : nullptr) {
-    from_files = to_member(*list_, *s, point_zones_, hub_zones_);
-    v.files = &from_files;
+  if (const auto* server = list_ ? list_->find(id) : nullptr) {
+    from_files = to_member(*server, zones_);
+    sources.files = &from_files;
   }
-  if (const auto it = board_.find(id.value); it != board_.end()) v.board = &it->second;
-  if (auto merged = merge(settings_.authority, v)) return *merged;
+  const auto on_board = board_members_.find(id.value);
+  if (on_board != board_members_.end()) sources.board = &on_board->second;
+  if (auto merged = merge(settings_.authority, sources)) return *merged;
   Merged gone;
   gone.member.server.id = id;
   gone.reason =
@@ -119,172 +152,230 @@
   return gone;
 }
 
+// Decides how a server is to be used now, and publishes it if that has changed.
 void EndpointSet::evaluate(ServerId id, Time now) {
-  const Merged m = wanted(id);
-  const bool fresh = !known_.contains(id.value);
-  if (fresh && m.member.server.status == ServerStatus::gone) return;
-  Known& k = known_[id.value];
-  Member next = m.member;
-  Server& s = next.server;
-  k.reason = m.reason;
-  if (k.wanted == ServerStatus::ready && s.status != ServerStatus::ready) {
-    k.flaps.record_departure(now, settings_.damping);
-    ++counters_.departures;
-  }
-  // Danger: a server that was away has lost what it held, whatever its list says; so may a new one,
-  // and one that stands at another address. Sent its full share at once it falls over.
-  const bool told = !k.told.name.empty();
-  const bool appears = k.wanted == ServerStatus::gone && s.status != ServerStatus::gone;
-  const bool moved =
-      told && k.told.server.status != ServerStatus::gone && next.address != k.told.address;
-  if (s.status != ServerStatus::gone && ((appears && primed_) || moved))
-    k.born = std::max(k.born, now);
-  s.started_at = std::max(s.started_at, k.born);
-  k.wanted = s.status;
-  if (s.status == ServerStatus::gone) {
-    if (told) next.address = k.told.address, next.name = k.told.name, s = k.told.server;
-    s.status = ServerStatus::gone;
-    k.weight = 0;
+  const Merged merged = merge_sources(id);
+  const Server& listed = merged.member.server;
+  const bool is_gone = listed.status == ServerStatus::gone;
+  if (is_gone && !servers_.contains(id.value)) return;
+  KnownServer& known = servers_[id.value];
+  known.reason = merged.reason;
+  record_departure(known, listed.status, now);
+  update_start_time(known, merged.member, now);
+  known.wanted_status = listed.status;
+  Member next = merged.member;
+  if (is_gone) {
+    next = departed(known, std::move(next));
+    known.weight = 0;
   } else {
-    s.weight = step(k, s.weight, now);
+    next.server.started_at = std::max(listed.started_at, known.started_at);
+    next.server.weight = step_weight(known, listed.weight, now);
   }
-  if (hold_out(id, k, next, now)) {
-    s.status = ServerStatus::draining;
-    k.reason = Reason::flapping;
+  if (update_suppression(id, known, next, now)) {
+    next.server.status = ServerStatus::draining;
+    known.reason = Reason::flapping;
   }
-  Time again = kNever;
-  if (k.reason == Reason::flapping)
-    again = k.flaps.reuse_time(now, settings_.damping);
-  else if (k.wanted == ServerStatus::gone)
-    again = now + settings_.damping.half_life;  // to be forgotten
-  if (k.wanted != ServerStatus::gone && s.weight != m.member.server.weight)
-    again = std::min(again, k.step_at);
-  wake(id, k, again);
-  tell(id, k, next);
-  forget_if_gone(id, k, now);
+  const bool is_weight_reached = next.server.weight == listed.weight;
+  schedule(id, known, next_evaluation(known, is_weight_reached, now));
+  publish(id, known, next);
+  forget_if_gone(id, known, now);
+}
+
+void EndpointSet::record_departure(KnownServer& known, ServerStatus next_status, Time now) {
+  if (known.wanted_status != ServerStatus::ready || next_status == ServerStatus::ready) return;
+  known.damping.record_departure(now, settings_.damping);
+  ++counters_.departures;
+}
+
+// A server that was away has lost what it had cached, whatever its list says; so may one that is
+// new or stands at another address. It counts as just started, because its full share of the load
+// would overwhelm it.
+void EndpointSet::update_start_time(KnownServer& known, const Member& merged, Time now) const {
+  if (merged.server.status == ServerStatus::gone) return;
+  const bool has_appeared = known.wanted_status == ServerStatus::gone && has_first_list_;
+  const bool has_moved = known.was_published() &&
+                         known.published.server.status != ServerStatus::gone &&
+                         merged.address != known.published.address;
+  if (has_appeared || has_moved) known.started_at = std::max(known.started_at, now);
 }
 
-double EndpointSet::step(Known& k, double target, Time now) {
-  if (k.weight <= 0) return k.weight = target;
-  if (k.weight == target || now < k.step_at) return k.weight;
-  const double most = settings_.max_weight_factor;
-  const double next = std::clamp(target, k.weight / most, k.weight * most);
+// The state to publish for a server that is gone: as it was last published, but gone.
+Member EndpointSet::departed(const KnownServer& known, Member member) {
+  if (known.was_published()) member = known.published;
+  member.server.status = ServerStatus::gone;
+  return member;
+}
+
+double EndpointSet::step_weight(KnownServer& known, double target, Time now) {
+  if (known.weight <= 0) {
+    known.weight = target;
+    return known.weight;
+  }
+  if (known.weight == target || now < known.next_step_at) return known.weight;
+  const double factor = settings_.max_weight_factor;
+  const double next = std::clamp(target, known.weight / factor, known.weight * factor);
   if (next != target) ++counters_.weight_steps;
-  k.weight = next;
-  k.step_at = now + settings_.weight_interval;
-  return k.weight;
+  known.weight = next;
+  known.next_step_at = now + settings_.weight_interval;
+  return known.weight;
 }
 
-// Danger: holding out the last server of a place would make an outage of a nuisance.
-bool EndpointSet::hold_out(ServerId id, Known& k, const Member& m, Time now) {
-  const Place place{m.server.role, m.server.location.value};
-  const auto count = ready_.find(place);
-  const Server& told = k.told.server;
-  const bool counted = !k.told.name.empty() && told.status == ServerStatus::ready &&
-                       Place{told.role, told.location.value} == place;
-  const std::size_t others = (count == ready_.end() ? 0 : count->second) - (counted ? 1 : 0);
-  bool held = k.wanted == ServerStatus::ready && k.flaps.update_suppressed(now, settings_.damping);
-  if (held && others == 0) k.flaps.end_suppression(), held = false;
-  if (k.held_in && (!held || *k.held_in != place)) {
-    auto& there = held_[*k.held_in];
-    there.erase(id);
-    if (there.empty()) held_.erase(*k.held_in);
-    k.held_in.reset();
-    if (k.wanted == ServerStatus::ready && !held) ++counters_.reinstated;
+// Whether the server is to be suppressed now. The last ready server of a group never is: that would
+// turn flapping into an outage.
+bool EndpointSet::update_suppression(ServerId id, KnownServer& known, const Member& member,
+                                     Time now) {
+  const Group group = group_of(member.server);
+  const auto count = ready_counts_.find(group);
+  const bool is_counted = known.is_published_ready() && group_of(known.published.server) == group;
+  const std::size_t others =
+      (count == ready_counts_.end() ? 0 : count->second) - (is_counted ? 1 : 0);
+  const bool is_wanted = known.wanted_status == ServerStatus::ready;
+  bool is_suppressed = is_wanted && known.damping.update_suppressed(now, settings_.damping);
+  if (is_suppressed && others == 0) {
+    known.damping.end_suppression();
+    is_suppressed = false;
   }
-  if (held && !k.held_in) {
-    held_[place].insert(id);
-    k.held_in = place;
+  if (known.suppressed_in && (!is_suppressed || *known.suppressed_in != group)) {
+    leave_suppressed_group(id, known);
+    if (is_wanted && !is_suppressed) ++counters_.reinstated;
+  }
+  if (is_suppressed && !known.suppressed_in) {
+    suppressed_[group].insert(id);
+    known.suppressed_in = group;
     ++counters_.suppressed;
   }
-  return held;
+  return is_suppressed;
+}
+
+void EndpointSet::leave_suppressed_group(ServerId id, KnownServer& known) {
+  auto& group = suppressed_[*known.suppressed_in];
+  group.erase(id);
+  if (group.empty()) suppressed_.erase(*known.suppressed_in);
+  known.suppressed_in.reset();
 }
 
-void EndpointSet::wake(ServerId id, Known& k, Time at) {
-  if (k.wake) due_.erase({k.wake, id});
-  k.wake = at == kNever ? 0 : at;
-  if (k.wake) due_.emplace(k.wake, id);
+Time EndpointSet::next_evaluation(const KnownServer& known, bool is_weight_reached,
+                                  Time now) const {
+  Time at = kNever;
+  if (known.reason == Reason::flapping) {
+    at = known.damping.reuse_time(now, settings_.damping);
+  } else if (known.wanted_status == ServerStatus::gone) {
+    at = now + settings_.damping.half_life;  // to be forgotten
+  }
+  if (known.wanted_status != ServerStatus::gone && !is_weight_reached) {
+    at = std::min(at, known.next_step_at);
+  }
+  return at;
 }
 
-void EndpointSet::tell(ServerId id, Known& k, const Member& m) {
-  const Server &was = k.told.server, &is = m.server;
-  const bool never = k.told.name.empty();
-  if (never && is.status == ServerStatus::gone) return;
-  const bool same = !never && was.status == is.status && was.weight == is.weight &&
-                    was.started_at == is.started_at && was.role == is.role &&
-                    was.location == is.location && was.cell == is.cell &&
-                    k.told.address == m.address;
-  if (same) return;
-  const Place before{was.role, was.location.value}, place{is.role, is.location.value};
-  const bool was_ready = !never && was.status == ServerStatus::ready,
-             ready = is.status == ServerStatus::ready;
-  const bool leaves = was_ready && (!ready || before != place);
-  if (leaves && --ready_[before] == 0) ready_.erase(before);
-  if (ready && (!was_ready || before != place)) ++ready_[place];
-  k.told = m;
+void EndpointSet::schedule(ServerId id, KnownServer& known, Time at) {
+  if (known.wakeup_at) wakeups_.erase({known.wakeup_at, id});
+  known.wakeup_at = at == kNever ? 0 : at;
+  if (known.wakeup_at) wakeups_.emplace(known.wakeup_at, id);
+}
+
+void EndpointSet::publish(ServerId id, KnownServer& known, const Member& member) {
+  if (!known.was_published() && member.server.status == ServerStatus::gone) return;
+  if (known.was_published() && is_same(known.published, member)) return;
+  const Group previous_group = group_of(known.published.server);
+  const bool leaves_group =
+      known.is_published_ready() &&
+      (member.server.status != ServerStatus::ready || group_of(member.server) != previous_group);
+  count_ready(known, member.server);
+  known.published = member;
   ++counters_.changes;
-  if (!std::exchange(k.dirty, true)) dirty_.push_back(id);
-  // The last of a place has left: one that is held out there takes its place, in the next part.
-  if (!leaves || ready_.contains(before)) return;
-  if (const auto it = held_.find(before); it != held_.end())
-    waiting_.insert(waiting_.begin(), it->second.begin(), it->second.end());
+  if (!std::exchange(known.has_unreported_change, true)) unreported_.push_back(id);
+  if (!leaves_group || ready_counts_.contains(previous_group)) return;
+  // The last ready server has left its group: the suppressed ones are evaluated next, so that one
+  // of them takes its place.
+  const auto suppressed = suppressed_.find(previous_group);
+  if (suppressed == suppressed_.end()) return;
+  waiting_.insert(waiting_.begin(), suppressed->second.begin(), suppressed->second.end());
+}
+
+// Keeps ready_counts_ up to date before `next` is published in place of what is now.
+void EndpointSet::count_ready(const KnownServer& known, const Server& next) {
+  const Group previous_group = group_of(known.published.server);
+  const Group next_group = group_of(next);
+  const bool was_ready = known.is_published_ready();
+  const bool is_ready = next.status == ServerStatus::ready;
+  const bool changes_group = previous_group != next_group;
+  if (was_ready && (!is_ready || changes_group) && --ready_counts_[previous_group] == 0) {
+    ready_counts_.erase(previous_group);
+  }
+  if (is_ready && (!was_ready || changes_group)) ++ready_counts_[next_group];
 }
 
-void EndpointSet::forget_if_gone(ServerId id, Known& k, Time now) {
-  if (k.wanted != ServerStatus::gone || k.dirty || k.told.server.status != ServerStatus::gone)
+void EndpointSet::forget_if_gone(ServerId id, KnownServer& known, Time now) {
+  if (known.wanted_status != ServerStatus::gone || known.has_unreported_change ||
+      known.published.server.status != ServerStatus::gone) {
     return;
-  if (!k.flaps.is_negligible(now, settings_.damping) && known_.size() <= kKnownMost) return;
-  wake(id, k, kNever);
-  known_.erase(id.value);
+  }
+  const bool is_negligible = known.damping.is_negligible(now, settings_.damping);
+  if (!is_negligible && servers_.size() <= kMaxKnownServers) return;
+  schedule(id, known, kNever);
+  servers_.erase(id.value);
 }
 
 std::vector<EndpointChange> EndpointSet::take_changes() {
-  std::vector<EndpointChange> out;
-  out.reserve(dirty_.size());
-  for (const ServerId id : std::exchange(dirty_, {})) {
-    Known& k = known_.at(id.value);
-    k.dirty = false;
-    out.push_back({k.told, k.reason});
+  std::vector<EndpointChange> changes;
+  changes.reserve(unreported_.size());
+  for (const ServerId id : std::exchange(unreported_, {})) {
+    KnownServer& known = servers_.at(id.value);
+    known.has_unreported_change = false;
+    changes.push_back({known.published, known.reason});
   }
-  std::stable_partition(out.begin(), out.end(), [](const EndpointChange& c) {
-    return c.member.server.status != ServerStatus::ready;
+  std::stable_partition(changes.begin(), changes.end(), [](const EndpointChange& change) {
+    return change.member.server.status != ServerStatus::ready;
   });
-  return out;
+  return changes;
+}
+
+std::optional<Remembered> EndpointSet::to_remember(ServerId id, const KnownServer& known,
+                                                   Time now) const {
+  const auto* listed = list_ ? list_->find(id) : nullptr;
+  const bool is_stepping = listed && known.weight > 0 && known.weight != listed->weight;
+  const bool is_negligible = known.damping.is_negligible(now, settings_.damping);
+  Remembered state;
+  state.id = id;
+  if (known.started_at > now - kMaxStartAge) state.started_at = known.started_at;
+  if (is_stepping) state.weight = known.weight;
+  if (!is_negligible) {
+    state.penalty = known.damping.penalty(now, settings_.damping);
+    state.penalty_at = now;
+  }
+  state.is_suppressed = known.damping.is_suppressed();
+  if (state.started_at == 0 && !is_stepping && is_negligible) return {};
+  return state;
 }
 
 std::vector<Remembered> EndpointSet::remembered(Time now) const {
-  std::vector<Remembered> out;
-  for (const auto& [id, k] : known_) {
-    const auto* s = list_ ? list_->find({id}) : nullptr;
-    const double penalty = k.flaps.penalty(now, settings_.damping);
-    const bool stepping = s && k.weight > 0 && k.weight != s->weight;
-    const bool calm = k.flaps.is_negligible(now, settings_.damping);
-    const Time born = k.born > now - kBornMatters ? k.born : 0;
-    if (born == 0 && !stepping && calm) continue;
-    out.push_back({{id},
-                   born,
-                   stepping ? k.weight : 0,
-                   calm ? 0 : penalty,
-                   calm ? 0 : now,
-                   k.flaps.is_suppressed()});
+  std::vector<Remembered> result;
+  for (const auto& [id, known] : servers_) {
+    if (const auto state = to_remember({id}, known, now)) result.push_back(*state);
   }
-  // Danger: a new server whose turn has not come yet would pass for a warm one after a restart.
-  for (const ServerId id : waiting_)
-    if (const auto it = known_.find(id.value);
-        it == known_.end() || it->second.wanted == ServerStatus::gone)
-      out.push_back({id, now, 0, 0, 0, false});
-  std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.id < b.id; });
-  return out;
+  // New servers that are not applied yet: after a restart they would otherwise pass for servers
+  // that have been there before.
+  for (const ServerId id : waiting_) {
+    const auto it = servers_.find(id.value);
+    if (it == servers_.end() || it->second.wanted_status == ServerStatus::gone) {
+      result.push_back({id, now, 0, 0, 0, false});
+    }
+  }
+  std::sort(result.begin(), result.end(),
+            [](const Remembered& left, const Remembered& right) { return left.id < right.id; });
+  return result;
 }
 
 Reason EndpointSet::reason(ServerId id) const {
-  const auto it = known_.find(id.value);
-  return it == known_.end() ? Reason::not_in_files : it->second.reason;
+  const auto it = servers_.find(id.value);
+  return it == servers_.end() ? Reason::not_in_files : it->second.reason;
 }
+
 std::size_t EndpointSet::ready_count() const {
-  std::size_t n = 0;
-  for (const auto& [place, count] : ready_) n += count;
-  return n;
+  std::size_t total = 0;
+  for (const auto& [group, count] : ready_counts_) total += count;
+  return total;
 }
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -1,28 +1,29 @@
-// The fleet as this router is to see it: what board and files tell, merged, with weights that move
-// by steps, servers that come back counted as cold and those that come and go held out for a while.
+// The servers as this router is to use them: what the board and the watched files list, merged,
+// with weights that change in steps, servers that return counted as just started, and servers that
+// flap kept out of service for a while.
 //
-// State: the list of the files in force (one pointer), what the board lists, and for each server
-// known what the rest of the program was last told of it. News comes in by files() and board();
-// time by advance(); what is to be passed on goes out by take(), departures first. Ids are the key
-// throughout.
+// State: the list of the files in force, what the board lists, and for each known server what was
+// last published. Lists come in by apply_list() and apply_board_update(), time by advance();
+// changes go out by take_changes(), departures first. Server ids are the key throughout.
 //
-// The cost of a new list is that of its differences: they come reckoned beforehand, off the loop's
-// thread. Departures act at once; the rest of a large change is taken in parts of kAtOnce, one each
-// turn, so that the loop is never held up. One thread only. Times are Unix microseconds. No I/O, no
-// clock of its own.
+// A new list costs what its differences cost, which are computed beforehand on another thread.
+// Departures take effect at once; the rest of a large change is applied in parts of
+// kMaxChangesPerTurn, one part per turn of the event loop, so that the loop is never held up. One
+// thread only. Times are Unix microseconds. No I/O, no clock of its own.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <map>
-#include <memory>
 #include <optional>
 #include <set>
-#include <string>
 #include <unordered_map>
 #include <unordered_set>
+#include <utility>
 #include <vector>
 
+#include "endpoints/check.h"
 #include "endpoints/damping.h"
 #include "endpoints/merge.h"
 #include "endpoints/snapshot.h"
@@ -31,25 +32,26 @@
 
 struct EndpointSetSettings {
   Authority authority = Authority::files;
-  double max_weight_factor = 1.25;   // a weight grows or falls by at most this factor
-  Time weight_interval = 1'000'000;  // in each such time
+  // A weight grows or shrinks by at most this factor in each interval.
+  double max_weight_factor = 1.25;
+  Time weight_interval = 1'000'000;
   DampingSettings damping;
 };
 
-// A list ready to be taken: checked, with its difference from the one that it was checked against.
+/// A checked list, ready to be applied, with its difference from the list in force.
 struct CandidateList {
-  SnapshotPtr list, base;
+  SnapshotPtr list;
+  SnapshotPtr base;  // the list in force that it was compared with; null: none
   Difference difference;
-  std::vector<std::uint32_t> point_zones,
-      hub_zones;  // the settings' numbers of its points and hubs
+  LocationZones zones;
 };
 
 struct EndpointChange {
-  Member member;  // status gone: forget it
+  Member member;  // with status gone, it is to be forgotten
   Reason reason = Reason::as_listed;
 };
 
-// What must outlive the process, beside the list: only servers of which there is something to say.
+/// What must outlive the process besides the list, for servers whose state is not the default.
 struct Remembered {
   ServerId id{};
   Time started_at = 0;
@@ -59,9 +61,14 @@
   bool is_suppressed = false;
 };
 
+/// Since the start of the process.
 struct EndpointSetCounters {
-  std::uint64_t lists = 0, changes = 0, departures = 0, weight_steps = 0, suppressed = 0,
-                reinstated = 0;
+  std::uint64_t lists = 0;
+  std::uint64_t changes = 0;
+  std::uint64_t departures = 0;
+  std::uint64_t weight_steps = 0;
+  std::uint64_t suppressed = 0;
+  std::uint64_t reinstated = 0;
 };
 
 class EndpointSet {
@@ -70,58 +77,85 @@
 
   explicit EndpointSet(const EndpointSetSettings& settings) : settings_(settings) {}
 
-  // Before the first list: what an earlier process knew.
+  /// Before the first list: continues from what an earlier process remembered.
   void restore(const std::vector<Remembered>& remembered);
-  // False, and nothing happens, if the offer was reckoned against another list than the one in
-  // force.
-  bool apply_list(const CandidateList& offer, Time now);
-  void apply_board_update(bool complete, const std::vector<Member>& members, Time now);
-  // Takes the steps that are due and the next part of a large change.
+  /// Returns false and does nothing if the candidate was compared with another list than the one in
+  /// force.
+  bool apply_list(const CandidateList& candidate, Time now);
+  /// `is_complete`: the members are all that the board lists, otherwise those that have changed.
+  void apply_board_update(bool is_complete, const std::vector<Member>& members, Time now);
+  /// Applies what is due, and the next part of a large change.
   void advance(Time now);
-  Time next_wakeup() const;  // when advance() has something to do; the largest Time: never
+  /// When advance() has something to do; the largest Time: never.
+  Time next_wakeup() const;
 
-  // What has changed since the last call. Not ready first: those bind the sends of the same turn.
+  /// The changes since the last call. Servers that are not ready come first: departures must take
+  /// effect before anything is sent in the same turn.
   std::vector<EndpointChange> take_changes();
 
+  /// The list of the files in force; null: none yet.
   const SnapshotPtr& current_list() const { return list_; }
   std::vector<Remembered> remembered(Time now) const;
   Reason reason(ServerId id) const;
   std::size_t ready_count() const;
-  std::size_t known_count() const { return known_.size(); }
+  std::size_t known_count() const { return servers_.size(); }
   const EndpointSetCounters& counters() const { return counters_; }
 
  private:
-  using Place = std::pair<Role, std::uint32_t>;
-  struct Known {
-    Member told;                               // as last passed on; gone: never, or no longer
-    ServerStatus wanted = ServerStatus::gone;  // before damping
+  /// Servers with the same role and zone, which stand in for each other.
+  using Group = std::pair<Role, std::uint32_t>;
+
+  struct KnownServer {
+    Member published;  // status gone: never published, or no longer in use
+    ServerStatus wanted_status = ServerStatus::gone;  // before damping
     Reason reason = Reason::as_listed;
-    FlapDamping flaps;
-    double weight = 0;  // where the steps have come to; 0: not begun
-    Time step_at = 0, born = 0, wake = 0;
-    std::optional<Place> held_in;  // where it is held out
-    bool dirty = false;
+    FlapDamping damping;
+    double weight = 0;  // the step reached; 0: not started
+    Time next_step_at = 0;
+    Time started_at = 0;
+    Time wakeup_at = 0;  // 0: none
+    std::optional<Group> suppressed_in;
+    bool has_unreported_change = false;
+
+    bool was_published() const { return !published.name.empty(); }
+    bool is_published_ready() const {
+      return was_published() && published.server.status == ServerStatus::ready;
+    }
   };
 
+  static Group group_of(const Server& server) { return {server.role, server.location.value}; }
+
+  void queue_changes(const CandidateList& candidate, Time now);
+  void apply_all_waiting(Time now);
+  std::vector<ServerId> remove_unlisted(const std::vector<Member>& members);
+
   void evaluate(ServerId id, Time now);
-  Merged wanted(ServerId id) const;
-  double step(Known& k, double target, Time now);
-  bool hold_out(ServerId id, Known& k, const Member& m, Time now);
-  void tell(ServerId id, Known& k, const Member& m);
-  void wake(ServerId id, Known& k, Time at);
-  void forget_if_gone(ServerId id, Known& k, Time now);
+  Merged merge_sources(ServerId id) const;
+  void record_departure(KnownServer& known, ServerStatus next_status, Time now);
+  void update_start_time(KnownServer& known, const Member& merged, Time now) const;
+  static Member departed(const KnownServer& known, Member member);
+  double step_weight(KnownServer& known, double target, Time now);
+  bool update_suppression(ServerId id, KnownServer& known, const Member& member, Time now);
+  void leave_suppressed_group(ServerId id, KnownServer& known);
+  Time next_evaluation(const KnownServer& known, bool is_weight_reached, Time now) const;
+  void schedule(ServerId id, KnownServer& known, Time at);
+  void publish(ServerId id, KnownServer& known, const Member& member);
+  void count_ready(const KnownServer& known, const Server& next);
+  void forget_if_gone(ServerId id, KnownServer& known, Time now);
+  std::optional<Remembered> to_remember(ServerId id, const KnownServer& known, Time now) const;
 
   const EndpointSetSettings settings_;
   SnapshotPtr list_;
-  std::vector<std::uint32_t> point_zones_, hub_zones_;
-  std::unordered_map<std::uint64_t, Member> board_;
-  bool board_spoke_ = false, primed_ = false;
-  std::unordered_map<std::uint64_t, Known> known_;
-  std::map<Place, std::size_t> ready_;
-  std::map<Place, std::set<ServerId>> held_;
-  std::set<std::pair<Time, ServerId>> due_;
-  std::deque<ServerId> waiting_;  // the rest of a large change
-  std::vector<ServerId> dirty_;
+  LocationZones zones_;  // of list_
+  std::unordered_map<std::uint64_t, Member> board_members_;
+  bool has_board_list_ = false;
+  bool has_first_list_ = false;  // servers that appear from now on are new
+  std::unordered_map<std::uint64_t, KnownServer> servers_;
+  std::map<Group, std::size_t> ready_counts_;  // as published
+  std::map<Group, std::set<ServerId>> suppressed_;
+  std::set<std::pair<Time, ServerId>> wakeups_;
+  std::deque<ServerId> waiting_;      // the rest of a large change
+  std::vector<ServerId> unreported_;  // for take_changes()
   EndpointSetCounters counters_;
 };
 
--- a/src/endpoints/member.h
+++ b/src/endpoints/member.h
@@ -1,6 +1,6 @@
-// One server as whoever lists it tells of it: the board, or a watched file.
+// One server as a source of endpoints describes it: the board, or a watched file.
 //
-// A plain value. Ids are the key everywhere: an address may change hands between two ids.
+// Plain values. Ids are the key everywhere: an address may pass from one id to another.
 #pragma once
 
 #include <string>
@@ -13,10 +13,11 @@
 
 struct Member {
   Server server;
-  std::string name, address;
+  std::string name;
+  std::string address;  // "HOST:PORT"
 };
 
-// The same id gives the same number at every router: rendezvous hashes must agree.
+/// The same name gives the same id at every router: their rendezvous hashes must agree.
 inline ServerId server_id(std::string_view name) { return {core::stable_hash(name)}; }
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/merge.cpp
+++ b/src/endpoints/merge.cpp
@@ -5,28 +5,69 @@
 namespace alderspur::endpoints {
 namespace {
 
-int care(ServerStatus s) {
-  return s == ServerStatus::ready ? 0 : s == ServerStatus::draining ? 1 : 2;
+/// The higher, the more cautious.
+int caution(ServerStatus status) {
+  switch (status) {
+    case ServerStatus::ready:
+      return 0;
+    case ServerStatus::draining:
+      return 1;
+    case ServerStatus::gone:
+      break;
+  }
+  return 2;
+}
+
+Merged from_one_source(const Member& member, Reason reason_if_draining) {
+  const bool is_draining = member.server.status == ServerStatus::draining;
+  return {member, is_draining ? reason_if_draining : Reason::as_listed};
 }
 
-Merged alone(const Member& m, bool board) {
-  Merged out{m, Reason::as_listed};
-  if (m.server.status == ServerStatus::draining)
-    out.reason = board ? Reason::board_draining : Reason::files_draining;
-  return out;
+bool agree_on_location(const Member& left, const Member& right) {
+  return left.server.role == right.server.role && left.server.location == right.server.location &&
+         left.server.cell == right.server.cell && left.address == right.address;
 }
-bool agree(const Member& a, const Member& b) {
-  const Server &x = a.server, &y = b.server;
-  return x.role == y.role && x.location == y.location && x.cell == y.cell && a.address == b.address;
+
+Merged from_both(const Member& board, const Member& files) {
+  Merged merged{files, Reason::as_listed};
+  Server& server = merged.member.server;
+  if (!agree_on_location(board, files)) {
+    // One of two addresses is another machine's, and with two locations a slow-start budget would
+    // be wrong.
+    server.status = ServerStatus::gone;
+    merged.reason = Reason::locations_differ;
+  }
+  if (caution(board.server.status) > caution(server.status)) server.status = board.server.status;
+  server.started_at = std::max(server.started_at, board.server.started_at);
+  if (board.server.weight != server.weight) {
+    server.weight = std::min(server.weight, board.server.weight);
+    merged.reason = std::max(merged.reason, Reason::weight_lower);
+  }
+  if (merged.reason == Reason::locations_differ) return merged;
+  if (files.server.status == ServerStatus::draining) {
+    merged.reason = Reason::files_draining;
+  } else if (board.server.status == ServerStatus::draining) {
+    merged.reason = Reason::board_draining;
+  }
+  return merged;
 }
 
 }  // namespace
 
-const char* to_string(Authority a) {
-  return a == Authority::board ? "board" : a == Authority::files ? "files" : "both";
+const char* to_string(Authority authority) {
+  switch (authority) {
+    case Authority::board:
+      return "board";
+    case Authority::files:
+      return "files";
+    case Authority::both:
+      break;
+  }
+  return "both";
 }
-const char* to_string(Reason r) {
-  switch (r) {
+
+const char* to_string(Reason reason) {
+  switch (reason) {
     case Reason::as_listed:
       return "as told";
     case Reason::weight_lower:
@@ -47,38 +88,19 @@
   return "";
 }
 
-std::optional<Merged> merge(Authority authority, const EndpointSources& v) {
-  const bool board = authority != Authority::files && v.has_board_list;
-  const bool files = authority != Authority::board && v.has_file_list;
-  const Member* b = board ? v.board : nullptr;
-  const Member* f = files ? v.files : nullptr;
-  if (!b && !f) return {};
-  if (!board || !files) return alone(b ? *b : *f, b != nullptr);
-  if (!b || !f) {
-    Merged out{b ? *b : *f, b ? Reason::not_in_files : Reason::not_on_board};
-    out.member.server.status = ServerStatus::gone;
-    return out;
-  }
-  Merged out{*f, Reason::as_listed};
-  Server& s = out.member.server;
-  if (!agree(*b, *f)) {
-    // Danger: with two addresses one of them is another machine's; with two places a cold budget is
-    // wrong. What says "gone" of itself needs no agreement.
-    s.status = ServerStatus::gone;
-    out.reason = Reason::locations_differ;
-  }
-  s.status = care(b->server.status) > care(s.status) ? b->server.status : s.status;
-  s.started_at = std::max(s.started_at, b->server.started_at);
-  if (b->server.weight != s.weight) {
-    s.weight = std::min(s.weight, b->server.weight);
-    out.reason = std::max(out.reason, Reason::weight_lower);
-  }
-  if (out.reason == Reason::locations_differ) return out;
-  if (f->server.status == ServerStatus::draining)
-    out.reason = Reason::files_draining;
-  else if (b->server.status == ServerStatus::draining)
-    out.reason = Reason::board_draining;
-  return out;
+std::optional<Merged> merge(Authority authority, const EndpointSources& sources) {
+  const bool board_decides = authority != Authority::files && sources.has_board_list;
+  const bool files_decide = authority != Authority::board && sources.has_file_list;
+  const Member* board = board_decides ? sources.board : nullptr;
+  const Member* files = files_decide ? sources.files : nullptr;
+  if (!board && !files) return {};
+  if (!board_decides) return from_one_source(*files, Reason::files_draining);
+  if (!files_decide) return from_one_source(*board, Reason::board_draining);
+  if (board && files) return from_both(*board, *files);
+  // Only one of the two lists it.
+  Merged merged{board ? *board : *files, board ? Reason::not_in_files : Reason::not_on_board};
+  merged.member.server.status = ServerStatus::gone;
+  return merged;
 }
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/merge.h
+++ b/src/endpoints/merge.h
@@ -1,46 +1,51 @@
-// Two that tell of one server: the board and the watched files. Pure; one answer for the same two
-// inputs.
+// Merges what the two sources of endpoints, the board and the watched files, say of one server.
+// Pure: the same input gives the same result.
 //
-// With authority `both` the more careful of the two holds, field by field: gone before draining
-// before ready, the smaller weight, the later start. What they must agree on (role, place, cell,
-// address) they must agree on: a server of which they tell different things takes no traffic until
-// they agree. Where one of the two has not spoken at all yet, the other holds alone. Commutative:
-// merge(a, b) == merge(b, a) but for `name`.
+// With authority `both`, the more cautious source wins in each field: gone before draining before
+// ready, the smaller weight, the later start. In role, location, cell and address they must agree:
+// a server on which they differ gets no traffic until they agree. While one of the two has no list
+// yet, the other decides alone. Commutative, except for `name`.
 #pragma once
 
+#include <cstdint>
 #include <optional>
 
 #include "endpoints/member.h"
 
 namespace alderspur::endpoints {
 
-enum class Authority { board, files, both };
+/// Which sources decide.
+enum class Authority : std::uint8_t { board, files, both };
 const char* to_string(Authority authority);
 
-// Why a server stands as it does; the order is that of care.
-enum class Reason {
+/// Why a server has its status, from the least to the most cautious.
+enum class Reason : std::uint8_t {
   as_listed,
-  weight_lower,    // the two tell different weights
-  board_draining,  // one of the two says draining
+  weight_lower,  // the sources list different weights
+  board_draining,
   files_draining,
-  locations_differ,  // they tell different roles, places, cells or addresses
+  locations_differ,  // the sources list different roles, locations, cells or addresses
   not_on_board,
   not_in_files,
-  flapping,  // held out by damping
+  flapping,  // suppressed by damping
 };
+/// A text for logs and operators.
 const char* to_string(Reason reason);
 
 struct Merged {
-  Member member;  // status gone: not to be used at all
+  Member member;  // with status gone, it must not be used
   Reason reason = Reason::as_listed;
 };
 
+/// What each source says of one server; null: it does not list the server.
 struct EndpointSources {
-  const Member* board = nullptr;  // null: it does not list the server
+  const Member* board = nullptr;
   const Member* files = nullptr;
-  bool has_board_list = false, has_file_list = false;  // a list of it is in force
+  bool has_board_list = false;  // the board has sent a list
+  bool has_file_list = false;   // a list from files is in force
 };
-// Nothing if neither that counts lists it.
-std::optional<Merged> merge(Authority authority, const EndpointSources& voices);
+
+/// Returns nothing if no deciding source lists the server.
+std::optional<Merged> merge(Authority authority, const EndpointSources& sources);
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/snapshot.cpp
+++ b/src/endpoints/snapshot.cpp
@@ -3,118 +3,156 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace alderspur::endpoints {
 namespace {
 
-// Lengths go in front, so that no two different lists give the same bytes.
+/// XXH3 over a sequence of values. Lengths precede texts, so that no two different sequences give
+/// the same bytes.
 class Digest {
  public:
   Digest() : state_(XXH3_createState()) { XXH3_64bits_reset(state_.get()); }
-  void text(const std::string& s) {
-    number(s.size());
-    XXH3_64bits_update(state_.get(), s.data(), s.size());
+  void add_text(const std::string& text) {
+    add_number(text.size());
+    XXH3_64bits_update(state_.get(), text.data(), text.size());
   }
-  template <class T>
-  void number(T v) {
-    XXH3_64bits_update(state_.get(), &v, sizeof v);
+  template <class Number>
+  void add_number(Number number) {
+    XXH3_64bits_update(state_.get(), &number, sizeof number);
   }
   std::uint64_t value() const { return XXH3_64bits_digest(state_.get()); }
 
  private:
-  struct Free {
-    void operator()(XXH3_state_t* s) const { XXH3_freeState(s); }
+  struct FreeState {
+    void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
   };
-  std::unique_ptr<XXH3_state_t, Free> state_;
+  std::unique_ptr<XXH3_state_t, FreeState> state_;
 };
 
+void add_locations(Digest& digest, const Snapshot& list) {
+  auto hub_names = list.hubs;
+  std::sort(hub_names.begin(), hub_names.end());
+  std::vector<std::pair<std::string, std::string>> points_with_hubs;
+  points_with_hubs.reserve(list.points.size());
+  for (const auto& point : list.points) {
+    points_with_hubs.emplace_back(point.name, list.hubs[point.hub]);
+  }
+  std::sort(points_with_hubs.begin(), points_with_hubs.end());
+  digest.add_number(hub_names.size());
+  for (const auto& hub : hub_names) digest.add_text(hub);
+  digest.add_number(points_with_hubs.size());
+  for (const auto& [point, hub] : points_with_hubs) {
+    digest.add_text(point);
+    digest.add_text(hub);
+  }
+}
+
+// The digest stands in stored state: order and types of the values must not change.
+void add_server(Digest& digest, const Snapshot& list, const ListedServer& server) {
+  digest.add_text(server.name);
+  digest.add_text(server.address);
+  digest.add_text(list.location_name(server));
+  digest.add_number(static_cast<int>(server.role));
+  digest.add_number(static_cast<int>(server.state));
+  digest.add_number(server.cell);
+  digest.add_number(server.weight);
+}
+
+/// Files a server that both snapshots list.
+void compare(const Snapshot& old_list, const ListedServer& before, const Snapshot& new_list,
+             const ListedServer& after, Difference& difference) {
+  if (before.state == ServerState::in_service && after.state == ServerState::draining) {
+    difference.drained.push_back(after.id);
+  } else if (before.address != after.address) {
+    difference.moved.push_back(after.id);
+  } else if (before.role != after.role || before.cell != after.cell ||
+             old_list.location_name(before) != new_list.location_name(after)) {
+    difference.reassigned.push_back(after.id);
+  } else if (before.state != after.state) {
+    difference.reinstated.push_back(after.id);
+  } else if (before.weight != after.weight) {
+    difference.reweighted.push_back(after.id);
+  }
+}
+
 }  // namespace
 
 const ListedServer* Snapshot::find(ServerId id) const {
-  const auto it =
-      std::lower_bound(servers.begin(), servers.end(), id,
-                       [](const ListedServer& s, ServerId wanted) { return s.id < wanted; });
+  const auto it = std::lower_bound(
+      servers.begin(), servers.end(), id,
+      [](const ListedServer& server, ServerId wanted) { return server.id < wanted; });
   return it != servers.end() && it->id == id ? &*it : nullptr;
 }
 
 void Snapshot::seal() {
-  std::sort(servers.begin(), servers.end(), [](auto& a, auto& b) { return a.id < b.id; });
-  auto hub_names = hubs;
-  std::sort(hub_names.begin(), hub_names.end());
-  std::vector<std::pair<std::string, std::string>> point_names;
-  for (const auto& p : points) point_names.emplace_back(p.name, hubs[p.hub]);
-  std::sort(point_names.begin(), point_names.end());
-  Digest d;
-  d.number(hub_names.size());
-  for (const auto& h : hub_names) d.text(h);
-  d.number(point_names.size());
-  for (const auto& [p, h] : point_names) d.text(p), d.text(h);
-  d.number(servers.size());
-  for (const auto& s : servers) {
-    d.text(s.name), d.text(s.address), d.text(location_name(s));
-    d.number(static_cast<int>(s.role)), d.number(static_cast<int>(s.state));
-    d.number(s.cell), d.number(s.weight);
-  }
-  digest = d.value();
+  std::sort(servers.begin(), servers.end(),
+            [](const auto& left, const auto& right) { return left.id < right.id; });
+  Digest meaning;
+  add_locations(meaning, *this);
+  meaning.add_number(servers.size());
+  for (const auto& server : servers) add_server(meaning, *this, server);
+  digest = meaning.value();
 }
 
 Difference difference(const Snapshot* from, const Snapshot& to) {
-  static const Snapshot kNothing;
-  const Snapshot& old = from ? *from : kNothing;
-  Difference d;
-  d.has_location_changes = old.points != to.points || old.hubs != to.hubs;
-  auto a = old.servers.begin();
-  auto b = to.servers.begin();
-  while (a != old.servers.end() || b != to.servers.end()) {
-    if (b == to.servers.end() || (a != old.servers.end() && a->id < b->id)) {
-      d.removed.push_back((a++)->id);
-      continue;
+  const Snapshot empty;
+  const Snapshot& old_list = from ? *from : empty;
+  Difference result;
+  result.has_location_changes = old_list.points != to.points || old_list.hubs != to.hubs;
+  // Both are sorted by id.
+  auto before = old_list.servers.begin();
+  auto after = to.servers.begin();
+  while (before != old_list.servers.end() || after != to.servers.end()) {
+    if (after == to.servers.end() || (before != old_list.servers.end() && before->id < after->id)) {
+      result.removed.push_back(before->id);
+      ++before;
+    } else if (before == old_list.servers.end() || after->id < before->id) {
+      result.added.push_back(after->id);
+      ++after;
+    } else {
+      compare(old_list, *before, to, *after, result);
+      ++before;
+      ++after;
     }
-    if (a == old.servers.end() || b->id < a->id) {
-      d.added.push_back((b++)->id);
-      continue;
-    }
-    const ListedServer &was = *a++, &is = *b++;
-    if (was.state == ServerState::in_service && is.state == ServerState::draining)
-      d.drained.push_back(is.id);
-    else if (was.address != is.address)
-      d.moved.push_back(is.id);
-    else if (was.role != is.role || was.cell != is.cell ||
-             old.location_name(was) != to.location_name(is))
-      d.reassigned.push_back(is.id);
-    else if (was.state != is.state)
-      d.reinstated.push_back(is.id);
-    else if (was.weight != is.weight)
-      d.reweighted.push_back(is.id);
   }
-  return d;
+  return result;
 }
 
-std::string summary(const Snapshot* from, const Snapshot& to, const Difference& d) {
-  std::string out =
+std::string summary(const Snapshot* from, const Snapshot& to, const Difference& difference) {
+  std::string text =
       from ? "generation " + std::to_string(from->generation) + " to " : "generation ";
-  out += std::to_string(to.generation) + ":";
-  const auto part = [&, first = true](std::size_t n, const char* what) mutable {
-    if (!n) return;
-    out += (first ? " " : ", ") + std::to_string(n) + ' ' + what;
-    first = false;
+  text += std::to_string(to.generation) + ":";
+  bool is_first = true;
+  const auto append = [&](const std::vector<ServerId>& servers, const char* what) {
+    if (servers.empty()) return;
+    text += (is_first ? " " : ", ") + std::to_string(servers.size()) + ' ' + what;
+    is_first = false;
   };
-  auto say = part;
-  say(d.added.size(), "added");
-  say(d.removed.size(), "removed");
-  say(d.drained.size(), "drained");
-  say(d.reinstated.size(), "back in service");
-  say(d.moved.size(), "at another address");
-  say(d.reweighted.size(), "of another weight");
-  say(d.reassigned.size(), "of another role, place or cell");
-  if (d.has_location_changes) out += d.server_count() ? ", points or hubs" : " points or hubs";
-  if (d.is_empty()) out += " nothing changes";
-  return out;
+  append(difference.added, "added");
+  append(difference.removed, "removed");
+  append(difference.drained, "drained");
+  append(difference.reinstated, "back in service");
+  append(difference.moved, "at another address");
+  append(difference.reweighted, "of another weight");
+  append(difference.reassigned, "of another role, place or cell");
+  if (difference.has_location_changes) text += is_first ? " points or hubs" : ", points or hubs";
+  if (difference.is_empty()) text += " nothing changes";
+  return text;
 }
 
 const char* to_string(Role role) {
-  return role == Role::cache ? "cache" : role == Role::parent ? "parent" : "origin";
+  switch (role) {
+    case Role::cache:
+      return "cache";
+    case Role::parent:
+      return "parent";
+    case Role::origin:
+      break;
+  }
+  return "origin";
 }
+
 const char* to_string(ServerState state) {
   return state == ServerState::in_service ? "in_service" : "draining";
 }
--- a/tests/endpoints_test.cpp
+++ b/tests/endpoints_test.cpp
@@ -315,12 +315,9 @@
         read_list(text_of(generation, servers, "confirm = " + std::to_string(generation) + "\n"),
                   "servers.toml", now, {}, f);
     EXPECT_TRUE(next.list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
-    CandidateList o{next.list,
-                    fleet.current_list(),
-                    difference(fleet.current_list().get(), *next.list),
-                    {},
-                    {}};
-    resolve_zones(*next.list, {"hub", "edge-1", "edge-2"}, o.point_zones, o.hub_zones, f);
+    CandidateList o{
+        next.list, fleet.current_list(), difference(fleet.current_list().get(), *next.list), {}};
+    o.zones = resolve_zones(*next.list, {"hub", "edge-1", "edge-2"}, f);
     EXPECT_TRUE(fleet.apply_list(o, now));
     pull();
     return next.list;
