--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -175,7 +175,7 @@
   }
 }
 
-/// Knows one cache, s-1, and leaves changes of the server "later" unanswered until told otherwise.
+/// Knows one cache, s-1, and does not answer changes of the server "later" by itself.
 struct ScriptedAdminHandler : admin::AdminHandler {
   bool is_ready() override { return true; }
   std::string render_metrics() override { return "f 1\n"; }
