--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -53,8 +53,9 @@
     if (!s.routes_file.empty()) {
       std::vector<std::string> told;
       routes = compile(s.routes_file, config, told);
-      if (!routes)
+      if (!routes) {
         for (const auto& t : told) findings.error("S002", {file, 0, 0}, t);
+      }
     }
     if (!s.membership || s.membership->list.empty()) return;
     const auto list = read_list(s.membership->list, findings);
@@ -62,11 +63,13 @@
     check_alone(*list, findings);
     (void)to_members(*list, config.names.zones, findings);
     if (!routes) return;
-    for (const auto& pool : routes->table->pools())
-      if (routes->table->servers(pool, *list).empty())
+    for (const auto& pool : routes->table->pools()) {
+      if (routes->table->servers(pool, *list).empty()) {
         findings.error("A043", pool.place,
                        "pool " + pool.name + " selects no server in service of " + list->source,
                        "change what it selects, or list a server for it");
+      }
+    }
   } catch (const std::exception& e) {
     findings.error("S002", {file, 0, 0}, e.what());
   }
@@ -164,8 +167,9 @@
     line = manifest.substr(at, end + 1 - at);
     at = end + 1;
     const auto quote = line.find('"');
-    if (line.starts_with("file") && quote != std::string::npos)
+    if (line.starts_with("file") && quote != std::string::npos) {
       piece = line.substr(quote + 1, line.find('"', quote + 1) - quote - 1);
+    }
     if (line.starts_with("digest") && !piece.empty()) {
       const auto content = config::read_text(folder + "/" + piece);
       line = "digest = \"" + endpoints::format_digest(endpoints::compute_digest(content)) + "\"\n";
@@ -184,9 +188,10 @@
     if (!options.against.empty()) {
       diagnostics::Findings findings;
       against = read_list(options.against, findings);
-      if (!against)
+      if (!against) {
         throw config::Error(options.against +
                             " is no good list: " + to_string(findings.list().at(0)));
+      }
     }
     rapidjson::StringBuffer buffer;
     Writer w(buffer);
@@ -215,8 +220,9 @@
     diagnostics::Findings findings;
     const auto a = read_list(from, findings), b = read_list(to, findings);
     if (!a || !b) {
-      for (const auto& f : findings.list())
+      for (const auto& f : findings.list()) {
         std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
+      }
       return kUsage;
     }
     const auto d = difference(a.get(), *b);
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -30,13 +30,15 @@
   Begin out;
   std::error_code ignored;
   std::filesystem::create_directories(folder, ignored);
-  if (const auto kept = store::load_file(folder + "/agree.kept", 1 << 20); kept.payload)
+  if (const auto kept = store::load_file(folder + "/agree.kept", 1 << 20); kept.payload) {
     out.kept = decode_kept(*kept.payload).value_or(PersistedState{});
+  }
   const auto take = [&](const std::string& digest) {
     if (digest.empty() || out.contents.size() >= kLoadedMost) return;
     if (const auto c = store::load_file(content_path(folder, digest), kContentMost + 4096);
-        c.payload)
+        c.payload) {
       out.contents[digest] = *c.payload;
+    }
   };
   take(out.kept.in_force.digest);
   if (out.kept.agreed) take(out.kept.agreed->digest);
@@ -143,8 +145,9 @@
   const bool given = log_writer_.submit([this, disk = disk_, p = std::move(p)] {
     const auto error = disk->write(p.store);
     wakeup_.post([this, number = p.number, error] {
-      if (!error.empty())
+      if (!error.empty()) {
         log_.record(kName, log::Level::error, "log_not_written", {{"reason", error}});
+      }
       handle(Stored{number, error.empty()});
     });
   });
@@ -157,9 +160,10 @@
   const bool given = writer_.submit([this, folder = folder_, w = std::move(w)] {
     const auto error = store::replace_file(content_path(folder, w.digest), w.bytes);
     wakeup_.post([this, digest = w.digest, error] {
-      if (error)
+      if (error) {
         log_.record(kName, log::Level::error, "content_not_written",
                     {{"reason", to_string(*error)}});
+      }
       handle(Written{digest, !error});
     });
   });
@@ -182,15 +186,17 @@
         diagnostics::Findings findings;
         const auto read = endpoints::read_list(text, name, 0, {}, findings);
         if (read.list && findings.good()) endpoints::check_alone(*read.list, findings);
-        if (read.list && findings.good())
+        if (read.list && findings.good()) {
           (void)endpoints::resolve_zones(*read.list, config.names.zones, findings);
+        }
         if (!findings.good()) reason = diagnostics::to_string(findings.list()[0]);
       } else if (name == "routes") {
         const auto file = folder + "/checked.alder";
         std::ofstream(file) << text;
         std::vector<std::string> findings;
-        if (!compile(file, config, findings))
+        if (!compile(file, config, findings)) {
           reason = findings.empty() ? "does not check" : findings[0];
+        }
       } else {
         reason = "this program knows no document '" + name + "'";
       }
@@ -211,8 +217,9 @@
   const bool share = a.share_all > 0;
   node_.cluster_share(share ? a.share_all : unleased_, share ? a.share_point : unleased_);
   if (!version) return;
-  if (a.version.number != judged_)
+  if (a.version.number != judged_) {
     judged_ = a.version.number, bad_part_ = 0;  // what ends from here on is its own
+  }
   log_.record(kName, log::Level::info, "acts",
               {{"version", a.version.number},
                {"careful", a.is_conservative ? 1 : 0},
@@ -232,21 +239,27 @@
     if (const auto it = acting.content->find("servers");
         it != acting.content->end() && !files.servers.empty()) {
       std::vector<std::string> texts{it->second};
-      for (const auto& h : acting.heard)
+      for (const auto& h : acting.heard) {
         if (const auto x = h->find("servers"); x != h->end()) texts.push_back(x->second);
+      }
       const auto text = list_to_act_on(texts, generation, error);
-      if (error.empty())
-        if (const auto failure = store::replace_text_file(files.servers, text))
+      if (error.empty()) {
+        if (const auto failure = store::replace_text_file(files.servers, text)) {
           error = to_string(*failure);
+        }
+      }
     }
     if (const auto it = acting.content->find("routes");
-        it != acting.content->end() && !files.routes.empty())
-      if (const auto failure = store::replace_text_file(files.routes, it->second))
+        it != acting.content->end() && !files.routes.empty()) {
+      if (const auto failure = store::replace_text_file(files.routes, it->second)) {
         error = to_string(*failure);
+      }
+    }
     wakeup_.post([this, error] {
       writing_ = false;
-      if (!error.empty())
+      if (!error.empty()) {
         log_.record(kName, log::Level::error, "not_acted_on", {{"reason", error}});
+      }
       if (files_.look) files_.look();
       if (std::exchange(again_, false)) write_files();
     });
@@ -278,10 +291,12 @@
   if (body.empty() && what.empty()) return {200, view()};
   if (body.empty() && what.starts_with("/proposals/")) {
     const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
-    for (const auto& s : settled_)
-      if (s.nonce == nonce)
+    for (const auto& s : settled_) {
+      if (s.nonce == nonce) {
         return {200, std::string(s.yes ? "yes" : "no") + " " + std::to_string(s.number) + " " +
                          s.text + "\n"};
+      }
+    }
     return {202, "under way\n"};
   }
   if (body.empty() && what.starts_with("/content/")) {
@@ -299,15 +314,18 @@
   Proposal p;
   p.nonce = random_() >> 1 | 1;
   if (const auto nonce =
-          http::parameter(query, "nonce"))  // asked again by whoever did not hear the answer
+          http::parameter(query, "nonce")) {  // asked again by whoever did not hear the answer
     p.nonce = std::max(1ULL, std::strtoull(std::string(*nonce).c_str(), nullptr, 10));
+  }
   if (const auto author = http::parameter(query, "author")) p.author = *author;
-  if (const auto base = http::parameter(query, "base"); base && !base->empty())
+  if (const auto base = http::parameter(query, "base"); base && !base->empty()) {
     p.base = std::strtoull(std::string(*base).c_str(), nullptr, 10);
+  }
   if (const auto first = http::parameter(query, "first")) {
     std::istringstream names{std::string(*first)};
-    for (std::string n; std::getline(names, n, ',') && p.trial.first.size() <= kVotersMost;)
+    for (std::string n; std::getline(names, n, ',') && p.trial.first.size() <= kVotersMost;) {
       p.trial.first.push_back(n);
+    }
     const auto real = [&](const char* key, double otherwise) {
       const auto text = http::parameter(query, key);
       return text ? std::strtod(std::string(*text).c_str(), nullptr) : otherwise;
@@ -320,8 +338,9 @@
     std::istringstream words(body);
     std::string go;
     Verdict v;
-    if (!(words >> go >> v.number) || (go != "go" && go != "back"))
+    if (!(words >> go >> v.number) || (go != "go" && go != "back")) {
       return {400, "say go or back, and the number of the version on trial\n"};
+    }
     v.go_on = go == "go";
     p.verdict = v;
   } else if (what == "/voters") {
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -22,8 +22,9 @@
                                      const endpoints::ListLimits& limits) {
   diagnostics::Findings ignored;  // judged with the rest, once all has settled
   std::vector<std::string> out;
-  for (const auto& p : endpoints::read_list(manifest, "manifest.toml", 0, limits, ignored).pieces)
+  for (const auto& p : endpoints::read_list(manifest, "manifest.toml", 0, limits, ignored).pieces) {
     out.push_back(p.file);
+  }
   return out;
 }
 
@@ -91,9 +92,10 @@
   std::filesystem::create_directories(settings_.state, ignored);
   auto restored = store::load_endpoint_state(state_path(settings_.state));
   if (!restored.state) {
-    if (!restored.is_absent)
+    if (!restored.is_absent) {
       log_.record(kName, log::Level::warning, "state_unusable",
                   {{"reason", to_string(*restored.error)}});
+    }
     return {};
   }
   endpoints::CandidateList offer{
@@ -117,20 +119,22 @@
   shared_->bring(fleet_.current_list());
   const auto look = watcher_->first(kFirst);
   Judged judged;
-  if (look)
+  if (look) {
     judged = judge(*shared_, file_watch::LookResult(*look));
-  else
+  } else {
     judged.refusal = settings_.list + " has not settled";
+  }
   if (judged.offer || judged.unchanged) {
     take(judged);
   } else if (kept) {
     take(judged);  // says what is wrong with the files
     const core::Time age = now - kept->list->read_at;
-    if (age > settings_.oldest)
+    if (age > settings_.oldest) {
       throw config::Error("no usable list of servers: " + judged.refusal +
                           "; the last good one is " + std::to_string(age / 1'000'000) +
                           " s old, over the bound of " +
                           std::to_string(settings_.oldest / 1'000'000) + " s");
+    }
     log_.record(kName, log::Level::warning, "started_from_state",
                 {{"generation", kept->list->generation}, {"age_s", age / 1'000'000}});
     push();
@@ -154,11 +158,12 @@
   const auto& s = shared.settings;
   auto read = endpoints::read_list(look.texts.text, look.texts.file, begun, s.limits, findings);
   endpoints::SnapshotPtr list = read.list;
-  if (list && look.texts.directory)
+  if (list && look.texts.directory) {
     list = endpoints::read_pieces(read, look.texts.pieces, s.limits, findings);
-  else if (list && !read.pieces.empty())
+  } else if (list && !read.pieces.empty()) {
     findings.error("L004", {look.texts.file, 0, 0}, "a manifest is given by its directory",
                    "name the directory");
+  }
   const auto in_force = shared.in_force();
   if (list && findings.good()) {
     check_alone(*list, findings);
@@ -235,9 +240,10 @@
     node_.upstream_pool().update(c.member);
     update.servers.push_back(c.member.server);
     if (serving_ && (c.reason == endpoints::Reason::flapping ||
-                     c.reason == endpoints::Reason::locations_differ))
+                     c.reason == endpoints::Reason::locations_differ)) {
       log_.record(kName, log::Level::warning, "held_out",
                   {{"id", c.member.name}, {"why", endpoints::to_string(c.reason)}});
+    }
     if (!serving_ || !log_.enabled(kName, log::Level::debug)) continue;
     log_.record(kName, log::Level::debug, "server",
                 {{"id", c.member.name},
@@ -307,8 +313,9 @@
     wakeup_.post([this, error] {
       saving_ = false;
       ++(!error ? counters_.saved : counters_.save_failed);
-      if (error)
+      if (error) {
         log_.record(kName, log::Level::error, "state_not_saved", {{"reason", to_string(*error)}});
+      }
     });
   });
 }
--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -66,9 +66,10 @@
 void ReplicationService::begin(std::optional<std::string> kept, const std::string& error) {
   Loaded loaded;
   const bool whole = kept && Bans::decode(*kept, loaded.bans);
-  if (!error.empty() || (kept && !whole))
+  if (!error.empty() || (kept && !whole)) {
     log_.record(kName, log::Level::warning, "not_read",
                 {{"reason", error.empty() ? "not of this form" : error}});
+  }
   begun_ = true;
   handle(loaded);
   saved_ = whole ? replica_->bans().digest() : 0;
@@ -76,8 +77,9 @@
   binding_ = true;
   for (const auto& s : replica_->bans().servers()) node_.ban({s, true});
   binding_ = false;
-  for (const auto& s : node_.bans())
+  for (const auto& s : node_.bans()) {
     if (!replica_->bans().banned(s)) called({s, true});
+  }
   for (const auto& change : std::exchange(early_, {})) called(change);
 }
 
@@ -85,18 +87,20 @@
 void ReplicationService::called(const hot_restart::BanChange& change) {
   if (binding_) return;
   if (!begun_) return early_.push_back(change);
-  if (change.is_banned)
+  if (change.is_banned) {
     handle(CallBan{change.server, "by hand", node_.engine().now()});
-  else
+  } else {
     handle(CallLift{change.server});
+  }
 }
 
 void ReplicationService::handle(const replication::Event& event) {
   std::vector<replication::Action> actions;
   replica_->handle(net::steady_now(), event, actions);
   for (const auto& a : actions) carry_out(a);
-  if (!std::holds_alternative<Purged>(event))
+  if (!std::holds_alternative<Purged>(event)) {
     save();  // a purge changes no ban, and there may be many
+  }
   arm();
 }
 
@@ -110,8 +114,9 @@
 }
 
 void ReplicationService::carry_out(const replication::Action& action) {
-  if (const auto* s = std::get_if<replication::SendFrame>(&action))
+  if (const auto* s = std::get_if<replication::SendFrame>(&action)) {
     return cluster_.send_replica(s->to, s->bytes);
+  }
   if (const auto* b = std::get_if<Bind>(&action)) {
     log_.record(kName, log::Level::info, b->out ? "banned" : "lifted", {{"server", b->server}});
     binding_ = true;
@@ -120,8 +125,9 @@
     return;
   }
   const Floor& f = std::get<Forbid>(action).floor;
-  if (f.at < node_.engine().now() - settles_ - kOld)
+  if (f.at < node_.engine().now() - settles_ - kOld) {
     return;  // caches have dropped it by themselves
+  }
   const auto object = f.object ? std::optional(f.id) : std::nullopt;
   node_.engine().purge(object, f.object ? 0 : static_cast<std::uint32_t>(f.id), f.at);
 }
@@ -133,11 +139,12 @@
     const auto error = store::replace_file(path, text);
     wakeup_.post([this, digest, error] {
       saving_ = false;
-      if (!error)
+      if (!error) {
         saved_ = digest;
-      else
+      } else {
         log_.record(kName, log::Level::error, "not_written",
                     {{"reason", to_string(*error)}});  // again with the next event
+      }
     });
   });
 }
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -23,8 +23,9 @@
 constexpr std::size_t kProxiesMost = 32;
 
 int refuse(const diagnostics::Findings& findings) {
-  for (const auto& f : findings.list())
+  for (const auto& f : findings.list()) {
     std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
+  }
   return kFinding;
 }
 
@@ -34,24 +35,27 @@
   };
   EndpointController* keeper = nullptr;
   platform::EdgeRouter::MakeEndpointSink make_sink;
-  if (settings.membership)
+  if (settings.membership) {
     make_sink = [&](platform::EdgeRouter& node) {
       auto made = std::make_unique<EndpointController>(node, *settings.membership, log);
       keeper = made.get();
       return made;
     };
+  }
   platform::EdgeRouter node(std::move(config), say, make_sink);
   node.config_path = settings.config;
   node.on_counters([&] {
     std::vector<log::Field> fields{{"open", node.engine().open_request_count()},
                                    {"links", node.upstream_pool().links()}};
-    for (const auto& [name, value] : core::fields(node.engine().counters()))
+    for (const auto& [name, value] : core::fields(node.engine().counters())) {
       fields.emplace_back(name, value);
+    }
     log.record("router", log::Level::info, "counters", fields);
   });
   std::unique_ptr<Routes> routes;
-  if (!settings.routes_file.empty())
+  if (!settings.routes_file.empty()) {
     routes = std::make_unique<Routes>(node, settings.routes_file, log);
+  }
   std::unique_ptr<signed_url::HttpFront> links;
   if (settings.links) {
     links = std::make_unique<signed_url::HttpFront>(node.loop(), node.deadlines(), node.engine(),
@@ -72,8 +76,9 @@
   std::unique_ptr<ClusterService> cluster;
   if (settings.cluster) cluster = std::make_unique<ClusterService>(node, *settings.cluster, log);
   std::unique_ptr<ReplicationService> replica;
-  if (cluster && settings.cluster->replicate)
+  if (cluster && settings.cluster->replicate) {
     replica = std::make_unique<ReplicationService>(node, *cluster, *settings.cluster, log);
+  }
   std::unique_ptr<ConsensusService> versions;
   if (cluster && settings.cluster->agreement) {
     ConsensusService::Files files{
@@ -97,8 +102,9 @@
     if (routes) routes->reload();
   });
   node.loop().on_signal(SIGUSR1, [&] {
-    if (keeper)
+    if (keeper) {
       log.record("membership", log::Level::info, "standing", {{"text", keeper->summary()}});
+    }
     log.flush();
   });
   node.run();
--- a/src/core/parsing.h
+++ b/src/core/parsing.h
@@ -13,10 +13,11 @@
 template <class T>
 bool parse_number(std::string_view text, T& out, [[maybe_unused]] int base = 10) {
   std::from_chars_result r{};
-  if constexpr (std::is_floating_point_v<T>)
+  if constexpr (std::is_floating_point_v<T>) {
     r = std::from_chars(text.data(), text.data() + text.size(), out);
-  else
+  } else {
     r = std::from_chars(text.data(), text.data() + text.size(), out, base);
+}
   if (text.empty() || r.ec != std::errc() || r.ptr != text.data() + text.size()) return false;
   if constexpr (std::is_floating_point_v<T>) return std::isfinite(out);
   return true;
@@ -24,18 +25,21 @@
 
 // Lower case only: caches take names as they are written, so one thing must have one name.
 inline bool is_hex_word(std::string_view text, std::size_t digits) {
-  for (const char c : text)
+  for (const char c : text) {
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'))) return false;
+}
   return text.size() == digits;
 }
 
 // Danger: such words pass into lines of words; a space or a comma in one would make another command
 // of it.
 inline bool is_plain_word(std::string_view text) {
-  for (const char c : text)
+  for (const char c : text) {
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
-          c == '_'))
+          c == '_')) {
       return false;
+}
+}
   return text.size() <= 64;
 }
 
--- a/src/platform/edge_router.cpp
+++ b/src/platform/edge_router.cpp
@@ -80,18 +80,20 @@
   if (!complete_) return;  // still in the constructor: the front is not there yet
   front_.share(others.count + 1);
   if (!leave_at_) return;
-  if (others.has_successor)
+  if (others.has_successor) {
     front_.hand_over(leave_at_ - kLinger + killed_after());
-  else
+  } else {
     front_.take_back();
+  }
 }
 
 void EdgeRouter::ban(const hot_restart::BanChange& change) {
-  if (hot_restart_)
+  if (hot_restart_) {
     hot_restart_->change_ban(change,
                              [](const std::optional<hot_restart::SharedDirectoryError>&) {});
-  else
+  } else {
     engine_.set_ban(config::server_id(change.server), change.is_banned);
+  }
 }
 std::vector<std::string> EdgeRouter::bans() const {
   if (!hot_restart_) return {};
@@ -109,8 +111,9 @@
 // at most, and 0.7 s.
 core::Time EdgeRouter::killed_after() const {
   core::Time longest = 0;
-  for (const core::Time t : config_.names.give_up)
+  for (const core::Time t : config_.names.give_up) {
     longest = std::max(longest, t > 0 ? t : kLongest);
+  }
   return std::min(longest, kLongest) + kLinger - kLastWord;
 }
 
@@ -132,8 +135,9 @@
     over_ = true;
   });
   deadlines_.set(leave_at_, [this] {
-    for (auto& p : parts_)
+    for (auto& p : parts_) {
       if (p.leave) p.leave();
+    }
   });
 }
 
@@ -143,12 +147,14 @@
 void EdgeRouter::reload() {
   try {
     const auto renewed = config::read_file(config_path);
-    if (!discovery_client_.move(renewed))
+    if (!discovery_client_.move(renewed)) {
       throw config::Error("no usable board address: '" + renewed.board + "'");
+    }
     say_("reload", "settings read anew, board at " + renewed.board);
     if (renewed.memory_mb != config_.memory_mb || renewed.sockets != config_.sockets ||
-        renewed.names.classes != config_.names.classes)
+        renewed.names.classes != config_.names.classes) {
       say_("reload", "limits and classes have changed too: they hold from the next start");
+    }
   } catch (const std::exception& e) {
     say_("reload", std::string("reload: ") + e.what() + "; the settings stay as they were");
   }
@@ -166,8 +172,9 @@
   deadlines_.run_due(engine_.now());
   engine_.run();
   front_.end_turn();
-  for (auto& p : parts_)
+  for (auto& p : parts_) {
     if (p.end_turn) p.end_turn();
+  }
   if (operators_) operators_->end_turn();
   upstream_pool_.end_turn();
   discovery_client_.end_turn();
@@ -182,8 +189,9 @@
   const bool idle = engine_.open_request_count() == 0 && front_.idle();
   if (!hot_restart_ || idle) front_.leave();
   const auto done = [](auto& part) { return !part.idle || part.idle(); };
-  if (over_ || (idle && front_.gone() && std::all_of(parts_.begin(), parts_.end(), done)))
+  if (over_ || (idle && front_.gone() && std::all_of(parts_.begin(), parts_.end(), done))) {
     loop_.stop();
+  }
 }
 
 void EdgeRouter::run() {
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -11,8 +11,9 @@
 
 std::string lower(std::string_view text) {
   std::string out(text);
-  for (char& c : out)
+  for (char& c : out) {
     if (c >= 'A' && c <= 'Z') c = static_cast<char>(c + 32);
+  }
   return out;
 }
 std::uint64_t mix(std::uint64_t x) {
@@ -49,8 +50,9 @@
   p.points = texts(d.settings, "point");
   p.hubs = texts(d.settings, "hub");
   for (const auto& p_when : d.when) p.points.push_back(p_when);
-  for (const auto& c : texts(d.settings, "cell"))
+  for (const auto& c : texts(d.settings, "cell")) {
     if (std::uint32_t cell = 0; core::parse_number(c, cell)) p.cells.push_back(cell);
+  }
   p.weight_least = number<double>(d.settings, "weight-least").value_or(0);
   p.limits = limits_of(d.settings);
   return p;
@@ -99,21 +101,26 @@
       pools_.push_back(pool_of(d));
       pools_.back().place = sources.place(d.span);
     }
-    if (d.kind->name == "policy" && policies.emplace(d.name, policies_.size()).second)
+    if (d.kind->name == "policy" && policies.emplace(d.name, policies_.size()).second) {
       policies_.push_back(policy_of(d));
+    }
   }
   const auto target = [&](const config_language::Settings& s) {
     Target t;
-    if (const auto p = texts(s, "pool"); !p.empty() && pools.contains(p[0]))
+    if (const auto p = texts(s, "pool"); !p.empty() && pools.contains(p[0])) {
       t.pool = pools.at(p[0]);
-    if (const auto p = texts(s, "policy"); !p.empty() && policies.contains(p[0]))
+    }
+    if (const auto p = texts(s, "policy"); !p.empty() && policies.contains(p[0])) {
       t.policy = policies.at(p[0]);
+    }
     return t;
   };
   for (const auto& d : meaning.declarations) {
-    if (d.kind->name == "pool")
-      for (const auto& name : texts(d.settings, "fallback"))
+    if (d.kind->name == "pool") {
+      for (const auto& name : texts(d.settings, "fallback")) {
         if (pools.contains(name)) pools_[pools.at(d.name)].fallback.push_back(pools.at(name));
+      }
+    }
     if (d.kind->name != "route") continue;
     std::string error;
     auto path = config_language::segments(
@@ -128,12 +135,14 @@
     r.points = texts(d.settings, "point");
     r.points.insert(r.points.end(), d.when.begin(), d.when.end());
     r.path = std::move(*path);
-    for (const auto& [key, s] : d.settings)
+    for (const auto& [key, s] : d.settings) {
       for (const auto kind : {Condition::Kind::header, Condition::Kind::query}) {
         const std::string_view prefix = kind == Condition::Kind::header ? "header " : "query ";
-        if (key.starts_with(prefix) && !s.texts.empty())
+        if (key.starts_with(prefix) && !s.texts.empty()) {
           r.conditions.push_back({kind, key.substr(prefix.size()), s.texts[0]});
+        }
       }
+    }
     r.target = target(d.settings);
     for (const auto& split : d.splits) {
       Target t = target(split.settings);
@@ -195,18 +204,22 @@
 // The best by segments from the left: text, capture, rest. Each node is looked at once at most.
 bool Table::search(const Node& node, Walk& walk, std::size_t depth) const {
   const auto first = [&](const std::vector<std::uint32_t>& routes) {
-    for (const auto i : routes)
+    for (const auto i : routes) {
       if (holds(routes_[i], walk.question)) return walk.found = &routes_[i], true;
+    }
     return false;
   };
   if (depth == walk.segments.size()) return first(node.ends);
-  if (!node.literal.empty())
+  if (!node.literal.empty()) {
     if (const auto it = node.literal.find(std::string(walk.segments[depth]));
-        it != node.literal.end())
+        it != node.literal.end()) {
       if (search(*it->second, walk, depth + 1)) return true;
+    }
+  }
   // A capture takes no empty segment: "/a/" is not "/a/{x}" with nothing for x.
-  if (node.capture && !walk.segments[depth].empty() && search(*node.capture, walk, depth + 1))
+  if (node.capture && !walk.segments[depth].empty() && search(*node.capture, walk, depth + 1)) {
     return true;
+  }
   return first(node.rests);
 }
 
@@ -217,17 +230,20 @@
     const auto slash = rest.find('/');
     walk.segments.push_back(rest.substr(0, slash));
     if (slash == std::string_view::npos) break;
-    if (walk.segments.size() >= kSegmentsMost)
+    if (walk.segments.size() >= kSegmentsMost) {
       return {};  // no route is so deep; the rest of a * may be
+    }
     rest.remove_prefix(slash + 1);
   }
   const auto host = lower(q.host.substr(0, q.host.find(':')));
   bool found = false;
   if (const auto it = exact_.find(host); it != exact_.end()) found = search(*it->second, walk, 0);
   for (auto dot = host.find('.'); !found && !suffix_.empty() && dot != std::string::npos;
-       dot = host.find('.', dot + 1))
-    if (const auto it = suffix_.find(host.substr(dot)); it != suffix_.end())
+       dot = host.find('.', dot + 1)) {
+    if (const auto it = suffix_.find(host.substr(dot)); it != suffix_.end()) {
       found = search(*it->second, walk, 0);
+    }
+  }
   if (!found) found = search(*any_, walk, 0);
   if (!found) return {};
   Match m;
@@ -236,11 +252,13 @@
   m.target = split ? m.route->splits[*split].second : m.route->target;
   for (std::size_t i = 0; i < m.route->path.size(); ++i) {
     const auto& s = m.route->path[i];
-    if (s.kind == config_language::Segment::Kind::capture)
+    if (s.kind == config_language::Segment::Kind::capture) {
       m.captures.emplace_back(s.text, walk.segments[i]);
-    if (s.kind == config_language::Segment::Kind::rest)
+    }
+    if (s.kind == config_language::Segment::Kind::rest) {
       m.captures.emplace_back(
           "*", q.path.substr(static_cast<std::size_t>(walk.segments[i].data() - q.path.data())));
+    }
   }
   return m;
 }
@@ -252,8 +270,9 @@
   };
   for (const auto& s : list.servers) {
     if (s.role != p.role || s.state != endpoints::ServerState::in_service ||
-        s.weight < p.weight_least)
+        s.weight < p.weight_least) {
       continue;
+    }
     const auto& place = list.location_name(s);
     const auto& hub = s.role == Role::cache ? list.hubs[list.points[s.location_index].hub] : place;
     if (s.role == Role::cache && !among(p.points, place)) continue;
@@ -274,8 +293,9 @@
   const std::uint64_t seed = core::stable_hash(r.name);
   const double at = static_cast<double>(mix(hash ^ seed) >> 11) * 0x1.0p-53;
   double sum = 0;
-  for (std::size_t i = 0; i < r.splits.size(); ++i)
+  for (std::size_t i = 0; i < r.splits.size(); ++i) {
     if (at < (sum += r.splits[i].first)) return i;
+  }
   return {};
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -25,23 +25,26 @@
                              : log::Level::info;
 }
 void listens(toml::Table& t, const std::string& address, diagnostics::Findings& findings) {
-  if (!net::parse_address(address))
+  if (!net::parse_address(address)) {
     findings.error("S002", t.place("listen"), "'" + address + "' is no address to listen on",
                    "write numbers and a port, such as 127.0.0.1:8480");
+  }
 }
 
 void read_log(toml::Table t, log::Settings& out, diagnostics::Findings& findings) {
   const std::vector<std::string_view> levels = {"debug", "info", "warning", "error"};
-  if (const auto form = t.word("form", {"logfmt", "json"}))
+  if (const auto form = t.word("form", {"logfmt", "json"})) {
     out.form = *form == "json" ? log::Form::json : log::Form::logfmt;
+  }
   if (const auto level = t.word("level", levels)) out.level = level_of(*level);
   if (const auto n = t.integer("per_second", 1, 10'000)) out.per_second = static_cast<int>(*n);
   auto by_subsystem = t.table("levels");
   const std::vector<std::string_view> known = {"router", "membership", "signed",
                                                "xds",    "routes",     "cluster"};
   for (const auto& [name, level] : by_subsystem.texts()) {
-    if (std::find(levels.begin(), levels.end(), level) == levels.end())
+    if (std::find(levels.begin(), levels.end(), level) == levels.end()) {
       findings.error("F003", by_subsystem.place(name), name + ": '" + level + "' is no level");
+    }
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       const auto near = diagnostics::nearest(name, known);
       findings.error("F004", by_subsystem.place(name), "no subsystem is called " + name,
@@ -60,13 +63,15 @@
   if (const auto v = t.real("reuse", 1, 1e6)) d.reuse_threshold = *v;
   if (const auto v = t.duration("half_life", 100 * kMilli, 24 * kHour)) d.half_life = *v;
   if (const auto v = t.duration("longest", 100 * kMilli, 24 * kHour)) d.max_suppress_time = *v;
-  if (d.reuse_threshold >= d.suppress_threshold)
+  if (d.reuse_threshold >= d.suppress_threshold) {
     findings.error("S002", t.place("reuse"), "reuse must be lower than suppress",
                    "a server held out at " + std::to_string(d.suppress_threshold) +
                        " would be let back at once");
-  if (d.max_suppress_time < d.half_life)
+  }
+  if (d.max_suppress_time < d.half_life) {
     findings.error("S002", t.place("longest"), "longest is shorter than half_life",
                    "no penalty could reach suppress");
+  }
   t.finish();
 }
 
@@ -74,10 +79,11 @@
                            diagnostics::Findings& findings) {
   Membership m;
   const auto authority = t.word("authority", {"board", "files", "both"}, true);
-  if (authority)
+  if (authority) {
     m.fleet.authority = *authority == "board"   ? endpoints::Authority::board
                         : *authority == "files" ? endpoints::Authority::files
                                                 : endpoints::Authority::both;
+  }
   const bool files = m.fleet.authority != endpoints::Authority::board;
   if (const auto v = t.text("list", files)) m.list = path_in(folder, *v);
   if (const auto v = t.text("state")) m.state = path_in(folder, *v);
@@ -87,10 +93,12 @@
   if (const auto v = t.real("most_out", 0, 1)) m.bounds.max_lost_fraction = *v;
   if (const auto v = t.real("weight_step", 1.01, 100)) m.fleet.max_weight_factor = *v;
   if (const auto v = t.duration("weight_every", 10 * kMilli, kHour)) m.fleet.weight_interval = *v;
-  if (const auto v = t.size("most_bytes", 1024, 16 << 20))
+  if (const auto v = t.size("most_bytes", 1024, 16 << 20)) {
     m.limits.max_bytes = static_cast<std::size_t>(*v);
-  if (const auto v = t.integer("most_servers", 1, 100'000))
+  }
+  if (const auto v = t.integer("most_servers", 1, 100'000)) {
     m.limits.max_servers = static_cast<std::size_t>(*v);
+  }
   if (const auto v = t.real("weight_least", 1e-6, 1e6)) m.limits.min_weight = *v;
   if (const auto v = t.real("weight_most", 1e-6, 1e9)) m.limits.max_weight = *v;
   read_damping(t.table("damping"), m.fleet.damping, findings);
@@ -103,12 +111,14 @@
   c.voters = t.words("voters");
   const std::set<std::string> names(c.voters.begin(), c.voters.end());
   if (c.voters.size() % 2 == 0 || c.voters.size() > consensus::kVotersMost ||
-      names.size() != c.voters.size())
+      names.size() != c.voters.size()) {
     findings.error("S002", t.place("voters"), "voters are 1, 3, 5 or 7 different members",
                    "name the same ones in the settings of every router");
-  if (c.agreement && c.state.empty())
+  }
+  if (c.agreement && c.state.empty()) {
     findings.error("S002", t.place("voters"), "agreement needs a folder of its own on a disk",
                    "set `state` in [cluster]");
+  }
   t.finish();
 }
 
@@ -123,9 +133,10 @@
     into = *v;
     const bool plain =
         std::all_of(v->begin(), v->end(), [](char x) { return x > ' ' && x <= '~' && x != '"'; });
-    if (v->empty() || v->size() > cluster::kWordMost || !plain)
+    if (v->empty() || v->size() > cluster::kWordMost || !plain) {
       findings.error("S002", t.place(key),
                      std::string(key) + " is not a word of 1 to 64 printing characters");
+    }
   };
   short_word("name", c.name, true);
   short_word("member", c.member, false);
@@ -133,32 +144,36 @@
   if (const auto v = t.text("listen", true)) c.listen = *v, listens(t, *v, findings);
   if (const auto v = t.text("advertise")) {
     c.advertise = *v;
-    if (!net::parse_address(*v))
+    if (!net::parse_address(*v)) {
       findings.error("S002", t.place("advertise"), "'" + *v + "' is no address");
+    }
   }
   if (const auto v = t.text("secret", true)) c.secret = path_in(folder, *v);
   if (const auto v = t.text("state")) c.state = path_in(folder, *v);
   if (const auto v = t.real("share", 0, 1)) c.share = *v;
   c.replicate = t.flag("replicate").value_or(true);
   for (const auto& seed : t.words("seeds")) {
-    if (!net::parse_address(seed))
+    if (!net::parse_address(seed)) {
       findings.error("S002", t.place("seeds"), "'" + seed + "' is no address of a seed",
                      "write numbers and a port, such as 127.0.0.1:7480");
+    }
     c.seeds.push_back(seed);
   }
   if (const auto v = t.duration("period", 50 * kMilli, 60 * kSecond)) {
     // All times of the rules keep their proportions.
     const double by = static_cast<double>(*v) / static_cast<double>(m.period);
     for (auto* x :
-         {&m.answer, &m.gossip, &m.reach, &m.refresh, &m.suspicion_least, &m.suspicion_most})
+         {&m.answer, &m.gossip, &m.reach, &m.refresh, &m.suspicion_least, &m.suspicion_most}) {
       *x = static_cast<core::Time>(static_cast<double>(*x) * by);
+    }
     m.period = *v;
   }
   if (const auto v = t.duration("forget", 10 * kSecond, 24 * kHour)) m.forget = *v;
   if (t.has("agreement")) read_agreement(t.table("agreement"), c, findings);
-  if (m.forget < 5 * m.suspicion_most)
+  if (m.forget < 5 * m.suspicion_most) {
     findings.error("S002", t.place("forget"), "forget is shorter than five suspicions",
                    "old news could outlive it");
+  }
   t.finish();
   return c;
 }
@@ -174,12 +189,15 @@
     const auto until = k.integer("until", 0, 1LL << 40);
     k.finish();
     if (!id || !secret) continue;
-    if (secret->size() < 16)
+    if (secret->size() < 16) {
       findings.error("S002", k.place("secret"),
                      "the secret of key " + *id + " has under 16 characters", "use 32 random ones");
-    for (const auto& other : s.keys)
-      if (other.id == *id)
+    }
+    for (const auto& other : s.keys) {
+      if (other.id == *id) {
         findings.error("S002", k.place("id"), "two keys are called " + *id, "rename one");
+      }
+    }
     s.keys.push_back({*id, *secret, until.value_or(0)});
   }
   for (auto& r : t.tables("route")) {
@@ -190,16 +208,19 @@
     if (!prefix || !cls) continue;
     route.place = r.place("class");
     route.prefix = *prefix, route.cls = *cls;
-    if (!prefix->starts_with('/') || !prefix->ends_with('/'))
+    if (!prefix->starts_with('/') || !prefix->ends_with('/')) {
       findings.error("S002", r.place("prefix"), "a prefix begins and ends with a slash",
                      "'/" + *prefix + "/'");
+    }
     out.routes.push_back(std::move(route));
   }
   t.finish();
-  if (s.enabled && s.keys.empty())
+  if (s.enabled && s.keys.empty()) {
     findings.error("S002", t.place(), "the signed front is on but has no [[signed.key]]");
-  if (s.enabled && out.routes.empty() && out.routes_file.empty())
+  }
+  if (s.enabled && out.routes.empty() && out.routes_file.empty()) {
     findings.error("S002", t.place(), "the signed front is on but has no [[signed.route]]");
+  }
   if (s.enabled) out.links = std::move(s);
 }
 
@@ -216,23 +237,27 @@
   if (const auto v = router.text("listen")) out.listen = *v, listens(router, *v, findings);
   if (const auto v = router.text("operator")) {
     out.operators = *v;
-    if (!net::parse_address(*v))
+    if (!net::parse_address(*v)) {
       findings.error("S002", router.place("operator"), "'" + *v + "' is no address to listen on",
                      "write numbers and a port, such as 127.0.0.1:8470");
+    }
   }
-  if (!root.has("router"))
+  if (!root.has("router")) {
     findings.error("S002", {file, 0, 0}, "there is no [router] section",
                    "name the platform's JSON in its config");
+  }
   router.finish();
   read_log(root.table("log"), out.log, findings);
   // Asked for also where absent: a misspelt section then finds its nearest name.
   auto routes = root.table("routes");
-  if (root.has("routes"))
+  if (root.has("routes")) {
     if (const auto v = routes.text("file", true)) out.routes_file = path_in(folder, *v);
+  }
   routes.finish();
   auto membership = root.table("membership"), links = root.table("signed"), t = root.table("xds");
-  if (root.has("membership"))
+  if (root.has("membership")) {
     out.membership = read_membership(std::move(membership), folder, findings);
+  }
   if (root.has("signed")) read_signed(std::move(links), out, findings);
   if (root.has("xds")) {
     config::Xds x;
@@ -248,9 +273,10 @@
     auto read = read_cluster(std::move(cluster), folder, findings, enabled);
     if (enabled) out.cluster = std::move(read);
   }
-  if (!out.routes_file.empty() && !out.routes.empty())
+  if (!out.routes_file.empty() && !out.routes.empty()) {
     findings.error("S002", out.routes[0].place, "routes stand here and in [routes] file",
                    "keep those of the file");
+  }
   root.finish();
   return out;
 }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -104,8 +104,9 @@
     ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
   }
   void poll() {
-    for (int fd; fd_ >= 0 && (fd = ::accept(fd_, nullptr, nullptr)) >= 0;)
+    for (int fd; fd_ >= 0 && (fd = ::accept(fd_, nullptr, nullptr)) >= 0;) {
       connections.push_back(std::make_unique<Socket>(fd));
+}
     for (auto& c : connections) {
       if (!reads) break;
       c->poll();
@@ -144,8 +145,9 @@
       used += length + 2;
     }
     std::istringstream list(fields);
-    for (std::string f; std::getline(list, f, ',');)
+    for (std::string f; std::getline(list, f, ',');) {
       c.fields[f.substr(0, f.find('='))] = f.substr(f.find('=') + 1);
+}
     s.in.erase(0, used);
     commands.push_back(c);
     return true;
@@ -210,13 +212,15 @@
     Got g;
     g.id = a[1].via.u64;
     const auto& pair = a[2].type == MSGPACK_OBJECT_NIL ? a[3] : a[2];
-    if (a[2].type != MSGPACK_OBJECT_NIL)
+    if (a[2].type != MSGPACK_OBJECT_NIL) {
       g.error = text(pair.via.array.ptr[0]);
-    else if (pair.via.array.ptr[0].type == MSGPACK_OBJECT_BIN)
+    } else if (pair.via.array.ptr[0].type == MSGPACK_OBJECT_BIN) {
       g.body = text(pair.via.array.ptr[0]);
+}
     const auto& map = pair.via.array.ptr[1].via.map;
-    for (std::uint32_t i = 0; i < map.size; ++i)
+    for (std::uint32_t i = 0; i < map.size; ++i) {
       g.fields[text(map.ptr[i].key)] = text(map.ptr[i].val);
+}
     out.push_back(g);
   }
   msgpack_unpacked_destroy(&m);
@@ -314,14 +318,17 @@
   // The first fetch that waits at a box, not counting those before `seen`.
   Command* fetch(std::size_t n = 1) {
     std::size_t found = 0;
-    for (auto& b : box)
-      for (auto& c : b.commands)
+    for (auto& b : box) {
+      for (auto& c : b.commands) {
         if (c.word == "fetch" && ++found == n) return &c;
+}
+}
     return nullptr;
   }
   Box& box_of(const Command& c) {
-    for (auto& s : box[0].connections)
+    for (auto& s : box[0].connections) {
       if (s.get() == c.from) return box[0];
+}
     return box[1];
   }
   std::size_t fetches() const { return box[0].count("fetch") + box[1].count("fetch"); }
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -114,9 +114,11 @@
   void play() {
     client->poll();
     // Served, or refused by the module's door while it learns what the boxes can do.
-    for (const std::string mark : {"bytes of", "Busy"})
-      for (auto at = client->in.find(mark); at != std::string::npos; at = client->in.find(mark))
+    for (const std::string mark : {"bytes of", "Busy"}) {
+      for (auto at = client->in.find(mark); at != std::string::npos; at = client->in.find(mark)) {
         client->in.replace(at, mark.size(), mark.size(), '#'), ++answered;
+      }
+    }
     if (client->in.size() > 4096) client->in.erase(0, client->in.size() - 64);
     if (asking && asked - answered < 8 && net::unix_now() > next_ask) {
       ++asked;
@@ -255,8 +257,9 @@
       {"an unknown zone",
        [&] {
          auto t = with;
-         for (std::size_t i; (i = t.find("\"edge\"")) != std::string::npos;)
+         for (std::size_t i; (i = t.find("\"edge\"")) != std::string::npos;) {
            t.replace(i, 6, "\"egde\"");
+         }
          return t;
        }()},
   };
@@ -357,9 +360,10 @@
     auto t = list(g, {});
     t = t.substr(0, t.find("[[server]]"));
     t.replace(t.find("servers = 1"), 11, "servers = " + std::to_string(n));
-    for (std::size_t i = 0; i < texts.size(); ++i)
+    for (std::size_t i = 0; i < texts.size(); ++i) {
       t += "[[piece]]\nfile = \"p" + std::to_string(i) + ".toml\"\ndigest = \"" +
            endpoints::format_digest(endpoints::compute_digest(texts[i])) + "\"\n";
+    }
     return t;
   };
   const auto put = [&](const std::string& name, const std::string& text) {
