--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -51,7 +51,9 @@
   writer_.submit([this, path = path_] {
     auto loaded = store::load_file(path, kFileMost);
     wakeup_.post([this, payload = std::move(loaded.payload),
-                  error = loaded.absent ? "" : loaded.error] { begin(payload, error); });
+                  error = loaded.error && !loaded.is_absent ? to_string(*loaded.error) : ""] {
+      begin(payload, error);
+    });
   });
 }
 ReplicationService::~ReplicationService() {
@@ -63,9 +65,10 @@
 // a ban may hold that was lifted while it was away, and none is forgotten.
 void ReplicationService::begin(std::optional<std::string> kept, const std::string& error) {
   const auto stored = kept ? BanSet::decode(*kept) : std::nullopt;
-  if (!error.empty() || (kept && !stored))
+  if (!error.empty() || (kept && !stored)) {
     log_.record(kName, log::Level::warning, "not_read",
                 {{"reason", error.empty() ? "not of this form" : error}});
+  }
   begun_ = true;
   handle(BansLoaded{stored.value_or(BanSet())});
   saved_ = stored ? replica_->bans().digest() : 0;
@@ -82,18 +85,19 @@
 void ReplicationService::called(const hot_restart::BanChange& change) {
   if (binding_) return;
   if (!begun_) return early_.push_back(change);
-  if (change.out)
-    handle(BanRequested{change.name, "by hand", node_.engine().now()});
+  if (change.is_banned)
+    handle(BanRequested{change.server, "by hand", node_.engine().now()});
   else
-    handle(LiftRequested{change.name});
+    handle(LiftRequested{change.server});
 }
 
 void ReplicationService::handle(const replication::Event& event) {
   std::vector<replication::Action> actions;
   replica_->handle(net::steady_now(), event, actions);
   for (const auto& a : actions) carry_out(a);
-  if (!std::holds_alternative<PurgeObserved>(event))
+  if (!std::holds_alternative<PurgeObserved>(event)) {
     save();  // a purge changes no ban, and there may be many
+  }
   arm();
 }
 
@@ -107,8 +111,9 @@
 }
 
 void ReplicationService::carry_out(const replication::Action& action) {
-  if (const auto* s = std::get_if<replication::SendFrame>(&action))
+  if (const auto* s = std::get_if<replication::SendFrame>(&action)) {
     return cluster_.send_replica(s->to, s->bytes);
+  }
   if (const auto* b = std::get_if<SetBan>(&action)) {
     log_.record(kName, log::Level::info, b->is_banned ? "banned" : "lifted",
                 {{"server", b->server}});
@@ -131,11 +136,12 @@
     const auto error = store::replace_file(path, text);
     wakeup_.post([this, digest, error] {
       saving_ = false;
-      if (error.empty())
+      if (!error) {
         saved_ = digest;
-      else
+      } else {
         log_.record(kName, log::Level::error, "not_written",
-                    {{"reason", error}});  // again with the next event
+                    {{"reason", to_string(*error)}});  // again with the next event
+      }
     });
   });
 }
--- a/src/cluster/epoch.cpp
+++ b/src/cluster/epoch.cpp
@@ -31,10 +31,10 @@
     result.epoch = std::max(result.epoch, *stored + 1);
     return;
   }
-  if (loaded.absent) return;
-  if (!loaded.error.empty()) {
+  if (loaded.is_absent) return;
+  if (loaded.error) {
     result.error = EpochError::unreadable;
-    result.reason = loaded.error;
+    result.reason = to_string(*loaded.error);
     return;
   }
   result.error = EpochError::unexpected_format;
@@ -53,9 +53,9 @@
   read_stored_epoch(path, result);
   const auto write_error =
       store::replace_file(path, std::string(kFormat) + std::to_string(result.epoch));
-  if (!write_error.empty()) {
+  if (write_error) {
     result.error = EpochError::not_written;
-    result.reason = write_error;
+    result.reason = to_string(*write_error);
   }
   return result;
 }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -102,7 +102,9 @@
 };
 
 Log::Log(Settings settings, Sink sink, std::function<core::Time()> clock)
-    : settings_(std::move(settings)), sink_(std::move(sink)), clock_(clock ? std::move(clock) : wall) {
+    : settings_(std::move(settings)),
+      sink_(std::move(sink)),
+      clock_(clock ? std::move(clock) : wall) {
   if (!sink_) out_ = std::make_unique<Out>();
 }
 Log::~Log() { flush(); }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -116,7 +116,8 @@
   core::Time now = 1'764'576'000'000'000;
   log::Log log(log::Settings settings) {
     return log::Log(
-        std::move(settings), [this](const std::string& l) { out.push_back(l); }, [this] { return now; });
+        std::move(settings), [this](const std::string& l) { out.push_back(l); },
+        [this] { return now; });
   }
 };
 
