--- a/tests/replication/stored_data_test.cpp
+++ b/tests/replication/stored_data_test.cpp
@@ -34,7 +34,7 @@
 TEST(StoredData, ReadsBansWrittenBeforeTheRename) {
   const auto file =
       alderspur::store::load_file(test_data::path("replication/replica.bans"), 1 << 20);
-  ASSERT_TRUE(file.payload) << file.error;
+  ASSERT_TRUE(file.payload) << (file.error ? to_string(*file.error) : "no such file");
   const auto stored = BanSet::decode(*file.payload);
   ASSERT_TRUE(stored);
   const alderspur::replication::Author first{"router-1", 1'700'000'000'000'001};
