--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -125,7 +125,11 @@
     judged.refusal = settings_.list + " has not settled";
   }
   const bool has_list = judged.offer || judged.unchanged;
-  if (has_list || kept) take(judged);  // says what is wrong with the files, if anything
+  const bool needs_list = settings_.fleet.authority == endpoints::Authority::files;
+  if (!has_list && !kept && needs_list) {
+    throw config::Error("no usable list of servers: " + judged.refusal);
+  }
+  take(judged);  // says what is wrong with the files, if anything
   if (!has_list && kept) {
     const core::Time age = now - kept->list->read_at;
     if (age > settings_.oldest) {
@@ -137,10 +141,6 @@
     log_.record(kName, log::Level::warning, "started_from_state",
                 {{"generation", kept->list->generation}, {"age_s", age / 1'000'000}});
     push();
-  } else if (settings_.fleet.authority == endpoints::Authority::files) {
-    throw config::Error("no usable list of servers: " + judged.refusal);
-  } else {
-    take(judged);
   }
   serving_ = true;
 }
