--- a/bench/consensus/processes.cpp
+++ b/bench/consensus/consensus_processes.cpp
@@ -8,8 +8,8 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "consensus/fleet.h"
-#include "times.h"
+#include "consensus/router_fleet.h"
+#include "durations.h"
 
 namespace {
 
@@ -17,10 +17,10 @@
 using rig::kSecond;
 using rig::Time;
 
-class Play : public fleet::Fleet {
+class Play : public fleet::RouterFleet {
  public:
   explicit Play(std::size_t n) : n_(n) {}
-  bool begin() { return Fleet::begin(n_, {0, 1, 2}); }
+  bool begin() { return RouterFleet::start(n_, {0, 1, 2}); }
 
   // Time until the answer; 0: it was refused, or none came.
   Time change(std::size_t at, Time* everywhere = nullptr, const std::vector<std::size_t>& of = {}) {
@@ -29,26 +29,26 @@
   }
   Time change(std::size_t at, const std::string& which, Time* everywhere = nullptr,
               const std::vector<std::size_t>& of = {}) {
-    const auto body = consensus::encode({{"servers", servers(which)}});
+    const auto body = consensus::encode({{"servers", endpoint_list(which)}});
     const Time from = net::unix_now();
-    const auto nonce = r->put(at, "/control/versions", body);
+    const auto nonce = cluster->put(at, "/control/versions", body);
     std::string word;
-    for (const Time end = from + 25 * kSecond; net::unix_now() < end; r->run(5'000))
-      if ((word = word_on(at, nonce)).starts_with("yes") || word.starts_with("no")) break;
+    for (const Time end = from + 25 * kSecond; net::unix_now() < end; cluster->run(5'000))
+      if ((word = proposal_result(at, nonce)).starts_with("yes") || word.starts_with("no")) break;
     if (!word.starts_with("yes")) return 0;
     const Time took = net::unix_now() - from;
     last_ = std::stoull(word.substr(4));
     if (everywhere) {
-      while (!all_act(last_, of) && net::unix_now() < from + 25 * kSecond) r->run(5'000);
+      while (!all_use(last_, of) && net::unix_now() < from + 25 * kSecond) cluster->run(5'000);
       *everywhere = net::unix_now() - from;
     }
     return took;
   }
   void changes() {
-    Times force, everywhere;
+    Durations force, everywhere;
     for (int i = 0; i < 12; ++i) {
       Time all = 0;
-      if (const Time t = change(n_ - 1, &all, r->all()))
+      if (const Time t = change(n_ - 1, &all, cluster->all()))
         force.all.push_back(t), everywhere.all.push_back(all);
     }
     std::printf(
@@ -63,44 +63,47 @@
                 made * 1e6 / static_cast<double>(net::unix_now() - from));
   }
   void requests() {
-    Times rest, changing;
-    Times* into = &rest;
+    Durations rest, changing;
+    Durations* into = &rest;
     on_answer = [&](std::size_t, Time took, bool) { into->all.push_back(took); };
-    loading = true;
-    r->run(8 * kSecond);
+    is_sending = true;
+    cluster->run(8 * kSecond);
     into = &changing;
     for (const Time end = net::unix_now() + 8 * kSecond; net::unix_now() < end;)
-      change(n_ - 1), r->run(300'000);
+      change(n_ - 1), cluster->run(300'000);
     on_answer = {};
     std::printf("  requests: p99 %.2f ms at rest (%zu), %.2f ms while versions change (%zu)\n",
                 rest.ms(0.99), rest.all.size(), changing.ms(0.99), changing.all.size());
   }
   void faults() {
     const auto still = n_ > 3 ? n_ - 2 : (leader() + 1) % 3;
-    r->signal(still, SIGSTOP);
+    cluster->signal(still, SIGSTOP);
     const auto proposer = still == n_ - 1 ? 0 : n_ - 1;
     std::printf("  with one stopped: %.0f ms", static_cast<double>(change(proposer)) / 1000);
-    r->signal(still, SIGCONT);
-    r->until([&] { return r->whole(r->all()) && all_act(last_, r->all()); });
+    cluster->signal(still, SIGCONT);
+    cluster->until(
+        [&] { return cluster->whole(cluster->all()) && all_use(last_, cluster->all()); });
     const auto old = leader();
-    r->kill(old);
+    cluster->kill(old);
     std::printf("; with the leader killed: %.0f ms\n",
                 static_cast<double>(change(old == n_ - 1 ? 0 : n_ - 1)) / 1000);
-    r->start(old);
-    r->until([&] { return r->whole(r->all()) && leader() < n_ && all_act(last_, r->all()); });
+    cluster->start(old);
+    cluster->until([&] {
+      return cluster->whole(cluster->all()) && leader() < n_ && all_use(last_, cluster->all());
+    });
     // Two of three voters gone for good: nobody leads.
-    loading = true;
-    r->run(2 * kSecond);
-    r->kill(0), r->kill(1);
-    r->run(4 * kSecond);
-    const auto before = served, bad = refused;
-    r->run(10 * kSecond);
+    is_sending = true;
+    cluster->run(2 * kSecond);
+    cluster->kill(0), cluster->kill(1);
+    cluster->run(4 * kSecond);
+    const auto before = served_count, bad = rejected_count;
+    cluster->run(10 * kSecond);
     std::printf("  nobody leads for 10 s: %llu served, %llu refused by the %zu that are left, %s\n",
-                static_cast<unsigned long long>(served - before),
-                static_cast<unsigned long long>(refused - bad), n_ - 2,
-                view(n_ - 1).careful ? "careful" : "NOT careful");
-    r->start(0), r->start(1);
-    r->until([&] { return leader() < n_ && all_act(last_, r->all()); });
+                static_cast<unsigned long long>(served_count - before),
+                static_cast<unsigned long long>(rejected_count - bad), n_ - 2,
+                status(n_ - 1).is_conservative ? "careful" : "NOT careful");
+    cluster->start(0), cluster->start(1);
+    cluster->until([&] { return leader() < n_ && all_use(last_, cluster->all()); });
   }
   // All routers take three times as much as the last half of them; then all but three are killed.
   bool cold(bool told, bool parent) {
@@ -109,30 +112,30 @@
         R"("weights":"nominal","obligations":{"cold-from":0.2,"cold":60000000,"fall":1000000},)";
     if (parent)
       domain_ = R"("upper-kind":1,"source-kind":2,"upper-cold-from":0.2,"upper-cold":60000000,)";
-    first_ = parent ? "abcp" : "ab", weight_ = 1, alone_ = told;
+    initial_servers_ = parent ? "abcp" : "ab", server_weight_ = 1, has_no_consensus_ = told;
     const std::string then = parent ? "abcpq" : "abc";
-    if (!Fleet::begin(n_, {0, 1, 2})) return false;
-    every_ = [this](std::size_t i) { return i < n_ / 2 ? Time{12'000} : Time{36'000}; };
-    loading = true;
-    r->run(4 * kSecond);
+    if (!RouterFleet::start(n_, {0, 1, 2})) return false;
+    request_interval_ = [this](std::size_t i) { return i < n_ / 2 ? Time{12'000} : Time{36'000}; };
+    is_sending = true;
+    cluster->run(4 * kSecond);
     if (told)
-      for (const auto i : r->all()) r->write_list(i, servers(then, 2));
+      for (const auto i : cluster->all()) cluster->write_list(i, endpoint_list(then, 2));
     else
       change(n_ - 1, then);
     const Time born = net::unix_now();
-    r->run(kSecond);
-    const auto counted = [&] { return parent ? filled_by_q_ : got_[2]; };
+    cluster->run(kSecond);
+    const auto counted = [&] { return parent ? fills_from_second_parent_ : requests_received_[2]; };
     const auto used = [&](Time time) {
       const auto got = counted();
       const Time from = net::unix_now();
-      r->run(time);
+      cluster->run(time);
       const double s = static_cast<double>(net::unix_now() - from) / 1e6;
       const double at = static_cast<double>(from - born) / 1e6 + s / 2;
       return static_cast<double>(counted() - got) / s /
              (kUsed * (kFrom + (1 - kFrom) * at / kSpan) / kSending);
     };
     const double whole = used(8 * kSecond);
-    for (std::size_t i = 3; i < n_; ++i) r->kill(i);
+    for (std::size_t i = 3; i < n_; ++i) cluster->kill(i);
     std::vector<double> after;
     for (int i = 0; i < 5; ++i) after.push_back(used(2 * kSecond));
     std::printf(
@@ -146,14 +149,14 @@
   }
   void away(int versions) {
     const auto out = n_ - 1;
-    r->kill(out);
+    cluster->kill(out);
     int made = 0;
     for (int i = 0; i < versions; ++i) made += change(0) > 0;
     const Time from = net::unix_now();
-    r->start(out);
-    r->until([&] { return view(out).answered; });
+    cluster->start(out);
+    cluster->until([&] { return status(out).has_answered; });
     const Time up = net::unix_now();
-    r->until([&] { return all_act(last_, {out}); });
+    cluster->until([&] { return all_use(last_, {out}); });
     std::printf(
         "  away for %d versions: acts on the newest %.0f ms after its start (it answers after "
         "%.0f)\n",
--- a/bench/consensus/times.h
+++ b/bench/consensus/durations.h
@@ -1,4 +1,4 @@
-// Times of one kind, for the figures of agreed versions.
+// Durations of one kind, for the figures of agreed versions.
 #pragma once
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 
 #include "core/deadlines.h"
 
-struct Times {
+struct Durations {
   std::vector<alderspur::core::Time> all;
   double ms(double q) {  // -1: none
     if (all.empty()) return -1;
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -16,8 +16,8 @@
 using namespace alderspur::consensus;
 constexpr const char* kName = "agreement";
 constexpr Time kMeasure = 500'000;
-constexpr std::size_t kLoadedMost = 2 * kContentsMost, kSettledKept = 16, kBodyMost = 4 << 20;
-constexpr double kReserve = 1 - kUsable;  // for all routers without a lease together
+constexpr std::size_t kLoadedMost = 2 * kMaxStoredContents, kSettledKept = 16, kBodyMost = 4 << 20;
+constexpr double kReserve = 1 - kLeasedFraction;  // for all routers without a lease together
 constexpr std::uint32_t kRoutersLeast = 8;
 constexpr std::chrono::milliseconds kSettle(200);
 
@@ -26,28 +26,28 @@
 }
 
 // In one bounded read: what was kept, whatever of it is whole.
-Begin load(const std::string& folder, LogStore& disk) {
-  Begin out;
+Start load(const std::string& folder, LogStore& disk) {
+  Start out;
   std::error_code ignored;
   std::filesystem::create_directories(folder, ignored);
   if (const auto kept = store::load_file(folder + "/agree.kept", 1 << 20); kept.payload)
-    out.kept = decode_kept(*kept.payload).value_or(PersistedState{});
+    out.state = decode_persisted_state(*kept.payload).value_or(PersistedState{});
   const auto take = [&](const std::string& digest) {
     if (digest.empty() || out.contents.size() >= kLoadedMost) return;
-    if (const auto c = store::load_file(content_path(folder, digest), kContentMost + 4096);
+    if (const auto c = store::load_file(content_path(folder, digest), kMaxContentBytes + 4096);
         c.payload)
       out.contents[digest] = *c.payload;
   };
-  take(out.kept.in_force.digest);
-  if (out.kept.agreed) take(out.kept.agreed->digest);
+  take(out.state.current.digest);
+  if (out.state.accepted) take(out.state.accepted->digest);
   // Danger: what was agreed a moment before all lost their power stands nowhere but here.
   for (const auto& e : std::filesystem::directory_iterator(folder, ignored)) {
     const auto name = e.path().filename().string();
     if (name.starts_with("content.") && !name.ends_with(".new")) take(name.substr(8));
   }
   auto loaded = disk.load();
-  out.saved = std::move(loaded.saved), out.spoilt = loaded.spoilt;
-  out.no_disk = !loaded.spoilt && !loaded.error.empty();
+  out.log = std::move(loaded.log), out.is_log_corrupt = loaded.is_corrupt;
+  out.has_no_disk = !loaded.is_corrupt && !loaded.error.empty();
   return out;
 }
 
@@ -66,13 +66,14 @@
       wakeup_(node.loop()) {
   ConsensusSettings settings;
   const auto& self = cluster.link().membership().self();
-  settings.name = self.name, settings.point = self.point, settings.epoch = self.epoch;
+  settings.name = self.name, settings.location = self.point, settings.epoch = self.epoch;
   settings.voters = s.voters;
   agreement_ = std::make_unique<ConsensusNode>(settings, random_());
   cluster_.on_frame([this](const std::string& from, std::string_view bytes) {
-    handle(Frame{from, std::string(bytes)});
+    handle(MessageReceived{from, std::string(bytes)});
   });
-  cluster_.on_members([this](const std::vector<std::string>& names) { handle(Others{names}); });
+  cluster_.on_members(
+      [this](const std::vector<std::string>& names) { handle(PeersChanged{names}); });
   node_.on_versions([this](std::string_view what, std::string_view query,
                            std::string body) { return told(what, query, std::move(body)); },
                     kBodyMost);
@@ -91,8 +92,10 @@
 void ConsensusService::begin() {
   log_writer_.submit([this, disk = disk_, folder = folder_] {
     wakeup_.post([this, begin = load(folder, *disk)] {
-      if (begin.spoilt) log_.record(kName, log::Level::error, "log_spoilt", {{"folder", folder_}});
-      if (begin.no_disk) log_.record(kName, log::Level::error, "no_disk", {{"folder", folder_}});
+      if (begin.is_log_corrupt)
+        log_.record(kName, log::Level::error, "log_spoilt", {{"folder", folder_}});
+      if (begin.has_no_disk)
+        log_.record(kName, log::Level::error, "no_disk", {{"folder", folder_}});
       handle(begin);
     });
   });
@@ -109,71 +112,71 @@
 
 void ConsensusService::arm() {
   if (due_) node_.deadlines().cancel(*due_), due_.reset();
-  const Time next = agreement_->next();
+  const Time next = agreement_->next_deadline();
   if (next == std::numeric_limits<Time>::max()) return;
   const Time in = std::max<Time>(0, next - net::steady_now());
   due_ = node_.deadlines().set(node_.engine().now() + in, [this] {
     due_.reset();
-    handle(Wake{});
+    handle(TimerFired{});
   });
 }
 
 void ConsensusService::carry_out(consensus::Action& action) {
-  if (auto* s = std::get_if<SendFrame>(&action)) return cluster_.send_frame(s->to, s->bytes);
-  if (auto* p = std::get_if<Put>(&action)) return put(std::move(*p));
-  if (auto* w = std::get_if<Write>(&action)) return write(std::move(*w));
-  if (auto* c = std::get_if<Check>(&action)) return check(*c);
-  if (auto* k = std::get_if<Keep>(&action)) return keep(*k);
-  if (auto* a = std::get_if<Act>(&action)) return act(a->acting);
-  if (auto* d = std::get_if<consensus::Discard>(&action)) {
+  if (auto* s = std::get_if<SendMessage>(&action)) return cluster_.send_frame(s->to, s->bytes);
+  if (auto* p = std::get_if<WriteLog>(&action)) return put(std::move(*p));
+  if (auto* w = std::get_if<WriteContent>(&action)) return write(std::move(*w));
+  if (auto* c = std::get_if<CheckContent>(&action)) return check(*c);
+  if (auto* k = std::get_if<PersistState>(&action)) return keep(*k);
+  if (auto* a = std::get_if<Activate>(&action)) return act(a->active);
+  if (auto* d = std::get_if<consensus::DeleteContent>(&action)) {
     writer_.submit([folder = folder_, digest = d->digest] {
       std::error_code ignored;
       std::filesystem::remove(content_path(folder, digest), ignored);
     });
-  } else if (auto* y = std::get_if<consensus::Reply>(&action)) {
-    settled_.push_back(y->settled);
+  } else if (auto* y = std::get_if<consensus::ProposalFinished>(&action)) {
+    settled_.push_back(y->result);
     if (settled_.size() > kSettledKept) settled_.pop_front();
-  } else if (auto* r = std::get_if<consensus::Report>(&action)) {
+  } else if (auto* r = std::get_if<consensus::LogEvent>(&action)) {
     log_.record(kName, log::Level::info, r->event, {{"text", r->text}});
   }
 }
 
-void ConsensusService::put(Put p) {
+void ConsensusService::put(WriteLog p) {
   const auto number = p.number;
   const bool given = log_writer_.submit([this, disk = disk_, p = std::move(p)] {
-    const auto error = disk->write(p.store);
+    const auto error = disk->apply(p.write);
     wakeup_.post([this, number = p.number, error] {
       if (!error.empty())
         log_.record(kName, log::Level::error, "log_not_written", {{"reason", error}});
-      handle(Stored{number, error.empty()});
+      handle(LogWritten{number, error.empty()});
     });
   });
   // A disk that hangs: what it does not take in time has failed.
-  if (!given) wakeup_.post([this, number] { handle(Stored{number, false}); });
+  if (!given) wakeup_.post([this, number] { handle(LogWritten{number, false}); });
 }
 
-void ConsensusService::write(Write w) {
+void ConsensusService::write(WriteContent w) {
   const auto digest = w.digest;
   const bool given = writer_.submit([this, folder = folder_, w = std::move(w)] {
     const auto error = store::replace_file(content_path(folder, w.digest), w.bytes);
     wakeup_.post([this, digest = w.digest, error] {
       if (!error.empty())
         log_.record(kName, log::Level::error, "content_not_written", {{"reason", error}});
-      handle(Written{digest, error.empty()});
+      handle(ContentWritten{digest, error.empty()});
     });
   });
-  if (!given) wakeup_.post([this, digest] { handle(Written{digest, false}); });
+  if (!given) wakeup_.post([this, digest] { handle(ContentWritten{digest, false}); });
 }
 
-void ConsensusService::keep(const Keep& k) {
-  writer_.submit([folder = folder_, text = encode(k.kept)] {
+void ConsensusService::keep(const PersistState& k) {
+  writer_.submit([folder = folder_, text = encode(k.state)] {
     // Of an older one a later start is careful until it has heard the newest.
     (void)store::replace_file(folder + "/agree.kept", text);
   });
 }
 
 // By the checkers that the settings' own files pass.
-void ConsensusService::check(const Check& c) {
+void ConsensusService::check(const CheckContent& c) {
   checker_.submit([this, folder = folder_, &config = node_.config(), c] {
     std::string reason;
     for (const auto& [name, text] : *c.content) {
@@ -197,7 +200,7 @@
       if (!reason.empty()) break;
     }
     wakeup_.post([this, digest = c.digest, reason] {
-      handle(Checked{digest, reason.empty(), reason});
+      handle(ContentChecked{digest, reason.empty(), reason});
     });
   });
 }
@@ -206,17 +209,18 @@
 
 void ConsensusService::act(const ActiveVersion& a) {
   const bool version = a.version.number != acting_.version.number ||
-                       a.is_conservative != acting_.is_conservative || a.heard != acting_.heard;
+                       a.is_conservative != acting_.is_conservative ||
+                       a.newer_contents != acting_.newer_contents;
   acting_ = a;
-  const bool share = a.share_all > 0;
-  node_.cluster_share(share ? a.share_all : unleased_, share ? a.share_point : unleased_);
+  const bool share = a.total_share > 0;
+  node_.cluster_share(share ? a.total_share : unleased_, share ? a.location_share : unleased_);
   if (!version) return;
   if (a.version.number != judged_)
     judged_ = a.version.number, bad_part_ = 0;  // what ends from here on is its own
   log_.record(kName, log::Level::info, "acts",
               {{"version", a.version.number},
                {"careful", a.is_conservative ? 1 : 0},
-               {"heard", a.heard.size()}});
+               {"heard", a.newer_contents.size()}});
   write_files();
 }
 
@@ -232,7 +236,7 @@
     if (const auto it = acting.content->find("servers");
         it != acting.content->end() && !files.servers.empty()) {
       std::vector<std::string> texts{it->second};
-      for (const auto& h : acting.heard)
+      for (const auto& h : acting.newer_contents)
         if (const auto x = h->find("servers"); x != h->end()) texts.push_back(x->second);
       const auto text = list_to_act_on(texts, generation, error);
       if (error.empty()) error = store::write_text(files.servers, text);
@@ -264,7 +268,7 @@
   rate_ +=
       0.3 * (static_cast<double>(taken - taken_) * 1e6 / static_cast<double>(kMeasure) - rate_);
   taken_ = taken;
-  if (agreement_) handle(Load{1 + rate_, bad_part_});
+  if (agreement_) handle(LoadMeasured{1 + rate_, bad_part_});
   measure_ = node_.deadlines().set(node_.engine().now() + kMeasure, [this] { measure(); });
 }
 
@@ -277,8 +281,8 @@
     const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
     for (const auto& s : settled_)
       if (s.nonce == nonce)
-        return {200, std::string(s.yes ? "yes" : "no") + " " + std::to_string(s.number) + " " +
-                         s.text + "\n"};
+        return {200, std::string(s.is_accepted ? "yes" : "no") + " " +
+                         std::to_string(s.version_number) + " " + s.reason + "\n"};
     return {202, "under way\n"};
   }
   if (body.empty() && what.starts_with("/content/")) {
@@ -293,37 +297,38 @@
 
 admin::AdminHandler::Told ConsensusService::propose(std::string_view what, std::string_view query,
                                                     const std::string& body) {
-  Proposal p;
+  OperatorProposal p;
   p.nonce = random_() >> 1 | 1;
   if (const auto nonce =
           http::parameter(query, "nonce"))  // asked again by whoever did not hear the answer
     p.nonce = std::max(1ULL, std::strtoull(std::string(*nonce).c_str(), nullptr, 10));
   if (const auto author = http::parameter(query, "author")) p.author = *author;
   if (const auto base = http::parameter(query, "base"); base && !base->empty())
-    p.base = std::strtoull(std::string(*base).c_str(), nullptr, 10);
+    p.base_number = std::strtoull(std::string(*base).c_str(), nullptr, 10);
   if (const auto first = http::parameter(query, "first")) {
     std::istringstream names{std::string(*first)};
-    for (std::string n; std::getline(names, n, ',') && p.trial.first.size() <= kVotersMost;)
-      p.trial.first.push_back(n);
+    for (std::string n; std::getline(names, n, ',') && p.canary.routers.size() <= kMaxVoters;)
+      p.canary.routers.push_back(n);
     const auto real = [&](const char* key, double otherwise) {
       const auto text = http::parameter(query, key);
       return text ? std::strtod(std::string(*text).c_str(), nullptr) : otherwise;
     };
-    p.trial.hold = static_cast<Time>(std::clamp(real("hold", 60), 0.0, 1e6) * 1e6);
-    p.trial.harm = std::clamp(real("harm", p.trial.harm), 0.0, 1.0);
-    p.trial.go_on = http::parameter(query, "then") == "go";
+    p.canary.duration = static_cast<Time>(std::clamp(real("hold", 60), 0.0, 1e6) * 1e6);
+    p.canary.max_failure_increase =
+        std::clamp(real("harm", p.canary.max_failure_increase), 0.0, 1.0);
+    p.canary.promote_on_expiry = http::parameter(query, "then") == "go";
   }
   if (what == "/rollout") {
     std::istringstream words(body);
     std::string go;
-    Verdict v;
-    if (!(words >> go >> v.number) || (go != "go" && go != "back"))
+    CanaryDecision v;
+    if (!(words >> go >> v.version_number) || (go != "go" && go != "back"))
       return {400, "say go or back, and the number of the version on trial\n"};
-    v.go_on = go == "go";
-    p.verdict = v;
+    v.promote = go == "go";
+    p.canary_decision = v;
   } else if (what == "/voters") {
     std::istringstream names(body);
-    for (std::string n; names >> n && p.voters.size() <= kVotersMost;) p.voters.push_back(n);
+    for (std::string n; names >> n && p.voters.size() <= kMaxVoters;) p.voters.push_back(n);
     if (p.voters.empty()) return {400, "name the voters\n"};
   } else if (what.empty()) {
     auto content = decode_content(body);
@@ -337,7 +342,8 @@
 }
 
 std::string ConsensusService::view() const {
-  return versions_view(agreement_->view(net::steady_now()), agreement_->book(), net::steady_now());
+  return versions_view(agreement_->status(net::steady_now()), agreement_->lease_table(),
+                       net::steady_now());
 }
 
 }  // namespace alderspur::app
--- a/src/app/consensus_service.h
+++ b/src/app/consensus_service.h
@@ -22,7 +22,7 @@
 namespace alderspur::app {
 
 // As GET /control/versions gives it; docs/versions.md explains its fields.
-std::string versions_view(const consensus::View& view, const consensus::LeaseTable& book,
+std::string versions_view(const consensus::NodeStatus& view, const consensus::LeaseTable& book,
                           core::Time now);
 
 class ConsensusService {
@@ -44,10 +44,10 @@
   void handle(const consensus::Event& event);
   void carry_out(consensus::Action& action);
   void arm();
-  void put(consensus::Put put);
-  void write(consensus::Write write);
-  void keep(const consensus::Keep& keep);
-  void check(const consensus::Check& check);
+  void put(consensus::WriteLog put);
+  void write(consensus::WriteContent write);
+  void keep(const consensus::PersistState& keep);
+  void check(const consensus::CheckContent& check);
   void act(const consensus::ActiveVersion& acting);
   void write_files();
   void measure();
@@ -66,7 +66,8 @@
   std::unique_ptr<consensus::ConsensusNode> agreement_;
   consensus::ActiveVersion acting_;
   bool writing_ = false, again_ = false;
-  std::deque<consensus::Settled> settled_;  // what became of this router's proposals, the last few
+  std::deque<consensus::ProposalResult>
+      settled_;  // what became of this router's proposals, the last few
   std::optional<core::Deadlines::Key> due_, measure_;
   std::uint64_t taken_ = 0, ended_ = 0, bad_ = 0;
   double rate_ = 0, bad_part_ = 0;
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -16,12 +16,13 @@
 void version(Writer& w, const char* key, const Version& v, const char* state) {
   if (key) w.Key(key);
   w.StartObject();
-  w.Key("number"), w.Uint64(v.number), text(w, "digest", v.digest), w.Key("base"), w.Uint64(v.base);
-  text(w, "author", v.author), text(w, "note", v.note), w.Key("bytes"), w.Uint64(v.size);
+  w.Key("number"), w.Uint64(v.number), text(w, "digest", v.digest), w.Key("base"),
+      w.Uint64(v.base_number);
+  text(w, "author", v.author), text(w, "note", v.note), w.Key("bytes"), w.Uint64(v.content_size);
   text(w, "state", state);
-  if (v.trial) {
+  if (v.canary) {
     w.Key("first"), w.StartArray();
-    for (const auto& n : v.trial.first) w.String(n.c_str());
+    for (const auto& n : v.canary.routers) w.String(n.c_str());
     w.EndArray();
   }
   w.EndObject();
@@ -29,38 +30,41 @@
 
 }  // namespace
 
-std::string versions_view(const View& v, const LeaseTable& book, Time now) {
+std::string versions_view(const NodeStatus& v, const LeaseTable& book, Time now) {
   rapidjson::StringBuffer out;
   Writer w(out);
   w.StartObject();
-  version(w, "acting", v.acting.version, v.acting.is_conservative ? "careful" : "leased");
+  version(w, "acting", v.active.version, v.active.is_conservative ? "careful" : "leased");
   w.Key("lease_ms"), w.Int64(v.lease_left / 1000);
-  w.Key("heard"), w.Uint64(v.acting.heard.size());
-  w.Key("share_all"), w.Double(v.acting.share_all), w.Key("share_point"),
-      w.Double(v.acting.share_point);
-  if (v.pending) version(w, "pending", *v.pending, v.pending_agreed ? "agreed" : "offered");
-  text(w, "part", word(v.part)), text(w, "leader", v.leader);
-  w.Key("leads"), w.Bool(v.leads), w.Key("term"), w.Uint64(v.term), w.Key("log"), w.Uint64(v.log);
-  text(w, "trouble", v.trouble);
+  w.Key("heard"), w.Uint64(v.active.newer_contents.size());
+  w.Key("share_all"), w.Double(v.active.total_share), w.Key("share_point"),
+      w.Double(v.active.location_share);
+  if (v.pending) version(w, "pending", *v.pending, v.is_pending_accepted ? "agreed" : "offered");
+  text(w, "part", role_name(v.role)), text(w, "leader", v.leader);
+  w.Key("leads"), w.Bool(v.is_leader), w.Key("term"), w.Uint64(v.term), w.Key("log"),
+      w.Uint64(v.last_log_index);
+  text(w, "trouble", v.fault);
   w.Key("voters"), w.StartArray();
   for (const auto& n : v.voters) w.String(n.c_str());
   w.EndArray();
   w.Key("behind"), w.StartArray();
-  for (const auto& n : v.behind) w.String(n.c_str());
+  for (const auto& n : v.routers_behind) w.String(n.c_str());
   w.EndArray();
-  if (v.leads) {
+  if (v.is_leader) {
     w.Key("holders"), w.StartArray();
     for (const auto& [name, h] : book.holders()) {
       w.StartObject();
-      text(w, "name", name), w.Key("acting"), w.Uint64(h.acting), w.Key("holds"), w.Uint64(h.holds);
-      w.Key("heard_ms"), w.Int64((now - h.seen) / 1000), w.Key("share"), w.Double(h.all);
-      if (h.refused) text(w, "refused", h.reason);
+      text(w, "name", name), w.Key("acting"), w.Uint64(h.active_number), w.Key("holds"),
+          w.Uint64(h.stored_number);
+      w.Key("heard_ms"), w.Int64((now - h.last_request_at) / 1000), w.Key("share"),
+          w.Double(h.total_share);
+      if (h.rejected_number) text(w, "refused", h.rejection_reason);
       w.EndObject();
     }
     w.EndArray();
   }
   w.Key("history"), w.StartArray();
-  for (const auto& past : v.history) version(w, nullptr, past.version, past.fate.c_str());
+  for (const auto& past : v.history) version(w, nullptr, past.version, past.outcome.c_str());
   w.EndArray(), w.EndObject();
   return std::string(out.GetString(), out.GetSize()) + "\n";
 }
@@ -101,7 +105,7 @@
       return say("cannot read '" + d + "'; write NAME=FILE, such as servers=servers.toml", kUsage);
     }
   }
-  std::string target = "/control/versions?author=" + consensus::plain(author, 40);
+  std::string target = "/control/versions?author=" + consensus::to_printable(author, 40);
   std::replace(target.begin(), target.end(), ' ', '_');
   if (!base.empty()) target += "&base=" + base;
   if (!trial.first.empty())
@@ -153,7 +157,7 @@
     if (asked.status == 200) contents[i] = decode_content(asked.text);
     if (!contents[i]) return say(asked.status ? asked.text : "nobody answers at " + at, kFinding);
   }
-  const auto lines = difference(*contents[0], *contents[1]);
+  const auto lines = describe_changes(*contents[0], *contents[1]);
   for (const auto& l : lines) std::puts(l.c_str());
   return lines.empty() ? kYes : kFinding;
 }
--- a/src/consensus/applied_state.cpp
+++ b/src/consensus/applied_state.cpp
@@ -20,19 +20,23 @@
   struct {
     decltype(kind)& head;
     cluster::Packer& p;
-    void operator()(const Offer& c) { head(Kind::offer, 2), p.number(c.nonce), pack(p, c.version); }
-    void operator()(const Agree& c) { head(Kind::agree, 1), p.number(c.number); }
-    void operator()(const Force& c) { head(Kind::force, 1), p.number(c.number); }
-    void operator()(const Withdraw& c) {
+    void operator()(const OfferVersion& c) {
+      head(Kind::offer, 2), p.number(c.nonce), pack(p, c.version);
+    }
+    void operator()(const AcceptVersion& c) { head(Kind::agree, 1), p.number(c.number); }
+    void operator()(const ActivateVersion& c) { head(Kind::force, 1), p.number(c.number); }
+    void operator()(const WithdrawVersion& c) {
       head(Kind::withdraw, 2), p.number(c.number).text(c.reason);
     }
-    void operator()(const Release& c) {
+    void operator()(const PromoteCanary& c) {
       head(Kind::release, 2), p.number(c.nonce).number(c.number);
     }
-    void operator()(const Back& c) {
+    void operator()(const RollBackCanary& c) {
       head(Kind::back, 3), p.number(c.nonce).number(c.number).text(c.reason);
     }
-    void operator()(const Voters& c) { head(Kind::voters, 2), p.number(c.nonce), pack(p, c.names); }
+    void operator()(const ChangeVoters& c) {
+      head(Kind::voters, 2), p.number(c.nonce), pack(p, c.voters);
+    }
   } write{kind, p};
   std::visit(write, command);
   return p.take();
@@ -45,28 +49,28 @@
   const auto kind = static_cast<Kind>(r.number());
   Command out;
   if (kind == Kind::offer) {
-    Offer o;
+    OfferVersion o;
     o.nonce = r.number(), o.version = version(cluster::Reader(r.next(), 6), r.good);
     out = std::move(o);
   } else if (kind == Kind::agree) {
-    out = Agree{r.number()};
+    out = AcceptVersion{r.number()};
   } else if (kind == Kind::force) {
-    out = Force{r.number()};
+    out = ActivateVersion{r.number()};
   } else if (kind == Kind::withdraw) {
-    Withdraw w;
-    w.number = r.number(), w.reason = r.text(kNoteMost);
+    WithdrawVersion w;
+    w.number = r.number(), w.reason = r.text(kMaxNoteLength);
     out = std::move(w);
   } else if (kind == Kind::voters) {
-    Voters v;
-    v.nonce = r.number(), v.names = names(r);
+    ChangeVoters v;
+    v.nonce = r.number(), v.voters = names(r);
     out = std::move(v);
   } else if (kind == Kind::release) {
-    Release x;
+    PromoteCanary x;
     x.nonce = r.number(), x.number = r.number();
     out = x;
   } else if (kind == Kind::back) {
-    Back b;
-    b.nonce = r.number(), b.number = r.number(), b.reason = r.text(kNoteMost);
+    RollBackCanary b;
+    b.nonce = r.number(), b.number = r.number(), b.reason = r.text(kMaxNoteLength);
     out = std::move(b);
   } else {
     return {};  // of a later program
@@ -78,21 +82,21 @@
   std::visit([this](const auto& c) { on(c); }, command);
 }
 
-const Settled* AppliedState::settled(std::uint64_t nonce) const {
+const ProposalResult* AppliedState::find_result(std::uint64_t nonce) const {
   const auto it = std::find_if(settled_.begin(), settled_.end(),
-                               [&](const Settled& s) { return s.nonce == nonce; });
+                               [&](const ProposalResult& s) { return s.nonce == nonce; });
   return it == settled_.end() ? nullptr : &*it;
 }
 
-void AppliedState::settle(Settled s) {
+void AppliedState::settle(ProposalResult s) {
   if (!s.nonce) return;
-  std::erase_if(settled_, [&](const Settled& old) { return old.nonce == s.nonce; });
+  std::erase_if(settled_, [&](const ProposalResult& old) { return old.nonce == s.nonce; });
   settled_.push_back(std::move(s));
-  if (settled_.size() > kSettledMost) settled_.pop_front();
+  if (settled_.size() > kMaxRememberedResults) settled_.pop_front();
 }
 
-void AppliedState::on(const Offer& c) {
-  if (settled(c.nonce)) return;  // asked again
+void AppliedState::on(const OfferVersion& c) {
+  if (find_result(c.nonce)) return;  // asked again
   const std::uint64_t head = agreed_ ? agreed_->number : in_force_.number;
   if (offered_ || agreed_) {
     const auto& other = *pending();
@@ -100,11 +104,11 @@
         {c.nonce, false, true, head,
          "version " + std::to_string(other.number) + " by " + other.author + " is under way"});
   }
-  if (c.version.base != head)
+  if (c.version.base_number != head)
     return settle({c.nonce, false, true, head,
-                   "made from " + std::to_string(c.version.base) + ", but " + std::to_string(head) +
-                       " by " + in_force_.author + " holds"});
-  if (c.version.trial && !in_force_.number)
+                   "made from " + std::to_string(c.version.base_number) + ", but " +
+                       std::to_string(head) + " by " + in_force_.author + " holds"});
+  if (c.version.canary && !in_force_.number)
     return settle(
         {c.nonce, false, true, head, "nothing is in force that a trial could go back to"});
   offered_ = c.version;
@@ -113,51 +117,52 @@
   settle({c.nonce, true, false, last_, "offered"});
 }
 
-void AppliedState::on(const Agree& c) {
+void AppliedState::on(const AcceptVersion& c) {
   if (!offered_ || offered_->number != c.number) return;
   agreed_ = std::exchange(offered_, std::nullopt);
   // Whoever asked has the word that counts now; how a trial ends is in the history.
-  const bool trial = static_cast<bool>(agreed_->trial);
+  const bool trial = static_cast<bool>(agreed_->canary);
   settle({pending_nonce_, true, trial, c.number, trial ? "on trial" : "agreed"});
 }
 
 bool AppliedState::on_trial(std::uint64_t nonce, std::uint64_t number) {
-  if (settled(nonce)) return false;  // asked again
-  const bool is = trial() && agreed_->number == number;
+  if (find_result(nonce)) return false;  // asked again
+  const bool is = canary() && agreed_->number == number;
   settle({nonce, is, true, number,
           is ? "so be it" : "version " + std::to_string(number) + " is not on trial"});
   return is;
 }
 
-void AppliedState::on(const Release& c) { released_ |= on_trial(c.nonce, c.number); }
+void AppliedState::on(const PromoteCanary& c) { released_ |= on_trial(c.nonce, c.number); }
 
 // Numbers never go back: the content that all others act on comes again, as the next version.
-void AppliedState::on(const Back& c) {
+void AppliedState::on(const RollBackCanary& c) {
   if (!on_trial(c.nonce, c.number)) return;
   Version again = in_force_;
-  again.number = ++last_, again.base = c.number;
-  again.note = ("as " + std::to_string(in_force_.number) + ", " + c.reason).substr(0, kNoteMost);
+  again.number = ++last_, again.base_number = c.number;
+  again.note =
+      ("as " + std::to_string(in_force_.number) + ", " + c.reason).substr(0, kMaxNoteLength);
   end(*std::exchange(agreed_, std::nullopt), false, c.reason);
   replaced();
   in_force_ = again;
   history_.push_back({again, "in force"});
-  if (history_.size() > kHistoryMost) history_.pop_front();
+  if (history_.size() > kMaxHistory) history_.pop_front();
 }
 
-void AppliedState::on(const Force& c) {
+void AppliedState::on(const ActivateVersion& c) {
   if (!agreed_ || agreed_->number != c.number) return;
   in_force_ = *std::exchange(agreed_, std::nullopt);
-  in_force_.trial = {}, released_ = false;
+  in_force_.canary = {}, released_ = false;
   replaced();
   end(in_force_, true, "in force");
 }
 
 void AppliedState::replaced() {
   for (auto& p : history_)
-    if (p.fate == "in force") p.fate = "replaced";
+    if (p.outcome == "in force") p.outcome = "replaced";
 }
 
-void AppliedState::on(const Withdraw& c) {
+void AppliedState::on(const WithdrawVersion& c) {
   if (!offered_ || offered_->number != c.number) return;
   end(*std::exchange(offered_, std::nullopt), false, c.reason);
 }
@@ -165,12 +170,12 @@
 void AppliedState::end(const Version& v, bool yes, const std::string& text) {
   settle({std::exchange(pending_nonce_, 0), yes, true, v.number, text});
   history_.push_back({v, text});
-  if (history_.size() > kHistoryMost) history_.pop_front();
+  if (history_.size() > kMaxHistory) history_.pop_front();
 }
 
-void AppliedState::on(const Voters& c) {
-  if (settled(c.nonce)) return;
-  voters_ = c.names;
+void AppliedState::on(const ChangeVoters& c) {
+  if (find_result(c.nonce)) return;
+  voters_ = c.voters;
   settle({c.nonce, true, true, 0, "voters changed"});
 }
 
@@ -182,12 +187,17 @@
   pack(p, offered_), pack(p, agreed_), pack(p, in_force_), pack(p, voters_);
   p.array(2).array(settled_.size());
   for (const auto& s : settled_)
-    p.array(5).number(s.nonce).flag(s.yes).flag(s.final).number(s.number).text(s.text);
+    p.array(5)
+        .number(s.nonce)
+        .flag(s.is_accepted)
+        .flag(s.is_final)
+        .number(s.version_number)
+        .text(s.reason);
   p.array(history_.size());
   for (const auto& h : history_) {
     p.array(2);
     pack(p, h.version);
-    p.text(h.fate);
+    p.text(h.outcome);
   }
   p.flag(released_);
   return p.take();
@@ -204,20 +214,21 @@
   l.in_force_ = version(cluster::Reader(r.next(), 6), r.good);
   l.voters_ = names(r);
   cluster::Reader tail(r.next(), 2);
-  const auto settled = tail.array(kSettledMost);
+  const auto settled = tail.array(kMaxRememberedResults);
   for (std::uint32_t i = 0; i < settled; ++i) {
     auto x = tail.item(i, 5);
-    Settled s;
-    s.nonce = x.number(), s.yes = x.flag(), s.final = x.flag(), s.number = x.number(),
-    s.text = x.text(kSettledText);
+    ProposalResult s;
+    s.nonce = x.number(), s.is_accepted = x.flag(), s.is_final = x.flag(),
+    s.version_number = x.number(), s.reason = x.text(kMaxResultText);
     tail.good = tail.good && x.good;
     l.settled_.push_back(std::move(s));
   }
-  const auto history = tail.array(kHistoryMost);
+  const auto history = tail.array(kMaxHistory);
   for (std::uint32_t i = 0; i < history; ++i) {
     auto x = tail.item(i, 2);
     HistoryEntry past;
-    past.version = version(cluster::Reader(x.next(), 6), x.good), past.fate = x.text(kSettledText);
+    past.version = version(cluster::Reader(x.next(), 6), x.good),
+    past.outcome = x.text(kMaxResultText);
     tail.good = tail.good && x.good;
     l.history_.push_back(std::move(past));
   }
--- a/src/consensus/applied_state.h
+++ b/src/consensus/applied_state.h
@@ -28,48 +28,49 @@
 
 namespace alderspur::consensus {
 
-constexpr std::size_t kSettledMost = 128, kHistoryMost = 64, kVotersMost = 7;
+constexpr std::size_t kMaxRememberedResults = 128, kMaxHistory = 64, kMaxVoters = 7;
 
-struct Offer {
+struct OfferVersion {
   std::uint64_t nonce = 0;
   Version version;  // its number is given by the ledger
 };
-struct Agree {
+struct AcceptVersion {
   std::uint64_t number = 0;
 };
-struct Force {
+struct ActivateVersion {
   std::uint64_t number = 0;
 };
-struct Withdraw {
+struct WithdrawVersion {
   std::uint64_t number = 0;
   std::string reason;
 };
-struct Release {
+struct PromoteCanary {
   std::uint64_t nonce = 0, number = 0;  // nonce 0: nobody asked for it
 };
-struct Back {
+struct RollBackCanary {
   std::uint64_t nonce = 0, number = 0;
   std::string reason;
 };
-struct Voters {
+struct ChangeVoters {
   std::uint64_t nonce = 0;
-  std::vector<std::string> names;
+  std::vector<std::string> voters;
 };
-using Command = std::variant<Offer, Agree, Force, Withdraw, Voters, Release, Back>;
+using Command = std::variant<OfferVersion, AcceptVersion, ActivateVersion, WithdrawVersion,
+                             ChangeVoters, PromoteCanary, RollBackCanary>;
 std::string encode(const Command& command);
 std::optional<Command> decode_command(std::string_view bytes);
 
 // What became of a proposal.
-struct Settled {
+struct ProposalResult {
   std::uint64_t nonce = 0;
-  bool yes = false, final = false;  // not final: accepted, on its way
-  std::uint64_t number = 0;
-  std::string text;
+  bool is_accepted = false, is_final = false;  // not final: accepted, on its way
+  std::uint64_t version_number = 0;
+  std::string reason;
 };
 
 struct HistoryEntry {
   Version version;
-  std::string fate;  // "in force", "replaced", or why it was withdrawn
+  std::string outcome;  // "in force", "replaced", or why it was withdrawn
 };
 
 class AppliedState {
@@ -78,30 +79,30 @@
 
   // Undecided, or agreed and not yet in force; at most one of the two.
   const std::optional<Version>& offered() const { return offered_; }
-  const std::optional<Version>& agreed() const { return agreed_; }
-  const Version& in_force() const { return in_force_; }
+  const std::optional<Version>& accepted() const { return agreed_; }
+  const Version& current() const { return in_force_; }
   // The agreed one, while it holds for the first routers only.
-  const Version* trial() const {
-    return agreed_ && agreed_->trial && !released_ ? &*agreed_ : nullptr;
+  const Version* canary() const {
+    return agreed_ && agreed_->canary && !released_ ? &*agreed_ : nullptr;
   }
   const Version* pending() const { return agreed_ ? &*agreed_ : offered_ ? &*offered_ : nullptr; }
   const std::vector<std::string>& voters() const { return voters_; }
   const std::deque<HistoryEntry>& history() const { return history_; }
-  const Settled* settled(std::uint64_t nonce) const;
+  const ProposalResult* find_result(std::uint64_t nonce) const;
 
   std::string snapshot() const;
   bool restore(std::string_view bytes);  // false: unreadable, nothing is changed
   bool operator==(const AppliedState& o) const { return snapshot() == o.snapshot(); }
 
  private:
-  void on(const Offer& c);
-  void on(const Agree& c);
-  void on(const Force& c);
-  void on(const Withdraw& c);
-  void on(const Voters& c);
-  void on(const Release& c);
-  void on(const Back& c);
-  void settle(Settled s);
+  void on(const OfferVersion& c);
+  void on(const AcceptVersion& c);
+  void on(const ActivateVersion& c);
+  void on(const WithdrawVersion& c);
+  void on(const ChangeVoters& c);
+  void on(const PromoteCanary& c);
+  void on(const RollBackCanary& c);
+  void settle(ProposalResult s);
   void replaced();
   bool on_trial(std::uint64_t nonce, std::uint64_t number);
   void end(const Version& v, bool yes, const std::string& text);
@@ -112,7 +113,7 @@
   bool released_ = false;  // the agreed one was on trial and goes on
   std::uint64_t pending_nonce_ = 0;
   std::vector<std::string> voters_;
-  std::deque<Settled> settled_;
+  std::deque<ProposalResult> settled_;
   std::deque<HistoryEntry> history_;
 };
 
--- a/src/consensus/codec.h
+++ b/src/consensus/codec.h
@@ -8,28 +8,35 @@
 
 namespace alderspur::consensus {
 
-constexpr std::size_t kSettledText = 600, kServersMost = 64;
+constexpr std::size_t kMaxResultText = 600, kMaxRaftServers = 64;
 
 inline void pack(cluster::Packer& p, const std::vector<std::string>& names);
 inline std::vector<std::string> names(cluster::Reader& r);
 
 // A version on trial has one field more, which a program that knows of none passes by.
 inline void pack(cluster::Packer& p, const Version& v) {
-  p.array(v.trial ? 7 : 6).number(v.number).text(v.digest).number(v.base).number(v.size);
+  p.array(v.canary ? 7 : 6)
+      .number(v.number)
+      .text(v.digest)
+      .number(v.base_number)
+      .number(v.content_size);
   p.text(v.author).text(v.note);
-  if (!v.trial) return;
+  if (!v.canary) return;
   p.array(4);
-  pack(p, v.trial.first);
-  p.number(static_cast<std::uint64_t>(v.trial.hold)).real(v.trial.harm).flag(v.trial.go_on);
+  pack(p, v.canary.routers);
+  p.number(static_cast<std::uint64_t>(v.canary.duration))
+      .real(v.canary.max_failure_increase)
+      .flag(v.canary.promote_on_expiry);
 }
 inline Version version(cluster::Reader&& r, bool& good) {
   Version v;
-  v.number = r.number(), v.digest = r.text(), v.base = r.number(), v.size = r.number(kContentMost),
-  v.author = r.text(), v.note = r.text(kNoteMost);
+  v.number = r.number(), v.digest = r.text(), v.base_number = r.number(),
+  v.content_size = r.number(kMaxContentBytes), v.author = r.text(), v.note = r.text(kMaxNoteLength);
   if (r.more()) {
     cluster::Reader t(r.next(), 4);
-    v.trial.first = names(t), v.trial.hold = static_cast<Time>(t.number(kTrialMost));
-    v.trial.harm = t.real(), v.trial.go_on = t.flag();
+    v.canary.routers = names(t),
+    v.canary.duration = static_cast<Time>(t.number(kMaxCanaryDuration));
+    v.canary.max_failure_increase = t.real(), v.canary.promote_on_expiry = t.flag();
     r.good = r.good && t.good;
   }
   good = good && r.good;
@@ -52,12 +59,12 @@
 }
 inline std::vector<std::string> names(cluster::Reader& r) {
   std::vector<std::string> out;
-  const auto n = r.array(kVotersMost);
+  const auto n = r.array(kMaxVoters);
   for (std::uint32_t i = 0; i < n; ++i) out.push_back(r.element_text(i));
   return out;
 }
 
-using Servers = decltype(VotersAt::servers);
+using Servers = decltype(Configuration::servers);
 inline void pack(cluster::Packer& p, const Servers& servers) {
   p.array(servers.size());
   for (const auto& [name, role] : servers)
@@ -65,7 +72,7 @@
 }
 inline Servers servers(cluster::Reader& r) {
   Servers out;
-  const auto n = r.array(kServersMost);
+  const auto n = r.array(kMaxRaftServers);
   for (std::uint32_t i = 0; i < n; ++i) {
     auto x = r.item(i, 2);
     auto name = x.text();
@@ -75,12 +82,12 @@
   return out;
 }
 
-inline void pack(cluster::Packer& p, const VotersAt& v) {
+inline void pack(cluster::Packer& p, const Configuration& v) {
   p.array(2).number(v.index);
   pack(p, v.servers);
 }
-inline VotersAt voters(cluster::Reader&& r, bool& good) {
-  VotersAt v;
+inline Configuration voters(cluster::Reader&& r, bool& good) {
+  Configuration v;
   v.index = r.number(), v.servers = servers(r);
   good = good && r.good;
   return v;
--- a/src/consensus/consensus_node.cpp
+++ b/src/consensus/consensus_node.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-const char* word(Part part) {
+const char* role_name(NodeRole part) {
   constexpr const char* kWords[] = {"follower", "asking", "learner", "voter"};
   return kWords[static_cast<std::size_t>(part)];
 }
@@ -22,22 +22,22 @@
 std::string encode(const PersistedState& k) {
   cluster::Packer p;
   p.array(4).number(1);
-  pack(p, k.in_force), pack(p, k.agreed), pack(p, k.voters);
+  pack(p, k.current), pack(p, k.accepted), pack(p, k.voters);
   return p.take();
 }
-std::optional<PersistedState> decode_kept(std::string_view bytes) {
+std::optional<PersistedState> decode_persisted_state(std::string_view bytes) {
   const cluster::Unpacked u(bytes);
   if (!u.good) return {};
   cluster::Reader r(u.m.data, 4);
   PersistedState k;
   if (r.number() != 1) return {};
-  k.in_force = version(cluster::Reader(r.next(), 6), r.good);
-  k.agreed = maybe_version(r), k.voters = names(r);
+  k.current = version(cluster::Reader(r.next(), 6), r.good);
+  k.accepted = maybe_version(r), k.voters = names(r);
   return r.good ? std::optional(std::move(k)) : std::nullopt;
 }
 
 ConsensusNode::ConsensusNode(ConsensusSettings settings, std::uint64_t seed)
-    : set_(std::move(settings)), random_(seed), book_(set_.book) {}
+    : set_(std::move(settings)), random_(seed), book_(set_.lease) {}
 ConsensusNode::~ConsensusNode() = default;
 
 void ConsensusNode::handle(Time now, const Event& event, std::vector<Action>& actions) {
@@ -51,8 +51,8 @@
 // What has become due, and what follows from the event.
 void ConsensusNode::turn() {
   for (int i = 0; i < 8; ++i) {
-    if (raft_ && now_ >= raft_->next()) raft_->tick(now_);
-    if (part_ != Part::follower) begin_voting();
+    if (raft_ && now_ >= raft_->next_tick()) raft_->tick(now_);
+    if (part_ != NodeRole::follower) begin_voting();
     follow_ledger();
     lead();
     move_on();
@@ -62,68 +62,68 @@
     push_mine();
     if (own_.empty()) break;
     const auto frames = std::exchange(own_, {});
-    for (const auto& [from, bytes] : frames) on(Frame{from, bytes});
+    for (const auto& [from, bytes] : frames) on(MessageReceived{from, bytes});
   }
   sweep();
   keep();
   show();
 }
 
-Time ConsensusNode::next() const {
+Time ConsensusNode::next_deadline() const {
   if (!begun_) return std::numeric_limits<Time>::max();
   Time out = std::max(renew_at_, now_);
-  if (raft_) out = std::min(out, raft_->next());
+  if (raft_) out = std::min(out, raft_->next_tick());
   if (fetch_) out = std::min(out, fetch_->until);
   if (!nudges_.empty()) out = std::min(out, nudge_at_);
   if (lease_until_ > now_) out = std::min(out, lease_until_);
-  if (part_ == Part::asking) out = std::min(out, inquire_at_);
-  if (part_ == Part::learner && reset_at_ > now_) out = std::min(out, reset_at_);
+  if (part_ == NodeRole::joining) out = std::min(out, inquire_at_);
+  if (part_ == NodeRole::learner && reset_at_ > now_) out = std::min(out, reset_at_);
   for (const auto& m : mine_) out = std::min(out, std::min(m.again, m.until));
   for (const auto& [digest, item] : items_)
     if (item.write_at) out = std::min(out, item.write_at);
   return std::max(out, now_);
 }
 
-void ConsensusNode::on(const Begin& e) {
+void ConsensusNode::on(const Start& e) {
   begun_ = true;
-  kept_ = told_kept_ = e.kept;
+  kept_ = told_kept_ = e.state;
   if (kept_.voters.empty()) kept_.voters = set_.voters;
   for (const auto& [digest, bytes] : e.contents) {
     auto content = decode_content(bytes);
-    if (!content || digest_of(bytes) != digest) continue;
+    if (!content || content_digest(bytes) != digest) continue;
     items_[digest] = {bytes, std::make_shared<const Content>(std::move(*content)), true, true, true,
                       {}};
   }
-  target_ = kept_.in_force;
+  target_ = kept_.current;
   if (const auto it = items_.find(target_.digest); it != items_.end())
     acting_.version = target_, acting_.content = it->second.content;
   else if (target_.number)
     report("content_lost",
            "the content of version " + std::to_string(target_.number) + " is not on the disk");
-  saved_ = e.saved, no_disk_ = e.no_disk;
+  saved_ = e.log, no_disk_ = e.has_no_disk;
   renew_at_ = now_;
   if (!to_vote(set_.name)) return;
-  part_ = Part::asking, asking_since_ = inquire_at_ = now_;
-  if (e.spoilt) spoilt("the disk holds a log that cannot be believed");
+  part_ = NodeRole::joining, asking_since_ = inquire_at_ = now_;
+  if (e.is_log_corrupt) spoilt("the disk holds a log that cannot be believed");
 }
 
-void ConsensusNode::on(const Frame& e) {
+void ConsensusNode::on(const MessageReceived& e) {
   auto m = decode_message(e.bytes);
   if (!m || !begun_) return;
   std::visit([&](auto& x) { take(e.from, x); }, *m);
 }
-void ConsensusNode::on(const Others& e) {
+void ConsensusNode::on(const PeersChanged& e) {
   others_ = e.names;
   std::erase(others_, set_.name);
 }
-void ConsensusNode::on(const Load& e) { weight_ = e.weight, bad_ = e.bad; }
-void ConsensusNode::on(const Wake&) {}
+void ConsensusNode::on(const LoadMeasured& e) { weight_ = e.request_rate, bad_ = e.failure_ratio; }
+void ConsensusNode::on(const TimerFired&) {}
 
 void ConsensusNode::send(const std::string& to, const Message& m) {
   if (to == set_.name)
     own_.emplace_back(to, encode(m));
   else
-    act(SendFrame{to, encode(m)});
+    act(SendMessage{to, encode(m)});
 }
 
 // ---- Lease
@@ -133,18 +133,20 @@
   return v.number && it != items_.end() && it->second.fit();
 }
 
-Renew ConsensusNode::standing() const {
-  Renew r;
-  r.epoch = set_.epoch, r.sent = now_, r.acting = acting_.version.number;
+LeaseRequest ConsensusNode::standing() const {
+  LeaseRequest r;
+  r.epoch = set_.epoch, r.sent_at = now_, r.active_number = acting_.version.number;
   for (const Version* v :
        {&acting_.version, static_cast<const Version*>(&target_), pending_ ? &*pending_ : nullptr})
-    if (v && fit(*v)) r.holds = std::max(r.holds, v->number);
-  r.refused = refused_, r.reason = refused_why_, r.grant = grant_;
-  if (leased()) r.share_all = share_all_, r.share_point = share_point_;
-  r.weight = weight_, r.bad = bad_, r.forms = set_.forms, r.point = set_.point;
-  if (part_ == Part::learner && cleared_) r.learner = learner_;
+    if (v && fit(*v)) r.stored_number = std::max(r.stored_number, v->number);
+  r.rejected_number = refused_, r.rejection_reason = refused_why_, r.last_grant_id = grant_;
+  if (leased()) r.total_share = share_all_, r.location_share = share_point_;
+  r.request_rate = weight_, r.failure_ratio = bad_, r.protocol_version = set_.protocol_version,
+  r.location = set_.location;
+  if (part_ == NodeRole::learner && cleared_) r.learner_id = learner_;
   // Until it sees itself among them: the leader that let it in may be gone.
-  if (part_ == Part::voter && learner_ && raft_ && !raft_->lists(set_.name)) r.learner = learner_;
+  if (part_ == NodeRole::voter && learner_ && raft_ && !raft_->has_server(set_.name))
+    r.learner_id = learner_;
   return r;
 }
 
@@ -154,12 +156,12 @@
 }
 
 void ConsensusNode::renew() {
-  renew_at_ = now_ + set_.renew;
+  renew_at_ = now_ + set_.renew_interval;
   const auto& voters = desired();
   if (voters.empty()) return;
-  if (now_ > heard_at_ + 2 * set_.renew + kSoon)
+  if (now_ > heard_at_ + 2 * set_.renew_interval + kSoon)
     follow("");  // it may be gone: ask them all in turn
-  if (leads(now_)) follow(set_.name);
+  if (is_leader(now_)) follow(set_.name);
   const auto& to = leader_.empty() ? voters[voter_at_++ % voters.size()] : leader_;
   asked_.insert(now_);
   while (asked_.size() > 8) asked_.erase(asked_.begin());
@@ -168,34 +170,36 @@
 }
 
 void ConsensusNode::ask_around() {
-  if (!others_.empty()) send(others_[random_() % others_.size()], Ask{});
+  if (!others_.empty()) send(others_[random_() % others_.size()], VersionQuery{});
 }
-void ConsensusNode::take(const std::string& from, Ask&) {
-  Tell t{target_, {}};
-  if (kept_.agreed) t.agreed = kept_.agreed;
+void ConsensusNode::take(const std::string& from, VersionQuery&) {
+  VersionNews t{target_, {}};
+  if (kept_.accepted) t.accepted = kept_.accepted;
   send(from, t);
 }
-void ConsensusNode::take(const std::string&, Tell& m) {
-  hear(m.in_force, true);
-  if (m.agreed) hear(*m.agreed, false);
+void ConsensusNode::take(const std::string&, VersionNews& m) {
+  hear(m.current, true);
+  if (m.accepted) hear(*m.accepted, false);
 }
 
 bool ConsensusNode::among_first(const Version& v, const std::string& name) {
-  return std::find(v.trial.first.begin(), v.trial.first.end(), name) != v.trial.first.end();
+  return std::find(v.canary.routers.begin(), v.canary.routers.end(), name) !=
+         v.canary.routers.end();
 }
 
 // Danger: news may come late or in any order; a number never goes back. And what is on trial
 // elsewhere holds for nobody else, whoever tells of it.
 void ConsensusNode::hear(const Version& v, bool in_force) {
-  if (v.trial && !first(v)) return;
-  if (in_force && v.number == target_.number && target_.trial &&
-      !v.trial) {  // it holds for all now
+  if (v.canary && !first(v)) return;
+  if (in_force && v.number == target_.number && target_.canary &&
+      !v.canary) {  // it holds for all now
     target_ = v;
-    if (acting_.version.number == v.number) acting_.version = kept_.in_force = v;
+    if (acting_.version.number == v.number) acting_.version = kept_.current = v;
   }
   if (in_force && v.number > target_.number) target_ = v;
-  if (!in_force && v.number > target_.number && (!kept_.agreed || v.number > kept_.agreed->number))
-    kept_.agreed = v;
+  if (!in_force && v.number > target_.number &&
+      (!kept_.accepted || v.number > kept_.accepted->number))
+    kept_.accepted = v;
 }
 
 void ConsensusNode::take(const std::string& from, Redirect& m) {
@@ -206,23 +210,23 @@
 
 void ConsensusNode::take(const std::string&, RenewHint&) { renew_soon(); }
 
-void ConsensusNode::take(const std::string& from, Grant& m) {
+void ConsensusNode::take(const std::string& from, LeaseGrant& m) {
   // Danger: an answer to an earlier process of this name, or one overtaken by a later, is none.
-  if (m.id <= grant_ || asked_.erase(m.sent) == 0) return;
-  grant_ = m.id, leader_ = from, heard_at_ = now_, leader_forms_ = m.forms;
+  if (m.id <= grant_ || asked_.erase(m.sent_at) == 0) return;
+  grant_ = m.id, leader_ = from, heard_at_ = now_, leader_forms_ = m.protocol_version;
   if (!m.voters.empty()) kept_.voters = m.voters;
-  among_ = m.among;
-  hear(m.in_force, true);
-  pending_ = m.pending, pending_agreed_ = m.agreed;
-  if (m.pending && m.agreed) hear(*m.pending, false);
-  if (part_ == Part::learner && cleared_ && m.admitted == learner_ && learner_)
+  among_ = m.is_member;
+  hear(m.current, true);
+  pending_ = m.pending, pending_agreed_ = m.is_pending_accepted;
+  if (m.pending && m.is_pending_accepted) hear(*m.pending, false);
+  if (part_ == NodeRole::learner && cleared_ && m.admitted_learner_id == learner_ && learner_)
     report("readmitted", "as a learner with an empty log"), begin_raft({}, {});
   move_on();
-  const bool holds = acting_.version.number == m.in_force.number;
-  const Time until = holds ? m.sent + m.length : 0;
+  const bool holds = acting_.version.number == m.current.number;
+  const Time until = holds ? m.sent_at + m.duration : 0;
   lease_until_ = until > now_ ? until : 0;
-  share_all_ = m.share_all, share_point_ = m.share_point;
-  if (holds && m.length == 0) renew_soon(kSoon);  // it learns now that we hold it
+  share_all_ = m.total_share, share_point_ = m.location_share;
+  if (holds && m.duration == 0) renew_soon(kSoon);  // it learns now that we hold it
 }
 
 // ---- Contents
@@ -231,13 +235,13 @@
   if (!v.number || items_.contains(v.digest)) return;
   if (fetch_ && fetch_->digest == v.digest) return;
   if (fetch_ && v.number != target_.number) return;  // what is in force comes first
-  fetch_ = Fetch{v.digest, {}, v.size, static_cast<std::size_t>(random_() % 4), 0};
+  fetch_ = Fetch{v.digest, {}, v.content_size, static_cast<std::size_t>(random_() % 4), 0};
 }
 
 void ConsensusNode::fetch() {
   want(target_);
   if (pending_) want(*pending_);
-  if (kept_.agreed) want(*kept_.agreed);
+  if (kept_.accepted) want(*kept_.accepted);
   if (!fetch_ || now_ < fetch_->until) return;
   fetch_->until = now_ + kFetchTime;
   std::vector<std::string> sources;
@@ -251,30 +255,32 @@
   for (int i = 0; i < 2 && !others_.empty(); ++i) add(others_[random_() % others_.size()]);
   if (pending_) add(pending_->author);
   if (!sources.empty())
-    send(sources[fetch_->source++ % sources.size()], Want{fetch_->digest, fetch_->bytes.size()});
+    send(sources[fetch_->source++ % sources.size()],
+         FetchRequest{fetch_->digest, fetch_->bytes.size()});
 }
 
-void ConsensusNode::take(const std::string& from, Want& m) {
+void ConsensusNode::take(const std::string& from, FetchRequest& m) {
   const auto it = items_.find(m.digest);
-  Chunk c{m.digest, m.offset, 0, {}};
+  ContentChunk c{m.digest, m.offset, 0, {}};
   if (it != items_.end() && m.offset < it->second.bytes.size())
-    c.total = it->second.bytes.size(), c.bytes = it->second.bytes.substr(m.offset, kChunk);
+    c.total_size = it->second.bytes.size(),
+    c.bytes = it->second.bytes.substr(m.offset, kMaxChunkBytes);
   send(from, c);
 }
 
-void ConsensusNode::take(const std::string& from, Chunk& m) {
+void ConsensusNode::take(const std::string& from, ContentChunk& m) {
   if (!fetch_ || m.digest != fetch_->digest || m.offset != fetch_->bytes.size()) return;
-  if (m.total == 0)
+  if (m.total_size == 0)
     return void(fetch_->until = std::min(fetch_->until, now_ + kSoon));  // the next source
   fetch_->bytes += m.bytes;
-  if (fetch_->bytes.size() < m.total && fetch_->bytes.size() <= kContentMost) {
+  if (fetch_->bytes.size() < m.total_size && fetch_->bytes.size() <= kMaxContentBytes) {
     fetch_->until = now_ + kFetchTime;
-    return send(from, Want{m.digest, fetch_->bytes.size()});
+    return send(from, FetchRequest{m.digest, fetch_->bytes.size()});
   }
   const auto digest = fetch_->digest;
   auto bytes = std::move(fetch_->bytes);
   fetch_.reset();
-  if (digest_of(bytes) != digest)
+  if (content_digest(bytes) != digest)
     return report("content_spoilt", "from " + from);  // asked for again
   arrived(digest, std::move(bytes));
 }
@@ -289,32 +295,32 @@
     return judge(digest);
   }
   item.content = std::make_shared<const Content>(std::move(*content));
-  act(Write{digest, item.bytes});
-  act(Check{digest, item.content});
+  act(WriteContent{digest, item.bytes});
+  act(CheckContent{digest, item.content});
 }
 
-void ConsensusNode::on(const Written& e) {
+void ConsensusNode::on(const ContentWritten& e) {
   const auto it = items_.find(e.digest);
   if (it == items_.end()) return;
-  it->second.written = e.good;
+  it->second.written = e.is_ok;
   // Danger: a full disk says no at once; written again as fast, it would take the process's time
   // for nothing.
-  if (!e.good && it->second.write_at == 0) report("not_kept", "a content did not reach the disk");
-  it->second.write_at = e.good ? 0 : now_ + kWriteAgain;
+  if (!e.is_ok && it->second.write_at == 0) report("not_kept", "a content did not reach the disk");
+  it->second.write_at = e.is_ok ? 0 : now_ + kWriteAgain;
   judge(e.digest);
 }
 void ConsensusNode::write_again() {
   for (auto& [digest, item] : items_) {  // a few
     if (!item.write_at || now_ < item.write_at) continue;
     item.write_at = std::numeric_limits<Time>::max();  // until the disk has answered
-    act(Write{digest, item.bytes});
+    act(WriteContent{digest, item.bytes});
   }
 }
-void ConsensusNode::on(const Checked& e) {
+void ConsensusNode::on(const ContentChecked& e) {
   const auto it = items_.find(e.digest);
   if (it == items_.end()) return;
-  it->second.checked = true, it->second.good = e.good,
-  it->second.reason = plain(e.reason, kNoteMost);
+  it->second.checked = true, it->second.good = e.is_valid,
+  it->second.reason = to_printable(e.reason, kMaxNoteLength);
   judge(e.digest);
 }
 
@@ -334,18 +340,18 @@
 
 // Nobody needs the others any more. Only under a lease: a start has yet to hear what was agreed.
 void ConsensusNode::sweep() {
-  if (items_.size() <= kContentsMost || !leased()) return;
+  if (items_.size() <= kMaxStoredContents || !leased()) return;
   const auto used = [&](const std::string& d) {
     return d == acting_.version.digest || d == target_.digest ||
-           (pending_ && d == pending_->digest) || (kept_.agreed && d == kept_.agreed->digest) ||
+           (pending_ && d == pending_->digest) || (kept_.accepted && d == kept_.accepted->digest) ||
            std::any_of(mine_.begin(), mine_.end(),
                        [&](const Mine& m) { return m.propose.version.digest == d; });
   };
-  for (auto it = items_.begin(); it != items_.end() && items_.size() > kContentsMost;) {
+  for (auto it = items_.begin(); it != items_.end() && items_.size() > kMaxStoredContents;) {
     if (used(it->first))
       ++it;
     else
-      act(Discard{it->first}), it = items_.erase(it);
+      act(DeleteContent{it->first}), it = items_.erase(it);
   }
 }
 
@@ -354,8 +360,8 @@
 void ConsensusNode::move_on() {
   if (target_.number <= acting_.version.number || !fit(target_)) return;
   acting_.version = target_, acting_.content = items_[target_.digest].content;
-  kept_.in_force = target_;
-  if (kept_.agreed && kept_.agreed->number <= target_.number) kept_.agreed.reset();
+  kept_.current = target_;
+  if (kept_.accepted && kept_.accepted->number <= target_.number) kept_.accepted.reset();
   if (pending_ && pending_->number <= target_.number) pending_.reset();
   lease_until_ = 0;  // that was on the older one
   renew_soon();
@@ -363,27 +369,27 @@
 
 void ConsensusNode::show() {
   acting_.is_conservative = !leased();
-  acting_.heard.clear();
+  acting_.newer_contents.clear();
   if (acting_.is_conservative) {
     const auto unite = [&](const Version& v) {
       const auto it = items_.find(v.digest);
       if (v.number > acting_.version.number && it != items_.end() && it->second.content)
-        acting_.heard.push_back(it->second.content);
+        acting_.newer_contents.push_back(it->second.content);
     };
     unite(target_);
-    if (kept_.agreed && kept_.agreed->number != target_.number) unite(*kept_.agreed);
+    if (kept_.accepted && kept_.accepted->number != target_.number) unite(*kept_.accepted);
   }
-  acting_.share_all = acting_.is_conservative ? 0 : share_all_;
-  acting_.share_point = acting_.is_conservative ? 0 : share_point_;
+  acting_.total_share = acting_.is_conservative ? 0 : share_all_;
+  acting_.location_share = acting_.is_conservative ? 0 : share_point_;
   if (acting_ == shown_) return;
   shown_ = acting_;
-  act(Act{acting_});
+  act(Activate{acting_});
 }
 
 void ConsensusNode::keep() {
   if (kept_ == told_kept_) return;
   told_kept_ = kept_;
-  act(Keep{kept_});
+  act(PersistState{kept_});
 }
 
 ContentPtr ConsensusNode::content(std::uint64_t number) const {
@@ -401,33 +407,36 @@
 
 // ---- Proposals of this router's operator
 
-void ConsensusNode::on(const Proposal& e) {
-  const auto no = [&](std::string text) { act(Reply{{e.nonce, false, true, 0, std::move(text)}}); };
-  if (mine_.size() >= kProposalsMost) return no("too many proposals are under way here");
+void ConsensusNode::on(const OperatorProposal& e) {
+  const auto no = [&](std::string text) {
+    act(ProposalFinished{{e.nonce, false, true, 0, std::move(text)}});
+  };
+  if (mine_.size() >= kMaxOpenProposals) return no("too many proposals are under way here");
   Mine m;
   m.propose.nonce = e.nonce;
   m.until = now_ + kMineMost, m.again = now_;
   if (!e.voters.empty()) {
     m.propose.voters = e.voters;
-    if (e.voters.size() > kVotersMost || e.voters.size() % 2 == 0)
+    if (e.voters.size() > kMaxVoters || e.voters.size() % 2 == 0)
       return no("take 1, 3, 5 or 7 voters");
-  } else if (e.verdict) {
-    m.verdict = e.verdict, m.verdict->nonce = e.nonce;
+  } else if (e.canary_decision) {
+    m.verdict = e.canary_decision, m.verdict->nonce = e.nonce;
   } else {
-    if (e.content.empty() || e.content.size() > kDocumentsMost)
+    if (e.content.empty() || e.content.size() > kMaxDocuments)
       return no("a content has 1 to 64 documents");
     auto bytes = encode(e.content);
-    if (bytes.size() > kContentMost) return no("over 16 MB");
-    const auto& t = e.trial;
-    if (t.first.size() > kVotersMost) return no("a trial has 7 first routers at most");
-    if (t && (t.hold <= 0 || t.hold > kTrialMost)) return no("a trial takes a second to a day");
+    if (bytes.size() > kMaxContentBytes) return no("over 16 MB");
+    const auto& t = e.canary;
+    if (t.routers.size() > kMaxVoters) return no("a trial has 7 first routers at most");
+    if (t && (t.duration <= 0 || t.duration > kMaxCanaryDuration))
+      return no("a trial takes a second to a day");
     auto& v = m.propose.version;
-    v.digest = digest_of(bytes), v.size = bytes.size();
-    v.author = plain(e.author.empty() ? set_.name : e.author, cluster::kWordMost);
-    v.note = plain(e.note, kNoteMost);
-    v.trial = e.trial;
-    v.base = e.base.value_or(
-        std::max({target_.number, kept_.agreed ? kept_.agreed->number : 0, settled_}));
+    v.digest = content_digest(bytes), v.content_size = bytes.size();
+    v.author = to_printable(e.author.empty() ? set_.name : e.author, cluster::kWordMost);
+    v.note = to_printable(e.note, kMaxNoteLength);
+    v.canary = e.canary;
+    v.base_number = e.base_number.value_or(
+        std::max({target_.number, kept_.accepted ? kept_.accepted->number : 0, settled_}));
     if (!items_.contains(v.digest)) arrived(v.digest, std::move(bytes));
   }
   mine_.push_back(std::move(m));
@@ -437,19 +446,19 @@
   for (auto it = mine_.begin(); it != mine_.end();) {
     const auto& v = it->propose.version;
     const auto item = items_.find(v.digest);
-    Settled s{it->propose.nonce, false, true, 0, {}};
+    ProposalResult s{it->propose.nonce, false, true, 0, {}};
     const bool content = it->propose.voters.empty() && !it->verdict;
     if (content && item != items_.end() && item->second.checked && !item->second.good)
-      s.text = "refused here: " + item->second.reason;
+      s.reason = "refused here: " + item->second.reason;
     else if (now_ >= it->until)
-      s.text =
+      s.reason =
           "no answer from the voters; it may still come into force, ask which versions there are";
     // Danger: to a leader of an earlier program it would be a version like any other, and hold for
     // all.
-    if (v.trial && leader_forms_ && *leader_forms_ < 1)
-      s.text = "the program of " + leader_ + ", which leads, knows no trials";
-    if (!s.text.empty()) {
-      act(Reply{s});
+    if (v.canary && leader_forms_ && *leader_forms_ < 1)
+      s.reason = "the program of " + leader_ + ", which leads, knows no trials";
+    if (!s.reason.empty()) {
+      act(ProposalFinished{s});
       it = mine_.erase(it);
       continue;
     }
@@ -460,19 +469,19 @@
       const auto to = !leader_.empty() ? leader_
                       : voters.empty() ? ""
                                        : voters[random_() % voters.size()];
-      const bool may = !v.trial || leader_forms_;
+      const bool may = !v.canary || leader_forms_;
       if (ready && may && !to.empty()) it->verdict ? send(to, *it->verdict) : send(to, it->propose);
     }
     ++it;
   }
 }
 
-void ConsensusNode::take(const std::string&, Answer& m) {
+void ConsensusNode::take(const std::string&, ProposeResponse& m) {
   const auto it = std::find_if(mine_.begin(), mine_.end(),
-                               [&](const Mine& x) { return x.propose.nonce == m.settled.nonce; });
-  if (it == mine_.end() || !m.settled.final) return;
-  if (m.settled.yes) settled_ = std::max(settled_, m.settled.number);
-  act(Reply{m.settled});
+                               [&](const Mine& x) { return x.propose.nonce == m.result.nonce; });
+  if (it == mine_.end() || !m.result.is_final) return;
+  if (m.result.is_accepted) settled_ = std::max(settled_, m.result.version_number);
+  act(ProposalFinished{m.result});
   mine_.erase(it);
 }
 
--- a/src/consensus/consensus_node.h
+++ b/src/consensus/consensus_node.h
@@ -39,132 +39,134 @@
 
 namespace alderspur::consensus {
 
-constexpr Time kHoldBack = 10'000'000, kOfferMost = 15'000'000;
-constexpr std::size_t kContentsMost = 6, kProposalsMost = 8;
+constexpr Time kVoteRestrictionTime = 10'000'000, kMaxOfferTime = 15'000'000;
+constexpr std::size_t kMaxStoredContents = 6, kMaxOpenProposals = 8;
 
 struct ConsensusSettings {
-  std::string name, point;
+  std::string name, location;
   std::uint64_t epoch = 0;
   std::vector<std::string> voters;  // the first ones of a new cluster
-  Time renew = 300'000;
-  std::uint64_t forms = kForms;  // less only in tests
-  LeaseSettings book;
+  Time renew_interval = 300'000;
+  std::uint64_t protocol_version = kProtocolVersion;  // less only in tests
+  LeaseSettings lease;
   RaftSettings raft;
 };
 // What a router keeps through a restart, besides contents and a voter's log.
 struct PersistedState {
-  Version in_force;
-  std::optional<Version> agreed;  // heard of beyond that
+  Version current;
+  std::optional<Version> accepted;  // heard of beyond that
   std::vector<std::string> voters;
   bool operator==(const PersistedState&) const = default;
 };
 std::string encode(const PersistedState& kept);
-std::optional<PersistedState> decode_kept(std::string_view bytes);
+std::optional<PersistedState> decode_persisted_state(std::string_view bytes);
 
 // What to act on now.
 struct ActiveVersion {
   Version version;
-  ContentPtr content;                     // null: none was ever in force here
-  bool is_conservative = true;            // no lease runs
-  std::vector<ContentPtr> heard;          // agreed later, to be united with it with care
-  double share_all = 0, share_point = 0;  // of kUsable; 0 without a lease
+  ContentPtr content;                          // null: none was ever in force here
+  bool is_conservative = true;                 // no lease runs
+  std::vector<ContentPtr> newer_contents;      // agreed later, to be united with it with care
+  double total_share = 0, location_share = 0;  // of kUsable; 0 without a lease
   bool operator==(const ActiveVersion&) const = default;
 };
 
 // ---- Events
 
-struct Begin {
-  PersistedState kept;
+struct Start {
+  PersistedState state;
   std::map<std::string, std::string> contents;  // by digest, encoded, as they were found
-  Saved saved;
-  bool spoilt = false;  // the disk holds a log that must not be believed
-  bool no_disk = false;
+  PersistedLog log;
+  bool is_log_corrupt = false;  // the disk holds a log that must not be believed
+  bool has_no_disk = false;
 };
-struct Frame {
+struct MessageReceived {
   std::string from, bytes;
 };
-struct Stored {
+struct LogWritten {
   std::uint64_t number = 0;
-  bool good = true;
+  bool is_ok = true;
 };
-struct Written {  // a content
+struct ContentWritten {  // a content
   std::string digest;
-  bool good = true;
+  bool is_ok = true;
 };
-struct Checked {
+struct ContentChecked {
   std::string digest;
-  bool good = true;
+  bool is_valid = true;
   std::string reason;
 };
-struct Proposal {  // by an operator
+struct OperatorProposal {  // by an operator
   std::uint64_t nonce = 0;
   Content content;
   std::string author, note;
-  std::optional<std::uint64_t> base;  // empty: what is newest here
-  std::vector<std::string> voters;    // not empty: a change of the voters
-  CanaryRollout trial;                // it holds for some first
-  std::optional<Verdict> verdict;     // a word on a trial instead, under this nonce
+  std::optional<std::uint64_t> base_number;       // empty: what is newest here
+  std::vector<std::string> voters;                // not empty: a change of the voters
+  CanaryRollout canary;                           // it holds for some first
+  std::optional<CanaryDecision> canary_decision;  // a word on a trial instead, under this nonce
 };
-struct Others {  // who is there, in any order
+struct PeersChanged {  // who is there, in any order
   std::vector<std::string> names;
 };
-struct Load {
-  double weight = 1;  // requests a second
-  double bad = 0;     // the part of those that ended refused or failed
+struct LoadMeasured {
+  double request_rate = 1;   // requests a second
+  double failure_ratio = 0;  // the part of those that ended refused or failed
 };
-struct Wake {};
-using Event = std::variant<Begin, Frame, Stored, Written, Checked, Proposal, Others, Load, Wake>;
+struct TimerFired {};
+using Event = std::variant<Start, MessageReceived, LogWritten, ContentWritten, ContentChecked,
+                           OperatorProposal, PeersChanged, LoadMeasured, TimerFired>;
 
 // ---- Actions
 
-struct SendFrame {
+struct SendMessage {
   std::string to, bytes;
 };
-struct Put {  // on the voter's disk, in the order of the numbers
+struct WriteLog {  // on the voter's disk, in the order of the numbers
   std::uint64_t number = 0;
-  Store store;
+  LogWrite write;
 };
-struct Write {  // a content, durably
+struct WriteContent {  // a content, durably
   std::string digest, bytes;
 };
-struct Check {
+struct CheckContent {
   std::string digest;
   ContentPtr content;
 };
-struct Discard {
+struct DeleteContent {
   std::string digest;
 };
-struct Keep {
-  PersistedState kept;
+struct PersistState {
+  PersistedState state;
 };
-struct Act {
-  ActiveVersion acting;
+struct Activate {
+  ActiveVersion active;
 };
-struct Reply {  // to an operator's proposal; final
-  Settled settled;
+struct ProposalFinished {  // to an operator's proposal; final
+  ProposalResult result;
 };
-struct Report {  // a line for the log
+struct LogEvent {  // a line for the log
   std::string event, text;
 };
-using Action = std::variant<SendFrame, Put, Write, Check, Discard, Keep, Act, Reply, Report>;
+using Action = std::variant<SendMessage, WriteLog, WriteContent, CheckContent, DeleteContent,
+                            PersistState, Activate, ProposalFinished, LogEvent>;
 
 // ---- View
 
-enum class Part { follower, asking, learner, voter };
-const char* word(Part part);
+enum class NodeRole { follower, joining, learner, voter };
+const char* role_name(NodeRole part);
 
-struct View {
-  ActiveVersion acting;
+struct NodeStatus {
+  ActiveVersion active;
   std::optional<Version> pending;
-  bool pending_agreed = false, leads = false;
-  Part part = Part::follower;
+  bool is_pending_accepted = false, is_leader = false;
+  NodeRole role = NodeRole::follower;
   std::string leader;
   Time lease_left = 0;
-  std::uint64_t term = 0, log = 0;
+  std::uint64_t term = 0, last_log_index = 0;
   std::vector<std::string> voters;
-  std::string trouble;               // why something does not go on, if so
-  std::vector<std::string> behind;   // at the leader
-  std::deque<HistoryEntry> history;  // at a voter
+  std::string fault;                        // why something does not go on, if so
+  std::vector<std::string> routers_behind;  // at the leader
+  std::deque<HistoryEntry> history;         // at a voter
 };
 
 class ConsensusNode {
@@ -172,12 +174,14 @@
   ConsensusNode(ConsensusSettings settings, std::uint64_t seed);
   ~ConsensusNode();
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  Time next() const;
-  const ActiveVersion& acting() const { return acting_; }
-  View view(Time now) const;
-  const LeaseTable& book() const { return book_; }
-  const AppliedState& ledger() const { return ledger_; }
-  bool leads(Time now) const { return raft_ && raft_->leads(now) && raft_->settled(); }
+  Time next_deadline() const;
+  const ActiveVersion& active() const { return acting_; }
+  NodeStatus status(Time now) const;
+  const LeaseTable& lease_table() const { return book_; }
+  const AppliedState& applied_state() const { return ledger_; }
+  bool is_leader(Time now) const {
+    return raft_ && raft_->has_leader_lease(now) && raft_->is_term_established();
+  }
   const Raft* raft() const { return raft_.get(); }
   ContentPtr content(std::uint64_t number) const;  // where it is still kept
 
@@ -197,43 +201,43 @@
     Time until = 0;
   };
   struct Mine {  // a proposal of this router's operator
-    Propose propose;
-    std::optional<Verdict> verdict;
+    ProposeRequest propose;
+    std::optional<CanaryDecision> verdict;
     Time until = 0, again = 0;
   };
 
-  void on(const Begin& e);
-  void on(const Frame& e);
-  void on(const Stored& e);
-  void on(const Written& e);
-  void on(const Checked& e);
-  void on(const Proposal& e);
-  void on(const Others& e);
-  void on(const Load& e);
-  void on(const Wake&);
+  void on(const Start& e);
+  void on(const MessageReceived& e);
+  void on(const LogWritten& e);
+  void on(const ContentWritten& e);
+  void on(const ContentChecked& e);
+  void on(const OperatorProposal& e);
+  void on(const PeersChanged& e);
+  void on(const LoadMeasured& e);
+  void on(const TimerFired&);
   void take(const std::string& from, RaftFrame& m);
-  void take(const std::string& from, Renew& m);
-  void take(const std::string& from, Grant& m);
+  void take(const std::string& from, LeaseRequest& m);
+  void take(const std::string& from, LeaseGrant& m);
   void take(const std::string& from, Redirect& m);
-  void take(const std::string& from, Want& m);
-  void take(const std::string& from, Chunk& m);
-  void take(const std::string& from, Propose& m);
-  void take(const std::string& from, Answer& m);
-  void take(const std::string& from, LogPosition& m);
-  void take(const std::string& from, Ask& m);
-  void take(const std::string& from, Tell& m);
+  void take(const std::string& from, FetchRequest& m);
+  void take(const std::string& from, ContentChunk& m);
+  void take(const std::string& from, ProposeRequest& m);
+  void take(const std::string& from, ProposeResponse& m);
+  void take(const std::string& from, LogStatus& m);
+  void take(const std::string& from, VersionQuery& m);
+  void take(const std::string& from, VersionNews& m);
   void take(const std::string& from, RenewHint& m);
-  void take(const std::string& from, Verdict& m);
+  void take(const std::string& from, CanaryDecision& m);
 
   void act(Action a) { out_->push_back(std::move(a)); }
   void send(const std::string& to, const Message& m);
-  void report(const char* event, std::string text) { act(Report{event, std::move(text)}); }
+  void report(const char* event, std::string text) { act(LogEvent{event, std::move(text)}); }
 
   // The router's part.
   void follow(const std::string& leader);
   void renew();
   void renew_soon(Time in = 0) { renew_at_ = std::min(renew_at_, now_ + in); }
-  Renew standing() const;
+  LeaseRequest standing() const;
   void ask_around();
   void hear(const Version& v, bool in_force);
   bool first(const Version& v) const { return among_first(v, set_.name); }
@@ -253,7 +257,7 @@
 
   // The voter's part.
   void begin_voting();
-  void begin_raft(Saved saved, const std::vector<std::string>& found);
+  void begin_raft(PersistedLog saved, const std::vector<std::string>& found);
   void spoilt(const std::string& why);
   void lead();
   void decide(const Version& v);
@@ -261,13 +265,13 @@
   void watch(const Version& trial);
   bool harmful(const Version& trial, std::string& why) const;
   void reconcile();
-  void admit(const std::string& name, const Renew& r, Grant& out);
+  void admit(const std::string& name, const LeaseRequest& r, LeaseGrant& out);
   bool propose(const Command& c);
   void nudge_some();
   const std::vector<std::string>& desired() const;  // who is to vote
   bool to_vote(const std::string& name) const;
-  LogPosition witness(const std::string& to, bool asks);
-  void put(std::uint64_t instance, std::uint64_t number, Store store);
+  LogStatus witness(const std::string& to, bool asks);
+  void put(std::uint64_t instance, std::uint64_t number, LogWrite store);
   void turn();
   void follow_ledger();
 
@@ -298,7 +302,7 @@
   std::deque<std::pair<std::string, std::string>> own_;  // frames to ourselves
   std::deque<Mine> mine_;
 
-  Part part_ = Part::follower;
+  NodeRole part_ = NodeRole::follower;
   std::unique_ptr<Raft> raft_;
   struct Putting {
     std::uint64_t put = 0, instance = 0, number = 0;  // of which Raft; 0: a reset
@@ -306,10 +310,10 @@
   std::deque<Putting> putting_;
   std::uint64_t instance_ = 0, puts_ = 0;
   bool no_disk_ = false;
-  Saved saved_;
+  PersistedLog saved_;
   AppliedState ledger_;
   LeaseTable book_;
-  std::map<std::string, LogPosition> witnesses_;
+  std::map<std::string, LogStatus> witnesses_;
   std::set<std::string> empty_;  // voters that have told us of an empty disk
   Time inquire_at_ = 0, asking_since_ = 0, reset_at_ = 0;
   std::uint64_t learner_ = 0;
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Snapshot unite(const std::vector<endpoints::SnapshotPtr>& lists) {
+Snapshot merge_conservatively(const std::vector<endpoints::SnapshotPtr>& lists) {
   const Snapshot& newest = *lists.back();
   Snapshot out = newest;
   out.servers.clear();
@@ -57,7 +57,7 @@
   return out;
 }
 
-std::string written(const Snapshot& list, std::uint64_t generation) {
+std::string to_text(const Snapshot& list, std::uint64_t generation) {
   std::string out = "format = 1\ngeneration = " + std::to_string(generation) +
                     "\nconfirm = " + std::to_string(generation) +
                     "\nservers = " + std::to_string(list.servers.size()) + "\n";
@@ -90,7 +90,7 @@
     }
     lists.push_back(read.list);
   }
-  return lists.empty() ? std::string() : written(unite(lists), generation);
+  return lists.empty() ? std::string() : to_text(merge_conservatively(lists), generation);
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/conservative_merge.h
+++ b/src/consensus/conservative_merge.h
@@ -15,9 +15,9 @@
 namespace alderspur::consensus {
 
 // `lists` in the order of their numbers, at least one.
-endpoints::Snapshot unite(const std::vector<endpoints::SnapshotPtr>& lists);
+endpoints::Snapshot merge_conservatively(const std::vector<endpoints::SnapshotPtr>& lists);
 // As a text that reads as that list, with this generation, meant as it stands.
-std::string written(const endpoints::Snapshot& list, std::uint64_t generation);
+std::string to_text(const endpoints::Snapshot& list, std::uint64_t generation);
 
 // What a router with these documents acts on, newest last; empty with `error` where one does not
 // read.
--- a/src/consensus/lease_table.cpp
+++ b/src/consensus/lease_table.cpp
@@ -13,10 +13,10 @@
 
 // By the leader's clock, which may run slower than the router's by the drift of both.
 Time LeaseTable::longest() const {
-  return static_cast<Time>(static_cast<double>(set_.lease) * (1 + 3 * kDrift));
+  return static_cast<Time>(static_cast<double>(set_.duration) * (1 + 3 * kMaxClockDrift));
 }
 
-void LeaseTable::begin(Time now, std::uint64_t term) {
+void LeaseTable::begin_term(Time now, std::uint64_t term) {
   term_ = term, last_ = 0;
   safe_from_ = now + longest();
   holders_.clear(), ends_.clear(), held_.clear(), points_.clear();
@@ -24,9 +24,10 @@
 }
 
 void LeaseTable::count(Holder& h, double sign) {
-  Point& p = points_[h.point];
-  sum_ += sign * h.all, p.sum += sign * h.at_point;
-  weights_ += sign * h.weight, p.weights += sign * h.weight, bad_ += sign * h.weight * h.bad;
+  Point& p = points_[h.location];
+  sum_ += sign * h.total_share, p.sum += sign * h.location_share;
+  weights_ += sign * h.request_rate, p.weights += sign * h.request_rate,
+      bad_ += sign * h.request_rate * h.failure_ratio;
 }
 
 // What of the shares given may still be in use: the one taken, and those behind it that may yet
@@ -35,25 +36,26 @@
   std::erase_if(h.given, [&](const Holder::Given& g) {
     return g.until <= now || (g.epoch == h.epoch && g.id < taken);
   });
-  h.own_all = h.own_at_point = 0;
+  h.own_total_share = h.own_location_share = 0;
   double former_all = 0, former_at_point = 0;
   for (const auto& g : h.given) {
-    double& all = g.epoch == h.epoch ? h.own_all : former_all;
-    double& at_point = g.epoch == h.epoch ? h.own_at_point : former_at_point;
+    double& all = g.epoch == h.epoch ? h.own_total_share : former_all;
+    double& at_point = g.epoch == h.epoch ? h.own_location_share : former_at_point;
     all = std::max(all, g.all), at_point = std::max(at_point, g.point);
   }
-  h.all = h.own_all + former_all, h.at_point = h.own_at_point + former_at_point;
+  h.total_share = h.own_total_share + former_all,
+  h.location_share = h.own_location_share + former_at_point;
 }
 
 void LeaseTable::end(Holders::iterator it) {
   Holder& h = it->second;
   count(h, -1);
-  if (h.bound) held_.erase(held_.find(h.holds));
-  if (points_[h.point].weights < 1e-9) points_.erase(h.point);
+  if (h.may_hold_lease) held_.erase(held_.find(h.stored_number));
+  if (points_[h.location].weights < 1e-9) points_.erase(h.location);
   holders_.erase(it);
 }
 
-void LeaseTable::advance(Time now) {
+void LeaseTable::remove_expired(Time now) {
   while (!ends_.empty() && ends_.begin()->first <= now) {
     const auto it = holders_.find(ends_.begin()->second);
     ends_.erase(ends_.begin());
@@ -62,67 +64,70 @@
   if (holders_.empty()) sum_ = weights_ = bad_ = 0;  // what rounding left
 }
 
-void LeaseTable::renew(Time now, const std::string& name, const Renew& r, Grant& out) {
-  advance(now);
+void LeaseTable::renew(Time now, const std::string& name, const LeaseRequest& r, LeaseGrant& out) {
+  remove_expired(now);
   auto it = holders_.find(name);
   if (it != holders_.end() && r.epoch < it->second.epoch) return;  // a former self
   if (it == holders_.end()) {
     if (holders_.size() >= kHoldersMost) return;
     it = holders_.try_emplace(name).first;
     Holder& h = it->second;
-    h.point = r.point, h.epoch = r.epoch;
+    h.location = r.location, h.epoch = r.epoch;
     // What an earlier leader gave it, as it says; under us it can hold nothing that we do not know.
-    if (now < safe_from_ && r.share_all + r.share_point > 0)
-      h.given.push_back({r.grant, r.epoch, r.share_all, r.share_point, now + longest()});
+    if (now < safe_from_ && r.total_share + r.location_share > 0)
+      h.given.push_back(
+          {r.last_grant_id, r.epoch, r.total_share, r.location_share, now + longest()});
   } else {
-    ends_.erase({it->second.until, name});
-    if (it->second.bound) held_.erase(held_.find(it->second.holds));
+    ends_.erase({it->second.expires_at, name});
+    if (it->second.may_hold_lease) held_.erase(held_.find(it->second.stored_number));
     count(it->second, -1);
   }
   Holder& h = it->second;
-  h.epoch = r.epoch, h.acting = r.acting, h.holds = r.holds, h.refused = r.refused,
-  h.reason = r.reason;
-  h.weight = std::clamp(r.weight, 1.0, 1e9), h.bad = std::clamp(r.bad, 0.0, 1.0), h.seen = now;
-  h.forms = r.forms;
-  settle(now, h, r.grant);
+  h.epoch = r.epoch, h.active_number = r.active_number, h.stored_number = r.stored_number,
+  h.rejected_number = r.rejected_number, h.rejection_reason = r.rejection_reason;
+  h.request_rate = std::clamp(r.request_rate, 1.0, 1e9),
+  h.failure_ratio = std::clamp(r.failure_ratio, 0.0, 1.0), h.last_request_at = now;
+  h.protocol_version = r.protocol_version;
+  settle(now, h, r.last_grant_id);
   give(now, h, r, out);
-  h.bound = !h.given.empty();
-  h.until = now + longest();
+  h.may_hold_lease = !h.given.empty();
+  h.expires_at = now + longest();
   count(h, 1);
-  ends_.insert({h.until, name});
-  if (h.bound) held_.insert(h.holds);
+  ends_.insert({h.expires_at, name});
+  if (h.may_hold_lease) held_.insert(h.stored_number);
 }
 
-void LeaseTable::give(Time now, Holder& h, const Renew& r, Grant& out) {
+void LeaseTable::give(Time now, Holder& h, const LeaseRequest& r, LeaseGrant& out) {
   out.id = (term_ << 32) | ++last_;
   // Danger: a router that cannot act on this version must not be held for one that does.
   // And once a later one is agreed, no lease is given to whoever does not hold that: it would never
   // end.
-  const bool can = (r.acting == out.in_force.number || r.holds == out.in_force.number) &&
-                   (!out.agreed || r.holds >= out.pending->number);
+  const bool can =
+      (r.active_number == out.current.number || r.stored_number == out.current.number) &&
+      (!out.is_pending_accepted || r.stored_number >= out.pending->number);
   if (!can || h.given.size() >= kGivenMost) return;  // it takes none of them: let them run out
-  out.length = set_.lease;
-  const Point& p = points_[h.point];
+  out.duration = set_.duration;
+  const Point& p = points_[h.location];
   const auto part = [&](double others, double sum, double counted, double own) {
-    const double free = now < safe_from_ ? 0 : std::max(0.0, kUsable - sum - counted);
-    return std::min(kUsable * h.weight / (others + h.weight), own + free);
+    const double free = now < safe_from_ ? 0 : std::max(0.0, kLeasedFraction - sum - counted);
+    return std::min(kLeasedFraction * h.request_rate / (others + h.request_rate), own + free);
   };
-  out.share_all = part(weights_, sum_, h.all, h.own_all);
-  out.share_point = part(p.weights, p.sum, h.at_point, h.own_at_point);
-  h.given.push_back({out.id, h.epoch, out.share_all, out.share_point, now + longest()});
+  out.total_share = part(weights_, sum_, h.total_share, h.own_total_share);
+  out.location_share = part(p.weights, p.sum, h.location_share, h.own_location_share);
+  h.given.push_back({out.id, h.epoch, out.total_share, out.location_share, now + longest()});
   settle(now, h, 0);
 }
 
-bool LeaseTable::all_hold(Time now, std::uint64_t number) {
-  advance(now);
+bool LeaseTable::all_have_stored(Time now, std::uint64_t number) {
+  remove_expired(now);
   return now >= safe_from_ && (held_.empty() || *held_.begin() >= number);
 }
 
-std::vector<std::string> LeaseTable::behind(std::uint64_t number, std::size_t most) const {
+std::vector<std::string> LeaseTable::routers_behind(std::uint64_t number, std::size_t most) const {
   std::vector<std::string> out;
   for (const auto& [name, h] : holders_) {
     if (out.size() >= most) break;
-    if (h.holds < number) out.push_back(name);
+    if (h.stored_number < number) out.push_back(name);
   }
   return out;
 }
--- a/src/consensus/lease_table.h
+++ b/src/consensus/lease_table.h
@@ -27,44 +27,47 @@
 
 namespace alderspur::consensus {
 
-constexpr double kUsable = 0.85;
+constexpr double kLeasedFraction = 0.85;
 
 struct LeaseSettings {
-  Time lease = 1'200'000;
+  Time duration = 1'200'000;
 };
 
 class LeaseTable {
  public:
   struct Holder {
-    std::uint64_t epoch = 0, acting = 0, holds = 0, refused = 0;
-    std::string reason, point;
-    std::uint64_t forms = 0;  // its program's
-    Time until = 0, seen = 0;
-    double weight = 0, bad = 0;  // requests a second; of those, the part that ended badly
+    std::uint64_t epoch = 0, active_number = 0, stored_number = 0, rejected_number = 0;
+    std::string rejection_reason, location;
+    std::uint64_t protocol_version = 0;  // its program's
+    Time expires_at = 0, last_request_at = 0;
+    double request_rate = 0,
+           failure_ratio = 0;  // requests a second; of those, the part that ended badly
     struct Given {
       std::uint64_t id = 0, epoch = 0;
       double all = 0, point = 0;
       Time until = 0;
     };
-    std::vector<Given> given;              // that may be in use
-    double all = 0, at_point = 0;          // the most that those can be in use together
-    double own_all = 0, own_at_point = 0;  // of this epoch
-    bool bound = false;                    // a lease of ours, or of an earlier leader's, may run
+    std::vector<Given> given;                    // that may be in use
+    double total_share = 0, location_share = 0;  // the most that those can be in use together
+    double own_total_share = 0, own_location_share = 0;  // of this epoch
+    bool may_hold_lease = false;  // a lease of ours, or of an earlier leader's, may run
   };
   explicit LeaseTable(const LeaseSettings& settings) : set_(settings) {}
-  void begin(Time now, std::uint64_t term);
+  void begin_term(Time now, std::uint64_t term);
   std::uint64_t term() const { return term_; }
 
   // Fills in the lease and the shares of `out`, whose version in force is set.
-  void renew(Time now, const std::string& name, const Renew& r, Grant& out);
-  void advance(Time now);  // leases that have run out
+  void renew(Time now, const std::string& name, const LeaseRequest& r, LeaseGrant& out);
+  void remove_expired(Time now);  // leases that have run out
   // Every router whose lease may run, ours or an earlier leader's, keeps that version.
-  bool all_hold(Time now, std::uint64_t number);
+  bool all_have_stored(Time now, std::uint64_t number);
   // Those whose leases run, with less than that; a few, for the view.
-  std::vector<std::string> behind(std::uint64_t number, std::size_t most) const;
+  std::vector<std::string> routers_behind(std::uint64_t number, std::size_t most) const;
   // Over all holders.
-  double weights() const { return weights_; }
-  double bad() const { return std::max(0.0, bad_); }  // weight times part that ended badly
+  double total_request_rate() const { return weights_; }
+  double total_failure_rate() const {
+    return std::max(0.0, bad_);
+  }  // weight times part that ended badly
   const Holder* find(const std::string& name) const;
   const std::map<std::string, Holder, std::less<>>& holders() const { return holders_; }
 
@@ -73,7 +76,7 @@
   Time longest() const;
   static void settle(Time now, Holder& h, std::uint64_t taken);
   void count(Holder& h, double sign);
-  void give(Time now, Holder& h, const Renew& r, Grant& out);
+  void give(Time now, Holder& h, const LeaseRequest& r, LeaseGrant& out);
   void end(Holders::iterator it);
 
   const LeaseSettings set_;
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -69,8 +69,8 @@
 
 std::string encode(const Snapshot& s) {
   cluster::Packer p;
-  p.array(5).number(s.index).number(s.term).number(s.voters.index);
-  pack(p, s.voters.servers);
+  p.array(5).number(s.index).number(s.term).number(s.configuration.index);
+  pack(p, s.configuration.servers);
   return p.bytes(s.data).take();
 }
 std::optional<Snapshot> decode(std::string_view bytes) {
@@ -78,8 +78,8 @@
   if (!u.good) return {};
   cluster::Reader r(u.m.data, 5);
   Snapshot s;
-  s.index = r.number(), s.term = r.number(), s.voters.index = r.number();
-  s.voters.servers = servers(r);
+  s.index = r.number(), s.term = r.number(), s.configuration.index = r.number();
+  s.configuration.servers = servers(r);
   s.data = r.bytes(kSnapshotMost);
   return r.good ? std::optional(std::move(s)) : std::nullopt;
 }
@@ -113,7 +113,7 @@
   const bool was_there = std::filesystem::exists(path("agree.db"), ignored);
   const auto mark = store::load_file(path("agree.mark"), kMarkMost);
   out.error = open();
-  if (out.error.empty()) out.error = read(out.saved);
+  if (out.error.empty()) out.error = read(out.log);
   // Nothing told and nothing stored: a first start that was cut short.
   if (out.error.empty() && !mark.payload && !(mark.absent && stores_ == 0))
     out.error = mark.absent ? "agree.mark is missing" : mark.error;
@@ -126,13 +126,13 @@
   }
   if (out.error.empty() && !mark.payload) out.error = this->mark();
   if (out.error.empty()) return out;
-  out.spoilt = was_there || mark.payload || !mark.absent;
-  out.saved = {};
+  out.is_corrupt = was_there || mark.payload || !mark.absent;
+  out.log = {};
   bad_ = true;
   return out;
 }
 
-std::string LogStore::read(Saved& out) {
+std::string LogStore::read(PersistedLog& out) {
   {
     Statement s(db_.get(), "PRAGMA integrity_check(1)");
     if (s.step() != SQLITE_ROW || s.bytes(0) != "ok") return "agree.db is not whole";
@@ -162,7 +162,7 @@
     return "agree.db cannot be read";
   }
   Statement log(db_.get(), "SELECT at, term, type, data, code FROM log ORDER BY at");
-  out.start = first;
+  out.first_index = first;
   std::uint64_t at = first;
   for (; (step = log.step()) == SQLITE_ROW; ++at) {
     LogEntry e{log.number(1), log.number(2), log.bytes(3)};
@@ -176,8 +176,8 @@
   return {};
 }
 
-std::string LogStore::write(const Store& s) {
-  if (s.kind == Store::Kind::reset) return reset();
+std::string LogStore::apply(const LogWrite& s) {
+  if (s.kind == LogWrite::Kind::reset) return reset();
   if (bad_) return "an earlier store failed";
   auto error = run("BEGIN IMMEDIATE");
   if (error.empty()) error = change(s);
@@ -193,19 +193,19 @@
   return store::replace_file(path("agree.mark"), std::to_string(stores_) + "\n");
 }
 
-std::string LogStore::change(const Store& s) {
+std::string LogStore::change(const LogWrite& s) {
   switch (s.kind) {
-    case Store::Kind::term: {
+    case LogWrite::Kind::term: {
       auto error = put("term", s.value);
       return error.empty() ? put("vote", 0) : error;  // of an earlier term
     }
-    case Store::Kind::vote:
+    case LogWrite::Kind::vote:
       return put("vote", s.value);
-    case Store::Kind::append:
+    case LogWrite::Kind::append:
       return append(s);
-    case Store::Kind::truncate:
+    case LogWrite::Kind::truncate:
       return cut("DELETE FROM log WHERE at >= ?", s.value);
-    case Store::Kind::snapshot: {
+    case LogWrite::Kind::snapshot: {
       auto error = put(*s.snapshot);
       if (!error.empty()) return error;
       const auto trailing = s.value;
@@ -233,7 +233,7 @@
   return good ? "" : path("agree.db") + ": " + sqlite3_errmsg(db_.get());
 }
 
-std::string LogStore::append(const Store& s) {
+std::string LogStore::append(const LogWrite& s) {
   std::uint64_t before = 0;
   {
     Statement last(db_.get(), "SELECT code FROM log WHERE at = ?");
--- a/src/consensus/log_store.h
+++ b/src/consensus/log_store.h
@@ -28,13 +28,13 @@
   LogStore& operator=(const LogStore&) = delete;
 
   struct Loaded {
-    Saved saved;
-    bool spoilt = false;
+    PersistedLog log;
+    bool is_corrupt = false;
     std::string error;  // why, or why there is no disk at all
   };
   Loaded load();
   // Empty: it is on the disk. After an error nothing more is taken until a reset.
-  std::string write(const Store& store);
+  std::string apply(const LogWrite& store);
 
  private:
   struct Close {
@@ -42,9 +42,9 @@
   };
   std::string open();
   std::string run(const char* sql);
-  std::string read(Saved& out);
-  std::string change(const Store& store);
-  std::string append(const Store& store);
+  std::string read(PersistedLog& out);
+  std::string change(const LogWrite& store);
+  std::string append(const LogWrite& store);
   std::string cut(const char* sql, std::uint64_t index);
   std::string put(const char* key, std::uint64_t value);
   std::string put(const Snapshot& snapshot);
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -50,15 +50,15 @@
     out.push_back({entries[i].term, entries[i].type, std::string(bytes_of(entries[i].buf))});
   return out;
 }
-raft_configuration configuration_of(const VotersAt& v) {
+raft_configuration configuration_of(const Configuration& v) {
   raft_configuration c;
   raft_configuration_init(&c);
   for (const auto& [name, role] : v.servers)
     raft_configuration_add(&c, raft_id_of(name), name.c_str(), role);
   return c;
 }
-VotersAt voters_of(const raft_configuration& c, std::uint64_t index) {
-  VotersAt v{index, {}};
+Configuration voters_of(const raft_configuration& c, std::uint64_t index) {
+  Configuration v{index, {}};
   for (unsigned i = 0; i < c.n; ++i)
     v.servers.emplace_back(c.servers[i].address, c.servers[i].role);
   return v;
@@ -75,8 +75,8 @@
   return h ? h : 1;
 }
 
-Raft::Raft(const std::string& name, const RaftSettings& settings, Saved saved,
-           const std::vector<std::string>& found, std::uint64_t seed, Time now, Hooks hooks)
+Raft::Raft(const std::string& name, const RaftSettings& settings, PersistedLog saved,
+           const std::vector<std::string>& found, std::uint64_t seed, Time now, Callbacks hooks)
     : name_(name),
       set_(settings),
       saved_(std::move(saved)),
@@ -89,13 +89,13 @@
   set_io();
   if (raft_init(&raft_, &io_, &fsm_, raft_id_of(name), name.c_str()))
     throw std::runtime_error("consensus cannot start");
-  raft_set_election_timeout(&raft_, static_cast<unsigned>(set_.election / kMillisecond));
-  raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(set_.heartbeat / kMillisecond));
-  raft_set_snapshot_threshold(&raft_, set_.snapshot_every);
-  raft_set_snapshot_trailing(&raft_, set_.trailing);
+  raft_set_election_timeout(&raft_, static_cast<unsigned>(set_.election_timeout / kMillisecond));
+  raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(set_.heartbeat_interval / kMillisecond));
+  raft_set_snapshot_threshold(&raft_, set_.snapshot_threshold);
+  raft_set_snapshot_trailing(&raft_, set_.trailing_entries);
   raft_set_pre_vote(&raft_, true);
-  if (!found.empty() && saved_.pristine()) {
-    VotersAt v;
+  if (!found.empty() && saved_.is_empty()) {
+    Configuration v;
     for (const auto& n : found) v.servers.emplace_back(n, RAFT_VOTER);
     auto c = configuration_of(v);
     raft_bootstrap(&raft_, &c);
@@ -137,16 +137,16 @@
     r.saved_.term = 1;
     r.saved_.entries.push_back({1, RAFT_CHANGE, std::string(bytes_of(b))});
     raft_free(b.base);
-    r.store({Store::Kind::term, 1, {}, {}});
-    r.store({Store::Kind::append, 1, r.saved_.entries, {}});
+    r.store({LogWrite::Kind::term, 1, {}, {}});
+    r.store({LogWrite::Kind::append, 1, r.saved_.entries, {}});
     return 0;
   };
   io_.recover = [](raft_io*, const raft_configuration*) { return RAFT_INVALID; };
   io_.set_term = [](raft_io* io, raft_term t) {
-    return of(io).store({Store::Kind::term, t, {}, {}}), 0;
+    return of(io).store({LogWrite::Kind::term, t, {}, {}}), 0;
   };
   io_.set_vote = [](raft_io* io, raft_id v) {
-    return of(io).store({Store::Kind::vote, v, {}, {}}), 0;
+    return of(io).store({LogWrite::Kind::vote, v, {}, {}}), 0;
   };
   io_.send = [](raft_io* io, raft_io_send* q, const raft_message* m, raft_io_send_cb cb) {
     return of(io).send(q, *m, cb);
@@ -157,12 +157,12 @@
     q->cb = cb;
     // The library has these in its log already: the first of them is the last but n - 1.
     const auto number =
-        r.store({Store::Kind::append, raft_last_index(&r.raft_) + 1 - n, copy(e, n), {}});
+        r.store({LogWrite::Kind::append, raft_last_index(&r.raft_) + 1 - n, copy(e, n), {}});
     r.pending_.push_back({number, q, nullptr});
     return 0;
   };
   io_.truncate = [](raft_io* io, raft_index i) {
-    return of(io).store({Store::Kind::truncate, i, {}, {}}), 0;
+    return of(io).store({LogWrite::Kind::truncate, i, {}, {}}), 0;
   };
   io_.snapshot_put = [](raft_io* io, unsigned trailing, raft_io_snapshot_put* q,
                         const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
@@ -171,7 +171,7 @@
     Snapshot out{s->index, s->term, voters_of(s->configuration, s->configuration_index), {}};
     for (unsigned i = 0; i < s->n_bufs; ++i) out.data += bytes_of(s->bufs[i]);
     r.snapshot_ = out;
-    const auto number = r.store({Store::Kind::snapshot, trailing, {}, std::move(out)});
+    const auto number = r.store({LogWrite::Kind::snapshot, trailing, {}, std::move(out)});
     r.pending_.push_back({number, nullptr, q});
     return 0;
   };
@@ -211,7 +211,8 @@
   auto* out = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
   if (!out) throw std::bad_alloc();
   out->index = s.index, out->term = s.term;
-  out->configuration = configuration_of(s.voters), out->configuration_index = s.voters.index;
+  out->configuration = configuration_of(s.configuration),
+  out->configuration_index = s.configuration.index;
   out->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
   *out->bufs = {copied(s.data), s.data.size()};
   out->n_bufs = 1;
@@ -222,14 +223,14 @@
 
 int Raft::load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* start,
                raft_entry** entries, std::size_t* n) {
-  *term = saved_.term, *vote = saved_.vote, *start = saved_.start;
+  *term = saved_.term, *vote = saved_.vote, *start = saved_.first_index;
   *snapshot = saved_.snapshot ? given(*saved_.snapshot) : nullptr;
   *entries = entries_of(saved_.entries);
   *n = saved_.entries.size();
   return 0;
 }
 
-std::uint64_t Raft::store(Store s) {
+std::uint64_t Raft::store(LogWrite s) {
   ++stores_;
   hooks_.store(stores_, std::move(s));
   return stores_;
@@ -262,14 +263,14 @@
 
 void Raft::tick(Time now) {
   now_ = now;
-  next_ = now + set_.heartbeat;
+  next_ = now + set_.heartbeat_interval;
   if (failed_) return;
   tick_(&io_);
   begin_term();
   release();
 }
 
-void Raft::stored(Time now, std::uint64_t number, bool good) {
+void Raft::on_write_done(Time now, std::uint64_t number, bool good) {
   now_ = now;
   if (failed_ || number != done_ + 1) return;
   done_ = number;
@@ -298,7 +299,8 @@
   return error == 0;
 }
 
-bool Raft::change(Time now, Change change, const std::string& who, std::function<void(bool)> done) {
+bool Raft::change_membership(Time now, MembershipChange change, const std::string& who,
+                             std::function<void(bool)> done) {
   now_ = now;
   if (failed_ || !is_leader() || changing_) return false;
   auto* request = new Changing{};
@@ -310,9 +312,11 @@
     c->then(status == 0);
   };
   changing_ = true;
-  const int error = change == Change::add    ? raft_add(&raft_, request, id, who.c_str(), cb)
-                    : change == Change::vote ? raft_assign(&raft_, request, id, RAFT_VOTER, cb)
-                                             : raft_remove(&raft_, request, id, cb);
+  const int error = change == MembershipChange::add_spare
+                        ? raft_add(&raft_, request, id, who.c_str(), cb)
+                    : change == MembershipChange::promote_to_voter
+                        ? raft_assign(&raft_, request, id, RAFT_VOTER, cb)
+                        : raft_remove(&raft_, request, id, cb);
   if (error) changing_ = false, delete request;
   release();
   return error == 0;
@@ -339,9 +343,10 @@
   return at[at.size() / 2];
 }
 
-bool Raft::leads(Time now) const {
+bool Raft::has_leader_lease(Time now) const {
   if (failed_ || !is_leader()) return false;
-  const auto hold = static_cast<Time>(static_cast<double>(set_.election) * (1 - 2 * kDrift));
+  const auto hold =
+      static_cast<Time>(static_cast<double>(set_.election_timeout) * (1 - 2 * kMaxClockDrift));
   // Danger: a lone voter counts its own vote before that is on the disk.
   if (raft_.configuration.n == 1) return done_ == stores_;
   return confirmed_term_ == raft_.current_term && now < since_leading() + hold;
@@ -394,14 +399,14 @@
   return id && address ? address : "";
 }
 
-std::map<std::string, int> Raft::servers() const {
+std::map<std::string, int> Raft::roles() const {
   std::map<std::string, int> out;
   for (unsigned i = 0; i < raft_.configuration.n; ++i)
     out[raft_.configuration.servers[i].address] = raft_.configuration.servers[i].role;
   return out;
 }
 
-bool Raft::lists(std::string_view name) const {
+bool Raft::has_server(std::string_view name) const {
   for (unsigned i = 0; i < raft_.configuration.n; ++i)
     if (raft_.configuration.servers[i].address == name) return true;
   return false;
@@ -490,7 +495,7 @@
   } else if (m.type == RAFT_IO_INSTALL_SNAPSHOT) {
     auto& s = m.install_snapshot;
     s.term = r.number(), s.last_index = r.number(), s.last_term = r.number();
-    snapshot.voters = voters(cluster::Reader(r.next(), 2), r.good);
+    snapshot.configuration = voters(cluster::Reader(r.next(), 2), r.good);
     snapshot.data = r.bytes(kSnapshotMost);
   } else {
     return false;
@@ -500,15 +505,15 @@
     m.append_entries.entries = entries_of(entries);
     m.append_entries.n_entries = static_cast<unsigned>(entries.size());
   } else if (m.type == RAFT_IO_INSTALL_SNAPSHOT) {
-    m.install_snapshot.conf = configuration_of(snapshot.voters);
-    m.install_snapshot.conf_index = snapshot.voters.index;
+    m.install_snapshot.conf = configuration_of(snapshot.configuration);
+    m.install_snapshot.conf_index = snapshot.configuration.index;
     m.install_snapshot.data = {copied(snapshot.data), snapshot.data.size()};
   }
   confirm(from, echo_term, echo_sent);
   return true;
 }
 
-void Raft::received(Time now, const std::string& from, std::string_view frame) {
+void Raft::receive(Time now, const std::string& from, std::string_view frame) {
   now_ = now;
   if (failed_) return;
   raft_message m{};
@@ -517,7 +522,7 @@
   m.server_id = raft_id_of(from), m.server_address = from.c_str();
   // Danger: a voter that has just started has forgotten which leader it has heard; it votes for
   // nobody until a leader that it had confirmed may no longer count on it.
-  if (m.type == RAFT_IO_REQUEST_VOTE && now < begun_ + set_.election) return;
+  if (m.type == RAFT_IO_REQUEST_VOTE && now < begun_ + set_.election_timeout) return;
   if (m.type == RAFT_IO_REQUEST_VOTE && now < until_ &&
       std::pair<std::uint64_t, std::uint64_t>(m.request_vote.last_log_term,
                                               m.request_vote.last_log_index) < floor_)
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -36,11 +36,11 @@
 
 namespace alderspur::consensus {
 
-constexpr double kDrift = 0.01;
+constexpr double kMaxClockDrift = 0.01;
 
 struct RaftSettings {
-  Time election = 700'000, heartbeat = 100'000;
-  unsigned snapshot_every = 256, trailing = 64;  // entries
+  Time election_timeout = 700'000, heartbeat_interval = 100'000;
+  unsigned snapshot_threshold = 256, trailing_entries = 64;  // entries
 };
 
 struct LogEntry {
@@ -48,24 +48,24 @@
   std::uint64_t type = 0;
   std::string data;
 };
-struct VotersAt {
+struct Configuration {
   std::uint64_t index = 0;
   std::vector<std::pair<std::string, int>> servers;  // name and the library's role
 };
 struct Snapshot {
   std::uint64_t index = 0, term = 0;
-  VotersAt voters;
+  Configuration configuration;
   std::string data;
 };
 // What a disk holds.
-struct Saved {
-  std::uint64_t term = 0, vote = 0, start = 1;  // start: index of the first entry
+struct PersistedLog {
+  std::uint64_t term = 0, vote = 0, first_index = 1;  // start: index of the first entry
   std::optional<Snapshot> snapshot;
   std::vector<LogEntry> entries;
-  bool pristine() const { return term == 0 && !snapshot && entries.empty(); }
-  std::uint64_t last() const { return start + entries.size() - 1; }
+  bool is_empty() const { return term == 0 && !snapshot && entries.empty(); }
+  std::uint64_t last_index() const { return first_index + entries.size() - 1; }
 };
-struct Store {
+struct LogWrite {
   enum class Kind { term, vote, append, truncate, snapshot, reset } kind = Kind::term;
   std::uint64_t value = 0;  // term, vote, first index appended or cut off, trailing
   std::vector<LogEntry> entries;
@@ -74,43 +74,44 @@
 
 class Raft {
  public:
-  struct Hooks {
+  struct Callbacks {
     std::function<void(const std::string& to, std::string frame)> send;
-    std::function<void(std::uint64_t number, Store store)> store;
+    std::function<void(std::uint64_t number, LogWrite store)> store;
     std::function<void(std::string_view command)> apply;
     std::function<std::string()> snapshot;
     std::function<bool(std::string_view)> restore;
   };
   // `found`: the first voters of a new cluster, where the disk is pristine and all agree that there
   // is none.
-  Raft(const std::string& name, const RaftSettings& settings, Saved saved,
-       const std::vector<std::string>& found, std::uint64_t seed, Time now, Hooks hooks);
+  Raft(const std::string& name, const RaftSettings& settings, PersistedLog saved,
+       const std::vector<std::string>& found, std::uint64_t seed, Time now, Callbacks hooks);
   ~Raft();
   Raft(const Raft&) = delete;
   Raft& operator=(const Raft&) = delete;
 
   void tick(Time now);  // when due
-  Time next() const { return next_; }
-  void received(Time now, const std::string& from, std::string_view frame);
-  void stored(Time now, std::uint64_t number, bool good);
+  Time next_tick() const { return next_; }
+  void receive(Time now, const std::string& from, std::string_view frame);
+  void on_write_done(Time now, std::uint64_t number, bool good);
   // False: we do not lead.
   bool propose(Time now, const std::string& command);
   // One change of the voters at a time; `done` once it is committed, or not.
-  enum class Change { add, vote, remove };
-  bool change(Time now, Change change, const std::string& who, std::function<void(bool)> done);
+  enum class MembershipChange { add_spare, promote_to_voter, remove };
+  bool change_membership(Time now, MembershipChange change, const std::string& who,
+                         std::function<void(bool)> done);
 
   // Neither votes for nor stands as one whose log is behind that, until then: term and index of an
   // entry.
-  void hold_back(std::pair<std::uint64_t, std::uint64_t> floor, Time until) {
+  void restrict_votes(std::pair<std::uint64_t, std::uint64_t> floor, Time until) {
     floor_ = floor, until_ = until;
   }
   // What `who` has acknowledged to us and cannot lose: a term, and an index that is committed.
   std::pair<std::uint64_t, std::uint64_t> acknowledged(const std::string& who) const;
   std::uint64_t last_term() const;
 
-  bool leads(Time now) const;
+  bool has_leader_lease(Time now) const;
   // We lead, and all that was ever committed before is applied.
-  bool settled() const {
+  bool is_term_established() const {
     return is_leader() && barrier_term_ == raft_.current_term && barrier_done_;
   }
   bool is_leader() const { return raft_.state == RAFT_LEADER; }
@@ -118,8 +119,8 @@
   std::uint64_t term() const { return raft_.current_term; }
   std::uint64_t last_index() const { return raft_last_index(const_cast<raft*>(&raft_)); }
   bool failed() const { return failed_; }
-  std::map<std::string, int> servers() const;  // role by name, as the newest configuration has it
-  bool lists(std::string_view name) const;     // it is among them
+  std::map<std::string, int> roles() const;      // role by name, as the newest configuration has it
+  bool has_server(std::string_view name) const;  // it is among them
 
  private:
   struct Pending {  // a store under way, and whom it is to be told
@@ -143,7 +144,7 @@
   int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* start,
            raft_entry** entries, std::size_t* n);
   int send(raft_io_send* request, const raft_message& message, raft_io_send_cb done);
-  std::uint64_t store(Store s);
+  std::uint64_t store(LogWrite s);
   void release();
   void begin_term();
   void confirm(const std::string& from, std::uint64_t term, Time sent);
@@ -153,8 +154,8 @@
 
   const std::string name_;
   const RaftSettings set_;
-  Saved saved_;
-  Hooks hooks_;
+  PersistedLog saved_;
+  Callbacks hooks_;
   std::mt19937_64 random_;
   Time now_ = 0, next_ = 0, begun_ = 0;
   raft raft_{};
--- a/src/consensus/version.cpp
+++ b/src/consensus/version.cpp
@@ -30,22 +30,22 @@
 }
 
 std::optional<Content> decode_content(std::string_view bytes) {
-  if (bytes.size() > kContentMost) return {};
+  if (bytes.size() > kMaxContentBytes) return {};
   const cluster::Unpacked u(bytes);
-  if (!u.good || u.m.data.type != MSGPACK_OBJECT_ARRAY || u.m.data.via.array.size > kDocumentsMost)
+  if (!u.good || u.m.data.type != MSGPACK_OBJECT_ARRAY || u.m.data.via.array.size > kMaxDocuments)
     return {};
   cluster::Reader all(u.m.data, 0);
   Content out;
   for (std::uint32_t i = 0; i < u.m.data.via.array.size; ++i) {
     cluster::Reader r(all.next(), 2);
     auto name = r.text();
-    const auto text = r.bytes(kContentMost);
+    const auto text = r.bytes(kMaxContentBytes);
     if (!r.good || name.empty() || !out.try_emplace(std::move(name), text).second) return {};
   }
   return out;
 }
 
-std::string digest_of(std::string_view encoded) {
+std::string content_digest(std::string_view encoded) {
   unsigned char sum[SHA256_DIGEST_LENGTH];
   SHA256(reinterpret_cast<const unsigned char*>(encoded.data()), encoded.size(), sum);
   std::string out;
@@ -57,7 +57,7 @@
   return out;
 }
 
-std::vector<std::string> difference(const Content& from, const Content& to) {
+std::vector<std::string> describe_changes(const Content& from, const Content& to) {
   std::vector<std::string> out;
   const auto names = [&] {
     std::map<std::string_view, int> all;
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -26,12 +26,12 @@
 
 // ---- The disk
 
-void ConsensusNode::put(std::uint64_t instance, std::uint64_t number, Store store) {
+void ConsensusNode::put(std::uint64_t instance, std::uint64_t number, LogWrite store) {
   putting_.push_back({++puts_, instance, number});
-  act(Put{puts_, std::move(store)});
+  act(WriteLog{puts_, std::move(store)});
 }
 
-void ConsensusNode::on(const Stored& e) {
+void ConsensusNode::on(const LogWritten& e) {
   const auto it =
       std::find_if(putting_.begin(), putting_.end(), [&](auto& p) { return p.put == e.number; });
   if (it == putting_.end()) return;
@@ -40,16 +40,16 @@
   const auto p = *it;
   putting_.erase(it);
   if (p.instance == 0) {
-    if (part_ != Part::learner) return;
-    cleared_ = e.good;
-    trouble_ = e.good ? "" : "the disk takes no log";
-    if (!e.good) reset_at_ = now_ + kResetEvery;
+    if (part_ != NodeRole::learner) return;
+    cleared_ = e.is_ok;
+    trouble_ = e.is_ok ? "" : "the disk takes no log";
+    if (!e.is_ok) reset_at_ = now_ + kResetEvery;
     renew_soon();
     return;
   }
   if (p.instance != instance_ || !raft_) return;
   if (!in_turn) return spoilt("the disk takes no more stores");
-  raft_->stored(now_, p.number, e.good);
+  raft_->on_write_done(now_, p.number, e.is_ok);
   if (raft_->failed()) spoilt("a store did not reach the disk");
 }
 
@@ -57,24 +57,24 @@
 // had been. The former self is taken out of the voters by the others before the new one counts.
 void ConsensusNode::spoilt(const std::string& why) {
   raft_.reset();
-  part_ = Part::learner;
+  part_ = NodeRole::learner;
   learner_ = random_() | 1;
   cleared_ = false, reset_at_ = 0;
   trouble_ = why;
   report("log_set_aside", why);
-  put(0, 0, {Store::Kind::reset, 0, {}, {}});
+  put(0, 0, {LogWrite::Kind::reset, 0, {}, {}});
 }
 
 // ---- The start
 
-LogPosition ConsensusNode::witness(const std::string& to, bool asks) {
-  LogPosition w;
-  w.asks = asks;
+LogStatus ConsensusNode::witness(const std::string& to, bool asks) {
+  LogStatus w;
+  w.wants_reply = asks;
   if (raft_) {
-    w.term = raft_->term(), w.last_term = raft_->last_term(), w.last = raft_->last_index();
-    std::tie(w.your_term, w.your_last) = raft_->acknowledged(to);
-  } else if (part_ == Part::asking) {
-    w.pristine = saved_.pristine(), w.term = saved_.term, w.last = saved_.last();
+    w.term = raft_->term(), w.last_term = raft_->last_term(), w.last_index = raft_->last_index();
+    std::tie(w.acknowledged_term, w.acknowledged_index) = raft_->acknowledged(to);
+  } else if (part_ == NodeRole::joining) {
+    w.is_empty = saved_.is_empty(), w.term = saved_.term, w.last_index = saved_.last_index();
     w.last_term = !saved_.entries.empty() ? saved_.entries.back().term
                   : saved_.snapshot       ? saved_.snapshot->term
                                           : 0;
@@ -82,26 +82,28 @@
   return w;
 }
 
-void ConsensusNode::take(const std::string& from, LogPosition& m) {
-  if (m.asks) send(from, witness(from, false));
-  if (m.pristine) empty_.insert(from);
-  const bool ours = raft_ ? false : part_ == Part::asking;
-  if (ours || !m.asks) witnesses_[from] = m;
+void ConsensusNode::take(const std::string& from, LogStatus& m) {
+  if (m.wants_reply) send(from, witness(from, false));
+  if (m.is_empty) empty_.insert(from);
+  const bool ours = raft_ ? false : part_ == NodeRole::joining;
+  if (ours || !m.wants_reply) witnesses_[from] = m;
   // Also after a start that did not wait for this one.
-  const auto last = raft_ ? raft_->last_index() : saved_.last();
+  const auto last = raft_ ? raft_->last_index() : saved_.last_index();
   const auto term = raft_ ? raft_->term() : saved_.term;
-  const bool counts = part_ == Part::voter || (part_ == Part::asking && !saved_.pristine());
-  if (counts && !learner_ && !m.asks && (m.your_last > last || m.your_term > term))
+  const bool counts =
+      part_ == NodeRole::voter || (part_ == NodeRole::joining && !saved_.is_empty());
+  if (counts && !learner_ && !m.wants_reply &&
+      (m.acknowledged_index > last || m.acknowledged_term > term))
     spoilt("it holds less than it has acknowledged to " + from);
 }
 
 void ConsensusNode::begin_voting() {
-  if (part_ == Part::learner) {
+  if (part_ == NodeRole::learner) {
     if (!cleared_ && reset_at_ && now_ >= reset_at_)
-      reset_at_ = 0, put(0, 0, {Store::Kind::reset, 0, {}, {}});
+      reset_at_ = 0, put(0, 0, {LogWrite::Kind::reset, 0, {}, {}});
     return;
   }
-  if (part_ != Part::asking) return;
+  if (part_ != NodeRole::joining) return;
   if (now_ >= inquire_at_) {
     inquire_at_ = now_ + kInquireEvery;
     for (const auto& v : desired())
@@ -116,10 +118,10 @@
     if (empty_.contains(v)) ++empty;
     if (it == witnesses_.end()) continue;
     ++answered;
-    floor = std::max(floor, {it->second.last_term, it->second.last});
+    floor = std::max(floor, {it->second.last_term, it->second.last_index});
   }
   const bool all = answered + 1 == voters.size();
-  if (saved_.pristine()) {
+  if (saved_.is_empty()) {
     if (all && empty + 1 == voters.size()) {
       auto found = voters;
       std::sort(found.begin(), found.end());
@@ -127,25 +129,25 @@
       return begin_raft({}, found);
     }
     for (const auto& [name, w] : witnesses_)
-      if (!w.pristine && !empty_.contains(name))
+      if (!w.is_empty && !empty_.contains(name))
         return spoilt("the log of this voter is lost: " + name + " has one");
     return;
   }
   if (!all && now_ < asking_since_ + kInquireMost) return;
   begin_raft(std::exchange(saved_, {}), {});
-  raft_->hold_back(floor, now_ + kHoldBack);
+  raft_->restrict_votes(floor, now_ + kVoteRestrictionTime);
 }
 
-void ConsensusNode::begin_raft(Saved saved, const std::vector<std::string>& found) {
-  part_ = Part::voter, among_ = true;
+void ConsensusNode::begin_raft(PersistedLog saved, const std::vector<std::string>& found) {
+  part_ = NodeRole::voter, among_ = true;
   ledger_ = AppliedState();
   trouble_.clear();
   const auto instance = ++instance_;
-  Raft::Hooks hooks;
+  Raft::Callbacks hooks;
   hooks.send = [this](const std::string& to, std::string frame) {
     send(to, RaftFrame{std::move(frame)});
   };
-  hooks.store = [this, instance](std::uint64_t number, Store s) {
+  hooks.store = [this, instance](std::uint64_t number, LogWrite s) {
     put(instance, number, std::move(s));
   };
   hooks.apply = [this](std::string_view bytes) {
@@ -158,98 +160,101 @@
 }
 
 void ConsensusNode::take(const std::string& from, RaftFrame& m) {
-  if (raft_) raft_->received(now_, from, m.frame);
+  if (raft_) raft_->receive(now_, from, m.bytes);
 }
 
 void ConsensusNode::follow_ledger() {
   const bool wanted = to_vote(set_.name);
-  if (part_ == Part::follower && wanted && !no_disk_) spoilt("made a voter");
+  if (part_ == NodeRole::follower && wanted && !no_disk_) spoilt("made a voter");
   if (!raft_) return;
-  hear(ledger_.in_force(), true);
+  hear(ledger_.current(), true);
   const auto* p = ledger_.pending();
-  const bool agreed = ledger_.agreed().has_value();
+  const bool agreed = ledger_.accepted().has_value();
   if (agreed && first(*p)) hear(*p, true), p = nullptr;  // on trial here, or to hold for all soon
   if (p)
-    pending_ = *p, pending_agreed_ = agreed && !ledger_.trial();
+    pending_ = *p, pending_agreed_ = agreed && !ledger_.canary();
   else if (pending_)
     pending_.reset();
-  if (p && pending_agreed_) pending_->trial = {}, hear(*pending_, false);
-  const bool in = raft_->lists(set_.name);
+  if (p && pending_agreed_) pending_->canary = {}, hear(*pending_, false);
+  const bool in = raft_->has_server(set_.name);
   if (in) learner_ = 0;
   // Taken out of the voters: what it holds is of no use to anybody. It is not told by its log,
   // which ends.
-  if (!wanted && (!in || !among_) && part_ == Part::voter) {
+  if (!wanted && (!in || !among_) && part_ == NodeRole::voter) {
     raft_.reset();
-    part_ = Part::follower, learner_ = 0;
-    put(0, 0, {Store::Kind::reset, 0, {}, {}});
+    part_ = NodeRole::follower, learner_ = 0;
+    put(0, 0, {LogWrite::Kind::reset, 0, {}, {}});
     report("no_voter", "it was taken out of the voters");
   }
 }
 
 // ---- Leading
 
-void ConsensusNode::take(const std::string& from, Renew& m) {
-  if (!leads(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
-  if (book_.term() != raft_->term()) book_.begin(now_, raft_->term());
-  Grant g;
-  g.sent = m.sent, g.forms = set_.forms;
-  g.in_force = ledger_.in_force();
+void ConsensusNode::take(const std::string& from, LeaseRequest& m) {
+  if (!is_leader(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
+  if (book_.term() != raft_->term()) book_.begin_term(now_, raft_->term());
+  LeaseGrant g;
+  g.sent_at = m.sent_at, g.protocol_version = set_.protocol_version;
+  g.current = ledger_.current();
   if (const auto* p = ledger_.pending()) {
-    const bool agreed = ledger_.agreed().has_value();
+    const bool agreed = ledger_.accepted().has_value();
     if (agreed && among_first(*p, from))
-      g.in_force = *p;
+      g.current = *p;
     else
-      g.pending = *p, g.agreed = agreed && !ledger_.trial();
-    if (g.agreed) g.pending->trial = {};
+      g.pending = *p, g.is_pending_accepted = agreed && !ledger_.canary();
+    if (g.is_pending_accepted) g.pending->canary = {};
   }
   g.voters = desired();
   book_.renew(now_, from, m, g);
   if (g.id == 0) return;  // a former self
   admit(from, m, g);
-  g.among = raft_->lists(from);
+  g.is_member = raft_->has_server(from);
   send(from, g);
 }
 
-void ConsensusNode::admit(const std::string& name, const Renew& r, Grant& out) {
-  if (!r.learner || !to_vote(name)) return;
+void ConsensusNode::admit(const std::string& name, const LeaseRequest& r, LeaseGrant& out) {
+  if (!r.learner_id || !to_vote(name)) return;
   Admission& a = admissions_[name];
-  if (a.learner != r.learner) a = {r.learner, false};
-  if (!a.done && !raft_->lists(name)) a.done = true;
+  if (a.learner != r.learner_id) a = {r.learner_id, false};
+  if (!a.done && !raft_->has_server(name)) a.done = true;
   if (a.done)
-    out.admitted = r.learner;
+    out.admitted_learner_id = r.learner_id;
   else
-    raft_->change(now_, Raft::Change::remove, name, [this, name, learner = r.learner](bool good) {
-      if (auto& x = admissions_[name]; good && x.learner == learner) x.done = true;
-    });
+    raft_->change_membership(now_, Raft::MembershipChange::remove, name,
+                             [this, name, learner = r.learner_id](bool good) {
+                               if (auto& x = admissions_[name]; good && x.learner == learner)
+                                 x.done = true;
+                             });
 }
 
-void ConsensusNode::take(const std::string& from, Propose& m) {
-  if (!leads(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
-  if (const auto* s = ledger_.settled(m.nonce)) return send(from, Answer{*s});
-  if (!m.voters.empty()) return void(propose(Voters{m.nonce, m.voters}));
-  const auto old = m.version.trial ? who_knows_no_trials() : "";
+void ConsensusNode::take(const std::string& from, ProposeRequest& m) {
+  if (!is_leader(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
+  if (const auto* s = ledger_.find_result(m.nonce)) return send(from, ProposeResponse{*s});
+  if (!m.voters.empty()) return void(propose(ChangeVoters{m.nonce, m.voters}));
+  const auto old = m.version.canary ? who_knows_no_trials() : "";
   if (!old.empty())
-    return send(from, Answer{{m.nonce, false, true, 0,
-                              "the program of " + old + ", which votes, knows no trials"}});
-  propose(Offer{m.nonce, m.version});
+    return send(from,
+                ProposeResponse{{m.nonce, false, true, 0,
+                                 "the program of " + old + ", which votes, knows no trials"}});
+  propose(OfferVersion{m.nonce, m.version});
 }
 
 // Danger: a voter that passes by what it does not know would make another state of the same log.
 std::string ConsensusNode::who_knows_no_trials() const {
-  for (const auto& [name, role] : raft_->servers()) {
+  for (const auto& [name, role] : raft_->roles()) {
     const auto* h = name == set_.name ? nullptr : book_.find(name);
-    if (name == set_.name ? set_.forms < 1 : !h || h->forms < 1) return name;
+    if (name == set_.name ? set_.protocol_version < 1 : !h || h->protocol_version < 1) return name;
   }
   return {};
 }
 
-void ConsensusNode::take(const std::string& from, Verdict& m) {
-  if (!leads(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
-  if (const auto* s = ledger_.settled(m.nonce)) return send(from, Answer{*s});
-  if (m.go_on)
-    propose(Release{m.nonce, m.number});
+void ConsensusNode::take(const std::string& from, CanaryDecision& m) {
+  if (!is_leader(now_)) return send(from, Redirect{raft_ ? raft_->leader() : ""});
+  if (const auto* s = ledger_.find_result(m.nonce)) return send(from, ProposeResponse{*s});
+  if (m.promote)
+    propose(PromoteCanary{m.nonce, m.version_number});
   else
-    propose(Back{m.nonce, m.number, "taken back by an operator"});
+    propose(RollBackCanary{m.nonce, m.version_number, "taken back by an operator"});
 }
 
 // Nothing is proposed twice within a second; what is lost with a leader is asked again.
@@ -270,62 +275,63 @@
 }
 
 void ConsensusNode::lead() {
-  if (!leads(now_)) return;
+  if (!is_leader(now_)) return;
   if (book_.term() != raft_->term()) {
-    book_.begin(now_, raft_->term());
+    book_.begin_term(now_, raft_->term());
     admissions_.clear(), proposed_ = tried_ = 0, nudged_ = {0, -1}, offered_number_ = 0;
     report("leads", "term " + std::to_string(raft_->term()));
   }
-  book_.advance(now_);
+  book_.remove_expired(now_);
   if (const auto* p = ledger_.pending()) decide(*p);
   reconcile();
   nudge_some();
 }
 
 void ConsensusNode::decide(const Version& v) {
-  if (ledger_.trial()) return watch(v);
-  if (ledger_.agreed()) {
-    if (book_.all_hold(now_, v.number)) propose(Force{v.number});
+  if (ledger_.canary()) return watch(v);
+  if (ledger_.accepted()) {
+    if (book_.all_have_stored(now_, v.number)) propose(ActivateVersion{v.number});
     return;
   }
   if (offered_number_ != v.number) offered_number_ = v.number, offered_since_ = now_;
   std::size_t voters = 0, yes = 0;
   bool waits = false;
-  for (const auto& [name, role] : raft_->servers()) {
+  for (const auto& [name, role] : raft_->roles()) {
     if (role != RAFT_VOTER) continue;
     ++voters;
     const auto* h = book_.find(name);
-    if (h && h->refused == v.number)
-      return void(
-          propose(Withdraw{v.number, plain("refused by " + name + ": " + h->reason, kNoteMost)}));
-    if (h && h->holds >= v.number)
+    if (h && h->rejected_number == v.number)
+      return void(propose(WithdrawVersion{
+          v.number,
+          to_printable("refused by " + name + ": " + h->rejection_reason, kMaxNoteLength)}));
+    if (h && h->stored_number >= v.number)
       ++yes;
-    else if (h && h->bound)
+    else if (h && h->may_hold_lease)
       waits = true;  // it may yet refuse
   }
   // Danger: a voter whose disk hangs keeps its lease and never holds anything; it loses that by
   // Agree.
   if (yes > voters / 2 && (!waits || now_ > offered_since_ + kVoterWait))
-    propose(Agree{v.number});
-  else if (now_ > offered_since_ + kOfferMost)
-    propose(Withdraw{v.number, "its content did not reach enough voters in time"});
+    propose(AcceptVersion{v.number});
+  else if (now_ > offered_since_ + kMaxOfferTime)
+    propose(WithdrawVersion{v.number, "its content did not reach enough voters in time"});
 }
 
 // Worse than elsewhere by more than was declared: of all that ended, weighed by how much each
 // router takes.
 bool ConsensusNode::harmful(const Version& trial, std::string& why) const {
   double weight = 0, bad = 0;
-  for (const auto& name : trial.trial.first)
-    if (const auto* h = book_.find(name); h && h->acting == trial.number)
-      weight += h->weight, bad += h->weight * h->bad;
-  const double others = book_.weights() - weight;
-  if (weight < kEvidence + static_cast<double>(trial.trial.first.size()))
+  for (const auto& name : trial.canary.routers)
+    if (const auto* h = book_.find(name); h && h->active_number == trial.number)
+      weight += h->request_rate, bad += h->request_rate * h->failure_ratio;
+  const double others = book_.total_request_rate() - weight;
+  if (weight < kEvidence + static_cast<double>(trial.canary.routers.size()))
     return false;  // each counts one more
   const double here = bad / weight,
-               there = others > 1e-9 ? std::max(0.0, book_.bad() - bad) / others : 0;
+               there = others > 1e-9 ? std::max(0.0, book_.total_failure_rate() - bad) / others : 0;
   why = std::to_string(static_cast<int>(here * 100)) + "% ended badly at the first routers, " +
         std::to_string(static_cast<int>(there * 100)) + "% elsewhere";
-  return here > there + trial.trial.harm;
+  return here > there + trial.canary.max_failure_increase;
 }
 
 // A new leader counts the time anew: it cannot know for how long an earlier one watched.
@@ -337,26 +343,28 @@
   else if (!harm_since_)
     harm_since_ = now_;
   if (harm_since_ && now_ >= harm_since_ + kHarmTime)
-    return void(propose(Back{0, trial.number, why}));
-  if (now_ < tried_since_ + trial.trial.hold) return;
-  if (trial.trial.go_on)
-    propose(Release{0, trial.number});
+    return void(propose(RollBackCanary{0, trial.number, why}));
+  if (now_ < tried_since_ + trial.canary.duration) return;
+  if (trial.canary.promote_on_expiry)
+    propose(PromoteCanary{0, trial.number});
   else
-    propose(Back{0, trial.number, "its time is over"});
+    propose(RollBackCanary{0, trial.number, "its time is over"});
 }
 
 void ConsensusNode::reconcile() {
   const auto& voters = desired();
-  const auto servers = raft_->servers();
+  const auto servers = raft_->roles();
   const auto nothing = [](bool) {};
   for (const auto& name : voters) {
     const auto it = servers.find(name);
     if (it == servers.end()) {
       const auto a = admissions_.find(name);
       if (a != admissions_.end() && a->second.done)
-        return void(raft_->change(now_, Raft::Change::add, name, nothing));
+        return void(
+            raft_->change_membership(now_, Raft::MembershipChange::add_spare, name, nothing));
     } else if (it->second != RAFT_VOTER) {
-      return void(raft_->change(now_, Raft::Change::vote, name, nothing));
+      return void(
+          raft_->change_membership(now_, Raft::MembershipChange::promote_to_voter, name, nothing));
     }
   }
   // One that is to go goes once the new ones vote, and whoever leads goes last.
@@ -369,19 +377,19 @@
     if (name == set_.name)
       last = name;
     else
-      return void(raft_->change(now_, Raft::Change::remove, name, nothing));
+      return void(raft_->change_membership(now_, Raft::MembershipChange::remove, name, nothing));
   }
-  if (!last.empty()) raft_->change(now_, Raft::Change::remove, last, nothing);
+  if (!last.empty()) raft_->change_membership(now_, Raft::MembershipChange::remove, last, nothing);
 }
 
 // All routers are told at a change that there is news, some at a time; what the news is they ask.
 void ConsensusNode::nudge_some() {
   const auto* p = ledger_.pending();
-  const std::pair<std::uint64_t, int> stands{p ? p->number : ledger_.in_force().number,
-                                             !p                 ? 3
-                                             : ledger_.trial()  ? 4
-                                             : ledger_.agreed() ? 2
-                                                                : 1};
+  const std::pair<std::uint64_t, int> stands{p ? p->number : ledger_.current().number,
+                                             !p                   ? 3
+                                             : ledger_.canary()   ? 4
+                                             : ledger_.accepted() ? 2
+                                                                  : 1};
   if (stands != nudged_)
     nudged_ = stands, nudges_.assign(others_.begin(), others_.end()), nudge_at_ = now_;
   if (now_ < nudge_at_) return;
@@ -390,19 +398,19 @@
     nudges_.pop_front();
   }
   nudge_at_ = now_ + kNudgeEvery;
-  if (raft_) renew_soon(set_.renew);
+  if (raft_) renew_soon(set_.renew_interval);
 }
 
-View ConsensusNode::view(Time now) const {
-  View v;
-  v.acting = acting_, v.pending = pending_, v.pending_agreed = pending_agreed_;
-  v.leads = leads(now), v.part = part_, v.leader = leader_;
+NodeStatus ConsensusNode::status(Time now) const {
+  NodeStatus v;
+  v.active = acting_, v.pending = pending_, v.is_pending_accepted = pending_agreed_;
+  v.is_leader = is_leader(now), v.role = part_, v.leader = leader_;
   v.lease_left = std::max<Time>(0, lease_until_ - now);
-  if (raft_) v.term = raft_->term(), v.log = raft_->last_index();
-  v.voters = desired(), v.trouble = trouble_;
-  if (v.leads) {
+  if (raft_) v.term = raft_->term(), v.last_log_index = raft_->last_index();
+  v.voters = desired(), v.fault = trouble_;
+  if (v.is_leader) {
     const auto* p = ledger_.pending();
-    v.behind = book_.behind(p ? p->number : ledger_.in_force().number, 16);
+    v.routers_behind = book_.routers_behind(p ? p->number : ledger_.current().number, 16);
   }
   v.history = ledger_.history();
   return v;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -102,7 +102,7 @@
   c.agreement = t.flag("enabled").value_or(true);
   c.voters = t.words("voters");
   const std::set<std::string> names(c.voters.begin(), c.voters.end());
-  if (c.voters.size() % 2 == 0 || c.voters.size() > consensus::kVotersMost ||
+  if (c.voters.size() % 2 == 0 || c.voters.size() > consensus::kMaxVoters ||
       names.size() != c.voters.size())
     findings.error("S002", t.place("voters"), "voters are 1, 3, 5 or 7 different members",
                    "name the same ones in the settings of every router");
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -36,20 +36,22 @@
   void fill() {
     LogStore d(folder);
     ASSERT_EQ(d.load().error, "");
-    Store append{Store::Kind::append,
-                 1,
-                 {{1, 3, "voters"}, {2, 1, std::string(900, 'x')}, {2, 1, "three"}},
-                 {}};
-    for (const Store& s :
-         {Store{Store::Kind::term, 2, {}, {}}, Store{Store::Kind::vote, 77, {}, {}}, append,
-          Store{Store::Kind::snapshot, 1, {}, Snapshot{2, 2, {1, {{"a", 1}, {"b", 1}}}, "ledger"}},
-          Store{Store::Kind::append, 4, {{2, 1, "four"}}, {}}})
-      ASSERT_EQ(d.write(s), "");
+    LogWrite append{LogWrite::Kind::append,
+                    1,
+                    {{1, 3, "voters"}, {2, 1, std::string(900, 'x')}, {2, 1, "three"}},
+                    {}};
+    for (const LogWrite& s :
+         {LogWrite{LogWrite::Kind::term, 2, {}, {}}, LogWrite{LogWrite::Kind::vote, 77, {}, {}},
+          append,
+          LogWrite{
+              LogWrite::Kind::snapshot, 1, {}, Snapshot{2, 2, {1, {{"a", 1}, {"b", 1}}}, "ledger"}},
+          LogWrite{LogWrite::Kind::append, 4, {{2, 1, "four"}}, {}}})
+      ASSERT_EQ(d.apply(s), "");
   }
-  static bool same(const Saved& s) {
-    return s.term == 2 && s.vote == 77 && s.start == 2 && s.entries.size() == 3 &&
+  static bool same(const PersistedLog& s) {
+    return s.term == 2 && s.vote == 77 && s.first_index == 2 && s.entries.size() == 3 &&
            s.entries[2].data == "four" && s.snapshot && s.snapshot->data == "ledger" &&
-           s.snapshot->voters.servers.size() == 2;
+           s.snapshot->configuration.servers.size() == 2;
   }
   std::string folder;
 };
@@ -60,17 +62,17 @@
     LogStore d(folder);
     const auto l = d.load();
     EXPECT_EQ(l.error, "");
-    EXPECT_TRUE(same(l.saved));
-    EXPECT_EQ(d.write({Store::Kind::truncate, 4, {}, {}}), "");
-    EXPECT_EQ(d.write({Store::Kind::append, 4, {{3, 1, "other"}, {3, 1, "five"}}, {}}), "");
-    EXPECT_EQ(d.write({Store::Kind::term, 9, {}, {}}), "");
+    EXPECT_TRUE(same(l.log));
+    EXPECT_EQ(d.apply({LogWrite::Kind::truncate, 4, {}, {}}), "");
+    EXPECT_EQ(d.apply({LogWrite::Kind::append, 4, {{3, 1, "other"}, {3, 1, "five"}}, {}}), "");
+    EXPECT_EQ(d.apply({LogWrite::Kind::term, 9, {}, {}}), "");
   }
   LogStore d(folder);
   const auto l = d.load();
   EXPECT_EQ(l.error, "");
-  EXPECT_EQ(l.saved.last(), 5u);
-  EXPECT_EQ(l.saved.vote, 0u) << "a vote is of its term";
-  EXPECT_EQ(d.write({Store::Kind::snapshot, 0, {}, Snapshot{9, 3, {}, "all"}}), "");
+  EXPECT_EQ(l.log.last_index(), 5u);
+  EXPECT_EQ(l.log.vote, 0u) << "a vote is of its term";
+  EXPECT_EQ(d.apply({LogWrite::Kind::snapshot, 0, {}, Snapshot{9, 3, {}, "all"}}), "");
 }
 
 TEST_F(DiskTest, AnyFlippedByteAndAnyTruncationIsSeenOrChangesNothing) {
@@ -82,10 +84,10 @@
     const auto l = d.load();
     ++(l.error.empty() ? same_still : seen);
     if (l.error.empty())
-      EXPECT_TRUE(same(l.saved)) << what;
+      EXPECT_TRUE(same(l.log)) << what;
     else
-      EXPECT_TRUE(l.spoilt) << what;
-    EXPECT_TRUE(l.error.empty() || l.saved.pristine()) << what << ": nothing of it is believed";
+      EXPECT_TRUE(l.is_corrupt) << what;
+    EXPECT_TRUE(l.error.empty() || l.log.is_empty()) << what << ": nothing of it is believed";
   };
   const auto restore = [&] {
     for (const auto& e : fs::directory_iterator(folder)) fs::remove(e.path());
@@ -110,7 +112,7 @@
   look("mark");
   fs::remove(path("agree.mark"));
   LogStore d(folder);
-  EXPECT_TRUE(d.load().spoilt) << "the mark is gone";
+  EXPECT_TRUE(d.load().is_corrupt) << "the mark is gone";
 }
 
 TEST_F(DiskTest, AnOlderFileBroughtBackIsSeenAndAResetStartsAnew) {
@@ -119,16 +121,16 @@
   {
     LogStore d(folder);
     ASSERT_EQ(d.load().error, "");
-    ASSERT_EQ(d.write({Store::Kind::vote, 5, {}, {}}), "");
-    ASSERT_EQ(d.write({Store::Kind::term, 8, {}, {}}), "");
+    ASSERT_EQ(d.apply({LogWrite::Kind::vote, 5, {}, {}}), "");
+    ASSERT_EQ(d.apply({LogWrite::Kind::term, 8, {}, {}}), "");
   }
   write("agree.db", old);
   LogStore d(folder);
   const auto l = d.load();
-  EXPECT_TRUE(l.spoilt);
-  EXPECT_NE(d.write({Store::Kind::vote, 6, {}, {}}), "") << "nothing is taken before the reset";
-  EXPECT_EQ(d.write({Store::Kind::reset, 0, {}, {}}), "");
-  EXPECT_EQ(d.write({Store::Kind::term, 3, {}, {}}), "");
+  EXPECT_TRUE(l.is_corrupt);
+  EXPECT_NE(d.apply({LogWrite::Kind::vote, 6, {}, {}}), "") << "nothing is taken before the reset";
+  EXPECT_EQ(d.apply({LogWrite::Kind::reset, 0, {}, {}}), "");
+  EXPECT_EQ(d.apply({LogWrite::Kind::term, 3, {}, {}}), "");
   EXPECT_TRUE(fs::exists(path("agree.db.bad")));
 }
 
@@ -164,13 +166,14 @@
 }
 
 TEST(Careful, GoneOverDrainingOverInServiceAndTheSmallerWeight) {
-  EXPECT_EQ(shown(unite({list("a4b4c4"), list("a2b4")})), "a2b4");
-  EXPECT_EQ(shown(unite({list("a1b4"), list("a4b4d4")})), "a1b4") << "a new one not yet";
-  EXPECT_EQ(shown(unite({list("a4B4"), list("a4b4")})), "a4B4");
-  EXPECT_EQ(shown(unite({list("a4b4"), list("a4B4"), list("a4b4")})), "a4B4");
-  EXPECT_EQ(shown(unite({list("a4b4"), list("c4d4")})), "c4d4")
+  EXPECT_EQ(shown(merge_conservatively({list("a4b4c4"), list("a2b4")})), "a2b4");
+  EXPECT_EQ(shown(merge_conservatively({list("a1b4"), list("a4b4d4")})), "a1b4")
+      << "a new one not yet";
+  EXPECT_EQ(shown(merge_conservatively({list("a4B4"), list("a4b4")})), "a4B4");
+  EXPECT_EQ(shown(merge_conservatively({list("a4b4"), list("a4B4"), list("a4b4")})), "a4B4");
+  EXPECT_EQ(shown(merge_conservatively({list("a4b4"), list("c4d4")})), "c4d4")
       << "a place is not left without any";
-  const auto text = written(unite({list("a4b4c4"), list("a2b4")}), 41);
+  const auto text = to_text(merge_conservatively({list("a4b4c4"), list("a2b4")}), 41);
   diagnostics::Findings findings;
   const auto again = endpoints::read_list(text, "list", 0, {}, findings);
   ASSERT_TRUE(findings.good() && again.list);
