--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -47,7 +47,7 @@
   }
   auto loaded = disk.load();
   out.log = std::move(loaded.log), out.is_log_corrupt = loaded.is_corrupt;
-  out.has_no_disk = !loaded.is_corrupt && !loaded.error.empty();
+  out.has_no_disk = !loaded.is_corrupt && !loaded.status.is_ok();
   return out;
 }
 
@@ -144,11 +144,11 @@
 void ConsensusService::put(WriteLog p) {
   const auto number = p.number;
   const bool given = log_writer_.submit([this, disk = disk_, p = std::move(p)] {
-    const auto error = disk->apply(p.write);
-    wakeup_.post([this, number = p.number, error] {
-      if (!error.empty())
-        log_.record(kName, log::Level::error, "log_not_written", {{"reason", error}});
-      handle(LogWritten{number, error.empty()});
+    const auto status = disk->apply(p.write);
+    wakeup_.post([this, number = p.number, status] {
+      if (!status.is_ok())
+        log_.record(kName, log::Level::error, "log_not_written", {{"reason", status.message()}});
+      handle(LogWritten{number, status.is_ok()});
     });
   });
   // A disk that hangs: what it does not take in time has failed.
@@ -238,8 +238,8 @@
       std::vector<std::string> texts{it->second};
       for (const auto& h : acting.newer_contents)
         if (const auto x = h->find("servers"); x != h->end()) texts.push_back(x->second);
-      const auto text = list_to_act_on(texts, generation, error);
-      if (error.empty()) error = store::write_text(files.servers, text);
+      const auto merged = merge_list_texts(texts, generation);
+      error = merged.is_ok() ? store::write_text(files.servers, merged.text()) : merged.error();
     }
     if (const auto it = acting.content->find("routes");
         it != acting.content->end() && !files.routes.empty())
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -20,7 +20,7 @@
       w.Uint64(v.base_number);
   text(w, "author", v.author), text(w, "note", v.note), w.Key("bytes"), w.Uint64(v.content_size);
   text(w, "state", state);
-  if (v.canary) {
+  if (v.is_canary()) {
     w.Key("first"), w.StartArray();
     for (const auto& n : v.canary.routers) w.String(n.c_str());
     w.EndArray();
--- a/src/consensus/applied_state.h
+++ b/src/consensus/applied_state.h
@@ -1,24 +1,27 @@
-// The state that the log of agreement makes: the same commands in the same order give the same
-// ledger at every voter. No I/O, no clock, no randomness.
+// The replicated state machine: the state that results from applying the log's commands in order.
+// The same commands give the same state at every voter, so there is no I/O, no clock and no
+// randomness here.
 //
-//   Offer     a content as the next version. Refused if it was not made from the newest agreed one
-//   (the base
-//             is outdated) or if another change is still under way: of two at the same time one
-//             holds.
-//   Agree     enough voters have checked and kept it. From here on it cannot be lost.
-//   Force     every router has acknowledged it or has lost its lease on the older one.
-//   Release   a version on trial is to hold for all, as any other.
-//   Back      a version on trial is taken back: what was in force before is the next version.
-//   Withdraw  it is not to be (a voter refuses it, or nobody can bring its content); only before
-//   Agree. Voters    who votes from now on, by name.
+// The life of a version:
+//   OfferVersion     A content as the next version. Rejected if it was not derived from the newest
+//                    accepted version (its base is outdated) or while another change is pending, so
+//                    that of two concurrent changes only one succeeds.
+//   AcceptVersion    Enough voters have checked and stored it. From here on it cannot be lost.
+//   ActivateVersion  Every router has stored it or has lost its lease on the older version.
+//   PromoteCanary    A version in a canary rollout is to apply to all routers, as any other.
+//   RollBackCanary   It is taken back: the previous content becomes the next version.
+//   WithdrawVersion  It is dropped (rejected by a voter, or its content could not be had). Only
+//                    before AcceptVersion.
+//   ChangeVoters     The voters from now on, by name.
 //
-// An author who does not hear the answer asks again under the same nonce; what was settled for it
-// stands.
+// A proposer that does not hear the result repeats its proposal under the same nonce; a result that
+// was recorded for a nonce stands.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <optional>
-#include <set>
 #include <string>
 #include <string_view>
 #include <variant>
@@ -26,13 +29,20 @@
 
 #include "consensus/version.h"
 
+namespace alderspur::cluster {
+class Packer;
+class Reader;
+}  // namespace alderspur::cluster
+
 namespace alderspur::consensus {
 
-constexpr std::size_t kMaxRememberedResults = 128, kMaxHistory = 64, kMaxVoters = 7;
+constexpr std::size_t kMaxRememberedResults = 128;
+constexpr std::size_t kMaxHistory = 64;
+constexpr std::size_t kMaxVoters = 7;
 
 struct OfferVersion {
   std::uint64_t nonce = 0;
-  Version version;  // its number is given by the ledger
+  Version version;  // its number is assigned when the command is applied
 };
 struct AcceptVersion {
   std::uint64_t number = 0;
@@ -45,10 +55,12 @@
   std::string reason;
 };
 struct PromoteCanary {
-  std::uint64_t nonce = 0, number = 0;  // nonce 0: nobody asked for it
+  std::uint64_t nonce = 0;  // 0: not requested by an operator
+  std::uint64_t number = 0;
 };
 struct RollBackCanary {
-  std::uint64_t nonce = 0, number = 0;
+  std::uint64_t nonce = 0;  // 0: not requested by an operator
+  std::uint64_t number = 0;
   std::string reason;
 };
 struct ChangeVoters {
@@ -60,13 +72,18 @@
 std::string encode(const Command& command);
 std::optional<Command> decode_command(std::string_view bytes);
 
-// What became of a proposal.
+/// What became of a proposal.
 struct ProposalResult {
   std::uint64_t nonce = 0;
-  bool is_accepted = false, is_final = false;  // not final: accepted, on its way
+  bool is_accepted = false;
+  bool is_final = false;  // false: accepted and not yet decided
   std::uint64_t version_number = 0;
   std::string reason;
 };
+constexpr std::size_t kProposalResultFields = 5;
+/// The fields without an array around them.
+void pack_fields(cluster::Packer& packer, const ProposalResult& result);
+ProposalResult read_proposal_result_fields(cluster::Reader& reader);
 
 struct HistoryEntry {
   Version version;
@@ -77,43 +94,53 @@
  public:
   void apply(const Command& command);
 
-  // Undecided, or agreed and not yet in force; at most one of the two.
+  /// Offered and not yet accepted. At most one of offered() and accepted() is set.
   const std::optional<Version>& offered() const { return offered_; }
-  const std::optional<Version>& accepted() const { return agreed_; }
-  const Version& current() const { return in_force_; }
-  // The agreed one, while it holds for the first routers only.
-  const Version* canary() const {
-    return agreed_ && agreed_->canary && !released_ ? &*agreed_ : nullptr;
-  }
-  const Version* pending() const { return agreed_ ? &*agreed_ : offered_ ? &*offered_ : nullptr; }
+  /// Accepted and not yet active at all routers.
+  const std::optional<Version>& accepted() const { return accepted_; }
+  /// The version that applies to all routers; number 0: none yet.
+  const Version& current() const { return current_; }
+  /// The accepted version while it applies to its canary routers only; otherwise null.
+  const Version* canary() const;
+  /// The accepted or the offered version; null if there is neither.
+  const Version* pending() const;
   const std::vector<std::string>& voters() const { return voters_; }
   const std::deque<HistoryEntry>& history() const { return history_; }
+  /// The result recorded for a nonce; null if there is none.
   const ProposalResult* find_result(std::uint64_t nonce) const;
 
   std::string snapshot() const;
-  bool restore(std::string_view bytes);  // false: unreadable, nothing is changed
-  bool operator==(const AppliedState& o) const { return snapshot() == o.snapshot(); }
+  /// False if the bytes are no snapshot; nothing is changed then.
+  bool restore(std::string_view bytes);
+  bool operator==(const AppliedState& other) const { return snapshot() == other.snapshot(); }
 
  private:
-  void on(const OfferVersion& c);
-  void on(const AcceptVersion& c);
-  void on(const ActivateVersion& c);
-  void on(const WithdrawVersion& c);
-  void on(const ChangeVoters& c);
-  void on(const PromoteCanary& c);
-  void on(const RollBackCanary& c);
-  void settle(ProposalResult s);
-  void replaced();
-  bool on_trial(std::uint64_t nonce, std::uint64_t number);
-  void end(const Version& v, bool yes, const std::string& text);
+  void offer(const OfferVersion& command);
+  void accept(const AcceptVersion& command);
+  void activate(const ActivateVersion& command);
+  void withdraw(const WithdrawVersion& command);
+  void change_voters(const ChangeVoters& command);
+  void promote(const PromoteCanary& command);
+  void roll_back(const RollBackCanary& command);
+
+  // Why an offer is not possible; empty: it is.
+  std::string reason_against(const OfferVersion& command) const;
+  void record_result(ProposalResult result);
+  // Records the result of a decision on a canary rollout. True if it is to be carried out.
+  bool record_canary_decision(std::uint64_t nonce, std::uint64_t number);
+  // Records the end of a pending version.
+  void finish(const Version& version, bool is_accepted, const std::string& outcome);
+  void add_history(const Version& version, const std::string& outcome);
+  void mark_current_as_replaced();
 
-  std::uint64_t last_ = 0;  // the last number given
-  std::optional<Version> offered_, agreed_;
-  Version in_force_;
-  bool released_ = false;  // the agreed one was on trial and goes on
+  std::uint64_t last_number_ = 0;  // last version number assigned
+  std::optional<Version> offered_;
+  std::optional<Version> accepted_;
+  Version current_;
+  bool is_promoted_ = false;  // the accepted version was in a canary rollout and was promoted
   std::uint64_t pending_nonce_ = 0;
   std::vector<std::string> voters_;
-  std::deque<ProposalResult> settled_;
+  std::deque<ProposalResult> results_;
   std::deque<HistoryEntry> history_;
 };
 
--- /dev/null
+++ b/src/consensus/applied_state_codec.cpp
@@ -0,0 +1,215 @@
+// The stored forms of the replicated state machine: its commands, as they are in the log, and its
+// snapshot. Both are read by later programs and stay as they are.
+#include <utility>
+
+#include "consensus/applied_state.h"
+#include "consensus/codec.h"
+
+namespace alderspur::consensus {
+namespace {
+
+using cluster::Packer;
+using cluster::Reader;
+
+enum class CommandKind : std::uint64_t {
+  offer = 1,
+  accept,
+  activate,
+  withdraw,
+  change_voters,
+  promote,
+  roll_back
+};
+
+constexpr std::uint64_t kSnapshotForm = 1;
+constexpr std::size_t kSnapshotFields = 9;
+constexpr std::size_t kRequiredSnapshotFields = 8;  // earlier programs have no promoted flag
+
+struct CommandWriter {
+  Packer& packer;
+
+  void begin(CommandKind kind, std::size_t field_count) const {
+    packer.array(field_count + 1).number(static_cast<std::uint64_t>(kind));
+  }
+  void operator()(const OfferVersion& command) const {
+    begin(CommandKind::offer, 2);
+    packer.number(command.nonce);
+    pack(packer, command.version);
+  }
+  void operator()(const AcceptVersion& command) const {
+    begin(CommandKind::accept, 1);
+    packer.number(command.number);
+  }
+  void operator()(const ActivateVersion& command) const {
+    begin(CommandKind::activate, 1);
+    packer.number(command.number);
+  }
+  void operator()(const WithdrawVersion& command) const {
+    begin(CommandKind::withdraw, 2);
+    packer.number(command.number).text(command.reason);
+  }
+  void operator()(const ChangeVoters& command) const {
+    begin(CommandKind::change_voters, 2);
+    packer.number(command.nonce);
+    pack(packer, command.voters);
+  }
+  void operator()(const PromoteCanary& command) const {
+    begin(CommandKind::promote, 2);
+    packer.number(command.nonce).number(command.number);
+  }
+  void operator()(const RollBackCanary& command) const {
+    begin(CommandKind::roll_back, 3);
+    packer.number(command.nonce).number(command.number).text(command.reason);
+  }
+};
+
+OfferVersion read_offer(Reader& reader) {
+  OfferVersion command;
+  command.nonce = reader.number();
+  command.version = read_version(reader);
+  return command;
+}
+
+WithdrawVersion read_withdrawal(Reader& reader) {
+  WithdrawVersion command;
+  command.number = reader.number();
+  command.reason = reader.text(kMaxNoteLength);
+  return command;
+}
+
+ChangeVoters read_change_of_voters(Reader& reader) {
+  ChangeVoters command;
+  command.nonce = reader.number();
+  command.voters = read_names(reader);
+  return command;
+}
+
+PromoteCanary read_promotion(Reader& reader) {
+  PromoteCanary command;
+  command.nonce = reader.number();
+  command.number = reader.number();
+  return command;
+}
+
+RollBackCanary read_rollback(Reader& reader) {
+  RollBackCanary command;
+  command.nonce = reader.number();
+  command.number = reader.number();
+  command.reason = reader.text(kMaxNoteLength);
+  return command;
+}
+
+std::optional<Command> read_command(CommandKind kind, Reader& reader) {
+  switch (kind) {
+    case CommandKind::offer:
+      return read_offer(reader);
+    case CommandKind::accept:
+      return AcceptVersion{reader.number()};
+    case CommandKind::activate:
+      return ActivateVersion{reader.number()};
+    case CommandKind::withdraw:
+      return read_withdrawal(reader);
+    case CommandKind::change_voters:
+      return read_change_of_voters(reader);
+    case CommandKind::promote:
+      return read_promotion(reader);
+    case CommandKind::roll_back:
+      return read_rollback(reader);
+  }
+  return {};  // a kind of a later program
+}
+
+HistoryEntry read_history_entry(Reader& reader) {
+  HistoryEntry entry;
+  entry.version = read_version(reader);
+  entry.outcome = reader.text(kMaxResultText);
+  return entry;
+}
+
+}  // namespace
+
+std::string encode(const Command& command) {
+  Packer packer;
+  std::visit(CommandWriter{packer}, command);
+  return packer.take();
+}
+
+std::optional<Command> decode_command(std::string_view bytes) {
+  const cluster::Unpacked unpacked(bytes);
+  if (!unpacked.good) return {};
+  Reader reader(unpacked.m.data, 2);
+  const auto kind = static_cast<CommandKind>(reader.number());
+  auto command = read_command(kind, reader);
+  return reader.good ? std::move(command) : std::nullopt;
+}
+
+void pack_fields(Packer& packer, const ProposalResult& result) {
+  packer.number(result.nonce).flag(result.is_accepted).flag(result.is_final);
+  packer.number(result.version_number).text(result.reason);
+}
+
+ProposalResult read_proposal_result_fields(Reader& reader) {
+  ProposalResult result;
+  result.nonce = reader.number();
+  result.is_accepted = reader.flag();
+  result.is_final = reader.flag();
+  result.version_number = reader.number();
+  result.reason = reader.text(kMaxResultText);
+  return result;
+}
+
+std::string AppliedState::snapshot() const {
+  Packer packer;
+  packer.array(kSnapshotFields).number(kSnapshotForm);
+  packer.number(last_number_).number(pending_nonce_);
+  pack(packer, offered_);
+  pack(packer, accepted_);
+  pack(packer, current_);
+  pack(packer, voters_);
+  packer.array(2).array(results_.size());
+  for (const auto& result : results_) {
+    packer.array(kProposalResultFields);
+    pack_fields(packer, result);
+  }
+  packer.array(history_.size());
+  for (const auto& entry : history_) {
+    packer.array(2);
+    pack(packer, entry.version);
+    packer.text(entry.outcome);
+  }
+  packer.flag(is_promoted_);
+  return packer.take();
+}
+
+bool AppliedState::restore(std::string_view bytes) {
+  const cluster::Unpacked unpacked(bytes);
+  if (!unpacked.good) return false;
+  Reader reader(unpacked.m.data, kRequiredSnapshotFields);
+  AppliedState restored;
+  if (reader.number() != kSnapshotForm) return false;
+  restored.last_number_ = reader.number();
+  restored.pending_nonce_ = reader.number();
+  restored.offered_ = read_optional_version(reader);
+  restored.accepted_ = read_optional_version(reader);
+  restored.current_ = read_version(reader);
+  restored.voters_ = read_names(reader);
+  Reader lists(reader.next(), 2);
+  const auto result_count = lists.array(kMaxRememberedResults);
+  for (std::uint32_t i = 0; i < result_count; ++i) {
+    Reader fields = lists.item(i, kProposalResultFields);
+    restored.results_.push_back(read_proposal_result_fields(fields));
+    lists.good = lists.good && fields.good;
+  }
+  const auto history_size = lists.array(kMaxHistory);
+  for (std::uint32_t i = 0; i < history_size; ++i) {
+    Reader fields = lists.item(i, 2);
+    restored.history_.push_back(read_history_entry(fields));
+    lists.good = lists.good && fields.good;
+  }
+  if (reader.more()) restored.is_promoted_ = reader.flag();
+  if (!reader.good || !lists.good) return false;
+  *this = std::move(restored);
+  return true;
+}
+
+}  // namespace alderspur::consensus
--- a/src/consensus/codec.h
+++ b/src/consensus/codec.h
@@ -1,96 +1,41 @@
-// How versions, names and servers stand in messages, in the ledger's snapshot and in what is kept.
-// For the codecs of this folder.
+// MessagePack forms shared by the messages, the log's commands, the snapshot of the replicated
+// state and the files of this folder: versions, lists of names and Raft configurations.
+//
+// Every `pack` appends one value to the packer. Every `read_...` takes one value from the reader
+// and marks the reader as bad (`good` false) if it does not fit its form or its limits; the value
+// returned is meaningless then. Fields that a later program added at the end are ignored.
 #pragma once
 
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <vector>
+
 #include "cluster/packing.h"
-#include "consensus/applied_state.h"
 #include "consensus/raft.h"
+#include "consensus/version.h"
 
 namespace alderspur::consensus {
 
-constexpr std::size_t kMaxResultText = 600, kMaxRaftServers = 64;
-
-inline void pack(cluster::Packer& p, const std::vector<std::string>& names);
-inline std::vector<std::string> names(cluster::Reader& r);
+constexpr std::size_t kMaxResultText = 600;  // of a proposal's result
+constexpr std::size_t kMaxRaftServers = 64;  // of one Raft configuration
 
-// A version on trial has one field more, which a program that knows of none passes by.
-inline void pack(cluster::Packer& p, const Version& v) {
-  p.array(v.canary ? 7 : 6)
-      .number(v.number)
-      .text(v.digest)
-      .number(v.base_number)
-      .number(v.content_size);
-  p.text(v.author).text(v.note);
-  if (!v.canary) return;
-  p.array(4);
-  pack(p, v.canary.routers);
-  p.number(static_cast<std::uint64_t>(v.canary.duration))
-      .real(v.canary.max_failure_increase)
-      .flag(v.canary.promote_on_expiry);
-}
-inline Version version(cluster::Reader&& r, bool& good) {
-  Version v;
-  v.number = r.number(), v.digest = r.text(), v.base_number = r.number(),
-  v.content_size = r.number(kMaxContentBytes), v.author = r.text(), v.note = r.text(kMaxNoteLength);
-  if (r.more()) {
-    cluster::Reader t(r.next(), 4);
-    v.canary.routers = names(t),
-    v.canary.duration = static_cast<Time>(t.number(kMaxCanaryDuration));
-    v.canary.max_failure_increase = t.real(), v.canary.promote_on_expiry = t.flag();
-    r.good = r.good && t.good;
-  }
-  good = good && r.good;
-  return v;
-}
+/// A canary rollout is one field more, which programs without canary rollouts ignore.
+void pack(cluster::Packer& packer, const Version& version);
+Version read_version(cluster::Reader& reader);
 
-inline void pack(cluster::Packer& p, const std::optional<Version>& v) {
-  p.array(v ? 1 : 0);
-  if (v) pack(p, *v);
-}
-inline std::optional<Version> maybe_version(cluster::Reader& r) {
-  if (r.array(1) == 0) return {};
-  return version(r.item(0, 6), r.good);
-}
+/// An array of one version, or of none.
+void pack(cluster::Packer& packer, const std::optional<Version>& version);
+std::optional<Version> read_optional_version(cluster::Reader& reader);
 
-// Of voters: kVotersMost at most.
-inline void pack(cluster::Packer& p, const std::vector<std::string>& names) {
-  p.array(names.size());
-  for (const auto& n : names) p.text(n);
-}
-inline std::vector<std::string> names(cluster::Reader& r) {
-  std::vector<std::string> out;
-  const auto n = r.array(kMaxVoters);
-  for (std::uint32_t i = 0; i < n; ++i) out.push_back(r.element_text(i));
-  return out;
-}
+/// Names of voters: kMaxVoters at most.
+void pack(cluster::Packer& packer, const std::vector<std::string>& names);
+std::vector<std::string> read_names(cluster::Reader& reader);
 
-using Servers = decltype(Configuration::servers);
-inline void pack(cluster::Packer& p, const Servers& servers) {
-  p.array(servers.size());
-  for (const auto& [name, role] : servers)
-    p.array(2).text(name).number(static_cast<std::uint64_t>(role));
-}
-inline Servers servers(cluster::Reader& r) {
-  Servers out;
-  const auto n = r.array(kMaxRaftServers);
-  for (std::uint32_t i = 0; i < n; ++i) {
-    auto x = r.item(i, 2);
-    auto name = x.text();
-    out.emplace_back(std::move(name), static_cast<int>(x.number(RAFT_SPARE)));
-    r.good = r.good && x.good;
-  }
-  return out;
-}
+void pack(cluster::Packer& packer, const std::vector<RaftServer>& servers);
+std::vector<RaftServer> read_servers(cluster::Reader& reader);
 
-inline void pack(cluster::Packer& p, const Configuration& v) {
-  p.array(2).number(v.index);
-  pack(p, v.servers);
-}
-inline Configuration voters(cluster::Reader&& r, bool& good) {
-  Configuration v;
-  v.index = r.number(), v.servers = servers(r);
-  good = good && r.good;
-  return v;
-}
+void pack(cluster::Packer& packer, const Configuration& configuration);
+Configuration read_configuration(cluster::Reader& reader);
 
 }  // namespace alderspur::consensus
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -2,95 +2,125 @@
 
 #include <algorithm>
 #include <cstdio>
-#include <map>
+#include <optional>
 #include <set>
+#include <string_view>
 
 namespace alderspur::consensus {
 namespace {
 
 using endpoints::Listed;
 using endpoints::Snapshot;
+using endpoints::SnapshotPtr;
 using endpoints::State;
 
-using Place = std::pair<Role, std::string>;
-Place place_of(const Snapshot& s, const Listed& l) { return {l.role, s.place_name(l)}; }
+// Servers of one role at one location can replace each other.
+struct RoleAtLocation {
+  Role role;
+  std::string location;
+  auto operator<=>(const RoleAtLocation&) const = default;
+};
 
-// True if both tell of one server at one place.
-bool agree(const Snapshot& a, const Listed& x, const Snapshot& b, const Listed& y) {
-  return place_of(a, x) == place_of(b, y) && x.address == y.address && x.cell == y.cell;
+RoleAtLocation place_of(const Snapshot& list, const Listed& server) {
+  return {server.role, list.place_name(server)};
+}
+
+bool is_same_server(const Snapshot& list, const Listed& server, const Snapshot& other_list,
+                    const Listed& other) {
+  return place_of(list, server) == place_of(other_list, other) && server.address == other.address &&
+         server.cell == other.cell;
+}
+
+// The strictest entry for a server of the newest list; empty if a list lacks it or contradicts.
+std::optional<Listed> merge_server(const Snapshot& newest, const Listed& server,
+                                   const std::vector<SnapshotPtr>& lists) {
+  Listed merged = server;
+  for (const auto& list : lists) {
+    const Listed* other = list->find(server.id);
+    if (!other || !is_same_server(newest, server, *list, *other)) return {};
+    if (other->state == State::draining) merged.state = State::draining;
+    merged.weight = std::min(merged.weight, other->weight);
+  }
+  return merged;
+}
+
+// With a decimal point or an exponent, as the list's format wants it.
+std::string format_weight(double weight) {
+  char text[40];
+  std::snprintf(text, sizeof text, "%.9g", weight);
+  const bool is_integer = std::string_view(text).find_first_of(".e") == std::string_view::npos;
+  if (is_integer) std::snprintf(text, sizeof text, "%.1f", weight);
+  return text;
+}
+
+std::string quoted(const std::string& text) { return "\"" + text + "\""; }
+
+std::string server_text(const Snapshot& list, const Listed& server) {
+  const std::string place_key = server.role == Role::cache ? "point" : "hub";
+  return "[[server]]\nid = " + quoted(server.name) +
+         "\nrole = " + quoted(endpoints::word(server.role)) + "\n" + place_key + " = " +
+         quoted(list.place_name(server)) + "\naddress = " + quoted(server.address) +
+         "\nweight = " + format_weight(server.weight) +
+         "\nstate = " + quoted(endpoints::word(server.state)) +
+         "\ncell = " + std::to_string(server.cell) + "\n";
 }
 
 }  // namespace
 
-Snapshot merge_conservatively(const std::vector<endpoints::SnapshotPtr>& lists) {
+Snapshot merge_conservatively(const std::vector<SnapshotPtr>& lists) {
   const Snapshot& newest = *lists.back();
-  Snapshot out = newest;
-  out.servers.clear();
-  std::set<Place> served;
-  std::vector<Listed> unsure;
-  for (const Listed& s : newest.servers) {
-    Listed merged = s;
-    bool sure = true;
-    for (const auto& list : lists) {
-      const Listed* other = list->find(s.id);
-      sure = sure && other && agree(newest, s, *list, *other);
-      if (!sure) break;
-      if (other->state == State::draining) merged.state = State::draining;
-      merged.weight = std::min(merged.weight, other->weight);
-    }
-    if (!sure) {
-      unsure.push_back(s);
+  Snapshot result = newest;
+  result.servers.clear();
+  std::set<RoleAtLocation> served;
+  std::vector<Listed> fallbacks;  // used where their place has no server in service otherwise
+  for (const Listed& server : newest.servers) {
+    auto merged = merge_server(newest, server, lists);
+    if (!merged) {
+      fallbacks.push_back(server);
       continue;
     }
-    if (merged.state == State::in_service)
-      served.insert(place_of(newest, s));
-    else if (s.state == State::in_service)
-      unsure.push_back(s);  // draining by an older one only
-    out.servers.push_back(std::move(merged));
+    if (merged->state == State::in_service) {
+      served.insert(place_of(newest, server));
+    } else if (server.state == State::in_service) {
+      fallbacks.push_back(server);  // draining in an older list only
+    }
+    result.servers.push_back(std::move(*merged));
   }
-  for (const Listed& s : unsure) {
-    if (served.contains(place_of(newest, s))) continue;
-    std::erase_if(out.servers, [&](const Listed& x) { return x.id == s.id; });
-    out.servers.push_back(s);
+  for (const Listed& server : fallbacks) {
+    if (served.contains(place_of(newest, server))) continue;
+    std::erase_if(result.servers, [&](const Listed& other) { return other.id == server.id; });
+    result.servers.push_back(server);
   }
-  out.seal();
-  return out;
+  result.seal();
+  return result;
 }
 
 std::string to_text(const Snapshot& list, std::uint64_t generation) {
-  std::string out = "format = 1\ngeneration = " + std::to_string(generation) +
-                    "\nconfirm = " + std::to_string(generation) +
-                    "\nservers = " + std::to_string(list.servers.size()) + "\n";
-  for (const auto& h : list.hubs) out += "[[hub]]\nname = \"" + h + "\"\n";
-  for (const auto& p : list.points)
-    out += "[[point]]\nname = \"" + p.name + "\"\nhub = \"" + list.hubs[p.hub] + "\"\n";
-  for (const auto& s : list.servers) {
-    char weight[40];
-    std::snprintf(weight, sizeof weight, "%.9g", s.weight);
-    if (std::string_view(weight).find_first_of(".e") == std::string_view::npos)
-      std::snprintf(weight, sizeof weight, "%.1f", s.weight);
-    out += "[[server]]\nid = \"" + s.name + "\"\nrole = \"" + endpoints::word(s.role) + "\"\n" +
-           (s.role == Role::cache ? "point" : "hub") + " = \"" + list.place_name(s) +
-           "\"\naddress = \"" + s.address + "\"\nweight = " + weight + "\nstate = \"" +
-           endpoints::word(s.state) + "\"\ncell = " + std::to_string(s.cell) + "\n";
-  }
-  return out;
+  const std::string number = std::to_string(generation);
+  std::string text = "format = 1\ngeneration = " + number + "\nconfirm = " + number +
+                     "\nservers = " + std::to_string(list.servers.size()) + "\n";
+  for (const auto& hub : list.hubs) text += "[[hub]]\nname = " + quoted(hub) + "\n";
+  for (const auto& point : list.points)
+    text += "[[point]]\nname = " + quoted(point.name) + "\nhub = " + quoted(list.hubs[point.hub]) +
+            "\n";
+  for (const auto& server : list.servers) text += server_text(list, server);
+  return text;
 }
 
-std::string list_to_act_on(const std::vector<std::string>& texts, std::uint64_t generation,
-                           std::string& error) {
-  std::vector<endpoints::SnapshotPtr> lists;
+MergedListText merge_list_texts(const std::vector<std::string>& texts, std::uint64_t generation) {
+  std::vector<SnapshotPtr> lists;
   for (const auto& text : texts) {
     diagnostics::Findings findings;
     const auto read = endpoints::read_list(text, "servers", 0, {}, findings);
     if (!findings.good() || !read.list) {
-      error = findings.list().empty() ? "no list of servers"
-                                      : diagnostics::to_string(findings.list()[0]);
-      return {};
+      const bool has_finding = !findings.list().empty();
+      return MergedListText::failure(has_finding ? diagnostics::to_string(findings.list()[0])
+                                                 : "no list of servers");
     }
     lists.push_back(read.list);
   }
-  return lists.empty() ? std::string() : to_text(merge_conservatively(lists), generation);
+  if (lists.empty()) return MergedListText::success("");
+  return MergedListText::success(to_text(merge_conservatively(lists), generation));
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/lease_table.cpp
+++ b/src/consensus/lease_table.cpp
@@ -1,140 +1,201 @@
 #include "consensus/lease_table.h"
 
-#include <algorithm>
-
 #include "consensus/raft.h"
 
 namespace alderspur::consensus {
 namespace {
 
-constexpr std::size_t kGivenMost = 8, kHoldersMost = 4096;
+constexpr std::size_t kMaxGrantedShares = 8;  // of one router, not yet confirmed or run out
+constexpr std::size_t kMaxHolders = 4096;
+constexpr double kMaxRequestRate = 1e9;
+constexpr double kNoRequestRate = 1e-9;  // below: only rounding is left
+
+double proportional_share(double request_rate, double rate_of_others) {
+  return kLeasedFraction * request_rate / (rate_of_others + request_rate);
+}
 
 }  // namespace
 
-// By the leader's clock, which may run slower than the router's by the drift of both.
-Time LeaseTable::longest() const {
-  return static_cast<Time>(static_cast<double>(set_.duration) * (1 + 3 * kMaxClockDrift));
+// By the leader's clock, which may be slower than the router's by the drift of both.
+Time LeaseTable::max_lease_duration() const {
+  return static_cast<Time>(static_cast<double>(settings_.duration) * (1 + 3 * kMaxClockDrift));
 }
 
 void LeaseTable::begin_term(Time now, std::uint64_t term) {
-  term_ = term, last_ = 0;
-  safe_from_ = now + longest();
-  holders_.clear(), ends_.clear(), held_.clear(), points_.clear();
-  sum_ = weights_ = bad_ = 0;
+  term_ = term;
+  last_grant_ = 0;
+  earlier_leases_expired_at_ = now + max_lease_duration();
+  holders_.clear();
+  expirations_.clear();
+  stored_numbers_.clear();
+  locations_.clear();
+  total_shares_ = 0;
+  total_request_rate_ = 0;
+  total_failure_rate_ = 0;
+}
+
+void LeaseTable::change_totals(const Holder& holder, double sign) {
+  LocationTotals& location = locations_[holder.location];
+  total_shares_ += sign * holder.total_share;
+  location.shares += sign * holder.location_share;
+  total_request_rate_ += sign * holder.request_rate;
+  location.request_rate += sign * holder.request_rate;
+  total_failure_rate_ += sign * holder.request_rate * holder.failure_ratio;
+}
+
+void LeaseTable::add_to_totals(const Holder& holder) {
+  change_totals(holder, 1);
+  if (holder.may_hold_lease) stored_numbers_.insert(holder.stored_number);
 }
 
-void LeaseTable::count(Holder& h, double sign) {
-  Point& p = points_[h.location];
-  sum_ += sign * h.total_share, p.sum += sign * h.location_share;
-  weights_ += sign * h.request_rate, p.weights += sign * h.request_rate,
-      bad_ += sign * h.request_rate * h.failure_ratio;
+void LeaseTable::subtract_from_totals(const Holder& holder) {
+  change_totals(holder, -1);
+  if (holder.may_hold_lease) stored_numbers_.erase(stored_numbers_.find(holder.stored_number));
 }
 
-// What of the shares given may still be in use: the one taken, and those behind it that may yet
-// arrive. A former self may go on beside the new one until its lease runs out.
-void LeaseTable::settle(Time now, Holder& h, std::uint64_t taken) {
-  std::erase_if(h.given, [&](const Holder::Given& g) {
-    return g.until <= now || (g.epoch == h.epoch && g.id < taken);
+// The shares that may still be in use: the one confirmed and those granted after it, which may yet
+// arrive. An earlier process of the router may go on beside the new one until its lease runs out.
+void LeaseTable::update_shares_in_use(Time now, Holder& holder, std::uint64_t confirmed_grant_id) {
+  std::erase_if(holder.granted, [&](const GrantedShare& share) {
+    return share.expires_at <= now ||
+           (share.epoch == holder.epoch && share.grant_id < confirmed_grant_id);
   });
-  h.own_total_share = h.own_location_share = 0;
-  double former_all = 0, former_at_point = 0;
-  for (const auto& g : h.given) {
-    double& all = g.epoch == h.epoch ? h.own_total_share : former_all;
-    double& at_point = g.epoch == h.epoch ? h.own_location_share : former_at_point;
-    all = std::max(all, g.all), at_point = std::max(at_point, g.point);
+  holder.own_total_share = 0;
+  holder.own_location_share = 0;
+  double earlier_total = 0;
+  double earlier_location = 0;
+  for (const auto& share : holder.granted) {
+    const bool is_own = share.epoch == holder.epoch;
+    double& total = is_own ? holder.own_total_share : earlier_total;
+    double& location = is_own ? holder.own_location_share : earlier_location;
+    total = std::max(total, share.total);
+    location = std::max(location, share.location);
   }
-  h.total_share = h.own_total_share + former_all,
-  h.location_share = h.own_location_share + former_at_point;
+  holder.total_share = holder.own_total_share + earlier_total;
+  holder.location_share = holder.own_location_share + earlier_location;
 }
 
-void LeaseTable::end(Holders::iterator it) {
-  Holder& h = it->second;
-  count(h, -1);
-  if (h.may_hold_lease) held_.erase(held_.find(h.stored_number));
-  if (points_[h.location].weights < 1e-9) points_.erase(h.location);
-  holders_.erase(it);
+void LeaseTable::remove(Holders::iterator position) {
+  const Holder& holder = position->second;
+  subtract_from_totals(holder);
+  if (locations_[holder.location].request_rate < kNoRequestRate) locations_.erase(holder.location);
+  holders_.erase(position);
 }
 
 void LeaseTable::remove_expired(Time now) {
-  while (!ends_.empty() && ends_.begin()->first <= now) {
-    const auto it = holders_.find(ends_.begin()->second);
-    ends_.erase(ends_.begin());
-    if (it != holders_.end()) end(it);
+  while (!expirations_.empty() && expirations_.begin()->first <= now) {
+    const auto position = holders_.find(expirations_.begin()->second);
+    expirations_.erase(expirations_.begin());
+    if (position != holders_.end()) remove(position);
   }
-  if (holders_.empty()) sum_ = weights_ = bad_ = 0;  // what rounding left
+  if (!holders_.empty()) return;
+  // What rounding has left.
+  total_shares_ = 0;
+  total_request_rate_ = 0;
+  total_failure_rate_ = 0;
 }
 
-void LeaseTable::renew(Time now, const std::string& name, const LeaseRequest& r, LeaseGrant& out) {
+LeaseTable::Holder& LeaseTable::add_holder(Time now, const std::string& router,
+                                           const LeaseRequest& request) {
+  Holder& holder = holders_[router];
+  holder.location = request.location;
+  holder.epoch = request.epoch;
+  // What an earlier leader granted, by the router's own account. Once those leases have run out, it
+  // can hold nothing that is not in this table.
+  const bool reports_share = request.total_share + request.location_share > 0;
+  if (now < earlier_leases_expired_at_ && reports_share)
+    holder.granted.push_back({request.last_grant_id, request.epoch, request.total_share,
+                              request.location_share, now + max_lease_duration()});
+  return holder;
+}
+
+void LeaseTable::update_holder(Time now, Holder& holder, const LeaseRequest& request) {
+  holder.epoch = request.epoch;
+  holder.active_number = request.active_number;
+  holder.stored_number = request.stored_number;
+  holder.rejected_number = request.rejected_number;
+  holder.rejection_reason = request.rejection_reason;
+  holder.request_rate = std::clamp(request.request_rate, 1.0, kMaxRequestRate);
+  holder.failure_ratio = std::clamp(request.failure_ratio, 0.0, 1.0);
+  holder.last_request_at = now;
+  holder.protocol_version = request.protocol_version;
+}
+
+void LeaseTable::renew(Time now, const std::string& router, const LeaseRequest& request,
+                       LeaseGrant& grant) {
   remove_expired(now);
-  auto it = holders_.find(name);
-  if (it != holders_.end() && r.epoch < it->second.epoch) return;  // a former self
-  if (it == holders_.end()) {
-    if (holders_.size() >= kHoldersMost) return;
-    it = holders_.try_emplace(name).first;
-    Holder& h = it->second;
-    h.location = r.location, h.epoch = r.epoch;
-    // What an earlier leader gave it, as it says; under us it can hold nothing that we do not know.
-    if (now < safe_from_ && r.total_share + r.location_share > 0)
-      h.given.push_back(
-          {r.last_grant_id, r.epoch, r.total_share, r.location_share, now + longest()});
-  } else {
-    ends_.erase({it->second.expires_at, name});
-    if (it->second.may_hold_lease) held_.erase(held_.find(it->second.stored_number));
-    count(it->second, -1);
+  const auto known = holders_.find(router);
+  if (known != holders_.end()) {
+    Holder& holder = known->second;
+    if (request.epoch < holder.epoch) return;  // an earlier process of this router
+    expirations_.erase({holder.expires_at, router});
+    subtract_from_totals(holder);
+  } else if (holders_.size() >= kMaxHolders) {
+    return;
   }
-  Holder& h = it->second;
-  h.epoch = r.epoch, h.active_number = r.active_number, h.stored_number = r.stored_number,
-  h.rejected_number = r.rejected_number, h.rejection_reason = r.rejection_reason;
-  h.request_rate = std::clamp(r.request_rate, 1.0, 1e9),
-  h.failure_ratio = std::clamp(r.failure_ratio, 0.0, 1.0), h.last_request_at = now;
-  h.protocol_version = r.protocol_version;
-  settle(now, h, r.last_grant_id);
-  give(now, h, r, out);
-  h.may_hold_lease = !h.given.empty();
-  h.expires_at = now + longest();
-  count(h, 1);
-  ends_.insert({h.expires_at, name});
-  if (h.may_hold_lease) held_.insert(h.stored_number);
-}
-
-void LeaseTable::give(Time now, Holder& h, const LeaseRequest& r, LeaseGrant& out) {
-  out.id = (term_ << 32) | ++last_;
-  // Danger: a router that cannot act on this version must not be held for one that does.
-  // And once a later one is agreed, no lease is given to whoever does not hold that: it would never
-  // end.
-  const bool can =
-      (r.active_number == out.current.number || r.stored_number == out.current.number) &&
-      (!out.is_pending_accepted || r.stored_number >= out.pending->number);
-  if (!can || h.given.size() >= kGivenMost) return;  // it takes none of them: let them run out
-  out.duration = set_.duration;
-  const Point& p = points_[h.location];
-  const auto part = [&](double others, double sum, double counted, double own) {
-    const double free = now < safe_from_ ? 0 : std::max(0.0, kLeasedFraction - sum - counted);
-    return std::min(kLeasedFraction * h.request_rate / (others + h.request_rate), own + free);
-  };
-  out.total_share = part(weights_, sum_, h.total_share, h.own_total_share);
-  out.location_share = part(p.weights, p.sum, h.location_share, h.own_location_share);
-  h.given.push_back({out.id, h.epoch, out.total_share, out.location_share, now + longest()});
-  settle(now, h, 0);
+  Holder& holder = known != holders_.end() ? known->second : add_holder(now, router, request);
+  update_holder(now, holder, request);
+  update_shares_in_use(now, holder, request.last_grant_id);
+  grant_lease(now, holder, request, grant);
+  holder.may_hold_lease = !holder.granted.empty();
+  holder.expires_at = now + max_lease_duration();
+  add_to_totals(holder);
+  expirations_.insert({holder.expires_at, router});
+}
+
+// Nothing is free while leases of an earlier leader may run.
+double LeaseTable::free_share(Time now, double shares_of_others, double share_of_holder) const {
+  if (now < earlier_leases_expired_at_) return 0;
+  return std::max(0.0, kLeasedFraction - shares_of_others - share_of_holder);
+}
+
+void LeaseTable::grant_lease(Time now, Holder& holder, const LeaseRequest& request,
+                             LeaseGrant& grant) {
+  ++last_grant_;
+  grant.id = (term_ << 32) | last_grant_;
+  // A router that cannot act on the current version must not count as one that does. And once a
+  // later version is accepted, a router that has not stored it gets no lease: otherwise that lease
+  // would be renewed for ever and the version could never be activated.
+  const std::uint64_t current = grant.current.number;
+  const bool can_use_current = request.active_number == current || request.stored_number == current;
+  const bool is_up_to_date =
+      !grant.is_pending_accepted || request.stored_number >= grant.pending->number;
+  // Too many unconfirmed grants: the router takes none of them over, so they must run out.
+  const bool has_room = holder.granted.size() < kMaxGrantedShares;
+  if (!can_use_current || !is_up_to_date || !has_room) return;
+  grant.duration = settings_.duration;
+  const LocationTotals& location = locations_[holder.location];
+  // Each router gets its proportional part, but no more than it has already plus what is free.
+  grant.total_share =
+      std::min(proportional_share(holder.request_rate, total_request_rate_),
+               holder.own_total_share + free_share(now, total_shares_, holder.total_share));
+  grant.location_share =
+      std::min(proportional_share(holder.request_rate, location.request_rate),
+               holder.own_location_share + free_share(now, location.shares, holder.location_share));
+  holder.granted.push_back({grant.id, holder.epoch, grant.total_share, grant.location_share,
+                            now + max_lease_duration()});
+  update_shares_in_use(now, holder, 0);
 }
 
 bool LeaseTable::all_have_stored(Time now, std::uint64_t number) {
   remove_expired(now);
-  return now >= safe_from_ && (held_.empty() || *held_.begin() >= number);
+  if (now < earlier_leases_expired_at_) return false;
+  return stored_numbers_.empty() || *stored_numbers_.begin() >= number;
 }
 
-std::vector<std::string> LeaseTable::routers_behind(std::uint64_t number, std::size_t most) const {
-  std::vector<std::string> out;
-  for (const auto& [name, h] : holders_) {
-    if (out.size() >= most) break;
-    if (h.stored_number < number) out.push_back(name);
+std::vector<std::string> LeaseTable::routers_behind(std::uint64_t number,
+                                                    std::size_t max_count) const {
+  std::vector<std::string> names;
+  for (const auto& [name, holder] : holders_) {
+    if (names.size() >= max_count) break;
+    if (holder.stored_number < number) names.push_back(name);
   }
-  return out;
+  return names;
 }
 
-const LeaseTable::Holder* LeaseTable::find(const std::string& name) const {
-  const auto it = holders_.find(name);
-  return it == holders_.end() ? nullptr : &it->second;
+const LeaseTable::Holder* LeaseTable::find(const std::string& router) const {
+  const auto found = holders_.find(router);
+  return found == holders_.end() ? nullptr : &found->second;
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -3,8 +3,10 @@
 #include <sqlite3.h>
 #include <xxhash.h>
 
-#include <cstdio>
+#include <array>
+#include <cstdlib>
 #include <filesystem>
+#include <string_view>
 
 #include "consensus/codec.h"
 #include "store/state_file.h"
@@ -12,6 +14,11 @@
 namespace alderspur::consensus {
 namespace {
 
+constexpr const char* kDatabaseFile = "agree.db";
+constexpr const char* kJournalFile = "agree.db-journal";
+constexpr const char* kMarkFile = "agree.mark";
+constexpr const char* kSetAsideSuffix = ".bad";
+
 constexpr const char* kSchema =
     "PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=DELETE; PRAGMA synchronous=EXTRA;"
     "PRAGMA cell_size_check=ON; PRAGMA mmap_size=0;"
@@ -21,272 +28,378 @@
     "code "
     "INTEGER);"
     "CREATE TABLE IF NOT EXISTS snapshot(one INTEGER PRIMARY KEY, data BLOB, code INTEGER);";
-constexpr std::size_t kMarkMost = 64, kSnapshotMost = 2 << 20;
 
+// Keys of the table `number`.
+constexpr const char* kTermKey = "term";
+constexpr const char* kVoteKey = "vote";
+constexpr const char* kWriteCountKey = "stores";
+constexpr const char* kChecksumBeforeFirstKey = "before";
+constexpr const char* kFirstIndexKey = "first";
+constexpr const char* kLastIndexKey = "last";
+
+constexpr std::size_t kMaxMarkBytes = 64;
+constexpr std::size_t kMaxSnapshotBytes = 2 << 20;
+constexpr std::size_t kSnapshotFields = 5;
+
+// Seeds that keep the checksums of different kinds of records apart.
+constexpr std::uint64_t kEntryHeadSeed = 1;
+constexpr std::uint64_t kSnapshotSeed = 2;
+constexpr std::uint64_t kNumberSeed = 0x616c6472;
+
+// A prepared statement whose parameters are bound in their order.
 class Statement {
  public:
-  Statement(sqlite3* db, const char* sql) {
-    if (sqlite3_prepare_v2(db, sql, -1, &s_, nullptr) != SQLITE_OK) s_ = nullptr;
+  Statement(sqlite3* database, const char* sql) {
+    if (sqlite3_prepare_v2(database, sql, -1, &statement_, nullptr) != SQLITE_OK)
+      statement_ = nullptr;
   }
-  ~Statement() { sqlite3_finalize(s_); }
+  ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
-  Statement& number(std::uint64_t n) {
-    return sqlite3_bind_int64(s_, ++at_, static_cast<sqlite3_int64>(n)), *this;
+
+  Statement& bind_number(std::uint64_t number) {
+    sqlite3_bind_int64(statement_, ++last_parameter_, static_cast<sqlite3_int64>(number));
+    return *this;
   }
-  Statement& text(const char* t) {
-    return sqlite3_bind_text(s_, ++at_, t, -1, SQLITE_STATIC), *this;
+  Statement& bind_text(const char* text) {
+    sqlite3_bind_text(statement_, ++last_parameter_, text, -1, SQLITE_STATIC);
+    return *this;
   }
-  Statement& bytes(std::string_view b) {
-    return sqlite3_bind_blob64(s_, ++at_, b.data() ? b.data() : "", b.size(), SQLITE_STATIC), *this;
+  Statement& bind_bytes(std::string_view bytes) {
+    // A null pointer would be stored as NULL, not as an empty blob.
+    const char* data = bytes.data() ? bytes.data() : "";
+    sqlite3_bind_blob64(statement_, ++last_parameter_, data, bytes.size(), SQLITE_STATIC);
+    return *this;
   }
-  int step() { return s_ ? sqlite3_step(s_) : SQLITE_ERROR; }
+  int step() { return statement_ ? sqlite3_step(statement_) : SQLITE_ERROR; }
+  bool has_row() { return step() == SQLITE_ROW; }
+  bool run() { return step() == SQLITE_DONE; }
+
   std::uint64_t number(int column) {
-    return static_cast<std::uint64_t>(sqlite3_column_int64(s_, column));
+    return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, column));
   }
   std::string bytes(int column) {
-    const auto* p = static_cast<const char*>(sqlite3_column_blob(s_, column));
-    return p ? std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(s_, column)))
-             : std::string();
+    const auto* data = static_cast<const char*>(sqlite3_column_blob(statement_, column));
+    if (!data) return {};
+    return {data, static_cast<std::size_t>(sqlite3_column_bytes(statement_, column))};
   }
 
  private:
-  sqlite3_stmt* s_ = nullptr;
-  int at_ = 0;
+  sqlite3_stmt* statement_ = nullptr;
+  int last_parameter_ = 0;
 };
 
-std::uint64_t code_of(std::string_view bytes, std::uint64_t seed) {
+std::uint64_t checksum(std::string_view bytes, std::uint64_t seed) {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
-// Of a record of the log, by the index and what stands before it.
-std::uint64_t code_of(const LogEntry& e, std::uint64_t at, std::uint64_t before) {
-  const std::uint64_t head[] = {at, e.term, e.type, before};
-  return code_of(e.data, code_of({reinterpret_cast<const char*>(head), sizeof head}, 1));
+
+// Covers the entry, its index and the checksum of the entry before it.
+std::uint64_t entry_checksum(const LogEntry& entry, std::uint64_t index,
+                             std::uint64_t checksum_before) {
+  const std::array<std::uint64_t, 4> head = {index, entry.term, entry.type, checksum_before};
+  const std::string_view head_bytes(reinterpret_cast<const char*>(head.data()), sizeof head);
+  return checksum(entry.data, checksum(head_bytes, kEntryHeadSeed));
 }
-std::uint64_t code_of_number(const std::string& key, std::uint64_t value) {
-  return code_of(std::string_view(key), value ^ 0x616c6472);
+
+std::uint64_t number_checksum(std::string_view key, std::uint64_t value) {
+  return checksum(key, value ^ kNumberSeed);
+}
+
+std::string encode(const Snapshot& snapshot) {
+  cluster::Packer packer;
+  packer.array(kSnapshotFields).number(snapshot.index).number(snapshot.term);
+  packer.number(snapshot.configuration.index);
+  pack(packer, snapshot.configuration.servers);
+  return packer.bytes(snapshot.data).take();
 }
 
-std::string encode(const Snapshot& s) {
-  cluster::Packer p;
-  p.array(5).number(s.index).number(s.term).number(s.configuration.index);
-  pack(p, s.configuration.servers);
-  return p.bytes(s.data).take();
+std::optional<Snapshot> decode_snapshot(std::string_view bytes) {
+  const cluster::Unpacked unpacked(bytes);
+  if (!unpacked.good) return {};
+  cluster::Reader reader(unpacked.m.data, kSnapshotFields);
+  Snapshot snapshot;
+  snapshot.index = reader.number();
+  snapshot.term = reader.number();
+  snapshot.configuration.index = reader.number();
+  snapshot.configuration.servers = read_servers(reader);
+  snapshot.data = reader.bytes(kMaxSnapshotBytes);
+  return reader.good ? std::optional(std::move(snapshot)) : std::nullopt;
 }
-std::optional<Snapshot> decode(std::string_view bytes) {
-  const cluster::Unpacked u(bytes);
-  if (!u.good) return {};
-  cluster::Reader r(u.m.data, 5);
-  Snapshot s;
-  s.index = r.number(), s.term = r.number(), s.configuration.index = r.number();
-  s.configuration.servers = servers(r);
-  s.data = r.bytes(kSnapshotMost);
-  return r.good ? std::optional(std::move(s)) : std::nullopt;
+
+LogStoreStatus corrupt(const std::string& message) { return {LogStoreErrorCode::corrupt, message}; }
+
+LogStoreStatus unreadable() {
+  return {LogStoreErrorCode::database_error, "agree.db cannot be read"};
 }
 
 }  // namespace
 
-void LogStore::Close::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
+// The rows of the table `number`, except for the count of writes.
+struct LogStore::StoredNumbers {
+  std::uint64_t term = 0;
+  std::uint64_t vote = 0;
+  std::uint64_t checksum_before_first = 0;
+  std::uint64_t first_index = 1;
+  std::uint64_t last_index = 0;
+};
+
+void LogStore::CloseDatabase::operator()(sqlite3* database) const { sqlite3_close_v2(database); }
+
 LogStore::LogStore(std::string folder) : folder_(std::move(folder)) {}
 LogStore::~LogStore() = default;
 
-std::string LogStore::open() {
-  sqlite3* db = nullptr;
+LogStoreStatus LogStore::open() {
+  sqlite3* database = nullptr;
+  const std::string file = path(kDatabaseFile);
   const int code =
-      sqlite3_open_v2(path("agree.db").c_str(), &db,
+      sqlite3_open_v2(file.c_str(), &database,
                       SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
-  db_.reset(db);
-  if (code != SQLITE_OK) return "cannot open " + path("agree.db") + ": " + sqlite3_errstr(code);
-  return run(kSchema);
+  database_.reset(database);
+  if (code != SQLITE_OK)
+    return {LogStoreErrorCode::cannot_open, "cannot open " + file + ": " + sqlite3_errstr(code)};
+  return execute(kSchema);
+}
+
+LogStoreStatus LogStore::execute(const char* sql) {
+  if (!database_) return {LogStoreErrorCode::database_error, "there is no database"};
+  if (sqlite3_exec(database_.get(), sql, nullptr, nullptr, nullptr) == SQLITE_OK) return {};
+  return last_database_error();
 }
 
-std::string LogStore::run(const char* sql) {
-  if (!db_) return "there is no database";
-  if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) == SQLITE_OK) return {};
-  return path("agree.db") + ": " + sqlite3_errmsg(db_.get());
+LogStoreStatus LogStore::last_database_error() const {
+  return {LogStoreErrorCode::database_error,
+          path(kDatabaseFile) + ": " + sqlite3_errmsg(database_.get())};
 }
 
-LogStore::Loaded LogStore::load() {
-  Loaded out;
+// ---- Loading
+
+LogStore::LoadResult LogStore::load() {
+  LoadResult result;
   std::error_code ignored;
   std::filesystem::create_directories(folder_, ignored);
-  const bool was_there = std::filesystem::exists(path("agree.db"), ignored);
-  const auto mark = store::load_file(path("agree.mark"), kMarkMost);
-  out.error = open();
-  if (out.error.empty()) out.error = read(out.log);
-  // Nothing told and nothing stored: a first start that was cut short.
-  if (out.error.empty() && !mark.payload && !(mark.absent && stores_ == 0))
-    out.error = mark.absent ? "agree.mark is missing" : mark.error;
-  // A process killed between a store and its mark leaves the database one ahead.
-  if (out.error.empty() && mark.payload) {
-    const auto said = std::strtoull(mark.payload->c_str(), nullptr, 10);
-    if (stores_ < said || stores_ > said + 1)
-      out.error = "agree.db holds " + std::to_string(stores_) + " stores, " + std::to_string(said) +
-                  " were told";
-  }
-  if (out.error.empty() && !mark.payload) out.error = this->mark();
-  if (out.error.empty()) return out;
-  out.is_corrupt = was_there || mark.payload || !mark.absent;
-  out.log = {};
-  bad_ = true;
-  return out;
+  const bool database_existed = std::filesystem::exists(path(kDatabaseFile), ignored);
+  const auto mark = store::load_file(path(kMarkFile), kMaxMarkBytes);
+  result.status = load_and_verify(mark, result.log);
+  if (result.status.is_ok()) return result;
+  const bool mark_existed = mark.payload || !mark.absent;
+  result.is_corrupt = database_existed || mark_existed;
+  result.log = {};
+  is_out_of_service_ = true;
+  return result;
 }
 
-std::string LogStore::read(PersistedLog& out) {
-  {
-    Statement s(db_.get(), "PRAGMA integrity_check(1)");
-    if (s.step() != SQLITE_ROW || s.bytes(0) != "ok") return "agree.db is not whole";
-  }
-  Statement numbers(db_.get(), "SELECT key, value, code FROM number");
-  int step;
-  std::uint64_t before = 0, last = 0, first = 1;
-  while ((step = numbers.step()) == SQLITE_ROW) {
-    const auto key = numbers.bytes(0);
-    const auto value = numbers.number(1);
-    if (numbers.number(2) != code_of_number(key, value)) return "agree.db: " + key + " is spoilt";
-    if (key == "term") out.term = value;
-    if (key == "vote") out.vote = value;
-    if (key == "stores") stores_ = value;
-    if (key == "before") before = value;  // the code ahead of the first record
-    if (key == "first") first = value;
-    if (key == "last") last = value;
+LogStoreStatus LogStore::load_and_verify(const store::Loaded& mark, PersistedLog& log) {
+  if (auto status = open(); !status.is_ok()) return status;
+  if (auto status = read_log(log); !status.is_ok()) return status;
+  if (!mark.payload) {
+    // Nothing written and nothing marked: a first start that was interrupted.
+    if (mark.absent && write_count_ == 0) return replace_mark();
+    return {LogStoreErrorCode::mark_unusable, mark.absent ? "agree.mark is missing" : mark.error};
   }
-  if (step != SQLITE_DONE) return "agree.db cannot be read";
-  Statement snapshot(db_.get(), "SELECT data, code FROM snapshot");
-  if ((step = snapshot.step()) == SQLITE_ROW) {
-    const auto data = snapshot.bytes(0);
-    out.snapshot = decode(data);
-    if (!out.snapshot || snapshot.number(1) != code_of(data, 2))
-      return "agree.db: its snapshot is spoilt";
-  } else if (step != SQLITE_DONE) {
-    return "agree.db cannot be read";
-  }
-  Statement log(db_.get(), "SELECT at, term, type, data, code FROM log ORDER BY at");
-  out.first_index = first;
-  std::uint64_t at = first;
-  for (; (step = log.step()) == SQLITE_ROW; ++at) {
-    LogEntry e{log.number(1), log.number(2), log.bytes(3)};
-    before = code_of(e, at, before);
-    if (log.number(0) != at || log.number(4) != before)
-      return "agree.db: record " + std::to_string(at) + " is spoilt or missing";
-    out.entries.push_back(std::move(e));
-  }
-  if (step != SQLITE_DONE) return "agree.db cannot be read";
-  if (stores_ && at != last + 1) return "agree.db: the end of the log is missing";
+  // A process killed between a write and its mark leaves the database one ahead.
+  const std::uint64_t marked_count = std::strtoull(mark.payload->c_str(), nullptr, 10);
+  if (write_count_ < marked_count || write_count_ > marked_count + 1)
+    return {LogStoreErrorCode::mark_mismatch, "agree.db holds " + std::to_string(write_count_) +
+                                                  " stores, " + std::to_string(marked_count) +
+                                                  " were told"};
   return {};
 }
 
-std::string LogStore::apply(const LogWrite& s) {
-  if (s.kind == LogWrite::Kind::reset) return reset();
-  if (bad_) return "an earlier store failed";
-  auto error = run("BEGIN IMMEDIATE");
-  if (error.empty()) error = change(s);
-  ++stores_;
-  if (error.empty()) error = put("stores", stores_);
-  if (error.empty()) error = run("COMMIT");
-  if (error.empty()) error = mark();
-  if (!error.empty()) bad_ = true, db_.reset();  // what a failed sync left behind nobody knows
-  return error;
+LogStoreStatus LogStore::read_log(PersistedLog& log) {
+  StoredNumbers numbers;
+  if (auto status = check_integrity(); !status.is_ok()) return status;
+  if (auto status = read_numbers(numbers); !status.is_ok()) return status;
+  log.term = numbers.term;
+  log.vote = numbers.vote;
+  log.first_index = numbers.first_index;
+  if (auto status = read_snapshot(log); !status.is_ok()) return status;
+  return read_entries(numbers, log);
 }
 
-std::string LogStore::mark() {
-  return store::replace_file(path("agree.mark"), std::to_string(stores_) + "\n");
+LogStoreStatus LogStore::check_integrity() {
+  Statement check(database_.get(), "PRAGMA integrity_check(1)");
+  if (check.has_row() && check.bytes(0) == "ok") return {};
+  return corrupt("agree.db is not whole");
 }
 
-std::string LogStore::change(const LogWrite& s) {
-  switch (s.kind) {
-    case LogWrite::Kind::term: {
-      auto error = put("term", s.value);
-      return error.empty() ? put("vote", 0) : error;  // of an earlier term
-    }
-    case LogWrite::Kind::vote:
-      return put("vote", s.value);
-    case LogWrite::Kind::append:
-      return append(s);
-    case LogWrite::Kind::truncate:
-      return cut("DELETE FROM log WHERE at >= ?", s.value);
-    case LogWrite::Kind::snapshot: {
-      auto error = put(*s.snapshot);
-      if (!error.empty()) return error;
-      const auto trailing = s.value;
-      if (!trailing) return cut(nullptr, s.snapshot->index);
-      return s.snapshot->index > trailing
-                 ? cut("DELETE FROM log WHERE at <= ?", s.snapshot->index - trailing)
-                 : "";
-    }
-    default:
-      return "no such store";
+LogStoreStatus LogStore::read_numbers(StoredNumbers& numbers) {
+  Statement rows(database_.get(), "SELECT key, value, code FROM number");
+  int step = rows.step();
+  for (; step == SQLITE_ROW; step = rows.step()) {
+    const std::string key = rows.bytes(0);
+    const std::uint64_t value = rows.number(1);
+    if (rows.number(2) != number_checksum(key, value))
+      return corrupt("agree.db: " + key + " is spoilt");
+    if (key == kTermKey) numbers.term = value;
+    if (key == kVoteKey) numbers.vote = value;
+    if (key == kWriteCountKey) write_count_ = value;
+    if (key == kChecksumBeforeFirstKey) numbers.checksum_before_first = value;
+    if (key == kFirstIndexKey) numbers.first_index = value;
+    if (key == kLastIndexKey) numbers.last_index = value;
   }
+  return step == SQLITE_DONE ? LogStoreStatus() : unreadable();
 }
 
-std::string LogStore::put(const char* key, std::uint64_t value) {
-  Statement s(db_.get(), "INSERT OR REPLACE INTO number VALUES(?, ?, ?)");
-  const bool good =
-      s.text(key).number(value).number(code_of_number(key, value)).step() == SQLITE_DONE;
-  return good ? "" : path("agree.db") + ": " + sqlite3_errmsg(db_.get());
+LogStoreStatus LogStore::read_snapshot(PersistedLog& log) {
+  Statement row(database_.get(), "SELECT data, code FROM snapshot");
+  const int step = row.step();
+  if (step == SQLITE_DONE) return {};
+  if (step != SQLITE_ROW) return unreadable();
+  const std::string data = row.bytes(0);
+  log.snapshot = decode_snapshot(data);
+  if (!log.snapshot || row.number(1) != checksum(data, kSnapshotSeed))
+    return corrupt("agree.db: its snapshot is spoilt");
+  return {};
 }
 
-std::string LogStore::put(const Snapshot& snapshot) {
-  const auto data = encode(snapshot);
-  Statement s(db_.get(), "INSERT OR REPLACE INTO snapshot VALUES(1, ?, ?)");
-  const bool good = s.bytes(data).number(code_of(data, 2)).step() == SQLITE_DONE;
-  return good ? "" : path("agree.db") + ": " + sqlite3_errmsg(db_.get());
+LogStoreStatus LogStore::read_entries(const StoredNumbers& numbers, PersistedLog& log) {
+  Statement rows(database_.get(), "SELECT at, term, type, data, code FROM log ORDER BY at");
+  std::uint64_t index = numbers.first_index;
+  std::uint64_t last_checksum = numbers.checksum_before_first;
+  int step = rows.step();
+  for (; step == SQLITE_ROW; step = rows.step()) {
+    LogEntry entry{rows.number(1), rows.number(2), rows.bytes(3)};
+    last_checksum = entry_checksum(entry, index, last_checksum);
+    if (rows.number(0) != index || rows.number(4) != last_checksum)
+      return corrupt("agree.db: record " + std::to_string(index) + " is spoilt or missing");
+    log.entries.push_back(std::move(entry));
+    ++index;
+  }
+  if (step != SQLITE_DONE) return unreadable();
+  if (write_count_ != 0 && index != numbers.last_index + 1)
+    return corrupt("agree.db: the end of the log is missing");
+  return {};
 }
 
-std::string LogStore::append(const LogWrite& s) {
-  std::uint64_t before = 0;
-  {
-    Statement last(db_.get(), "SELECT code FROM log WHERE at = ?");
-    if (last.number(s.value - 1).step() == SQLITE_ROW)
-      before = last.number(0);
-    else if (Statement own(db_.get(), "SELECT value FROM number WHERE key = 'before'");
-             own.step() == SQLITE_ROW)
-      before = own.number(0);
-  }
-  std::uint64_t at = s.value;
-  for (const auto& e : s.entries) {
-    before = code_of(e, at, before);
-    Statement row(db_.get(), "INSERT INTO log VALUES(?, ?, ?, ?, ?)");
-    if (row.number(at).number(e.term).number(e.type).bytes(e.data).number(before).step() !=
-        SQLITE_DONE)
-      return path("agree.db") + ": " + sqlite3_errmsg(db_.get());
-    ++at;
+// ---- Writing
+
+LogStoreStatus LogStore::apply(const LogWrite& write) {
+  if (std::holds_alternative<ResetLog>(write)) return reset();
+  if (is_out_of_service_) return {LogStoreErrorCode::out_of_service, "an earlier store failed"};
+  auto status = write_in_transaction(write);
+  if (status.is_ok()) status = replace_mark();
+  if (!status.is_ok()) {
+    // What a failed sync has left on the disk is unknown.
+    is_out_of_service_ = true;
+    database_.reset();
   }
-  return put("last", at - 1);
+  return status;
+}
+
+LogStoreStatus LogStore::write_in_transaction(const LogWrite& write) {
+  if (auto status = execute("BEGIN IMMEDIATE"); !status.is_ok()) return status;
+  auto status = std::visit([this](const auto& kind) { return perform(kind); }, write);
+  if (!status.is_ok()) return status;
+  ++write_count_;
+  status = put_number(kWriteCountKey, write_count_);
+  if (!status.is_ok()) return status;
+  return execute("COMMIT");
+}
+
+LogStoreStatus LogStore::replace_mark() {
+  const auto error = store::replace_file(path(kMarkFile), std::to_string(write_count_) + "\n");
+  return error.empty() ? LogStoreStatus() : LogStoreStatus(LogStoreErrorCode::file_error, error);
+}
+
+LogStoreStatus LogStore::perform(const SetTerm& write) {
+  if (auto status = put_number(kTermKey, write.term); !status.is_ok()) return status;
+  return put_number(kVoteKey, 0);
 }
 
-// Cuts one end off. `sql` null: all, and the log goes on behind that index.
-std::string LogStore::cut(const char* sql, std::uint64_t index) {
-  std::uint64_t before = 0;
-  {
-    Statement s(db_.get(), "SELECT code FROM log WHERE at = ?");
-    if (s.number(index).step() == SQLITE_ROW) before = s.number(0);
+LogStoreStatus LogStore::perform(const SetVote& write) {
+  return put_number(kVoteKey, write.candidate_id);
+}
+
+LogStoreStatus LogStore::perform(const AppendEntries& write) {
+  std::uint64_t last_checksum = checksum_before(write.first_index);
+  std::uint64_t index = write.first_index;
+  for (const auto& entry : write.entries) {
+    last_checksum = entry_checksum(entry, index, last_checksum);
+    Statement row(database_.get(), "INSERT INTO log VALUES(?, ?, ?, ?, ?)");
+    row.bind_number(index).bind_number(entry.term).bind_number(entry.type);
+    row.bind_bytes(entry.data).bind_number(last_checksum);
+    if (!row.run()) return last_database_error();
+    ++index;
   }
-  Statement s(db_.get(), sql ? sql : "DELETE FROM log");
-  if (sql) s.number(index);
-  if (s.step() != SQLITE_DONE) return path("agree.db") + ": " + sqlite3_errmsg(db_.get());
-  const bool end = sql && std::string_view(sql).find(">=") != std::string_view::npos;
-  if (end) return put("last", index - 1);
-  auto error = put("before", sql ? before : 0);
-  if (error.empty()) error = put("first", index + 1);
-  if (error.empty() && !sql) error = put("last", index);
-  return error;
+  return put_number(kLastIndexKey, index - 1);
+}
+
+LogStoreStatus LogStore::perform(const TruncateFrom& write) {
+  Statement removal(database_.get(), "DELETE FROM log WHERE at >= ?");
+  if (!removal.bind_number(write.index).run()) return last_database_error();
+  return put_number(kLastIndexKey, write.index - 1);
+}
+
+LogStoreStatus LogStore::perform(const SaveSnapshot& write) {
+  const std::uint64_t index = write.snapshot.index;
+  if (auto status = put_snapshot(write.snapshot); !status.is_ok()) return status;
+  if (write.trailing_entries == 0) return drop_all_entries(index);
+  if (index <= write.trailing_entries) return {};
+  return drop_entries_through(index - write.trailing_entries);
+}
+
+LogStoreStatus LogStore::perform(const ResetLog&) { return reset(); }
+
+LogStoreStatus LogStore::put_number(const char* key, std::uint64_t value) {
+  Statement row(database_.get(), "INSERT OR REPLACE INTO number VALUES(?, ?, ?)");
+  row.bind_text(key).bind_number(value).bind_number(number_checksum(key, value));
+  return row.run() ? LogStoreStatus() : last_database_error();
+}
+
+LogStoreStatus LogStore::put_snapshot(const Snapshot& snapshot) {
+  const std::string data = encode(snapshot);
+  Statement row(database_.get(), "INSERT OR REPLACE INTO snapshot VALUES(1, ?, ?)");
+  row.bind_bytes(data).bind_number(checksum(data, kSnapshotSeed));
+  return row.run() ? LogStoreStatus() : last_database_error();
+}
+
+std::uint64_t LogStore::checksum_at(std::uint64_t index) const {
+  Statement entry(database_.get(), "SELECT code FROM log WHERE at = ?");
+  return entry.bind_number(index).has_row() ? entry.number(0) : 0;
+}
+
+// The checksum that the entry at that index is chained to.
+std::uint64_t LogStore::checksum_before(std::uint64_t index) const {
+  Statement entry(database_.get(), "SELECT code FROM log WHERE at = ?");
+  if (entry.bind_number(index - 1).has_row()) return entry.number(0);
+  Statement first(database_.get(), "SELECT value FROM number WHERE key = 'before'");
+  return first.has_row() ? first.number(0) : 0;
+}
+
+LogStoreStatus LogStore::drop_entries_through(std::uint64_t index) {
+  const std::uint64_t last_checksum = checksum_at(index);
+  Statement removal(database_.get(), "DELETE FROM log WHERE at <= ?");
+  if (!removal.bind_number(index).run()) return last_database_error();
+  if (auto status = put_number(kChecksumBeforeFirstKey, last_checksum); !status.is_ok())
+    return status;
+  return put_number(kFirstIndexKey, index + 1);
+}
+
+// The log goes on after `last_index`.
+LogStoreStatus LogStore::drop_all_entries(std::uint64_t last_index) {
+  Statement removal(database_.get(), "DELETE FROM log");
+  if (!removal.run()) return last_database_error();
+  if (auto status = put_number(kChecksumBeforeFirstKey, 0); !status.is_ok()) return status;
+  if (auto status = put_number(kFirstIndexKey, last_index + 1); !status.is_ok()) return status;
+  return put_number(kLastIndexKey, last_index);
 }
 
-std::string LogStore::reset() {
-  db_.reset();
-  std::error_code e;
-  for (const char* name : {"agree.db", "agree.db-journal", "agree.mark"}) {
-    if (!std::filesystem::exists(path(name), e)) continue;
-    std::filesystem::rename(path(name), path(name) + ".bad", e);
-    if (e) return "cannot set aside " + path(name) + ": " + e.message();
+LogStoreStatus LogStore::reset() {
+  database_.reset();
+  std::error_code error;
+  for (const char* name : {kDatabaseFile, kJournalFile, kMarkFile}) {
+    const std::string file = path(name);
+    if (!std::filesystem::exists(file, error)) continue;
+    std::filesystem::rename(file, file + kSetAsideSuffix, error);
+    if (error)
+      return {LogStoreErrorCode::file_error, "cannot set aside " + file + ": " + error.message()};
   }
-  stores_ = 0;
-  bad_ = true;
-  auto error = open();
-  if (error.empty()) error = mark();
-  bad_ = !error.empty();
-  return error;
+  write_count_ = 0;
+  is_out_of_service_ = true;
+  auto status = open();
+  if (status.is_ok()) status = replace_mark();
+  is_out_of_service_ = !status.is_ok();
+  return status;
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -1,8 +1,10 @@
-// What routers say to each other about versions, and its wire form: MessagePack arrays [kind,
-// fields...]. The sender is known by the channel. No I/O; what does not fit the bounds reads as
-// nothing.
+// The messages that routers exchange about versions, and their wire form: MessagePack arrays
+// [kind, fields...]. The sender's name is known from the channel.
+//
+// No I/O. A message that does not fit its form or its limits decodes as nothing.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -15,91 +17,115 @@
 
 namespace alderspur::consensus {
 
-// What a program knows beyond the first form: 1, trials. A form is used only where all that must
-// know it do.
+/// Capabilities of this program beyond the first protocol: 1, canary rollouts. A capability is used
+/// only where every router that must understand it has announced it.
 constexpr std::uint64_t kProtocolVersion = 1;
-constexpr std::size_t kMaxChunkBytes = 32 << 10, kMaxMessageBytes = 2 << 20;
+constexpr std::uint64_t kProtocolWithCanaries = 1;
 
-// Of consensus, as Raft made it.
+constexpr std::size_t kMaxChunkBytes = 32 << 10;
+constexpr std::size_t kMaxMessageBytes = 2 << 20;
+
+/// A message of the Raft library, packed by class Raft.
 struct RaftFrame {
   std::string bytes;
 };
-// A router asks the leader for its lease, and says how it stands.
+
+/// Asks the leader for a lease and reports the sender's state.
 struct LeaseRequest {
   std::uint64_t epoch = 0;
-  Time sent_at = 0;                 // by the asker's clock; its lease counts from here
-  std::uint64_t active_number = 0;  // the number it acts on
-  std::uint64_t stored_number = 0;  // the highest it has kept and found good
+  Time sent_at = 0;                 // by the sender's clock; its lease counts from here
+  std::uint64_t active_number = 0;  // version in use
+  std::uint64_t stored_number = 0;  // highest version that it has stored and checked
   std::uint64_t rejected_number = 0;
   std::string rejection_reason;
-  std::uint64_t last_grant_id = 0;             // the last grant it took
-  double total_share = 0, location_share = 0;  // that it holds under a lease that runs
-  double request_rate = 0;  // what it takes: requests a second, smoothed, and one
+  std::uint64_t last_grant_id = 0;  // last grant taken over
+  double total_share = 0;           // held under a running lease
+  double location_share = 0;
+  double request_rate = 0;  // requests per second, smoothed, plus one
   std::string location;
-  std::uint64_t learner_id = 0;  // it asks to be let in among the voters, with an empty log
-  double failure_ratio = 0;  // of the requests that ended here lately, the part refused or failed
-  std::uint64_t protocol_version = 0;  // what this program knows, see kForms
+  std::uint64_t learner_id = 0;  // not 0: asks to be admitted among the voters, with an empty log
+  double failure_ratio = 0;      // of the requests that ended lately, the part rejected or failed
+  std::uint64_t protocol_version = 0;  // see kProtocolVersion
 };
+
 struct LeaseGrant {
-  Time sent_at = 0;  // as in the question
+  Time sent_at = 0;  // of the request
   std::uint64_t id = 0;
   Time duration = 0;  // 0: no lease, only news
   Version current;
   std::optional<Version> pending;
-  bool is_pending_accepted = false;  // the pending one
+  bool is_pending_accepted = false;
   std::vector<std::string> voters;
-  double total_share = 0, location_share = 0;
-  std::uint64_t admitted_learner_id = 0;  // the learner's number: its former self counts no more
-  bool is_member = false;              // the asker is in the log's own list of voters and learners
-  std::uint64_t protocol_version = 0;  // of the leader's program
+  double total_share = 0;
+  double location_share = 0;
+  std::uint64_t admitted_learner_id = 0;  // this learner's former incarnation votes no more
+  bool is_member = false;                 // the receiver is in the Raft configuration
+  std::uint64_t protocol_version = 0;     // of the leader
 };
+
 struct Redirect {
   std::string leader;  // empty: not known
 };
+
 struct FetchRequest {
   std::string digest;
   std::uint64_t offset = 0;
 };
+
 struct ContentChunk {
   std::string digest;
-  std::uint64_t offset = 0, total_size = 0;  // total 0: not there
+  std::uint64_t offset = 0;
+  std::uint64_t total_size = 0;  // 0: the sender does not have the content
   std::string bytes;
 };
+
 struct ProposeRequest {
   std::uint64_t nonce = 0;
   Version version;
-  std::vector<std::string> voters;  // not empty: a change of the voters instead
+  std::vector<std::string> voters;  // not empty: a change of the voters instead of a version
 };
+
 struct ProposeResponse {
   ProposalResult result;
 };
-// A voter that starts asks the others how far they are, and says how far it is itself.
+
+/// The state of a voter's log. A starting voter sends it to the other voters and asks for theirs.
 struct LogStatus {
   bool wants_reply = false;
   bool is_empty = false;
-  std::uint64_t term = 0, last_term = 0, last_index = 0;  // of the log
-  std::uint64_t acknowledged_term = 0,
-                acknowledged_index = 0;  // what the asker has acknowledged here
+  std::uint64_t term = 0;
+  std::uint64_t last_term = 0;  // of the last entry
+  std::uint64_t last_index = 0;
+  std::uint64_t acknowledged_term = 0;  // what the receiver has acknowledged to the sender
+  std::uint64_t acknowledged_index = 0;
 };
-// A router without a lease asks any other what it has heard.
+
+/// A router without a lease asks any other router for the versions that it has heard of.
 struct VersionQuery {};
+
 struct VersionNews {
   Version current;
   std::optional<Version> accepted;
 };
-struct RenewHint {};     // there is news: renew
-struct CanaryDecision {  // of an operator on a trial; answered as a proposal is
-  std::uint64_t nonce = 0, version_number = 0;
-  bool promote = false;
+
+/// There is news: the receiver renews its lease at once.
+struct RenewHint {};
+
+/// An operator's decision on a canary rollout; answered by a ProposeResponse.
+struct CanaryDecision {
+  std::uint64_t nonce = 0;
+  std::uint64_t version_number = 0;
+  bool promote = false;  // otherwise: roll back
 };
 
+/// The position in this list, plus one, is the kind on the wire: append only.
 using Message = std::variant<RaftFrame, LeaseRequest, LeaseGrant, Redirect, FetchRequest,
                              ContentChunk, ProposeRequest, ProposeResponse, LogStatus, VersionQuery,
                              VersionNews, RenewHint, CanaryDecision>;
 std::string encode(const Message& message);
 std::optional<Message> decode_message(std::string_view bytes);
 
-// Printable, without quotes, and short: what may stand in records and logs.
-std::string to_printable(std::string_view text, std::size_t most);
+/// At most `max_length` characters, printable and without double quotes: fit for messages and logs.
+std::string to_printable(std::string_view text, std::size_t max_length);
 
 }  // namespace alderspur::consensus
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -1,183 +1,195 @@
-// Consensus: Debian's libraft (C, a pluggable I/O) behind values in and values out. No I/O, no
-// clock.
+// Consensus: Debian's libraft (C, with pluggable I/O) behind values in and values out. No I/O, no
+// clock. Not thread-safe.
 //
-// Each call is given the time; what is to be sent or stored comes out by the hooks, during the
-// call. Stores are numbered and must be carried out in their order; `stored` says how each went.
-// The library wants term and vote on the disk before its call returns; here the call returns at
-// once, and instead nothing that it says to others leaves before all stores ahead of it are done
-// ("external synchrony", Nightingale et al., OSDI 2006): nobody can tell the difference, and the
-// loop waits for no disk. A store that failed ends the instance: nothing of it may be believed any
-// more.
+// Every call is given the time; whatever is to be sent or stored comes out through the callbacks,
+// during the call. Writes are numbered and must be carried out in their order; on_write_done
+// reports how each went. The library wants term and vote on the disk before its call returns. Here
+// the call returns at once, and instead no message leaves before all writes ahead of it are done
+// ("external synchrony", Nightingale et al., OSDI 2006): nobody else can tell the difference, and
+// the event loop waits for no disk. A failed write ends the instance: nothing of it may be relied
+// on any more.
 //
-// Leading: leads(now) is true only while a majority of voters has confirmed it so lately that none
-// of them can have helped to elect another (they hear no leader for `election` before they vote, by
-// pre-vote and by the library's rule; leadership is never handed over by word, which would break
-// that; a voter that has just started votes for nobody until that time has passed). It holds across
-// a stop of the process: the time is looked at, not a timer. Clocks may differ in rate by kDrift.
+// Leadership: has_leader_lease(now) is true only while a majority of voters has confirmed this
+// leader so recently that none of them can have helped to elect another. They do not vote before
+// they have heard no leader for the election timeout (pre-vote and the library's rule); leadership
+// is never transferred, which would break that; and a voter that has just started votes for nobody
+// until the election timeout has passed. It holds across a pause of the process, because the time
+// is compared and no timer is involved. Clocks may differ in rate by kMaxClockDrift.
 //
-// Voters are known by name; the library's ids are hashes of them.
+// Voters are known by name; the library's ids are hashes of the names.
 #pragma once
 
 extern "C" {  // the library's header does not say so itself
 #include <raft.h>
 }
 
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <map>
-#include <memory>
+#include <optional>
 #include <random>
-#include <set>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
+#include "consensus/persisted_log.h"
+#include "consensus/raft_frame.h"
 #include "consensus/version.h"
 
 namespace alderspur::consensus {
 
-constexpr double kMaxClockDrift = 0.01;
+constexpr double kMaxClockDrift = 0.01;  // difference in rate of two routers' clocks
 
 struct RaftSettings {
-  Time election_timeout = 700'000, heartbeat_interval = 100'000;
-  unsigned snapshot_threshold = 256, trailing_entries = 64;  // entries
-};
-
-struct LogEntry {
-  std::uint64_t term = 0;
-  std::uint64_t type = 0;
-  std::string data;
-};
-struct Configuration {
-  std::uint64_t index = 0;
-  std::vector<std::pair<std::string, int>> servers;  // name and the library's role
-};
-struct Snapshot {
-  std::uint64_t index = 0, term = 0;
-  Configuration configuration;
-  std::string data;
-};
-// What a disk holds.
-struct PersistedLog {
-  std::uint64_t term = 0, vote = 0, first_index = 1;  // start: index of the first entry
-  std::optional<Snapshot> snapshot;
-  std::vector<LogEntry> entries;
-  bool is_empty() const { return term == 0 && !snapshot && entries.empty(); }
-  std::uint64_t last_index() const { return first_index + entries.size() - 1; }
-};
-struct LogWrite {
-  enum class Kind { term, vote, append, truncate, snapshot, reset } kind = Kind::term;
-  std::uint64_t value = 0;  // term, vote, first index appended or cut off, trailing
-  std::vector<LogEntry> entries;
-  std::optional<Snapshot> snapshot;
+  Time election_timeout = 700'000;
+  Time heartbeat_interval = 100'000;
+  unsigned snapshot_threshold = 256;  // entries between two snapshots
+  unsigned trailing_entries = 64;     // kept behind a snapshot for followers that lag a little
 };
 
 class Raft {
  public:
   struct Callbacks {
     std::function<void(const std::string& to, std::string frame)> send;
-    std::function<void(std::uint64_t number, LogWrite store)> store;
+    std::function<void(std::uint64_t number, LogWrite write)> store;
     std::function<void(std::string_view command)> apply;
     std::function<std::string()> snapshot;
-    std::function<bool(std::string_view)> restore;
+    std::function<bool(std::string_view snapshot)> restore;
   };
-  // `found`: the first voters of a new cluster, where the disk is pristine and all agree that there
-  // is none.
-  Raft(const std::string& name, const RaftSettings& settings, PersistedLog saved,
-       const std::vector<std::string>& found, std::uint64_t seed, Time now, Callbacks hooks);
+  /// `founding_voters`: the voters of a new cluster, where all of them have empty disks; otherwise
+  /// empty.
+  Raft(const std::string& name, const RaftSettings& settings, PersistedLog log,
+       const std::vector<std::string>& founding_voters, std::uint64_t seed, Time now,
+       Callbacks callbacks);
   ~Raft();
   Raft(const Raft&) = delete;
   Raft& operator=(const Raft&) = delete;
 
-  void tick(Time now);  // when due
-  Time next_tick() const { return next_; }
+  /// To be called at next_tick().
+  void tick(Time now);
+  Time next_tick() const { return next_tick_; }
   void receive(Time now, const std::string& from, std::string_view frame);
-  void on_write_done(Time now, std::uint64_t number, bool good);
-  // False: we do not lead.
+  void on_write_done(Time now, std::uint64_t number, bool is_ok);
+
+  /// Appends a command to the log. False if this server does not lead.
   bool propose(Time now, const std::string& command);
-  // One change of the voters at a time; `done` once it is committed, or not.
+
   enum class MembershipChange { add_spare, promote_to_voter, remove };
-  bool change_membership(Time now, MembershipChange change, const std::string& who,
-                         std::function<void(bool)> done);
+  /// One change at a time. `done` is called once it is committed, or with false when it has failed.
+  /// False if it could not be begun.
+  bool change_membership(Time now, MembershipChange change, const std::string& server,
+                         std::function<void(bool is_committed)> done);
 
-  // Neither votes for nor stands as one whose log is behind that, until then: term and index of an
-  // entry.
-  void restrict_votes(std::pair<std::uint64_t, std::uint64_t> floor, Time until) {
-    floor_ = floor, until_ = until;
+  /// Until then this server neither votes for nor stands as a candidate whose log is behind
+  /// `floor`.
+  void restrict_votes(LogPosition floor, Time until) {
+    vote_floor_ = floor;
+    vote_floor_until_ = until;
   }
-  // What `who` has acknowledged to us and cannot lose: a term, and an index that is committed.
-  std::pair<std::uint64_t, std::uint64_t> acknowledged(const std::string& who) const;
-  std::uint64_t last_term() const;
 
+  /// What a peer has acknowledged to this server and must not lose: a term, and an index that is
+  /// committed.
+  struct Acknowledgement {
+    std::uint64_t term = 0;
+    std::uint64_t index = 0;
+  };
+  Acknowledgement acknowledged_by(const std::string& peer) const;
+
+  /// True while nobody else can lead; see above.
   bool has_leader_lease(Time now) const;
-  // We lead, and all that was ever committed before is applied.
+  /// This server leads, and all entries committed before its term are applied.
   bool is_term_established() const {
-    return is_leader() && barrier_term_ == raft_.current_term && barrier_done_;
+    return is_leader() && barrier_term_ == raft_.current_term && is_barrier_done_;
   }
   bool is_leader() const { return raft_.state == RAFT_LEADER; }
-  std::string leader() const;  // as known here; empty: none
+  /// The leader's name as known here; empty if none is known.
+  std::string leader() const;
   std::uint64_t term() const { return raft_.current_term; }
   std::uint64_t last_index() const { return raft_last_index(const_cast<raft*>(&raft_)); }
-  bool failed() const { return failed_; }
-  std::map<std::string, int> roles() const;      // role by name, as the newest configuration has it
-  bool has_server(std::string_view name) const;  // it is among them
+  std::uint64_t last_term() const;  // of the last entry
+  bool has_failed() const { return has_failed_; }
+  /// The library's role by server name, from the newest configuration.
+  std::map<std::string, int> roles() const;
+  bool has_server(std::string_view name) const;  // in the newest configuration
 
  private:
-  struct Pending {  // a store under way, and whom it is to be told
+  // A write that is under way, and the library's request that waits for it.
+  struct PendingWrite {
     std::uint64_t number = 0;
     raft_io_append* append = nullptr;
-    raft_io_snapshot_put* put = nullptr;
+    raft_io_snapshot_put* snapshot_put = nullptr;
   };
-  struct Held {
-    std::uint64_t after = 0;  // the store that must be done
+  // A message or a reading of the snapshot that must wait for the writes ahead of it.
+  struct DeferredOutput {
+    std::uint64_t after_write = 0;
     std::string to;
-    std::string frame;
-    raft_io_send* request = nullptr;
-    raft_io_snapshot_get* get = nullptr;
+    std::string frame;  // empty: dropped
+    raft_io_send* send = nullptr;
+    raft_io_snapshot_get* snapshot_get = nullptr;
   };
-  struct Heard {  // the last word of a leader that we took
-    std::uint64_t term = 0;
-    Time sent = 0;
-  };
-  static Raft& of(raft_io* io) { return *static_cast<Raft*>(io->impl); }
-  void set_io();
-  int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* start,
-           raft_entry** entries, std::size_t* n);
+  struct MembershipRequest;
+  struct BarrierRequest;
+
+  static Raft& from(raft_io* io) { return *static_cast<Raft*>(io->impl); }
+  static Raft& from(raft_fsm* fsm) { return *static_cast<Raft*>(fsm->data); }
+  void set_lifecycle_functions();
+  void set_storage_functions();
+  void set_snapshot_functions();
+  void set_state_machine_functions();
+
+  void bootstrap(const std::vector<std::string>& voters);
+  int record_bootstrap(const raft_configuration& configuration);
+  int load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first_index,
+           raft_entry** entries, std::size_t* count);
+  int append(raft_io_append* request, const raft_entry* entries, unsigned count,
+             raft_io_append_cb done);
+  int put_snapshot(unsigned trailing, raft_io_snapshot_put* request, const raft_snapshot& snapshot,
+                   raft_io_snapshot_put_cb done);
   int send(raft_io_send* request, const raft_message& message, raft_io_send_cb done);
-  std::uint64_t store(LogWrite s);
-  void release();
-  void begin_term();
-  void confirm(const std::string& from, std::uint64_t term, Time sent);
-  Time since_leading() const;
-  std::string pack(const raft_message& m) const;
-  bool unpack(std::string_view frame, const std::string& from, raft_message& m, Time& sent);
-
-  const std::string name_;
-  const RaftSettings set_;
-  PersistedLog saved_;
-  Callbacks hooks_;
+  std::uint64_t store(LogWrite write);
+  void release_deferred_output();
+  void begin_term_if_leader();
+
+  bool is_below_vote_floor(const raft_request_vote& request) const;
+  bool may_vote_on(const raft_request_vote& request) const;
+  void record_acknowledgement(const std::string& peer, const raft_message& message);
+  void record_leader_contact(const std::string& leader, const raft_message& message, Time sent_at);
+  void record_confirmation(const std::string& peer, const LeaderContact& echo);
+  Time majority_confirmed_at() const;
+
+  const RaftSettings settings_;
+  PersistedLog log_;  // only until the library has loaded it
+  Callbacks callbacks_;
   std::mt19937_64 random_;
-  Time now_ = 0, next_ = 0, begun_ = 0;
+  Time now_ = 0;
+  Time next_tick_ = 0;
+  Time started_at_ = 0;
+
   raft raft_{};
   raft_io io_{};
   raft_fsm fsm_{};
-  raft_io_tick_cb tick_ = nullptr;
-  raft_io_recv_cb recv_ = nullptr;
-  raft_io_close_cb closed_ = nullptr;
-  std::uint64_t stores_ = 0, done_ = 0;
-  std::deque<Pending> pending_;
-  std::deque<Held> held_;
-  std::optional<Snapshot> snapshot_;  // the newest, to be given to others
-  std::map<std::string, Heard> heard_;
-  std::map<std::string, Time> confirmed_;
-  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> acknowledged_;
-  std::pair<std::uint64_t, std::uint64_t> floor_{0, 0};
-  Time until_ = 0;
-  std::uint64_t confirmed_term_ = 0, barrier_term_ = 0;
-  bool failed_ = false, changing_ = false, barrier_done_ = false;
-};
+  raft_io_tick_cb tick_callback_ = nullptr;
+  raft_io_recv_cb receive_callback_ = nullptr;
+  raft_io_close_cb close_callback_ = nullptr;
 
-// The library's id of a name; never 0.
-std::uint64_t raft_id_of(std::string_view name);
+  std::uint64_t writes_begun_ = 0;
+  std::uint64_t writes_done_ = 0;
+  std::deque<PendingWrite> pending_writes_;
+  std::deque<DeferredOutput> deferred_output_;
+  std::optional<Snapshot> snapshot_;  // the newest, to be sent to followers
+
+  std::map<std::string, LeaderContact> leader_contacts_;  // newest accepted, by leader
+  std::map<std::string, Time> confirmed_at_;              // by voter, in confirmed_term_
+  std::map<std::string, Acknowledgement> acknowledged_;   // by peer
+  std::uint64_t confirmed_term_ = 0;
+  std::uint64_t barrier_term_ = 0;
+  LogPosition vote_floor_;
+  Time vote_floor_until_ = 0;
+  bool has_failed_ = false;
+  bool is_changing_membership_ = false;
+  bool is_barrier_done_ = false;
+};
 
 }  // namespace alderspur::consensus
--- /dev/null
+++ b/src/consensus/raft_frame.cpp
@@ -0,0 +1,182 @@
+#include "consensus/raft_frame.h"
+
+#include <utility>
+#include <vector>
+
+#include "consensus/codec.h"
+#include "consensus/raft_conversions.h"
+
+namespace alderspur::consensus {
+namespace {
+
+using cluster::Packer;
+using cluster::Reader;
+
+constexpr std::size_t kMaxEntries = 4096;
+constexpr std::size_t kMaxEntryBytes = 64 << 10;
+constexpr std::size_t kMaxSnapshotBytes = 1 << 20;
+constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;
+
+void write(Packer& packer, const raft_append_entries& message) {
+  packer.array(5).number(message.term);
+  packer.number(message.prev_log_index).number(message.prev_log_term);
+  packer.number(message.leader_commit);
+  packer.array(message.n_entries);
+  for (unsigned i = 0; i < message.n_entries; ++i) {
+    const raft_entry& entry = message.entries[i];
+    packer.array(3).number(entry.term).number(entry.type).bytes(bytes_of(entry.buf));
+  }
+}
+
+void write(Packer& packer, const raft_append_entries_result& message) {
+  packer.array(3).number(message.term).number(message.rejected).number(message.last_log_index);
+}
+
+void write(Packer& packer, const raft_request_vote& message) {
+  packer.array(6).number(message.term).number(message.candidate_id);
+  packer.number(message.last_log_index).number(message.last_log_term);
+  packer.flag(message.disrupt_leader).flag(message.pre_vote);
+}
+
+void write(Packer& packer, const raft_request_vote_result& message) {
+  packer.array(3).number(message.term).flag(message.vote_granted);
+  packer.number(static_cast<std::uint64_t>(message.pre_vote));
+}
+
+void write(Packer& packer, const raft_install_snapshot& message) {
+  packer.array(5).number(message.term).number(message.last_index).number(message.last_term);
+  pack(packer, from_raft_configuration(message.conf, message.conf_index));
+  packer.bytes(bytes_of(message.data));
+}
+
+std::vector<LogEntry> read_entries(Reader& reader) {
+  std::vector<LogEntry> entries;
+  const auto count = reader.array(kMaxEntries);
+  for (std::uint32_t i = 0; i < count && reader.good; ++i) {
+    Reader fields = reader.item(i, 3);
+    LogEntry entry;
+    entry.term = fields.number();
+    entry.type = fields.number(RAFT_CHANGE);
+    entry.data = fields.bytes(kMaxEntryBytes);
+    reader.good = fields.good && entry.type >= RAFT_COMMAND;
+    entries.push_back(std::move(entry));
+  }
+  return entries;
+}
+
+// Memory for the library is allocated last, when nothing can be rejected any more.
+void read(Reader& reader, raft_append_entries& message) {
+  message.term = reader.number();
+  message.prev_log_index = reader.number();
+  message.prev_log_term = reader.number();
+  message.leader_commit = reader.number();
+  const auto entries = read_entries(reader);
+  if (!reader.good) return;
+  message.entries = to_raft_entries(entries);
+  message.n_entries = static_cast<unsigned>(entries.size());
+}
+
+void read(Reader& reader, raft_append_entries_result& message) {
+  message.term = reader.number();
+  message.rejected = reader.number();
+  message.last_log_index = reader.number();
+}
+
+void read(Reader& reader, raft_request_vote& message) {
+  message.term = reader.number();
+  message.candidate_id = reader.number();
+  message.last_log_index = reader.number();
+  message.last_log_term = reader.number();
+  message.disrupt_leader = reader.flag();
+  message.pre_vote = reader.flag();
+}
+
+void read(Reader& reader, raft_request_vote_result& message) {
+  message.term = reader.number();
+  message.vote_granted = reader.flag();
+  message.pre_vote = static_cast<raft_tribool>(reader.number(raft_tribool_false));
+}
+
+void read(Reader& reader, raft_install_snapshot& message) {
+  message.term = reader.number();
+  message.last_index = reader.number();
+  message.last_term = reader.number();
+  const Configuration configuration = read_configuration(reader);
+  const auto data = reader.bytes(kMaxSnapshotBytes);
+  if (!reader.good) return;
+  message.conf = to_raft_configuration(configuration);
+  message.conf_index = configuration.index;
+  message.data = to_raft_buffer(data);
+}
+
+bool read_fields(Reader& reader, std::string_view sender, raft_message& message) {
+  switch (message.type) {
+    case RAFT_IO_APPEND_ENTRIES:
+      read(reader, message.append_entries);
+      return reader.good;
+    case RAFT_IO_APPEND_ENTRIES_RESULT:
+      read(reader, message.append_entries_result);
+      return reader.good;
+    case RAFT_IO_REQUEST_VOTE: {
+      const raft_request_vote& request = message.request_vote;
+      read(reader, message.request_vote);
+      // `disrupt_leader` is set by a candidate to which a leader has handed over its leadership;
+      // that never happens here, and it would break the leader's lease.
+      return reader.good && request.candidate_id == raft_id_of(sender) && !request.disrupt_leader;
+    }
+    case RAFT_IO_REQUEST_VOTE_RESULT:
+      read(reader, message.request_vote_result);
+      return reader.good;
+    case RAFT_IO_INSTALL_SNAPSHOT:
+      read(reader, message.install_snapshot);
+      return reader.good;
+    default:
+      return false;
+  }
+}
+
+}  // namespace
+
+std::string encode_raft_frame(const RaftFrameHeader& header, const raft_message& message) {
+  Packer packer;
+  packer.array(5).number(message.type);
+  packer.number(static_cast<std::uint64_t>(header.sent_at));
+  packer.number(header.echo.term);
+  packer.number(static_cast<std::uint64_t>(header.echo.sent_at));
+  switch (message.type) {
+    case RAFT_IO_APPEND_ENTRIES:
+      write(packer, message.append_entries);
+      break;
+    case RAFT_IO_APPEND_ENTRIES_RESULT:
+      write(packer, message.append_entries_result);
+      break;
+    case RAFT_IO_REQUEST_VOTE:
+      write(packer, message.request_vote);
+      break;
+    case RAFT_IO_REQUEST_VOTE_RESULT:
+      write(packer, message.request_vote_result);
+      break;
+    case RAFT_IO_INSTALL_SNAPSHOT:
+      write(packer, message.install_snapshot);
+      break;
+    default:
+      break;  // RAFT_IO_TIMEOUT_NOW is never sent; nobody could read it
+  }
+  return packer.take();
+}
+
+std::optional<DecodedRaftFrame> decode_raft_frame(std::string_view frame, std::string_view sender) {
+  const cluster::Unpacked unpacked(frame);
+  if (!unpacked.good) return {};
+  Reader head(unpacked.m.data, 5);
+  DecodedRaftFrame decoded;
+  decoded.message.type = static_cast<unsigned short>(head.number(RAFT_IO_TIMEOUT_NOW));
+  decoded.header.sent_at = static_cast<Time>(head.number(kMaxTime));
+  decoded.header.echo.term = head.number();
+  decoded.header.echo.sent_at = static_cast<Time>(head.number(kMaxTime));
+  Reader fields(head.next(), 3);
+  if (!head.good || !read_fields(fields, sender, decoded.message)) return {};
+  return decoded;
+}
+
+}  // namespace alderspur::consensus
--- a/src/consensus/version.cpp
+++ b/src/consensus/version.cpp
@@ -3,85 +3,107 @@
 #include <openssl/sha.h>
 
 #include <algorithm>
+#include <array>
+#include <iterator>
+#include <set>
 
 #include "cluster/packing.h"
 
 namespace alderspur::consensus {
 namespace {
 
-std::vector<std::string_view> lines(std::string_view text) {
-  std::vector<std::string_view> out;
+std::vector<std::string_view> sorted_lines(std::string_view text) {
+  std::vector<std::string_view> lines;
   while (!text.empty()) {
-    const auto end = std::min(text.find('\n'), text.size());
-    out.push_back(text.substr(0, end));
+    const std::size_t end = std::min(text.find('\n'), text.size());
+    lines.push_back(text.substr(0, end));
     text.remove_prefix(std::min(end + 1, text.size()));
   }
-  std::sort(out.begin(), out.end());
-  return out;
+  std::sort(lines.begin(), lines.end());
+  return lines;
+}
+
+std::vector<std::string_view> lines_only_in(const std::vector<std::string_view>& lines,
+                                            const std::vector<std::string_view>& others) {
+  std::vector<std::string_view> result;
+  std::set_difference(lines.begin(), lines.end(), others.begin(), others.end(),
+                      std::back_inserter(result));
+  return result;
+}
+
+std::string describe_document_change(const std::string& name, std::string_view old_text,
+                                     std::string_view new_text) {
+  const auto old_lines = sorted_lines(old_text);
+  const auto new_lines = sorted_lines(new_text);
+  const std::size_t added = lines_only_in(new_lines, old_lines).size();
+  const std::size_t removed = lines_only_in(old_lines, new_lines).size();
+  std::string description =
+      name + ": " + std::to_string(added) + " lines added, " + std::to_string(removed) + " removed";
+  if (added == 0 && removed == 0) description += ", in another order";
+  return description;
 }
 
 }  // namespace
 
+bool CanaryRollout::includes(std::string_view router) const {
+  return std::find(routers.begin(), routers.end(), router) != routers.end();
+}
+
 std::string encode(const Content& content) {
-  cluster::Packer p;
-  p.array(content.size());
-  for (const auto& [name, text] : content) p.array(2).text(name).bytes(text);
-  return p.take();
+  cluster::Packer packer;
+  packer.array(content.size());
+  for (const auto& [name, text] : content) packer.array(2).text(name).bytes(text);
+  return packer.take();
 }
 
 std::optional<Content> decode_content(std::string_view bytes) {
   if (bytes.size() > kMaxContentBytes) return {};
-  const cluster::Unpacked u(bytes);
-  if (!u.good || u.m.data.type != MSGPACK_OBJECT_ARRAY || u.m.data.via.array.size > kMaxDocuments)
-    return {};
-  cluster::Reader all(u.m.data, 0);
-  Content out;
-  for (std::uint32_t i = 0; i < u.m.data.via.array.size; ++i) {
-    cluster::Reader r(all.next(), 2);
-    auto name = r.text();
-    const auto text = r.bytes(kMaxContentBytes);
-    if (!r.good || name.empty() || !out.try_emplace(std::move(name), text).second) return {};
+  const cluster::Unpacked unpacked(bytes);
+  if (!unpacked.good) return {};
+  const msgpack_object& root = unpacked.m.data;
+  if (root.type != MSGPACK_OBJECT_ARRAY || root.via.array.size > kMaxDocuments) return {};
+  cluster::Reader documents(root, 0);
+  Content content;
+  for (std::uint32_t i = 0; i < root.via.array.size; ++i) {
+    cluster::Reader document(documents.next(), 2);
+    auto name = document.text();
+    const auto text = document.bytes(kMaxContentBytes);
+    if (!document.good || name.empty()) return {};
+    const bool is_new = content.try_emplace(std::move(name), text).second;
+    if (!is_new) return {};
   }
-  return out;
+  return content;
 }
 
 std::string content_digest(std::string_view encoded) {
-  unsigned char sum[SHA256_DIGEST_LENGTH];
-  SHA256(reinterpret_cast<const unsigned char*>(encoded.data()), encoded.size(), sum);
-  std::string out;
-  for (const unsigned char c : sum) {
-    constexpr char kDigits[] = "0123456789abcdef";
-    out += kDigits[c >> 4];
-    out += kDigits[c & 15];
+  std::array<unsigned char, SHA256_DIGEST_LENGTH> sum{};
+  SHA256(reinterpret_cast<const unsigned char*>(encoded.data()), encoded.size(), sum.data());
+  constexpr std::string_view kDigits = "0123456789abcdef";
+  std::string digest;
+  for (const unsigned char byte : sum) {
+    digest += kDigits[byte >> 4];
+    digest += kDigits[byte & 15];
   }
-  return out;
+  return digest;
 }
 
 std::vector<std::string> describe_changes(const Content& from, const Content& to) {
-  std::vector<std::string> out;
-  const auto names = [&] {
-    std::map<std::string_view, int> all;
-    for (const auto& [name, text] : from) all[name] |= 1;
-    for (const auto& [name, text] : to) all[name] |= 2;
-    return all;
-  }();
-  for (const auto& [name, in] : names) {
-    const std::string word(name);
-    if (in != 3) {
-      out.push_back(word + (in == 1 ? ": removed" : ": new"));
-      continue;
+  std::set<std::string> names;
+  for (const auto& [name, text] : from) names.insert(name);
+  for (const auto& [name, text] : to) names.insert(name);
+  std::vector<std::string> changes;
+  for (const auto& name : names) {
+    const auto old_document = from.find(name);
+    const auto new_document = to.find(name);
+    if (new_document == to.end()) {
+      changes.push_back(name + ": removed");
+    } else if (old_document == from.end()) {
+      changes.push_back(name + ": new");
+    } else if (old_document->second != new_document->second) {
+      changes.push_back(describe_document_change(name, old_document->second, new_document->second));
     }
-    const auto &a = from.find(name)->second, &b = to.find(name)->second;
-    if (a == b) continue;
-    const auto x = lines(a), y = lines(b);
-    std::vector<std::string_view> less, more;
-    std::set_difference(x.begin(), x.end(), y.begin(), y.end(), std::back_inserter(less));
-    std::set_difference(y.begin(), y.end(), x.begin(), x.end(), std::back_inserter(more));
-    out.push_back(word + ": " + std::to_string(more.size()) + " lines added, " +
-                  std::to_string(less.size()) + " removed" +
-                  (less.empty() && more.empty() ? ", in another order" : ""));
   }
-  return out;
+  return changes;
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/version.h
+++ b/src/consensus/version.h
@@ -1,11 +1,14 @@
-// What routers agree on: a content of named documents, and the version that stands for it.
+// The unit of agreement: a content (a set of named documents) and the version that stands for it.
 //
-// A content is taken whole: lists of servers, programs of routes, the shared part of the settings,
-// each a text under its name. A version names a content by its digest (SHA-256 over all names and
-// texts), carries a number that never goes back, and says whose it is and what it was made from.
-// Values; no I/O.
+// A content is replaced as a whole; its documents are endpoint lists, routing programs and the
+// shared part of the settings, each a text under its name. A version identifies a content by its
+// digest (SHA-256 over all names and texts) and carries a number that never decreases, its author
+// and the number of the version it was derived from.
+//
+// Values only: no I/O, safe to copy between threads.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -18,43 +21,50 @@
 
 namespace alderspur::consensus {
 
-using core::Time;
+using core::Time;  // microseconds
 
-constexpr std::size_t kMaxContentBytes = 16 << 20, kMaxDocuments = 64, kMaxNoteLength = 200;
+constexpr std::size_t kMaxContentBytes = 16 << 20;  // of an encoded content
+constexpr std::size_t kMaxDocuments = 64;           // of one content
+constexpr std::size_t kMaxNoteLength = 200;         // of a note or a reason
 constexpr Time kMaxCanaryDuration = 86'400'000'000;
 
-using Content = std::map<std::string, std::string, std::less<>>;  // text by document
+using Content = std::map<std::string, std::string, std::less<>>;  // text by document name
 using ContentPtr = std::shared_ptr<const Content>;
 
 std::string encode(const Content& content);
-// Empty: no content of this form, or beyond the bounds.
+/// Empty if the bytes are no encoded content or exceed the limits above.
 std::optional<Content> decode_content(std::string_view bytes);
-std::string content_digest(std::string_view encoded);  // 64 hexadecimal digits
+/// SHA-256 of an encoded content as 64 hexadecimal digits.
+std::string content_digest(std::string_view encoded);
 
-// A version that holds for some routers first. It goes on to all, or is taken back: by an
-// operator's word, by what the first ones see (`harm`), or when its time is over.
+/// A version that applies to a few routers first. It is promoted to all routers or rolled back: by
+/// an operator, because of failures at the canary routers, or when its time is over.
 struct CanaryRollout {
-  std::vector<std::string> routers;  // members' names; none: no trial
+  std::vector<std::string> routers;  // names of the canary routers; empty: no canary rollout
   Time duration = 0;
-  double max_failure_increase =
-      0.05;                        // of requests ended badly there, over that elsewhere: taken back
-  bool promote_on_expiry = false;  // when its time is over without harm; else it is taken back
-  explicit operator bool() const { return !routers.empty(); }
+  double max_failure_increase = 0.05;  // failure ratio above that of the other routers: roll back
+  bool promote_on_expiry = false;      // at the end of `duration`; otherwise it is rolled back
+
+  bool is_active() const { return !routers.empty(); }
+  bool includes(std::string_view router) const;
   bool operator==(const CanaryRollout&) const = default;
 };
 
 struct Version {
-  std::uint64_t number = 0;        // 0: none
-  std::string digest;              // of the encoded content
-  std::uint64_t base_number = 0;   // the number it was made from
-  std::uint64_t content_size = 0;  // of the encoded content
-  std::string author, note;
-  CanaryRollout canary;  // while it is one
+  std::uint64_t number = 0;  // 0: none
+  std::string digest;        // of the encoded content
+  std::uint64_t base_number = 0;
+  std::uint64_t content_size = 0;  // bytes, encoded
+  std::string author;
+  std::string note;
+  CanaryRollout canary;  // while the version is in a canary rollout
+
+  bool is_canary() const { return canary.is_active(); }
   bool operator==(const Version&) const = default;
 };
 
-// What one content has otherwise than another, a line a document: "servers: 3 lines added, 1
-// removed".
+/// The differences of two contents, one line per document, such as
+/// "servers: 3 lines added, 1 removed".
 std::vector<std::string> describe_changes(const Content& from, const Content& to);
 
 }  // namespace alderspur::consensus
--- a/tests/consensus/consensus_node_test.cpp
+++ b/tests/consensus/consensus_node_test.cpp
@@ -236,7 +236,7 @@
     ASSERT_TRUE(w.run_until([&] { return w.result(go) && w.all_use("two"); })) << w.describe();
     EXPECT_TRUE(w.result(go)->is_accepted);
     EXPECT_EQ(w.router(3).active.version.number, 2u);
-    EXPECT_TRUE(w.run_until([&] { return !w.router(1).active.version.canary; }))
+    EXPECT_TRUE(w.run_until([&] { return !w.router(1).active.version.is_canary(); }))
         << "it is none any more";
     ASSERT_NO_VIOLATION(w);
   }
