--- a/src/consensus/codec.cpp
+++ b/src/consensus/codec.cpp
@@ -86,9 +86,10 @@
 
 void pack(Packer& packer, const std::vector<RaftServer>& servers) {
   packer.array(servers.size());
-  for (const auto& server : servers)
+  for (const auto& server : servers) {
     packer.array(2).text(server.name).number(static_cast<std::uint64_t>(server.role));
 }
+}
 
 std::vector<RaftServer> read_servers(Reader& reader) {
   std::vector<RaftServer> servers;
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -100,9 +100,10 @@
   std::string text = "format = 1\ngeneration = " + number + "\nconfirm = " + number +
                      "\nservers = " + std::to_string(list.servers.size()) + "\n";
   for (const auto& hub : list.hubs) text += "[[hub]]\nname = " + quoted(hub) + "\n";
-  for (const auto& point : list.points)
+  for (const auto& point : list.points) {
     text += "[[point]]\nname = " + quoted(point.name) + "\nhub = " + quoted(list.hubs[point.hub]) +
             "\n";
+}
   for (const auto& server : list.servers) text += server_text(list, server);
   return text;
 }
--- a/src/consensus/content_store.cpp
+++ b/src/consensus/content_store.cpp
@@ -151,8 +151,9 @@
 
 Time ContentStore::next_deadline() const {
   Time next = fetch_ ? fetch_->retry_at : kNever;
-  for (const auto& [digest, entry] : entries_)
+  for (const auto& [digest, entry] : entries_) {
     if (entry.rewrite_at != 0) next = std::min(next, entry.rewrite_at);
+}
   return next;
 }
 
--- a/src/consensus/lease_client.cpp
+++ b/src/consensus/lease_client.cpp
@@ -64,9 +64,10 @@
 
 void LeaseClient::learn_accepted(const Version& version) {
   if (!applies_here(version) || version.number <= target_.number) return;
-  if (!persisted_.accepted || version.number > persisted_.accepted->number)
+  if (!persisted_.accepted || version.number > persisted_.accepted->number) {
     persisted_.accepted = version;
 }
+}
 
 void LeaseClient::follow_applied_state(const AppliedState& state) {
   learn_current(state.current());
@@ -111,12 +112,14 @@
   if (is_leader) set_leader(context_.name());
   const std::string receiver = leader_.empty() ? voters[next_voter_++ % voters.size()] : leader_;
   unanswered_requests_.insert(now);
-  while (unanswered_requests_.size() > kMaxUnansweredRequests)
+  while (unanswered_requests_.size() > kMaxUnansweredRequests) {
     unanswered_requests_.erase(unanswered_requests_.begin());
+}
   context_.send(receiver, make_request(learner_id));
-  if (!has_lease() && !context_.peers().empty())
+  if (!has_lease() && !context_.peers().empty()) {
     context_.send(context_.random_peer(), VersionQuery{});
 }
+}
 
 LeaseRequest LeaseClient::make_request(std::uint64_t learner_id) const {
   const ConsensusSettings& settings = context_.settings();
@@ -226,8 +229,9 @@
   };
   add(leader_);
   for (const auto& voter : voters) add(voter);
-  if (!context_.peers().empty())
+  if (!context_.peers().empty()) {
     for (int i = 0; i < kRandomSources; ++i) add(context_.random_peer());
+}
   if (pending_) add(pending_->author);
   return sources;
 }
@@ -245,8 +249,9 @@
   active_.version = target_;
   active_.content = contents_.content(target_.digest);
   persisted_.current = target_;
-  if (persisted_.accepted && persisted_.accepted->number <= target_.number)
+  if (persisted_.accepted && persisted_.accepted->number <= target_.number) {
     persisted_.accepted.reset();
+}
   if (pending_ && pending_->number <= target_.number) pending_.reset();
   lease_until_ = 0;  // it was granted on the older version
   renew_within(0);
@@ -260,13 +265,15 @@
   if (!active_.is_conservative) return;
   const auto add = [this](const Version& version) {
     const ContentPtr content = contents_.content(version.digest);
-    if (version.number > active_.version.number && content)
+    if (version.number > active_.version.number && content) {
       active_.newer_contents.push_back(content);
+}
   };
   add(target_);
-  if (persisted_.accepted && persisted_.accepted->number != target_.number)
+  if (persisted_.accepted && persisted_.accepted->number != target_.number) {
     add(*persisted_.accepted);
 }
+}
 
 void LeaseClient::report_changes() {
   if (persisted_ != last_persisted_) {
--- a/src/consensus/lease_table.cpp
+++ b/src/consensus/lease_table.cpp
@@ -103,9 +103,10 @@
   // What an earlier leader granted, by the router's own account. Once those leases have run out, it
   // can hold nothing that is not in this table.
   const bool reports_share = request.total_share + request.location_share > 0;
-  if (now < earlier_leases_expired_at_ && reports_share)
+  if (now < earlier_leases_expired_at_ && reports_share) {
     holder.granted.push_back({request.last_grant_id, request.epoch, request.total_share,
                               request.location_share, now + max_lease_duration()});
+}
   return holder;
 }
 
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -50,8 +50,9 @@
 class Statement {
  public:
   Statement(sqlite3* database, const char* sql) {
-    if (sqlite3_prepare_v2(database, sql, -1, &statement_, nullptr) != SQLITE_OK)
+    if (sqlite3_prepare_v2(database, sql, -1, &statement_, nullptr) != SQLITE_OK) {
       statement_ = nullptr;
+}
   }
   ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
@@ -155,8 +156,9 @@
       sqlite3_open_v2(file.c_str(), &database,
                       SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
   database_.reset(database);
-  if (code != SQLITE_OK)
+  if (code != SQLITE_OK) {
     return {LogStoreErrorCode::cannot_open, "cannot open " + file + ": " + sqlite3_errstr(code)};
+}
   return execute(kSchema);
 }
 
@@ -198,10 +200,11 @@
   }
   // A process killed between a write and its mark leaves the database one ahead.
   const std::uint64_t marked_count = std::strtoull(mark.payload->c_str(), nullptr, 10);
-  if (write_count_ < marked_count || write_count_ > marked_count + 1)
+  if (write_count_ < marked_count || write_count_ > marked_count + 1) {
     return {LogStoreErrorCode::mark_mismatch, "agree.db holds " + std::to_string(write_count_) +
                                                   " stores, " + std::to_string(marked_count) +
                                                   " were told"};
+}
   return {};
 }
 
@@ -228,8 +231,9 @@
   for (; step == SQLITE_ROW; step = rows.step()) {
     const std::string key = rows.bytes(0);
     const std::uint64_t value = rows.number(1);
-    if (rows.number(2) != number_checksum(key, value))
+    if (rows.number(2) != number_checksum(key, value)) {
       return corrupt("agree.db: " + key + " is spoilt");
+}
     if (key == kTermKey) numbers.term = value;
     if (key == kVoteKey) numbers.vote = value;
     if (key == kWriteCountKey) write_count_ = value;
@@ -247,8 +251,9 @@
   if (step != SQLITE_ROW) return unreadable();
   const std::string data = row.bytes(0);
   log.snapshot = decode_snapshot(data);
-  if (!log.snapshot || row.number(1) != checksum(data, kSnapshotSeed))
+  if (!log.snapshot || row.number(1) != checksum(data, kSnapshotSeed)) {
     return corrupt("agree.db: its snapshot is spoilt");
+}
   return {};
 }
 
@@ -260,14 +265,16 @@
   for (; step == SQLITE_ROW; step = rows.step()) {
     LogEntry entry{rows.number(1), rows.number(2), rows.bytes(3)};
     last_checksum = entry_checksum(entry, index, last_checksum);
-    if (rows.number(0) != index || rows.number(4) != last_checksum)
+    if (rows.number(0) != index || rows.number(4) != last_checksum) {
       return corrupt("agree.db: record " + std::to_string(index) + " is spoilt or missing");
+}
     log.entries.push_back(std::move(entry));
     ++index;
   }
   if (step != SQLITE_DONE) return unreadable();
-  if (write_count_ != 0 && index != numbers.last_index + 1)
+  if (write_count_ != 0 && index != numbers.last_index + 1) {
     return corrupt("agree.db: the end of the log is missing");
+}
   return {};
 }
 
@@ -370,8 +377,9 @@
   const std::uint64_t last_checksum = checksum_at(index);
   Statement removal(database_.get(), "DELETE FROM log WHERE at <= ?");
   if (!removal.bind_number(index).run()) return last_database_error();
-  if (auto status = put_number(kChecksumBeforeFirstKey, last_checksum); !status.is_ok())
+  if (auto status = put_number(kChecksumBeforeFirstKey, last_checksum); !status.is_ok()) {
     return status;
+}
   return put_number(kFirstIndexKey, index + 1);
 }
 
@@ -391,8 +399,9 @@
     const std::string file = path(name);
     if (!std::filesystem::exists(file, error)) continue;
     std::filesystem::rename(file, file + kSetAsideSuffix, error);
-    if (error)
+    if (error) {
       return {LogStoreErrorCode::file_error, "cannot set aside " + file + ": " + error.message()};
+}
   }
   write_count_ = 0;
   is_out_of_service_ = true;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -26,8 +26,9 @@
   if (admission.is_admitted) return true;
   raft.change_membership(now, Change::remove, name, [this, name, learner_id](bool is_committed) {
     const auto found = admissions_.find(name);
-    if (is_committed && found != admissions_.end() && found->second.learner_id == learner_id)
+    if (is_committed && found != admissions_.end() && found->second.learner_id == learner_id) {
       found->second.is_admitted = true;
+}
   });
   return false;
 }
--- a/src/consensus/proposal_queue.cpp
+++ b/src/consensus/proposal_queue.cpp
@@ -21,8 +21,9 @@
 
 std::string ProposalQueue::reason_against_content(const OperatorProposal& proposal,
                                                   const std::string& encoded) {
-  if (proposal.content.empty() || proposal.content.size() > kMaxDocuments)
+  if (proposal.content.empty() || proposal.content.size() > kMaxDocuments) {
     return "a content has 1 to 64 documents";
+}
   if (encoded.size() > kMaxContentBytes) return "over 16 MB";
   const CanaryRollout& canary = proposal.canary;
   if (canary.routers.size() > kMaxVoters) return "a trial has 7 first routers at most";
@@ -46,8 +47,9 @@
 }
 
 void ProposalQueue::add(const OperatorProposal& proposal) {
-  if (proposals_.size() >= kMaxOpenProposals)
+  if (proposals_.size() >= kMaxOpenProposals) {
     return finish(proposal.nonce, "too many proposals are under way here");
+}
   OpenProposal open;
   open.request.nonce = proposal.nonce;
   open.give_up_at = context_.now() + kMaxProposalTime;
@@ -55,8 +57,9 @@
   if (!proposal.voters.empty()) {
     open.request.voters = proposal.voters;
     const std::size_t count = proposal.voters.size();
-    if (count > kMaxVoters || count % 2 == 0)
+    if (count > kMaxVoters || count % 2 == 0) {
       return finish(proposal.nonce, "take 1, 3, 5 or 7 voters");
+}
   } else if (proposal.canary_decision) {
     open.decision = proposal.canary_decision;
     open.decision->nonce = proposal.nonce;
@@ -77,20 +80,24 @@
   const auto& leader_protocol = lease_client_.leader_protocol_version();
   // For a leader of an earlier program it would be a version like any other and apply to all
   // routers at once.
-  if (version.is_canary() && leader_protocol && *leader_protocol < kProtocolWithCanaries)
+  if (version.is_canary() && leader_protocol && *leader_protocol < kProtocolWithCanaries) {
     return "the program of " + lease_client_.leader() + ", which leads, knows no trials";
+}
   const ContentStore::Entry* entry = contents_.find(version.digest);
-  if (proposal.has_content() && entry && entry->is_rejected())
+  if (proposal.has_content() && entry && entry->is_rejected()) {
     return "refused here: " + entry->rejection_reason;
-  if (context_.now() >= proposal.give_up_at)
+}
+  if (context_.now() >= proposal.give_up_at) {
     return "no answer from the voters; it may still come into force, ask which versions there are";
+}
   return {};
 }
 
 void ProposalQueue::send(const OpenProposal& proposal, const std::vector<std::string>& voters) {
   std::string receiver = lease_client_.leader();
-  if (receiver.empty() && !voters.empty())
+  if (receiver.empty() && !voters.empty()) {
     receiver = voters[context_.random_number() % voters.size()];
+}
   const Version& version = proposal.request.version;
   const ContentStore::Entry* entry = contents_.find(version.digest);
   const bool is_stored = !proposal.has_content() || (entry && entry->is_usable());
@@ -138,8 +145,9 @@
 
 Time ProposalQueue::next_deadline() const {
   Time next = std::numeric_limits<Time>::max();
-  for (const auto& proposal : proposals_)
+  for (const auto& proposal : proposals_) {
     next = std::min({next, proposal.send_at, proposal.give_up_at});
+}
   return next;
 }
 
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -30,8 +30,9 @@
   set_storage_functions();
   set_snapshot_functions();
   set_state_machine_functions();
-  if (raft_init(&raft_, &io_, &fsm_, raft_id_of(name), name.c_str()))
+  if (raft_init(&raft_, &io_, &fsm_, raft_id_of(name), name.c_str())) {
     throw std::runtime_error("consensus cannot start");
+}
   raft_set_election_timeout(&raft_,
                             static_cast<unsigned>(settings_.election_timeout / kMillisecond));
   raft_set_heartbeat_timeout(&raft_,
@@ -294,8 +295,9 @@
 }
 
 bool Raft::has_server(std::string_view name) const {
-  for (unsigned i = 0; i < raft_.configuration.n; ++i)
+  for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     if (raft_.configuration.servers[i].address == name) return true;
+}
   return false;
 }
 
@@ -317,13 +319,15 @@
     const auto& result = message.append_entries_result;
     Acknowledgement& acknowledged = acknowledged_[peer];
     acknowledged.term = std::max<std::uint64_t>(acknowledged.term, result.term);
-    if (!result.rejected)
+    if (!result.rejected) {
       acknowledged.index = std::max<std::uint64_t>(acknowledged.index, result.last_log_index);
+}
   } else if (message.type == RAFT_IO_REQUEST_VOTE_RESULT) {
     const auto& result = message.request_vote_result;
     Acknowledgement& acknowledged = acknowledged_[peer];
-    if (result.pre_vote == raft_tribool_false)
+    if (result.pre_vote == raft_tribool_false) {
       acknowledged.term = std::max<std::uint64_t>(acknowledged.term, result.term);
+}
   }
 }
 
--- a/src/consensus/raft_conversions.cpp
+++ b/src/consensus/raft_conversions.cpp
@@ -71,8 +71,9 @@
 raft_configuration to_raft_configuration(const Configuration& configuration) {
   raft_configuration result;
   raft_configuration_init(&result);
-  for (const auto& server : configuration.servers)
+  for (const auto& server : configuration.servers) {
     raft_configuration_add(&result, raft_id_of(server.name), server.name.c_str(), server.role);
+}
   return result;
 }
 
--- a/src/consensus/startup_check.cpp
+++ b/src/consensus/startup_check.cpp
@@ -29,8 +29,9 @@
     return {Decision::use_log, {}, newest};
   }
   if (have_all_answered && empty + 1 == voters.size()) return {Decision::found_cluster, {}, {}};
-  for (const auto& [name, status] : statuses_)
+  for (const auto& [name, status] : statuses_) {
     if (!status.is_empty && !empty_voters_.contains(name)) return {Decision::log_is_lost, name, {}};
+}
   return {};
 }
 
--- a/src/consensus/version_rollout.cpp
+++ b/src/consensus/version_rollout.cpp
@@ -79,9 +79,10 @@
   comparison.has_evidence = true;
   comparison.canary_failure_ratio = canary_failures / canary_rate;
   const double other_rate = leases.total_request_rate() - canary_rate;
-  if (other_rate > kNoRequestRate)
+  if (other_rate > kNoRequestRate) {
     comparison.other_failure_ratio =
         std::max(0.0, leases.total_failure_rate() - canary_failures) / other_rate;
+}
   return comparison;
 }
 
@@ -111,15 +112,17 @@
     offered_since_ = now;
   }
   const OfferVotes votes = count_votes(version.number, roles, leases);
-  if (!votes.rejection.empty())
+  if (!votes.rejection.empty()) {
     return WithdrawVersion{version.number, to_printable(votes.rejection, kMaxNoteLength)};
+}
   // A voter whose disk hangs keeps its lease and never stores anything. It must not block the
   // version for ever; once the version is accepted, it loses its lease.
   const bool is_grace_over = now > offered_since_ + kVoterGraceTime;
   const bool has_majority = votes.stored > votes.voters / 2;
   if (has_majority && (!votes.may_reject || is_grace_over)) return AcceptVersion{version.number};
-  if (now > offered_since_ + kMaxOfferTime)
+  if (now > offered_since_ + kMaxOfferTime) {
     return WithdrawVersion{version.number, "its content did not reach enough voters in time"};
+}
   return {};
 }
 
@@ -137,8 +140,9 @@
   } else if (harmful_since_ == 0) {
     harmful_since_ = now;
   }
-  if (harmful_since_ != 0 && now >= harmful_since_ + kMinHarmfulTime)
+  if (harmful_since_ != 0 && now >= harmful_since_ + kMinHarmfulTime) {
     return RollBackCanary{0, version.number, comparison.describe()};
+}
   if (now < canary_since_ + canary.duration) return {};
   if (canary.promote_on_expiry) return PromoteCanary{0, version.number};
   return RollBackCanary{0, version.number, "its time is over"};
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -96,9 +96,10 @@
 void Voter::send_log_status(const std::vector<std::string>& voters) {
   if (context_.now() < send_log_status_at_) return;
   send_log_status_at_ = context_.now() + kLogStatusInterval;
-  for (const auto& voter : voters)
+  for (const auto& voter : voters) {
     if (voter != context_.name()) context_.send(voter, log_status_for(voter, true));
 }
+}
 
 void Voter::on_log_status(const std::string& from, const LogStatus& status) {
   if (status.wants_reply) context_.send(from, log_status_for(from, false));
@@ -110,9 +111,10 @@
   const bool uses_log =
       role_ == NodeRole::voter || (role_ == NodeRole::joining && !log_.is_empty());
   if (!uses_log || learner_id_ != 0 || status.wants_reply) return;
-  if (status.acknowledged_index > last_index || status.acknowledged_term > term)
+  if (status.acknowledged_index > last_index || status.acknowledged_term > term) {
     abandon_log("it holds less than it has acknowledged to " + from);
 }
+}
 
 void Voter::advance_start(const std::vector<std::string>& voters) {
   if (role_ == NodeRole::learner) {
@@ -219,8 +221,9 @@
   Time next = std::numeric_limits<Time>::max();
   if (raft_) next = std::min(next, raft_->next_tick());
   if (role_ == NodeRole::joining) next = std::min(next, send_log_status_at_);
-  if (role_ == NodeRole::learner && retry_reset_at_ > context_.now())
+  if (role_ == NodeRole::learner && retry_reset_at_ > context_.now()) {
     next = std::min(next, retry_reset_at_);
+}
   return next;
 }
 
--- a/tests/consensus/conservative_merge_test.cpp
+++ b/tests/consensus/conservative_merge_test.cpp
@@ -2,11 +2,9 @@
 
 #include <gtest/gtest.h>
 
+namespace alderspur::consensus {
 namespace {
 
-using namespace alderspur;
-using namespace alderspur::consensus;
-
 // Two characters a server: its name, upper case if it is draining, and its weight.
 endpoints::SnapshotPtr make_list(const std::string& servers) {
   std::string text = "format = 1\ngeneration = 3\nservers = " + std::to_string(servers.size() / 2) +
@@ -42,6 +40,7 @@
 
 std::string merge(const std::vector<std::string>& lists) {
   std::vector<endpoints::SnapshotPtr> parsed;
+  parsed.reserve(lists.size());
   for (const auto& list : lists) parsed.push_back(make_list(list));
   return shorthand(merge_conservatively(parsed));
 }
@@ -62,3 +61,4 @@
 }
 
 }  // namespace
+}  // namespace alderspur::consensus
--- a/tests/consensus/linearizability.h
+++ b/tests/consensus/linearizability.h
@@ -1,7 +1,7 @@
-// Judges what clients saw of a register that is changed by compare-and-set: of versions, whose
-// number in force is the register. An operation has the time of its call and of its answer; the
-// search is that of Wing and Gong (1993): is there an order of single moments, each within its
-// operation, that explains all answers?
+// Judges what clients saw of a register that is changed by compare-and-set: of versions, where the
+// register is the number of the current one. An operation has the times of its call and of its
+// response; the search is that of Wing and Gong (1993): is there an order of single moments, each
+// within its operation, that explains all responses?
 #pragma once
 
 #include <algorithm>
@@ -12,81 +12,99 @@
 #include <utility>
 #include <vector>
 
-namespace linearizability {
+namespace alderspur::consensus::linearizability {
 
-using Timestamp = std::int64_t;
+using Timestamp = std::int64_t;  // microseconds
 constexpr Timestamp kNoResponse = std::numeric_limits<Timestamp>::max();
 
 struct Operation {
-  enum class Kind { read, change } kind = Kind::read;
-  Timestamp called_at = 0,
-            answered_at =
-                kNoResponse;  // kNever: no answer; it may have happened at any time, or not
-  std::uint64_t base = 0;     // of a change
-  std::uint64_t number = 0;  // what was read, or what the change became; 0 of one without an answer
-  bool is_rejected = false;  // a change that was refused: it did not happen
+  enum class Kind { read, change };
+  Kind kind = Kind::read;
+  Timestamp called_at = 0;
+  Timestamp answered_at = kNoResponse;  // without a response it may have happened, or not
+  std::uint64_t base = 0;               // of a change
+  std::uint64_t number = 0;  // what was read, or what the change became; 0 without a response
+  bool is_rejected = false;  // a change that did not happen
 };
 
-inline std::string describe(const std::vector<Operation>& all) {
-  std::string out;
-  for (const auto& o : all)
-    out += (o.kind == Operation::Kind::read ? "read "
-                                            : "change from " + std::to_string(o.base) + " to ") +
-           std::to_string(o.number) + (o.is_rejected ? " refused" : "") + " [" +
-           std::to_string(o.called_at / 1000) + ", " +
-           (o.answered_at == kNoResponse ? "-" : std::to_string(o.answered_at / 1000)) + "] ms\n";
-  return out;
+/// One line an operation, for the message of a failed check.
+inline std::string describe(const std::vector<Operation>& operations) {
+  std::string text;
+  for (const auto& operation : operations) {
+    const bool is_read = operation.kind == Operation::Kind::read;
+    const bool is_answered = operation.answered_at != kNoResponse;
+    text += is_read ? "read " : "change from " + std::to_string(operation.base) + " to ";
+    text += std::to_string(operation.number);
+    text += operation.is_rejected ? " rejected" : "";
+    text += " [" + std::to_string(operation.called_at / 1000) + ", ";
+    text += is_answered ? std::to_string(operation.answered_at / 1000) : "-";
+    text += "] ms\n";
+  }
+  return text;
 }
 
 class LinearizabilitySearch {
  public:
-  explicit LinearizabilitySearch(std::vector<Operation> all) : all_(std::move(all)) {
-    std::erase_if(all_, [](const Operation& o) { return o.is_rejected; });
-    done_.resize(all_.size());
+  explicit LinearizabilitySearch(std::vector<Operation> operations)
+      : operations_(std::move(operations)) {
+    std::erase_if(operations_, [](const Operation& operation) { return operation.is_rejected; });
+    is_done_.resize(operations_.size());
   }
-  bool is_linearizable(std::uint64_t at = 0) {
-    Timestamp first_end = kNoResponse;  // nothing that was called after this may come next
-    bool left = false;
-    for (std::size_t i = 0; i < all_.size(); ++i)
-      if (!done_[i] && all_[i].answered_at != kNoResponse)
-        left = true, first_end = std::min(first_end, all_[i].answered_at);
-    if (!left) return true;  // those without an answer need not have happened
-    if (!seen_.insert({done_, at}).second) return false;
-    for (std::size_t i = 0; i < all_.size(); ++i) {
-      const Operation& o = all_[i];
-      if (done_[i] || o.called_at > first_end) continue;
-      if (o.kind == Operation::Kind::read ? o.number != at : o.base != at) continue;
-      // What a change without an answer became is told by whoever read it: any number above.
-      std::vector<std::uint64_t> to{o.number};
-      if (o.kind == Operation::Kind::read)
-        to = {at};
-      else if (o.answered_at == kNoResponse)
-        to = later(at);
-      for (const auto next : to) {
-        done_[i] = true;
+
+  /// True if the operations that are left have an order, when the register holds `value`.
+  bool is_linearizable(std::uint64_t value = 0) {
+    const Timestamp first_response = earliest_open_response();
+    // Those without a response need not have happened.
+    if (first_response == kNoResponse) return true;
+    const bool is_new_state = visited_.insert({is_done_, value}).second;
+    if (!is_new_state) return false;
+    for (std::size_t i = 0; i < operations_.size(); ++i) {
+      // An operation called after another's response cannot come before that one.
+      if (is_done_[i] || operations_[i].called_at > first_response) continue;
+      for (const std::uint64_t next : next_values(operations_[i], value)) {
+        is_done_[i] = true;
         if (is_linearizable(next)) return true;
-        done_[i] = false;
+        is_done_[i] = false;
       }
     }
     return false;
   }
 
  private:
-  std::vector<std::uint64_t> later(std::uint64_t at) const {
-    std::set<std::uint64_t> out;
-    for (const auto& o : all_) {
-      if (o.kind == Operation::Kind::read && o.number > at) out.insert(o.number);
-      if (o.kind == Operation::Kind::change && o.base > at) out.insert(o.base);
+  Timestamp earliest_open_response() const {
+    Timestamp earliest = kNoResponse;
+    for (std::size_t i = 0; i < operations_.size(); ++i) {
+      if (!is_done_[i]) earliest = std::min(earliest, operations_[i].answered_at);
+    }
+    return earliest;
+  }
+  // What the register may hold after that operation; nothing if it is not possible now.
+  std::vector<std::uint64_t> next_values(const Operation& operation, std::uint64_t value) const {
+    if (operation.kind == Operation::Kind::read) {
+      return operation.number == value ? std::vector{value} : std::vector<std::uint64_t>{};
     }
-    return {out.begin(), out.end()};
+    if (operation.base != value) return {};
+    if (operation.answered_at != kNoResponse) return {operation.number};
+    return observed_values_above(value);
   }
-  std::vector<Operation> all_;
-  std::vector<bool> done_;
-  std::set<std::pair<std::vector<bool>, std::uint64_t>> seen_;
+  // What a change without a response became is known from those that have observed it.
+  std::vector<std::uint64_t> observed_values_above(std::uint64_t value) const {
+    std::set<std::uint64_t> values;
+    for (const auto& operation : operations_) {
+      const bool is_read = operation.kind == Operation::Kind::read;
+      const std::uint64_t observed = is_read ? operation.number : operation.base;
+      if (observed > value) values.insert(observed);
+    }
+    return {values.begin(), values.end()};
+  }
+
+  std::vector<Operation> operations_;
+  std::vector<bool> is_done_;
+  std::set<std::pair<std::vector<bool>, std::uint64_t>> visited_;
 };
 
-inline bool is_linearizable(const std::vector<Operation>& all) {
-  return LinearizabilitySearch(all).is_linearizable();
+inline bool is_linearizable(const std::vector<Operation>& operations) {
+  return LinearizabilitySearch(operations).is_linearizable();
 }
 
-}  // namespace linearizability
+}  // namespace alderspur::consensus::linearizability
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -8,15 +8,13 @@
 
 #include "consensus/temporary_folder.h"
 
+namespace alderspur::consensus {
 namespace {
 
-using namespace alderspur;
-using namespace alderspur::consensus;
-
 class LogStoreTest : public ::testing::Test {
  protected:
   void write_log() {
-    LogStore store(folder.path());
+    LogStore store(folder().path());
     ASSERT_EQ(store.load().status.message(), "");
     const AppendEntries first_entries{
         1, {{1, 3, "voters"}, {2, 1, std::string(900, 'x')}, {2, 1, "three"}}};
@@ -31,13 +29,17 @@
            log.entries[2].data == "four" && log.snapshot && log.snapshot->data == "ledger" &&
            log.snapshot->configuration.servers.size() == 2;
   }
-  TemporaryFolder folder;
+
+  const TemporaryFolder& folder() const { return folder_; }
+
+ private:
+  TemporaryFolder folder_;
 };
 
 TEST_F(LogStoreTest, LoadsWhatWasWrittenAndKeepsTheChecksumsChainedWhenCutAtEitherEnd) {
   write_log();
   {
-    LogStore store(folder.path());
+    LogStore store(folder().path());
     const auto loaded = store.load();
     EXPECT_EQ(loaded.status.message(), "");
     EXPECT_TRUE(is_as_written(loaded.log));
@@ -45,7 +47,7 @@
     EXPECT_EQ(store.apply(AppendEntries{4, {{3, 1, "other"}, {3, 1, "five"}}}).message(), "");
     EXPECT_EQ(store.apply(SetTerm{9}).message(), "");
   }
-  LogStore store(folder.path());
+  LogStore store(folder().path());
   const auto loaded = store.load();
   EXPECT_EQ(loaded.status.message(), "");
   EXPECT_EQ(loaded.log.last_index(), 5u);
@@ -55,11 +57,11 @@
 
 TEST_F(LogStoreTest, DetectsAnyAlteredByteAndAnyTruncationUnlessNothingIsChangedByIt) {
   write_log();
-  const auto database = folder.read("agree.db");
-  const auto mark = folder.read("agree.mark");
+  const auto database = folder().read("agree.db");
+  const auto mark = folder().read("agree.mark");
   std::size_t detected = 0;
   const auto load_and_check = [&](const std::string& damage) {
-    LogStore store(folder.path());
+    LogStore store(folder().path());
     const auto loaded = store.load();
     if (loaded.status.is_ok()) {
       EXPECT_TRUE(is_as_written(loaded.log)) << damage;
@@ -70,10 +72,10 @@
     EXPECT_TRUE(loaded.log.is_empty()) << damage << ": nothing of it is used";
   };
   const auto restore = [&](const std::string& database_bytes) {
-    for (const auto& file : std::filesystem::directory_iterator(folder.path()))
+    for (const auto& file : std::filesystem::directory_iterator(folder().path()))
       std::filesystem::remove(file.path());
-    folder.write("agree.mark", mark);
-    folder.write("agree.db", database_bytes);
+    folder().write("agree.mark", mark);
+    folder().write("agree.db", database_bytes);
   };
   for (std::size_t offset = 0; offset < database.size(); offset += 41) {
     auto damaged = database;
@@ -87,29 +89,30 @@
   }
   EXPECT_GT(detected, 20u);
   restore(database);
-  folder.write("agree.mark", "garbage");
+  folder().write("agree.mark", "garbage");
   load_and_check("mark");
-  std::filesystem::remove(folder.path("agree.mark"));
-  LogStore store(folder.path());
+  std::filesystem::remove(folder().path("agree.mark"));
+  LogStore store(folder().path());
   EXPECT_TRUE(store.load().is_corrupt) << "the mark is gone";
 }
 
 TEST_F(LogStoreTest, DetectsAnOlderDatabaseAndTakesOnlyAResetThen) {
   write_log();
-  const auto old_database = folder.read("agree.db");
+  const auto old_database = folder().read("agree.db");
   {
-    LogStore store(folder.path());
+    LogStore store(folder().path());
     ASSERT_EQ(store.load().status.message(), "");
     ASSERT_EQ(store.apply(SetVote{5}).message(), "");
     ASSERT_EQ(store.apply(SetTerm{8}).message(), "");
   }
-  folder.write("agree.db", old_database);
-  LogStore store(folder.path());
+  folder().write("agree.db", old_database);
+  LogStore store(folder().path());
   EXPECT_TRUE(store.load().is_corrupt);
   EXPECT_NE(store.apply(SetVote{6}).message(), "") << "nothing is taken before the reset";
   EXPECT_EQ(store.apply(ResetLog{}).message(), "");
   EXPECT_EQ(store.apply(SetTerm{3}).message(), "");
-  EXPECT_TRUE(std::filesystem::exists(folder.path("agree.db.bad")));
+  EXPECT_TRUE(std::filesystem::exists(folder().path("agree.db.bad")));
 }
 
 }  // namespace
+}  // namespace alderspur::consensus
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -1,8 +1,9 @@
 #include "consensus/simulated_cluster.h"
 
 #include <algorithm>
+#include <cstdlib>
 
-namespace simulation {
+namespace alderspur::consensus {
 namespace {
 
 constexpr Time kStep = 20'000;          // between two looks at a condition
@@ -13,16 +14,26 @@
 constexpr double kRounding = 1e-6;
 constexpr std::size_t kDescribedLogEvents = 4;
 
+bool is_using(const SimulatedCluster::Router& router, const std::string& text) {
+  const ActiveVersion& active = router.active;
+  return !active.is_conservative && active.content && active.content->at("servers") == text;
+}
+
 }  // namespace
 
+std::size_t exploration_factor() {
+  const char* factor = std::getenv("ALDERSPUR_EXPLORE");
+  return factor ? std::strtoul(factor, nullptr, 10) : 1;
+}
+
 SimulatedCluster::SimulatedCluster(std::uint64_t seed, std::size_t routers, std::size_t voters)
-    : random(seed), seed_(seed) {
+    : seed_(seed), random_(seed) {
   for (std::size_t i = 0; i < voters; ++i) voters_.push_back(name(i));
   for (std::size_t i = 0; i < routers; ++i) {
     Router& router = routers_[name(i)];
     router.name = name(i);
-    router.clock_rate = 1 + (static_cast<double>(random() % 2000) - 1000) * kClockRateStep;
-    router.clock_offset = static_cast<Time>(random() % 1'000'000'000);
+    router.clock_rate = 1 + (static_cast<double>(random_() % 2000) - 1000) * kClockRateStep;
+    router.clock_offset = static_cast<Time>(random_() % 1'000'000'000);
     start(router.name);
   }
 }
@@ -45,7 +56,7 @@
   router.is_paused = false;
   router.deferred_events.clear();
   router.active = {};
-  router.node = std::make_unique<ConsensusNode>(settings, random());
+  router.node = std::make_unique<ConsensusNode>(settings, random_());
   Start start{router.disk.state, router.disk.contents, router.disk.written_log,
               router.disk.is_log_corrupt, false};
   if (start.is_log_corrupt) start.log = {};
@@ -87,7 +98,7 @@
                                         std::optional<std::uint64_t> base_number,
                                         CanaryRollout canary) {
   OperatorProposal proposal;
-  proposal.nonce = random() | 1;
+  proposal.nonce = random_() | 1;
   proposal.content = {{"servers", text}};
   proposal.author = name;
   proposal.base_number = base_number;
@@ -99,7 +110,7 @@
 std::uint64_t SimulatedCluster::propose_voters(const std::string& name,
                                                std::vector<std::string> voters) {
   OperatorProposal proposal;
-  proposal.nonce = random() | 1;
+  proposal.nonce = random_() | 1;
   proposal.voters = std::move(voters);
   deliver(routers_.at(name), proposal);
   return proposal.nonce;
@@ -108,7 +119,7 @@
 std::uint64_t SimulatedCluster::decide_canary(const std::string& name, std::uint64_t number,
                                               bool promote) {
   OperatorProposal proposal;
-  proposal.nonce = random() | 1;
+  proposal.nonce = random_() | 1;
   proposal.canary_decision = CanaryDecision{0, number, promote};
   deliver(routers_.at(name), proposal);
   return proposal.nonce;
@@ -129,20 +140,20 @@
 // ---- Time
 
 void SimulatedCluster::run_for(Time duration) {
-  const Time end = now + duration;
-  while (!queue_.empty() && queue_.begin()->first <= end && violation.empty()) {
-    now = queue_.begin()->first;
+  const Time end = now_ + duration;
+  while (!queue_.empty() && queue_.begin()->first <= end && violation_.empty()) {
+    now_ = queue_.begin()->first;
     const auto action = std::move(queue_.begin()->second);
     queue_.erase(queue_.begin());
     action();
     check_invariants();
   }
-  now = std::max(now, end);
+  now_ = std::max(now_, end);
 }
 
 bool SimulatedCluster::run_until(const std::function<bool()>& condition, Time max_duration) {
-  const Time end = now + max_duration;
-  while (now < end && violation.empty()) {
+  const Time end = now_ + max_duration;
+  while (now_ < end && violation_.empty()) {
     if (condition()) return true;
     run_for(kStep);
   }
@@ -150,28 +161,30 @@
 }
 
 bool SimulatedCluster::start_with(const std::string& name, const std::string& text) {
-  run_until([&] { return !leader().empty(); });
+  wait_for_leader();
   const auto first = propose(name, text);
   return run_until([&] { return result(first) && all_use(text); });
 }
 
 Time SimulatedCluster::clock_of(const Router& router) const {
-  const auto elapsed = static_cast<Time>(static_cast<double>(now) * router.clock_rate);
+  const auto elapsed = static_cast<Time>(static_cast<double>(now_) * router.clock_rate);
   return kSecond + router.clock_offset + elapsed;
 }
 
 void SimulatedCluster::schedule(Time delay, std::function<void()> action) {
-  queue_.emplace(now + delay, std::move(action));
+  queue_.emplace(now_ + delay, std::move(action));
 }
 
 // ---- What all routers do
 
+bool SimulatedCluster::uses(std::size_t index, const std::string& text) const {
+  return is_using(routers_.at(name(index)), text);
+}
+
 bool SimulatedCluster::all_use(const std::string& text) const {
   for (const auto& [name, router] : routers_) {
     if (!router.node || router.is_paused) continue;
-    const ActiveVersion& active = router.active;
-    if (active.is_conservative || !active.content || active.content->at("servers") != text)
-      return false;
+    if (!is_using(router, text)) return false;
   }
   return true;
 }
@@ -210,9 +223,9 @@
 }
 
 std::string SimulatedCluster::describe() const {
-  std::string text = "now " + std::to_string(now) + " queue " + std::to_string(queue_.size());
+  std::string text = "now " + std::to_string(now_) + " queue " + std::to_string(queue_.size());
   if (!queue_.empty()) text += " first " + std::to_string(queue_.begin()->first);
-  text += violation + "\n";
+  text += violation_ + "\n";
   for (const auto& [name, router] : routers_) text += describe(router);
   return text;
 }
@@ -257,7 +270,7 @@
 // Writes of one router are done one after another.
 void SimulatedCluster::schedule_disk_write(Router& router, std::function<Event(bool is_ok)> write) {
   Time& last = last_disk_write_[router.name];
-  last = std::max(last, now + router.disk.latency);
+  last = std::max(last, now_ + router.disk.latency);
   queue_.emplace(last, [this, &router, generation = router.generation, write = std::move(write)] {
     if (router.generation != generation) return;  // killed before it was done
     const Event event = write(!router.disk.rejects_writes);
@@ -312,11 +325,11 @@
 }
 
 void SimulatedCluster::perform(Router& router, const SendMessage& action) {
-  ++messages_sent;
-  bytes_sent += action.bytes.size();
+  ++totals_.messages;
+  totals_.message_bytes += action.bytes.size();
   const Link& way = links_[{router.name, action.to}];
-  if (!routers_.contains(action.to) || way.is_cut || random() % 100 < way.loss_percent) return;
-  const auto jitter = random() % static_cast<std::uint64_t>(way.jitter + 1);
+  if (!routers_.contains(action.to) || way.is_cut || random_() % 100 < way.loss_percent) return;
+  const auto jitter = random_() % static_cast<std::uint64_t>(way.jitter + 1);
   schedule(way.delay + static_cast<Time>(jitter),
            [this, from = router.name, to = action.to, bytes = action.bytes] {
              if (!links_[{from, to}].is_cut) deliver(routers_.at(to), MessageReceived{from, bytes});
@@ -324,7 +337,7 @@
 }
 
 void SimulatedCluster::perform(Router& router, const WriteLog& action) {
-  ++log_writes;
+  ++totals_.log_writes;
   schedule_disk_write(router, [this, &router, action](bool is_ok) -> Event {
     SimulatedDisk& disk = router.disk;
     if (is_ok) apply_write(disk.written_log, action.write);
@@ -334,7 +347,7 @@
 }
 
 void SimulatedCluster::perform(Router& router, const WriteContent& action) {
-  ++content_writes;
+  ++totals_.content_writes;
   schedule_disk_write(router, [&router, action](bool is_ok) -> Event {
     if (is_ok) router.disk.contents[action.digest] = action.bytes;
     return ContentWritten{action.digest, is_ok};
@@ -374,9 +387,9 @@
 // ---- Invariants
 
 void SimulatedCluster::report_violation(const std::string& what) {
-  if (!violation.empty()) return;
-  violation =
-      "seed " + std::to_string(seed_) + " at " + std::to_string(now / 1000) + " ms: " + what;
+  if (!violation_.empty()) return;
+  violation_ =
+      "seed " + std::to_string(seed_) + " at " + std::to_string(now_ / 1000) + " ms: " + what;
 }
 
 void SimulatedCluster::check_active_version(const Router& router, const ActiveVersion& next) {
@@ -390,7 +403,7 @@
   if (digest->second != next.version.digest)
     report_violation("two contents of number " + std::to_string(number));
   if (!next.version.is_canary()) {
-    first_used_at_.try_emplace(number, now);
+    first_used_at_.try_emplace(number, now_);
   } else if (!next.version.canary.includes(router.name)) {
     report_violation(router.name + " acts on " + std::to_string(number) +
                      ", which is in a canary rollout elsewhere");
@@ -408,16 +421,16 @@
   const std::uint64_t number = router.active.version.number;
   const auto later = first_used_at_.upper_bound(number);
   if (later == first_used_at_.end()) return;
-  const Time stale_time = now - later->second;
-  longest_stale_lease = std::max(longest_stale_lease, stale_time);
+  const Time stale_time = now_ - later->second;
+  longest_stale_lease_ = std::max(longest_stale_lease_, stale_time);
   if (stale_time > kMaxStaleTime)
     report_violation(router.name + " acts on " + std::to_string(number) + " although " +
                      std::to_string(later->first) + " has been in force for over T");
 }
 
 void SimulatedCluster::check_invariants() {
-  if (now < next_check_) return;
-  next_check_ = now + kCheckInterval;
+  if (now_ < next_check_) return;
+  next_check_ = now_ + kCheckInterval;
   double total_share = 0;
   std::map<std::string, double> location_shares;
   std::size_t leaders = 0;
@@ -429,7 +442,6 @@
     location_shares[location_of(name)] += router.active.location_share;
     check_staleness(router);
   }
-  max_total_share = std::max(max_total_share, total_share);
   if (leaders > 1) report_violation("two lead at once");
   if (total_share > kLeasedFraction + kRounding)
     report_violation("shares add up to " + std::to_string(total_share));
@@ -438,4 +450,4 @@
       report_violation("shares of " + location + " add up to " + std::to_string(share));
 }
 
-}  // namespace simulation
+}  // namespace alderspur::consensus
--- a/tests/consensus/simulated_cluster.h
+++ b/tests/consensus/simulated_cluster.h
@@ -16,15 +16,23 @@
 
 #include "consensus/consensus_node.h"
 
-namespace simulation {
+// A check for tests; it says what was violated.
+#define ASSERT_NO_VIOLATION(cluster) ASSERT_EQ((cluster).violation(), "")
 
-using namespace alderspur;
-using namespace alderspur::consensus;
+namespace alderspur::consensus {
 
 constexpr Time kSecond = 1'000'000;
 // For how long a router may act on an older version under a lease, once a newer one is in use.
 constexpr Time kMaxStaleTime = 2 * kSecond;
 
+/// How many times as many schedules are played; the environment's ALDERSPUR_EXPLORE, or 1.
+std::size_t exploration_factor();
+
+inline CanaryRollout make_canary(std::vector<std::string> routers, Time duration,
+                                 bool promote_on_expiry) {
+  return {std::move(routers), duration, 0.05, promote_on_expiry};
+}
+
 /// One direction between two routers.
 struct Link {
   bool is_cut = false;
@@ -101,25 +109,37 @@
   void run_for(Time duration);
   /// False if the condition does not hold in time, or an invariant is violated.
   bool run_until(const std::function<bool()>& condition, Time max_duration = 30 * kSecond);
+  bool wait_for_leader() {
+    return run_until([this] { return !leader().empty(); });
+  }
+  bool wait_for_result(std::uint64_t nonce) {
+    return run_until([&] { return result(nonce) != nullptr; });
+  }
   /// Waits for a leader, and for a first version to be in use everywhere.
   bool start_with(const std::string& name, const std::string& text);
   Time clock_of(const Router& router) const;
 
+  /// True if that router acts on that text under a lease.
+  bool uses(std::size_t index, const std::string& text) const;
   /// True if all running routers act on that text under a lease.
   bool all_use(const std::string& text) const;
   std::string leader() const;  // empty: none
   /// The state of all routers, for the message of a failed check.
   std::string describe() const;
 
-  Time now = 0;
-  Time longest_stale_lease = 0;
-  std::mt19937_64 random;
-  std::string violation;  // empty: all invariants hold
-  std::uint64_t messages_sent = 0;
-  std::uint64_t bytes_sent = 0;
-  std::uint64_t log_writes = 0;
-  std::uint64_t content_writes = 0;
-  double max_total_share = 0;
+  Time now() const { return now_; }
+  std::mt19937_64& random() { return random_; }
+  const std::string& violation() const { return violation_; }  // empty: all invariants hold
+
+  struct Totals {
+    std::uint64_t messages = 0;
+    std::uint64_t message_bytes = 0;
+    std::uint64_t log_writes = 0;
+    std::uint64_t content_writes = 0;
+  };
+  const Totals& totals() const { return totals_; }
+  /// The longest time for which a router acted on an older version under a lease.
+  Time longest_stale_lease() const { return longest_stale_lease_; }
 
  private:
   std::vector<std::string> names_except(const std::string& excluded) const;
@@ -153,6 +173,11 @@
   std::string describe(const Router& router) const;
 
   const std::uint64_t seed_;
+  std::mt19937_64 random_;
+  Time now_ = 0;
+  std::string violation_;
+  Totals totals_;
+  Time longest_stale_lease_ = 0;
   std::vector<std::string> voters_;
   std::map<std::string, Router> routers_;
   std::map<std::pair<std::string, std::string>, Link> links_;  // from, to
@@ -163,4 +188,4 @@
   Time next_check_ = 0;
 };
 
-}  // namespace simulation
+}  // namespace alderspur::consensus
--- a/tests/consensus/stored_data_test.cpp
+++ b/tests/consensus/stored_data_test.cpp
@@ -15,11 +15,9 @@
 #include "consensus/version.h"
 #include "store/state_file.h"
 
+namespace alderspur::consensus {
 namespace {
 
-using namespace alderspur;
-using namespace alderspur::consensus;
-
 constexpr const char* kFirstDigest =
     "608c227972934d713807fb14478e01067c64787656e96e4e18a762a9c793e3c3";
 constexpr const char* kSecondDigest =
@@ -151,3 +149,4 @@
 }
 
 }  // namespace
+}  // namespace alderspur::consensus
