--- a/bench/consensus/consensus_sim.cpp
+++ b/bench/consensus/consensus_sim.cpp
@@ -57,7 +57,7 @@
     const auto before = cluster.totals();
     cluster.run_for(kIdleTime);
     const auto after = cluster.totals();
-    const double seconds = static_cast<double>(kIdleTime / kSecond);
+    const double seconds = static_cast<double>(kIdleTime) / static_cast<double>(kSecond);
     const auto routers = static_cast<double>(routers_);
     const auto average = [&](std::uint64_t from, std::uint64_t to) {
       return static_cast<double>(to - from) / seconds / static_cast<double>(kSeeds);
--- a/src/consensus/applied_state.cpp
+++ b/src/consensus/applied_state.cpp
@@ -57,15 +57,15 @@
 std::string AppliedState::reason_against(const OfferVersion& command) const {
   if (const Version* other = pending()) {
     return "version " + std::to_string(other->number) + " by " + other->author + " is under way";
-}
+  }
   const Version& version = command.version;
   if (version.base_number != current_.number) {
     return "made from " + std::to_string(version.base_number) + ", but " +
            std::to_string(current_.number) + " by " + current_.author + " holds";
-}
+  }
   if (version.is_canary() && current_.number == 0) {
     return "nothing is in force that a trial could go back to";
-}
+  }
   return {};
 }
 
@@ -131,7 +131,7 @@
 void AppliedState::mark_current_as_replaced() {
   for (auto& entry : history_) {
     if (entry.outcome == kInForce) entry.outcome = "replaced";
-}
+  }
 }
 
 void AppliedState::withdraw(const WithdrawVersion& command) {
--- a/src/consensus/codec.cpp
+++ b/src/consensus/codec.cpp
@@ -88,7 +88,7 @@
   packer.array(servers.size());
   for (const auto& server : servers) {
     packer.array(2).text(server.name).number(static_cast<std::uint64_t>(server.role));
-}
+  }
 }
 
 std::vector<RaftServer> read_servers(Reader& reader) {
--- a/src/consensus/consensus_node.cpp
+++ b/src/consensus/consensus_node.cpp
@@ -75,7 +75,7 @@
 void ConsensusNode::on_message(const std::string& from, const LeaseGrant& message) {
   if (lease_client_.on_grant(from, message)) {
     voter_.on_grant(message.is_member, message.admitted_learner_id);
-}
+  }
 }
 
 void ConsensusNode::on_message(const std::string& from, const Redirect& message) {
@@ -209,10 +209,10 @@
   if (auto content = content_of(active().version)) return content;
   if (lease_client_.pending()) {
     if (auto content = content_of(*lease_client_.pending())) return content;
-}
+  }
   for (const auto& entry : voter_.applied_state().history()) {
     if (auto content = content_of(entry.version)) return content;
-}
+  }
   return content_of(lease_client_.target());
 }
 
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -103,7 +103,7 @@
   for (const auto& point : list.points) {
     text += "[[point]]\nname = " + quoted(point.name) + "\nhub = " + quoted(list.hubs[point.hub]) +
             "\n";
-}
+  }
   for (const auto& server : list.servers) text += server_text(list, server);
   return text;
 }
--- a/src/consensus/content_store.cpp
+++ b/src/consensus/content_store.cpp
@@ -153,7 +153,7 @@
   Time next = fetch_ ? fetch_->retry_at : kNever;
   for (const auto& [digest, entry] : entries_) {
     if (entry.rewrite_at != 0) next = std::min(next, entry.rewrite_at);
-}
+  }
   return next;
 }
 
--- a/src/consensus/leader.cpp
+++ b/src/consensus/leader.cpp
@@ -70,7 +70,7 @@
   if (request.learner_id != 0 && is_wanted &&
       membership_.admit(context_.now(), from, request.learner_id, raft)) {
     grant.admitted_learner_id = request.learner_id;
-}
+  }
   grant.is_member = raft.has_server(from);
   context_.send(from, grant);
 }
@@ -81,7 +81,7 @@
   if (!leads()) return redirect(from);
   if (const auto* result = voter_.applied_state().find_result(request.nonce)) {
     return context_.send(from, ProposeResponse{*result});
-}
+  }
   if (!request.voters.empty()) return propose(ChangeVoters{request.nonce, request.voters});
   if (request.version.is_canary()) {
     const std::string voter = voter_without_canaries();
@@ -96,7 +96,7 @@
 bool Leader::knows_canaries(const std::string& voter) const {
   if (voter == context_.name()) {
     return context_.settings().protocol_version >= kProtocolWithCanaries;
-}
+  }
   const auto* holder = lease_table_.find(voter);
   return holder && holder->protocol_version >= kProtocolWithCanaries;
 }
@@ -106,7 +106,7 @@
 std::string Leader::voter_without_canaries() const {
   for (const auto& [name, role] : voter_.raft()->roles()) {
     if (!knows_canaries(name)) return name;
-}
+  }
   return {};
 }
 
@@ -114,7 +114,7 @@
   if (!leads()) return redirect(from);
   if (const auto* result = voter_.applied_state().find_result(decision.nonce)) {
     return context_.send(from, ProposeResponse{*result});
-}
+  }
   if (decision.promote) {
     propose(PromoteCanary{decision.nonce, decision.version_number});
   } else {
--- a/src/consensus/lease_client.cpp
+++ b/src/consensus/lease_client.cpp
@@ -66,7 +66,7 @@
   if (!applies_here(version) || version.number <= target_.number) return;
   if (!persisted_.accepted || version.number > persisted_.accepted->number) {
     persisted_.accepted = version;
-}
+  }
 }
 
 void LeaseClient::follow_applied_state(const AppliedState& state) {
@@ -114,11 +114,11 @@
   unanswered_requests_.insert(now);
   while (unanswered_requests_.size() > kMaxUnansweredRequests) {
     unanswered_requests_.erase(unanswered_requests_.begin());
-}
+  }
   context_.send(receiver, make_request(learner_id));
   if (!has_lease() && !context_.peers().empty()) {
     context_.send(context_.random_peer(), VersionQuery{});
-}
+  }
 }
 
 LeaseRequest LeaseClient::make_request(std::uint64_t learner_id) const {
@@ -231,7 +231,7 @@
   for (const auto& voter : voters) add(voter);
   if (!context_.peers().empty()) {
     for (int i = 0; i < kRandomSources; ++i) add(context_.random_peer());
-}
+  }
   if (pending_) add(pending_->author);
   return sources;
 }
@@ -251,7 +251,7 @@
   persisted_.current = target_;
   if (persisted_.accepted && persisted_.accepted->number <= target_.number) {
     persisted_.accepted.reset();
-}
+  }
   if (pending_ && pending_->number <= target_.number) pending_.reset();
   lease_until_ = 0;  // it was granted on the older version
   renew_within(0);
@@ -267,12 +267,12 @@
     const ContentPtr content = contents_.content(version.digest);
     if (version.number > active_.version.number && content) {
       active_.newer_contents.push_back(content);
-}
+    }
   };
   add(target_);
   if (persisted_.accepted && persisted_.accepted->number != target_.number) {
     add(*persisted_.accepted);
-}
+  }
 }
 
 void LeaseClient::report_changes() {
--- a/src/consensus/lease_table.cpp
+++ b/src/consensus/lease_table.cpp
@@ -106,7 +106,7 @@
   if (now < earlier_leases_expired_at_ && reports_share) {
     holder.granted.push_back({request.last_grant_id, request.epoch, request.total_share,
                               request.location_share, now + max_lease_duration()});
-}
+  }
   return holder;
 }
 
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -52,7 +52,7 @@
   Statement(sqlite3* database, const char* sql) {
     if (sqlite3_prepare_v2(database, sql, -1, &statement_, nullptr) != SQLITE_OK) {
       statement_ = nullptr;
-}
+    }
   }
   ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
@@ -158,7 +158,7 @@
   database_.reset(database);
   if (code != SQLITE_OK) {
     return {LogStoreErrorCode::cannot_open, "cannot open " + file + ": " + sqlite3_errstr(code)};
-}
+  }
   return execute(kSchema);
 }
 
@@ -204,7 +204,7 @@
     return {LogStoreErrorCode::mark_mismatch, "agree.db holds " + std::to_string(write_count_) +
                                                   " stores, " + std::to_string(marked_count) +
                                                   " were told"};
-}
+  }
   return {};
 }
 
@@ -233,7 +233,7 @@
     const std::uint64_t value = rows.number(1);
     if (rows.number(2) != number_checksum(key, value)) {
       return corrupt("agree.db: " + key + " is spoilt");
-}
+    }
     if (key == kTermKey) numbers.term = value;
     if (key == kVoteKey) numbers.vote = value;
     if (key == kWriteCountKey) write_count_ = value;
@@ -253,7 +253,7 @@
   log.snapshot = decode_snapshot(data);
   if (!log.snapshot || row.number(1) != checksum(data, kSnapshotSeed)) {
     return corrupt("agree.db: its snapshot is spoilt");
-}
+  }
   return {};
 }
 
@@ -267,14 +267,14 @@
     last_checksum = entry_checksum(entry, index, last_checksum);
     if (rows.number(0) != index || rows.number(4) != last_checksum) {
       return corrupt("agree.db: record " + std::to_string(index) + " is spoilt or missing");
-}
+    }
     log.entries.push_back(std::move(entry));
     ++index;
   }
   if (step != SQLITE_DONE) return unreadable();
   if (write_count_ != 0 && index != numbers.last_index + 1) {
     return corrupt("agree.db: the end of the log is missing");
-}
+  }
   return {};
 }
 
@@ -379,7 +379,7 @@
   if (!removal.bind_number(index).run()) return last_database_error();
   if (auto status = put_number(kChecksumBeforeFirstKey, last_checksum); !status.is_ok()) {
     return status;
-}
+  }
   return put_number(kFirstIndexKey, index + 1);
 }
 
@@ -401,7 +401,7 @@
     std::filesystem::rename(file, file + kSetAsideSuffix, error);
     if (error) {
       return {LogStoreErrorCode::file_error, "cannot set aside " + file + ": " + error.message()};
-}
+    }
   }
   write_count_ = 0;
   is_out_of_service_ = true;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -28,7 +28,7 @@
     const auto found = admissions_.find(name);
     if (is_committed && found != admissions_.end() && found->second.learner_id == learner_id) {
       found->second.is_admitted = true;
-}
+    }
   });
   return false;
 }
--- a/src/consensus/proposal_queue.cpp
+++ b/src/consensus/proposal_queue.cpp
@@ -23,7 +23,7 @@
                                                   const std::string& encoded) {
   if (proposal.content.empty() || proposal.content.size() > kMaxDocuments) {
     return "a content has 1 to 64 documents";
-}
+  }
   if (encoded.size() > kMaxContentBytes) return "over 16 MB";
   const CanaryRollout& canary = proposal.canary;
   if (canary.routers.size() > kMaxVoters) return "a trial has 7 first routers at most";
@@ -49,7 +49,7 @@
 void ProposalQueue::add(const OperatorProposal& proposal) {
   if (proposals_.size() >= kMaxOpenProposals) {
     return finish(proposal.nonce, "too many proposals are under way here");
-}
+  }
   OpenProposal open;
   open.request.nonce = proposal.nonce;
   open.give_up_at = context_.now() + kMaxProposalTime;
@@ -59,7 +59,7 @@
     const std::size_t count = proposal.voters.size();
     if (count > kMaxVoters || count % 2 == 0) {
       return finish(proposal.nonce, "take 1, 3, 5 or 7 voters");
-}
+    }
   } else if (proposal.canary_decision) {
     open.decision = proposal.canary_decision;
     open.decision->nonce = proposal.nonce;
@@ -82,14 +82,14 @@
   // routers at once.
   if (version.is_canary() && leader_protocol && *leader_protocol < kProtocolWithCanaries) {
     return "the program of " + lease_client_.leader() + ", which leads, knows no trials";
-}
+  }
   const ContentStore::Entry* entry = contents_.find(version.digest);
   if (proposal.has_content() && entry && entry->is_rejected()) {
     return "refused here: " + entry->rejection_reason;
-}
+  }
   if (context_.now() >= proposal.give_up_at) {
     return "no answer from the voters; it may still come into force, ask which versions there are";
-}
+  }
   return {};
 }
 
@@ -97,7 +97,7 @@
   std::string receiver = lease_client_.leader();
   if (receiver.empty() && !voters.empty()) {
     receiver = voters[context_.random_number() % voters.size()];
-}
+  }
   const Version& version = proposal.request.version;
   const ContentStore::Entry* entry = contents_.find(version.digest);
   const bool is_stored = !proposal.has_content() || (entry && entry->is_usable());
@@ -147,7 +147,7 @@
   Time next = std::numeric_limits<Time>::max();
   for (const auto& proposal : proposals_) {
     next = std::min({next, proposal.send_at, proposal.give_up_at});
-}
+  }
   return next;
 }
 
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -32,7 +32,7 @@
   set_state_machine_functions();
   if (raft_init(&raft_, &io_, &fsm_, raft_id_of(name), name.c_str())) {
     throw std::runtime_error("consensus cannot start");
-}
+  }
   raft_set_election_timeout(&raft_,
                             static_cast<unsigned>(settings_.election_timeout / kMillisecond));
   raft_set_heartbeat_timeout(&raft_,
@@ -297,7 +297,7 @@
 bool Raft::has_server(std::string_view name) const {
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
     if (raft_.configuration.servers[i].address == name) return true;
-}
+  }
   return false;
 }
 
@@ -321,13 +321,13 @@
     acknowledged.term = std::max<std::uint64_t>(acknowledged.term, result.term);
     if (!result.rejected) {
       acknowledged.index = std::max<std::uint64_t>(acknowledged.index, result.last_log_index);
-}
+    }
   } else if (message.type == RAFT_IO_REQUEST_VOTE_RESULT) {
     const auto& result = message.request_vote_result;
     Acknowledgement& acknowledged = acknowledged_[peer];
     if (result.pre_vote == raft_tribool_false) {
       acknowledged.term = std::max<std::uint64_t>(acknowledged.term, result.term);
-}
+    }
   }
 }
 
--- a/src/consensus/raft_conversions.cpp
+++ b/src/consensus/raft_conversions.cpp
@@ -50,10 +50,10 @@
     const LogEntry& entry = entries[i];
     result[i] = {};
     result[i].term = entry.term;
-    result[i].type = static_cast<unsigned short>(entry.type);
+    result[i].type = static_cast<std::uint16_t>(entry.type);
     result[i].buf = {batch + offset, entry.data.size()};
     result[i].batch = batch;
-    std::memcpy(batch + offset, entry.data.data(), entry.data.size());
+    std::copy(entry.data.begin(), entry.data.end(), batch + offset);
     offset += aligned_size(entry.data.size());
   }
   return result;
@@ -73,7 +73,7 @@
   raft_configuration_init(&result);
   for (const auto& server : configuration.servers) {
     raft_configuration_add(&result, raft_id_of(server.name), server.name.c_str(), server.role);
-}
+  }
   return result;
 }
 
--- a/src/consensus/raft_frame.cpp
+++ b/src/consensus/raft_frame.cpp
@@ -170,7 +170,7 @@
   if (!unpacked.good) return {};
   Reader head(unpacked.m.data, 5);
   DecodedRaftFrame decoded;
-  decoded.message.type = static_cast<unsigned short>(head.number(RAFT_IO_TIMEOUT_NOW));
+  decoded.message.type = static_cast<std::uint16_t>(head.number(RAFT_IO_TIMEOUT_NOW));
   decoded.header.sent_at = static_cast<Time>(head.number(kMaxTime));
   decoded.header.echo.term = head.number();
   decoded.header.echo.sent_at = static_cast<Time>(head.number(kMaxTime));
--- a/src/consensus/startup_check.cpp
+++ b/src/consensus/startup_check.cpp
@@ -31,7 +31,7 @@
   if (have_all_answered && empty + 1 == voters.size()) return {Decision::found_cluster, {}, {}};
   for (const auto& [name, status] : statuses_) {
     if (!status.is_empty && !empty_voters_.contains(name)) return {Decision::log_is_lost, name, {}};
-}
+  }
   return {};
 }
 
--- a/src/consensus/version_rollout.cpp
+++ b/src/consensus/version_rollout.cpp
@@ -82,7 +82,7 @@
   if (other_rate > kNoRequestRate) {
     comparison.other_failure_ratio =
         std::max(0.0, leases.total_failure_rate() - canary_failures) / other_rate;
-}
+  }
   return comparison;
 }
 
@@ -114,7 +114,7 @@
   const OfferVotes votes = count_votes(version.number, roles, leases);
   if (!votes.rejection.empty()) {
     return WithdrawVersion{version.number, to_printable(votes.rejection, kMaxNoteLength)};
-}
+  }
   // A voter whose disk hangs keeps its lease and never stores anything. It must not block the
   // version for ever; once the version is accepted, it loses its lease.
   const bool is_grace_over = now > offered_since_ + kVoterGraceTime;
@@ -122,7 +122,7 @@
   if (has_majority && (!votes.may_reject || is_grace_over)) return AcceptVersion{version.number};
   if (now > offered_since_ + kMaxOfferTime) {
     return WithdrawVersion{version.number, "its content did not reach enough voters in time"};
-}
+  }
   return {};
 }
 
@@ -142,7 +142,7 @@
   }
   if (harmful_since_ != 0 && now >= harmful_since_ + kMinHarmfulTime) {
     return RollBackCanary{0, version.number, comparison.describe()};
-}
+  }
   if (now < canary_since_ + canary.duration) return {};
   if (canary.promote_on_expiry) return PromoteCanary{0, version.number};
   return RollBackCanary{0, version.number, "its time is over"};
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -98,7 +98,7 @@
   send_log_status_at_ = context_.now() + kLogStatusInterval;
   for (const auto& voter : voters) {
     if (voter != context_.name()) context_.send(voter, log_status_for(voter, true));
-}
+  }
 }
 
 void Voter::on_log_status(const std::string& from, const LogStatus& status) {
@@ -113,7 +113,7 @@
   if (!uses_log || learner_id_ != 0 || status.wants_reply) return;
   if (status.acknowledged_index > last_index || status.acknowledged_term > term) {
     abandon_log("it holds less than it has acknowledged to " + from);
-}
+  }
 }
 
 void Voter::advance_start(const std::vector<std::string>& voters) {
@@ -223,7 +223,7 @@
   if (role_ == NodeRole::joining) next = std::min(next, send_log_status_at_);
   if (role_ == NodeRole::learner && retry_reset_at_ > context_.now()) {
     next = std::min(next, retry_reset_at_);
-}
+  }
   return next;
 }
 
--- a/tests/consensus/canary_rollout_test.cpp
+++ b/tests/consensus/canary_rollout_test.cpp
@@ -17,10 +17,12 @@
     })) << seed;
     EXPECT_TRUE(cluster.result(two)->is_accepted && cluster.result(two)->reason == "on trial");
     cluster.run_for(10 * kSecond);
-    for (const std::size_t i : {0u, 2u, 3u})
+    for (const std::size_t i : {0u, 2u, 3u}) {
       EXPECT_TRUE(cluster.uses(i, "one")) << seed << " r" << i;
-    for (const std::size_t i : {1u, 4u})
+    }
+    for (const std::size_t i : {1u, 4u}) {
       EXPECT_TRUE(cluster.uses(i, "two")) << "under a lease all the time";
+    }
     const auto other = cluster.propose("r3", "three");
     ASSERT_TRUE(cluster.wait_for_result(other));
     EXPECT_FALSE(cluster.result(other)->is_accepted) << "one at a time";
@@ -61,8 +63,9 @@
     ASSERT_TRUE(cluster.start_with("r4", "one"));
     cluster.propose("r4", "two", {}, make_canary({"r3"}, 600 * kSecond, false));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.uses(3, "two"); }));
-    for (std::size_t i = 0; i < 5; ++i)
+    for (std::size_t i = 0; i < 5; ++i) {
       cluster.set_load(SimulatedCluster::name(i), 50, i == 3 || everywhere ? 0.3 : 0.01);
+    }
     cluster.run_for(6 * kSecond);
     EXPECT_EQ(cluster.uses(3, "two"), everywhere) << cluster.describe();
     EXPECT_EQ(cluster.router(3).active.version.number, everywhere ? 2u : 3u);
@@ -88,8 +91,9 @@
     cluster.kill(cluster.leader());
     cluster.kill("r3");
     cluster.run_for(kSecond);
-    for (const auto& [name, router] : cluster.routers())
+    for (const auto& [name, router] : cluster.routers()) {
       if (!cluster.is_running(name)) cluster.start(name);
+    }
     cluster.run_for(2 * kSecond);
     EXPECT_FALSE(cluster.uses(4, "two")) << "a new leader watches it for its whole time";
     ASSERT_TRUE(cluster.run_until([&] {
--- a/tests/consensus/consensus_node_test.cpp
+++ b/tests/consensus/consensus_node_test.cpp
@@ -121,8 +121,9 @@
   ASSERT_TRUE(cluster.start_with("r0", "one"));
   const auto used = [&] {
     double sum = 0;
-    for (const auto& [name, router] : cluster.routers())
+    for (const auto& [name, router] : cluster.routers()) {
       if (router.node) sum += router.active.total_share;
+    }
     return sum;
   };
   ASSERT_TRUE(cluster.run_until([&] { return used() > 0.84; }));
@@ -289,10 +290,12 @@
   }
   void end_all_faults() {
     cluster_.restore_links();
-    for (const auto& name : paused_)
+    for (const auto& name : paused_) {
       if (cluster_.is_running(name)) cluster_.resume(name);
-    for (const auto& [name, router] : cluster_.routers())
+    }
+    for (const auto& [name, router] : cluster_.routers()) {
       if (!cluster_.is_running(name)) cluster_.start(name);
+    }
   }
 
  private:
@@ -349,8 +352,9 @@
     cluster_.kill(name);
   }
   void resume_all() {
-    for (const auto& name : std::exchange(paused_, {}))
+    for (const auto& name : std::exchange(paused_, {})) {
       if (cluster_.is_running(name)) cluster_.resume(name);
+    }
   }
 
   SimulatedCluster& cluster_;
@@ -371,8 +375,9 @@
     // What was pending before is decided first: a rejected proposal is made again.
     std::uint64_t last = 0;
     const auto has_converged = [&] {
-      if (last == 0 || (cluster.result(last) && !cluster.result(last)->is_accepted))
+      if (last == 0 || (cluster.result(last) && !cluster.result(last)->is_accepted)) {
         last = cluster.propose("r0", "last");
+      }
       return cluster.result(last) && cluster.all_use("last");
     };
     EXPECT_TRUE(cluster.run_until(has_converged, 60 * kSecond)) << "seed " << seed << "\n"
--- a/tests/consensus/explored_schedules_test.cpp
+++ b/tests/consensus/explored_schedules_test.cpp
@@ -105,8 +105,9 @@
   std::uint64_t last = two;
   const auto has_converged = [&] {
     look();
-    if (cluster.result(last) && !cluster.result(last)->is_accepted)
+    if (cluster.result(last) && !cluster.result(last)->is_accepted) {
       last = cluster.propose("r3", "two");
+    }
     return cluster.result(last) && cluster.all_use("two");
   };
   ASSERT_TRUE(cluster.run_until(has_converged, 40 * kSecond)) << schedule.describe() << "\n"
--- a/tests/consensus/faulty_disk.cpp
+++ b/tests/consensus/faulty_disk.cpp
@@ -1,141 +1,186 @@
-// A disk that lies, and a wall clock that jumps: preloaded into a process of the program by the
-// rig.
+// A disk with faults and a wall clock that jumps: a library that is preloaded into a process of the
+// program, in place of the C library's calls.
 //
 // Files under LIAR_FOLDER are watched. The real files always get what is written; what would be
 // left after a loss of power is kept beside them in LIAR_SHADOW: a copy of each file as of its last
-// true sync (by inode), and the names as of the last true sync of the folder. The rig puts that
-// back. LIAR_CONTROL is a file of two numbers of 64 bits, looked at on each call: the fault, and
-// how far the wall clock is off, in microseconds.
+// true sync (by inode), and the names as of the last true sync of the folder. The test puts that
+// back. LIAR_CONTROL is a file of two numbers of 64 bits, read on each call: the fault, and by how
+// many microseconds the wall clock is off.
 #include <dirent.h>
 #include <dlfcn.h>
-#include <errno.h>
 #include <fcntl.h>
-#include <limits.h>
 #include <sys/mman.h>
 #include <sys/stat.h>
-#include <time.h>
 #include <unistd.h>
 
+#include <cerrno>
+#include <climits>
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
 #include <cstring>
+#include <ctime>
 
 namespace {
 
-enum Fault : std::int64_t {
-  honest = 0,
-  unsynced = 1,
+enum class Fault : std::int64_t {
+  none = 0,
+  sync_ignored = 1,
   sync_fails = 2,
-  full = 3,
+  disk_full = 3,
   hangs = 4,
   read_fails = 5
 };
 
+constexpr std::size_t kControlBytes = 2 * sizeof(std::int64_t);
+constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
+constexpr useconds_t kHangPollInterval = 10'000;
+
+// Null without LIAR_CONTROL.
+const volatile std::int64_t* map_control() {
+  const char* path = std::getenv("LIAR_CONTROL");
+  if (!path) return nullptr;
+  const int file = ::open(path, O_RDONLY | O_CLOEXEC);
+  if (file < 0) return nullptr;
+  void* memory = ::mmap(nullptr, kControlBytes, PROT_READ, MAP_SHARED, file, 0);
+  ::close(file);
+  return memory == MAP_FAILED ? nullptr : static_cast<const volatile std::int64_t*>(memory);
+}
+
 const volatile std::int64_t* control() {
-  static const volatile std::int64_t* at = [] {
-    const char* path = std::getenv("LIAR_CONTROL");
-    const int fd = path ? ::open(path, O_RDONLY | O_CLOEXEC) : -1;
-    void* p = fd < 0 ? MAP_FAILED : ::mmap(nullptr, 16, PROT_READ, MAP_SHARED, fd, 0);
-    if (fd >= 0) ::close(fd);
-    return p == MAP_FAILED ? nullptr : static_cast<const volatile std::int64_t*>(p);
-  }();
-  return at;
+  static const volatile std::int64_t* const mapped = map_control();
+  return mapped;
 }
-std::int64_t fault() { return control() ? control()[0] : 0; }
 
-template <class F>
-F real(const char* name) {
-  return reinterpret_cast<F>(::dlsym(RTLD_NEXT, name));
+Fault fault() { return control() ? static_cast<Fault>(control()[0]) : Fault::none; }
+
+template <class Function>
+Function real_function(const char* name) {
+  return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
-bool ours(int fd, char* path) {
+int fail_with(int error) {
+  errno = error;
+  return -1;
+}
+
+// True, with its path, if the file is under LIAR_FOLDER.
+bool is_watched(int file, char* path) {
   const char* folder = std::getenv("LIAR_FOLDER");
+  if (!folder) return false;
   char link[64];
-  std::snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
-  const ssize_t n = folder ? ::readlink(link, path, PATH_MAX - 1) : -1;
-  if (n < 0) return false;
-  path[n] = 0;
+  std::snprintf(link, sizeof link, "/proc/self/fd/%d", file);
+  const ssize_t length = ::readlink(link, path, PATH_MAX - 1);
+  if (length < 0) return false;
+  path[length] = 0;
   return std::strncmp(path, folder, std::strlen(folder)) == 0;
 }
 
-void shadow(char* to, const char* name) {
-  std::snprintf(to, PATH_MAX, "%s/%s", std::getenv("LIAR_SHADOW"), name);
+bool is_watched(int file) {
+  char path[PATH_MAX];
+  return is_watched(file, path);
+}
+
+void shadow_path(char* path, const char* name) {
+  std::snprintf(path, PATH_MAX, "%s/%s", std::getenv("LIAR_SHADOW"), name);
 }
+
+// Replaces the copy of a file as a whole, by a rename.
 void copy_file(const char* path, std::uint64_t inode) {
-  char name[32], to[PATH_MAX], fresh[PATH_MAX + 8], buffer[65536];
+  char name[32];
+  char target[PATH_MAX];
+  char fresh[PATH_MAX + 8];
+  char buffer[65536];
   std::snprintf(name, sizeof name, "%llu", static_cast<unsigned long long>(inode));
-  shadow(to, name);
-  std::snprintf(fresh, sizeof fresh, "%s.new", to);
-  const int in = ::open(path, O_RDONLY | O_CLOEXEC),
-            out = ::open(fresh, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  static const auto put = real<ssize_t (*)(int, const void*, std::size_t)>("write");
-  for (ssize_t n; in >= 0 && out >= 0 && (n = ::read(in, buffer, sizeof buffer)) > 0;)
-    (void)!put(out, buffer, static_cast<std::size_t>(n));
+  shadow_path(target, name);
+  std::snprintf(fresh, sizeof fresh, "%s.new", target);
+  const int in = ::open(path, O_RDONLY | O_CLOEXEC);
+  const int out = ::open(fresh, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+  static const auto real_write = real_function<ssize_t (*)(int, const void*, std::size_t)>("write");
+  if (in >= 0 && out >= 0) {
+    for (ssize_t size = 0; (size = ::read(in, buffer, sizeof buffer)) > 0;) {
+      if (real_write(out, buffer, static_cast<std::size_t>(size)) < 0) break;
+    }
+  }
   if (in >= 0) ::close(in);
   if (out >= 0) ::close(out);
-  ::rename(fresh, to);
+  ::rename(fresh, target);
 }
+
+// A line for each file: inode and name.
 void copy_names(const char* folder) {
-  char to[PATH_MAX], fresh[PATH_MAX + 8];
-  shadow(to, "names");
-  std::snprintf(fresh, sizeof fresh, "%s.new", to);
-  DIR* d = ::opendir(folder);
-  FILE* out = std::fopen(fresh, "w");
-  for (const dirent* e; d && out && (e = ::readdir(d));)
-    if (e->d_type == DT_REG)
-      std::fprintf(out, "%llu %s\n", static_cast<unsigned long long>(e->d_ino), e->d_name);
-  if (d) ::closedir(d);
+  char target[PATH_MAX];
+  char fresh[PATH_MAX + 8];
+  shadow_path(target, "names");
+  std::snprintf(fresh, sizeof fresh, "%s.new", target);
+  DIR* directory = ::opendir(folder);
+  FILE* out = std::fopen(fresh, "we");
+  if (directory && out) {
+    for (const dirent* entry = nullptr; (entry = ::readdir(directory));) {
+      if (entry->d_type != DT_REG) continue;
+      std::fprintf(out, "%llu %s\n", static_cast<unsigned long long>(entry->d_ino), entry->d_name);
+    }
+  }
+  if (directory) ::closedir(directory);
   if (out) std::fclose(out);
-  ::rename(fresh, to);
+  ::rename(fresh, target);
 }
 
-int synced(int fd, const char* name) {
-  static thread_local bool inside = false;
+// Copying syncs nothing itself, but a call from within must not be counted.
+int sync_file(int file, const char* function) {
+  static thread_local bool is_inside = false;
   char path[PATH_MAX];
-  if (!inside && ours(fd, path)) {
-    while (fault() == hangs) ::usleep(10'000);
-    if (fault() == sync_fails) return errno = EIO, -1;
-    if (fault() == unsynced) return 0;
-    inside = true;
-    struct stat s {};
-    if (::fstat(fd, &s) == 0) S_ISDIR(s.st_mode) ? copy_names(path) : copy_file(path, s.st_ino);
-    inside = false;
+  if (!is_inside && is_watched(file, path)) {
+    while (fault() == Fault::hangs) ::usleep(kHangPollInterval);
+    if (fault() == Fault::sync_fails) return fail_with(EIO);
+    if (fault() == Fault::sync_ignored) return 0;
+    is_inside = true;
+    struct stat status {};
+    if (::fstat(file, &status) == 0) {
+      if (S_ISDIR(status.st_mode)) {
+        copy_names(path);
+      } else {
+        copy_file(path, status.st_ino);
+      }
+    }
+    is_inside = false;
   }
-  return real<int (*)(int)>(name)(fd);
+  return real_function<int (*)(int)>(function)(file);
 }
 
 }  // namespace
 
 extern "C" {
 
-int fsync(int fd) { return synced(fd, "fsync"); }
-int fdatasync(int fd) { return synced(fd, "fdatasync"); }
+int fsync(int file) { return sync_file(file, "fsync"); }
+int fdatasync(int file) { return sync_file(file, "fdatasync"); }
 
-ssize_t pwrite64(int fd, const void* b, std::size_t n, off64_t at) {
-  static const auto f = real<ssize_t (*)(int, const void*, std::size_t, off64_t)>("pwrite64");
-  char path[PATH_MAX];
-  if (fault() == full && ours(fd, path)) return errno = ENOSPC, -1;
-  return f(fd, b, n, at);
+ssize_t pwrite64(int file, const void* bytes, std::size_t size, off64_t offset) {
+  static const auto real_pwrite =
+      real_function<ssize_t (*)(int, const void*, std::size_t, off64_t)>("pwrite64");
+  if (fault() == Fault::disk_full && is_watched(file)) return fail_with(ENOSPC);
+  return real_pwrite(file, bytes, size, offset);
 }
-ssize_t write(int fd, const void* b, std::size_t n) {
-  static const auto f = real<ssize_t (*)(int, const void*, std::size_t)>("write");
-  char path[PATH_MAX];
-  if (fault() == full && ours(fd, path)) return errno = ENOSPC, -1;
-  return f(fd, b, n);
+
+ssize_t write(int file, const void* bytes, std::size_t size) {
+  static const auto real_write = real_function<ssize_t (*)(int, const void*, std::size_t)>("write");
+  if (fault() == Fault::disk_full && is_watched(file)) return fail_with(ENOSPC);
+  return real_write(file, bytes, size);
 }
-ssize_t pread64(int fd, void* b, std::size_t n, off64_t at) {
-  static const auto f = real<ssize_t (*)(int, void*, std::size_t, off64_t)>("pread64");
-  char path[PATH_MAX];
-  if (fault() == read_fails && ours(fd, path)) return errno = EIO, -1;
-  return f(fd, b, n, at);
+
+ssize_t pread64(int file, void* bytes, std::size_t size, off64_t offset) {
+  static const auto real_pread =
+      real_function<ssize_t (*)(int, void*, std::size_t, off64_t)>("pread64");
+  if (fault() == Fault::read_fails && is_watched(file)) return fail_with(EIO);
+  return real_pread(file, bytes, size, offset);
 }
 
-int clock_gettime(clockid_t id, timespec* t) {
-  static const auto f = real<int (*)(clockid_t, timespec*)>("clock_gettime");
-  const int r = f(id, t);
-  if (id == CLOCK_REALTIME && r == 0 && control()) t->tv_sec += control()[1] / 1'000'000;
-  return r;
+int clock_gettime(clockid_t clock, timespec* time) {
+  static const auto real_clock = real_function<int (*)(clockid_t, timespec*)>("clock_gettime");
+  const int result = real_clock(clock, time);
+  if (clock == CLOCK_REALTIME && result == 0 && control())
+    time->tv_sec += control()[1] / kMicrosecondsPerSecond;
+  return result;
 }
 
 }  // extern "C"
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -253,7 +253,7 @@
 
 void SimulatedCluster::schedule_timer(Router& router) {
   const Time due = router.node->next_deadline();
-  const double clock_delay = static_cast<double>(due - clock_of(router));
+  const auto clock_delay = static_cast<double>(due - clock_of(router));
   const Time delay =
       std::max<Time>(static_cast<Time>(clock_delay / router.clock_rate), 0) + kTimerLateness;
   schedule(std::min<Time>(delay, 10 * kSecond),
--- a/tests/replication/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -12,11 +12,11 @@
 class Replicated : public ::testing::Test, protected fleet::RouterFleet {
  protected:
   void begin(std::size_t n) {
-    has_no_consensus_ = true;  // each has its list; nothing is agreed
+    has_no_consensus = true;  // each has its list; nothing is agreed
     ASSERT_TRUE(RouterFleet::start(n, {}));
     ASSERT_TRUE(cluster->until([&] { return all_caught_up(); }));
     is_sending = true;
-    ASSERT_TRUE(cluster->until([&] { return requests_received_[2] > 20; }));
+    ASSERT_TRUE(cluster->until([&] { return requests_received[2] > 20; }));
   }
   struct Copy {
     bool answered = false, caught_up = false;
@@ -51,9 +51,9 @@
   }
   // What the box gets in that time, from anybody.
   std::uint64_t gets(Time time) {
-    const auto before = requests_received_[2];
+    const auto before = requests_received[2];
     cluster->run(time);
-    return requests_received_[2] - before;
+    return requests_received[2] - before;
   }
 };
 
@@ -92,20 +92,20 @@
 // A purge that the board of one router tells, and of nobody else: a request anywhere asks for no
 // older copy, also after the one that heard it has died, and at one that was away.
 TEST_F(Replicated, APurgeHeardByOneRouterBindsAllAndOutlivesIt) {
-  has_discovery_ = true;
+  has_discovery = true;
   ASSERT_NO_FATAL_FAILURE(begin(3));
-  ASSERT_TRUE(cluster->until([&] { return discovery_servers_[0].watched(); }));
+  ASSERT_TRUE(cluster->until([&] { return discovery_servers[0].is_watched(); }));
   cluster->kill(2);
   const std::string item = "00000000000000aa";
-  discovery_servers_[0].watcher->write(R"({"rev":1,"flush":{"asset":")" + item + R"(","ms":)" +
-                                       std::to_string(net::unix_now() / 1000) + "}}\n");
+  discovery_servers[0].send(R"({"rev":1,"flush":{"asset":")" + item + R"(","ms":)" +
+                            std::to_string(net::unix_now() / 1000) + "}}\n");
   const auto asks = [&](std::size_t router) {  // with what bound on the copy's age, in milliseconds
-    age_limits_.erase(item);
+    age_limits.erase(item);
     auto s = loopback::dial(cluster->clients(router));
     s->write(loopback::request(1, "asset",
                                {{"txn", item}, {"item", item}, {"limit", "3000"}, {"ram", "90"}}));
     cluster->until([&] { return s->poll(), !loopback::answers(s->in).empty(); }, 10 * kSecond);
-    return age_limits_.contains(item) ? std::stoi(age_limits_[item]) : 0;
+    return age_limits.contains(item) ? std::stoi(age_limits[item]) : 0;
   };
   ASSERT_TRUE(cluster->until([&] { return asks(1) > 0; }, 10 * kSecond))
       << "it is told by the other";
@@ -153,9 +153,9 @@
   ASSERT_TRUE(cluster->until([&] { return cluster->whole(cluster->all()) && all_caught_up(); }));
   EXPECT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 15 * kSecond));
   EXPECT_NE(cluster->log(3).find("event=not_read"), std::string::npos);
-  const auto before = requests_received_[2];
+  const auto before = requests_received[2];
   cluster->run(2 * kSecond);
-  EXPECT_EQ(requests_received_[2], before);
+  EXPECT_EQ(requests_received[2], before);
 }
 
 TEST_F(Replicated, AReadyRouterHasWhatIsInForceOrWasAloneForAWhile) {
