--- a/bench/consensus/consensus_processes.cpp
+++ b/bench/consensus/consensus_processes.cpp
@@ -114,8 +114,9 @@
   bool measure_slow_start(bool has_told_numbers, bool of_parent) {
     obligations =
         R"("weights":"nominal","obligations":{"cold-from":0.2,"cold":60000000,"fall":1000000},)";
-    if (of_parent)
+    if (of_parent) {
       domain = R"("upper-kind":1,"source-kind":2,"upper-cold-from":0.2,"upper-cold":60000000,)";
+    }
     initial_servers = of_parent ? "abcp" : "ab";
     server_weight = 1;
     has_no_consensus = has_told_numbers;
@@ -185,8 +186,9 @@
       change(processes_ - 1, servers);
       return;
     }
-    for (const std::size_t router : cluster->all())
+    for (const std::size_t router : cluster->all()) {
       cluster->write_list(router, endpoint_list(servers, 2));
+    }
   }
 
   // The part of the new server's budget that it gets in the next while.
--- a/src/consensus/lease_client.cpp
+++ b/src/consensus/lease_client.cpp
@@ -42,7 +42,7 @@
   if (news.accepted) learn_accepted(*news.accepted);
 }
 
-// A version in a canary rollout elsewhere is none for this router, whoever tells of it.
+// A version in a canary rollout at other routers only does not concern this one.
 bool LeaseClient::applies_here(const Version& version) const {
   return !version.is_canary() || version.canary.includes(context_.name());
 }
--- a/tests/consensus/faulty_disk.cpp
+++ b/tests/consensus/faulty_disk.cpp
@@ -178,8 +178,9 @@
 int clock_gettime(clockid_t clock, timespec* time) {
   static const auto real_clock = real_function<int (*)(clockid_t, timespec*)>("clock_gettime");
   const int result = real_clock(clock, time);
-  if (clock == CLOCK_REALTIME && result == 0 && control())
+  if (clock == CLOCK_REALTIME && result == 0 && control()) {
     time->tv_sec += control()[1] / kMicrosecondsPerSecond;
+  }
   return result;
 }
 
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -18,15 +18,16 @@
     ASSERT_EQ(store.load().status.message(), "");
     const AppendEntries first_entries{
         1, {{1, 3, "voters"}, {2, 1, std::string(900, 'x')}, {2, 1, "three"}}};
-    const Snapshot snapshot{2, 2, {1, {{"a", 1}, {"b", 1}}}, "ledger"};
+    const Snapshot snapshot{2, 2, {1, {{"a", 1}, {"b", 1}}}, "state"};
     for (const LogWrite& write :
          {LogWrite(SetTerm{2}), LogWrite(SetVote{77}), LogWrite(first_entries),
-          LogWrite(SaveSnapshot{snapshot, 1}), LogWrite(AppendEntries{4, {{2, 1, "four"}}})})
+          LogWrite(SaveSnapshot{snapshot, 1}), LogWrite(AppendEntries{4, {{2, 1, "four"}}})}) {
       ASSERT_EQ(store.apply(write).message(), "");
+    }
   }
   static bool is_as_written(const PersistedLog& log) {
     return log.term == 2 && log.vote == 77 && log.first_index == 2 && log.entries.size() == 3 &&
-           log.entries[2].data == "four" && log.snapshot && log.snapshot->data == "ledger" &&
+           log.entries[2].data == "four" && log.snapshot && log.snapshot->data == "state" &&
            log.snapshot->configuration.servers.size() == 2;
   }
 
@@ -72,8 +73,9 @@
     EXPECT_TRUE(loaded.log.is_empty()) << damage << ": nothing of it is used";
   };
   const auto restore = [&](const std::string& database_bytes) {
-    for (const auto& file : std::filesystem::directory_iterator(folder().path()))
+    for (const auto& file : std::filesystem::directory_iterator(folder().path())) {
       std::filesystem::remove(file.path());
+    }
     folder().write("agree.mark", mark);
     folder().write("agree.db", database_bytes);
   };
--- a/tests/consensus/router_fleet_test.cpp
+++ b/tests/consensus/router_fleet_test.cpp
@@ -145,12 +145,13 @@
   const auto number = propose_with_retries(leading == 0 ? 1 : 0, "ab");
   EXPECT_GT(number, 0u) << last_result;
   EXPECT_LE(net::unix_now() - from, kMaxStaleTime + 3 * kBusyMachineTime);
-  // They hear of it from others, and take the careful union with it.
-  for (const std::size_t i : {std::size_t{3}, std::size_t{4}})
+  // They hear of it from others, and act on the conservative merge with it.
+  for (const std::size_t router : {3u, 4u}) {
     EXPECT_TRUE(cluster->until([&] {
-      const auto current = status(i);
+      const auto current = status(router);
       return current.active_number == number || current.newer_versions > 0;
-    })) << i;
+    })) << router;
+  }
   cluster->way(4, leading).cut = false;
   cluster->way(3, leading).stall = cluster->way(leading, 3).stall = false;
   EXPECT_TRUE(wait_until_all_use(number));
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -87,9 +87,11 @@
 }
 
 void SimulatedCluster::partition(const std::set<std::string>& side) {
-  for (const auto& [from, sender] : routers_)
-    for (const auto& [to, receiver] : routers_)
+  for (const auto& [from, sender] : routers_) {
+    for (const auto& [to, receiver] : routers_) {
       if (side.contains(from) != side.contains(to)) link(from, to).is_cut = true;
+    }
+  }
 }
 
 // ---- Operators
@@ -126,9 +128,11 @@
 }
 
 const ProposalResult* SimulatedCluster::result(std::uint64_t nonce) const {
-  for (const auto& [name, router] : routers_)
-    for (const auto& result : router.results)
+  for (const auto& [name, router] : routers_) {
+    for (const auto& result : router.results) {
       if (result.nonce == nonce) return &result;
+    }
+  }
   return nullptr;
 }
 
@@ -190,8 +194,9 @@
 }
 
 std::string SimulatedCluster::leader() const {
-  for (const auto& [name, router] : routers_)
+  for (const auto& [name, router] : routers_) {
     if (router.node && !router.is_paused && router.node->is_leader(clock_of(router))) return name;
+  }
   return "";
 }
 
@@ -204,21 +209,26 @@
           (status.active.is_conservative ? " conservatively" : "") + ", leader " + status.leader +
           ", term " + std::to_string(status.term) + ", log " +
           std::to_string(status.last_log_index);
-  if (status.pending)
+  if (status.pending) {
     text += ", pending " + std::to_string(status.pending->number) +
             (status.is_pending_accepted ? " accepted" : "");
+  }
   for (const auto& name : status.routers_behind) text += ", behind " + name;
-  if (const Raft* raft = router.node->raft())
-    for (const auto& [server, role] : raft->roles())
+  if (const Raft* raft = router.node->raft()) {
+    for (const auto& [server, role] : raft->roles()) {
       text += " " + server + ":" + std::to_string(role);
+    }
+  }
   text += " " + status.fault + "\n";
   const auto& events = router.log_events;
   const std::size_t shown = std::min(events.size(), kDescribedLogEvents);
   for (auto event = events.end() - static_cast<std::ptrdiff_t>(shown); event != events.end();
-       ++event)
+       ++event) {
     text += "    " + *event + "\n";
-  for (const auto& result : router.results)
+  }
+  for (const auto& result : router.results) {
     text += "    result " + std::to_string(result.version_number) + " " + result.reason + "\n";
+  }
   return text;
 }
 
@@ -232,8 +242,9 @@
 
 std::vector<std::string> SimulatedCluster::names_except(const std::string& excluded) const {
   std::vector<std::string> names;
-  for (const auto& [name, router] : routers_)
+  for (const auto& [name, router] : routers_) {
     if (name != excluded) names.push_back(name);
+  }
   return names;
 }
 
@@ -260,8 +271,9 @@
            [this, &router, generation = router.generation, due] {
              if (router.generation != generation || !router.node || router.is_paused) return;
              const Time clock = clock_of(router);
-             if (clock >= due && router.node->next_deadline() <= clock)
+             if (clock >= due && router.node->next_deadline() <= clock) {
                deliver(router, TimerFired{});
+             }
            });
 }
 
@@ -279,8 +291,9 @@
 }
 
 void SimulatedCluster::apply_append(PersistedLog& log, const AppendEntries& append) {
-  if (append.first_index != log.last_index() + 1)
+  if (append.first_index != log.last_index() + 1) {
     return report_violation("an entry is appended out of order");
+  }
   log.entries.insert(log.entries.end(), append.entries.begin(), append.entries.end());
 }
 
@@ -308,8 +321,9 @@
   } else if (const auto* append = std::get_if<AppendEntries>(&write)) {
     apply_append(log, *append);
   } else if (const auto* truncation = std::get_if<TruncateFrom>(&write)) {
-    if (truncation->index < log.first_index)
+    if (truncation->index < log.first_index) {
       return report_violation("more is cut off than there is");
+    }
     log.entries.resize(truncation->index - log.first_index);
   } else if (const auto* save = std::get_if<SaveSnapshot>(&write)) {
     apply_snapshot(log, *save);
@@ -395,13 +409,15 @@
 void SimulatedCluster::check_active_version(const Router& router, const ActiveVersion& next) {
   const std::uint64_t number = next.version.number;
   const std::uint64_t previous = router.active.version.number;
-  if (number < router.highest_number && number < previous)
+  if (number < router.highest_number && number < previous) {
     report_violation(router.name + " went back from " + std::to_string(previous) + " to " +
                      std::to_string(number));
+  }
   if (number == 0) return;
   const auto digest = digests_.try_emplace(number, next.version.digest).first;
-  if (digest->second != next.version.digest)
+  if (digest->second != next.version.digest) {
     report_violation("two contents of number " + std::to_string(number));
+  }
   if (!next.version.is_canary()) {
     first_used_at_.try_emplace(number, now_);
   } else if (!next.version.canary.includes(router.name)) {
@@ -423,9 +439,10 @@
   if (later == first_used_at_.end()) return;
   const Time stale_time = now_ - later->second;
   longest_stale_lease_ = std::max(longest_stale_lease_, stale_time);
-  if (stale_time > kMaxStaleTime)
+  if (stale_time > kMaxStaleTime) {
     report_violation(router.name + " acts on " + std::to_string(number) + " although " +
                      std::to_string(later->first) + " has been in force for over T");
+  }
 }
 
 void SimulatedCluster::check_invariants() {
@@ -443,11 +460,14 @@
     check_staleness(router);
   }
   if (leaders > 1) report_violation("two lead at once");
-  if (total_share > kLeasedFraction + kRounding)
+  if (total_share > kLeasedFraction + kRounding) {
     report_violation("shares add up to " + std::to_string(total_share));
-  for (const auto& [location, share] : location_shares)
-    if (share > kLeasedFraction + kRounding)
+  }
+  for (const auto& [location, share] : location_shares) {
+    if (share > kLeasedFraction + kRounding) {
       report_violation("shares of " + location + " add up to " + std::to_string(share));
+    }
+  }
 }
 
 }  // namespace alderspur::consensus
--- a/tests/consensus/stored_data_test.cpp
+++ b/tests/consensus/stored_data_test.cpp
@@ -100,8 +100,9 @@
 TEST(StoredData, ReadsLogWrittenBeforeTheRename) {
   // The store opens its files for writing: a copy.
   const TemporaryFolder folder;
-  for (const char* name : {"agree.db", "agree.mark"})
+  for (const char* name : {"agree.db", "agree.mark"}) {
     std::filesystem::copy_file(data_path(name), folder.path(name));
+  }
   LogStore store(folder.path());
   const auto loaded = store.load();
   ASSERT_EQ(loaded.status.message(), "");
@@ -127,8 +128,9 @@
 
 TEST(StoredData, ReadsCommandsInALogWrittenBeforeTheRename) {
   const TemporaryFolder folder;
-  for (const char* name : {"agree.db", "agree.mark"})
+  for (const char* name : {"agree.db", "agree.mark"}) {
     std::filesystem::copy_file(data_path(name), folder.path(name));
+  }
   LogStore store(folder.path());
   const auto loaded = store.load();
   ASSERT_EQ(loaded.log.entries.size(), 3u);
