--- a/src/consensus/leader.h
+++ b/src/consensus/leader.h
@@ -27,8 +27,8 @@
   void on_propose_request(const std::string& from, const ProposeRequest& request);
   void on_canary_decision(const std::string& from, const CanaryDecision& decision);
 
-  /// What has become due, if this router leads. True if hints were sent or looked for: this router
-  /// renews its own lease as well.
+  /// Does what has become due, if this router leads. True in the rounds in which renew hints are
+  /// due: this router renews its own lease then as well.
   bool lead(const std::vector<std::string>& voters);
 
   const LeaseTable& lease_table() const { return lease_table_; }
