--- a/src/consensus/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -1,179 +1,226 @@
 #include "consensus/messages.h"
 
 #include <type_traits>
+#include <utility>
 
 #include "consensus/codec.h"
 
 namespace alderspur::consensus {
 namespace {
 
-using cluster::Packer;
-using cluster::Reader;
-
-constexpr std::uint64_t kTimeMost = std::uint64_t{1} << 62;
-
-void put(Packer& p, Time t) { p.number(static_cast<std::uint64_t>(t)); }
-Time time(Reader& r) { return static_cast<Time>(r.number(kTimeMost)); }
-
-// One pair for each message: how many fields, then written and read in one order.
-constexpr std::size_t fields(const RaftFrame&) { return 1; }
-void write(Packer& p, const RaftFrame& m) { p.bytes(m.frame); }
-void read(Reader& r, RaftFrame& m) { m.frame = r.bytes(kFrameMost); }
-
-constexpr std::size_t fields(const Renew&) { return 14; }
-constexpr std::size_t least(const Renew&) { return 12; }  // of a program that knows no trials
-void write(Packer& p, const Renew& m) {
-  p.number(m.epoch), put(p, m.sent),
-      p.number(m.acting).number(m.holds).number(m.refused).text(m.reason);
-  p.number(m.grant)
-      .real(m.share_all)
-      .real(m.share_point)
-      .real(m.weight)
-      .text(m.point)
-      .number(m.learner);
-  p.real(m.bad).number(m.forms);
-}
-void read(Reader& r, Renew& m) {
-  m.epoch = r.number(), m.sent = time(r), m.acting = r.number(), m.holds = r.number();
-  m.refused = r.number(), m.reason = r.text(kNoteMost), m.grant = r.number();
-  m.share_all = r.real(), m.share_point = r.real(), m.weight = r.real(), m.point = r.text();
-  m.learner = r.number();
-  if (r.more()) m.bad = r.real();
-  if (r.more()) m.forms = r.number();
-}
-
-constexpr std::size_t fields(const Grant&) { return 12; }
-constexpr std::size_t least(const Grant&) { return 11; }
-void write(Packer& p, const Grant& m) {
-  put(p, m.sent), p.number(m.id), put(p, m.length), pack(p, m.in_force), pack(p, m.pending);
-  p.flag(m.agreed), pack(p, m.voters),
-      p.real(m.share_all).real(m.share_point).number(m.admitted).flag(m.among).number(m.forms);
-}
-void read(Reader& r, Grant& m) {
-  m.sent = time(r), m.id = r.number(), m.length = time(r);
-  m.in_force = version(Reader(r.next(), 6), r.good), m.pending = maybe_version(r);
-  m.agreed = r.flag(), m.voters = names(r), m.share_all = r.real(), m.share_point = r.real();
-  m.admitted = r.number(), m.among = r.flag();
-  if (r.more()) m.forms = r.number();
-}
-
-constexpr std::size_t fields(const Redirect&) { return 1; }
-void write(Packer& p, const Redirect& m) { p.text(m.leader); }
-void read(Reader& r, Redirect& m) { m.leader = r.text(); }
-
-constexpr std::size_t fields(const Want&) { return 2; }
-void write(Packer& p, const Want& m) { p.text(m.digest).number(m.offset); }
-void read(Reader& r, Want& m) { m.digest = r.text(), m.offset = r.number(kContentMost); }
-
-constexpr std::size_t fields(const Chunk&) { return 4; }
-void write(Packer& p, const Chunk& m) {
-  p.text(m.digest).number(m.offset).number(m.total).bytes(m.bytes);
-}
-void read(Reader& r, Chunk& m) {
-  m.digest = r.text(), m.offset = r.number(kContentMost), m.total = r.number(kContentMost);
-  m.bytes = r.bytes(kChunk);
-}
-
-constexpr std::size_t fields(const Propose&) { return 3; }
-void write(Packer& p, const Propose& m) {
-  p.number(m.nonce), pack(p, m.version), pack(p, m.voters);
-}
-void read(Reader& r, Propose& m) {
-  m.nonce = r.number(), m.version = version(Reader(r.next(), 6), r.good), m.voters = names(r);
-}
-
-constexpr std::size_t fields(const Answer&) { return 5; }
-void write(Packer& p, const Answer& m) {
-  const auto& s = m.settled;
-  p.number(s.nonce).flag(s.yes).flag(s.final).number(s.number).text(s.text);
-}
-void read(Reader& r, Answer& m) {
-  auto& s = m.settled;
-  s.nonce = r.number(), s.yes = r.flag(), s.final = r.flag(), s.number = r.number();
-  s.text = r.text(kSettledText);
-}
-
-constexpr std::size_t fields(const LogPosition&) { return 7; }
-void write(Packer& p, const LogPosition& m) {
-  p.flag(m.asks)
-      .flag(m.pristine)
-      .number(m.term)
-      .number(m.last_term)
-      .number(m.last)
-      .number(m.your_term);
-  p.number(m.your_last);
-}
-void read(Reader& r, LogPosition& m) {
-  m.asks = r.flag(), m.pristine = r.flag(), m.term = r.number(), m.last_term = r.number(),
-  m.last = r.number();
-  m.your_term = r.number(), m.your_last = r.number();
-}
-
-constexpr std::size_t fields(const Ask&) { return 0; }
-void write(Packer&, const Ask&) {}
-void read(Reader&, Ask&) {}
-
-constexpr std::size_t fields(const Tell&) { return 2; }
-void write(Packer& p, const Tell& m) { pack(p, m.in_force), pack(p, m.agreed); }
-void read(Reader& r, Tell& m) {
-  m.in_force = version(Reader(r.next(), 6), r.good), m.agreed = maybe_version(r);
-}
-
-constexpr std::size_t fields(const RenewHint&) { return 0; }
-void write(Packer&, const RenewHint&) {}
+using msgpack_codec::Reader;
+using msgpack_codec::Writer;
+
+constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;
+
+void pack_time(Writer& writer, Time time) { writer.number(static_cast<std::uint64_t>(time)); }
+Time read_time(Reader& reader) { return static_cast<Time>(reader.number(kMaxTime)); }
+
+// For each message: the number of its fields, then writing and reading them in the same order.
+// `required_field_count` is smaller where earlier programs send fewer fields.
+
+constexpr std::size_t field_count(const RaftFrame&) { return 1; }
+void write(Writer& writer, const RaftFrame& message) { writer.bytes(message.bytes); }
+void read(Reader& reader, RaftFrame& message) { message.bytes = reader.bytes(kMaxMessageBytes); }
+
+constexpr std::size_t field_count(const LeaseRequest&) { return 14; }
+constexpr std::size_t required_field_count(const LeaseRequest&) { return 12; }
+void write(Writer& writer, const LeaseRequest& message) {
+  writer.number(message.epoch);
+  pack_time(writer, message.sent_at);
+  writer.number(message.active_number).number(message.stored_number);
+  writer.number(message.rejected_number).text(message.rejection_reason);
+  writer.number(message.last_grant_id);
+  writer.real(message.total_share).real(message.location_share);
+  writer.real(message.request_rate).text(message.location);
+  writer.number(message.learner_id);
+  writer.real(message.failure_ratio).number(message.protocol_version);
+}
+void read(Reader& reader, LeaseRequest& message) {
+  message.epoch = reader.number();
+  message.sent_at = read_time(reader);
+  message.active_number = reader.number();
+  message.stored_number = reader.number();
+  message.rejected_number = reader.number();
+  message.rejection_reason = reader.text(kMaxNoteLength);
+  message.last_grant_id = reader.number();
+  message.total_share = reader.real();
+  message.location_share = reader.real();
+  message.request_rate = reader.real();
+  message.location = reader.text();
+  message.learner_id = reader.number();
+  if (reader.has_more()) message.failure_ratio = reader.real();
+  if (reader.has_more()) message.protocol_version = reader.number();
+}
+
+constexpr std::size_t field_count(const LeaseGrant&) { return 12; }
+constexpr std::size_t required_field_count(const LeaseGrant&) { return 11; }
+void write(Writer& writer, const LeaseGrant& message) {
+  pack_time(writer, message.sent_at);
+  writer.number(message.id);
+  pack_time(writer, message.duration);
+  pack(writer, message.current);
+  pack(writer, message.pending);
+  writer.flag(message.is_pending_accepted);
+  pack(writer, message.voters);
+  writer.real(message.total_share).real(message.location_share);
+  writer.number(message.admitted_learner_id).flag(message.is_member);
+  writer.number(message.protocol_version);
+}
+void read(Reader& reader, LeaseGrant& message) {
+  message.sent_at = read_time(reader);
+  message.id = reader.number();
+  message.duration = read_time(reader);
+  message.current = read_version(reader);
+  message.pending = read_optional_version(reader);
+  message.is_pending_accepted = reader.flag();
+  message.voters = read_names(reader);
+  message.total_share = reader.real();
+  message.location_share = reader.real();
+  message.admitted_learner_id = reader.number();
+  message.is_member = reader.flag();
+  if (reader.has_more()) message.protocol_version = reader.number();
+}
+
+constexpr std::size_t field_count(const Redirect&) { return 1; }
+void write(Writer& writer, const Redirect& message) { writer.text(message.leader); }
+void read(Reader& reader, Redirect& message) { message.leader = reader.text(); }
+
+constexpr std::size_t field_count(const FetchRequest&) { return 2; }
+void write(Writer& writer, const FetchRequest& message) {
+  writer.text(message.digest).number(message.offset);
+}
+void read(Reader& reader, FetchRequest& message) {
+  message.digest = reader.text();
+  message.offset = reader.number(kMaxContentBytes);
+}
+
+constexpr std::size_t field_count(const ContentChunk&) { return 4; }
+void write(Writer& writer, const ContentChunk& message) {
+  writer.text(message.digest).number(message.offset);
+  writer.number(message.total_size).bytes(message.bytes);
+}
+void read(Reader& reader, ContentChunk& message) {
+  message.digest = reader.text();
+  message.offset = reader.number(kMaxContentBytes);
+  message.total_size = reader.number(kMaxContentBytes);
+  message.bytes = reader.bytes(kMaxChunkBytes);
+}
+
+constexpr std::size_t field_count(const ProposeRequest&) { return 3; }
+void write(Writer& writer, const ProposeRequest& message) {
+  writer.number(message.nonce);
+  pack(writer, message.version);
+  pack(writer, message.voters);
+}
+void read(Reader& reader, ProposeRequest& message) {
+  message.nonce = reader.number();
+  message.version = read_version(reader);
+  message.voters = read_names(reader);
+}
+
+constexpr std::size_t field_count(const ProposeResponse&) { return kProposalResultFields; }
+void write(Writer& writer, const ProposeResponse& message) { pack_fields(writer, message.result); }
+void read(Reader& reader, ProposeResponse& message) {
+  message.result = read_proposal_result_fields(reader);
+}
+
+constexpr std::size_t field_count(const LogStatus&) { return 7; }
+void write(Writer& writer, const LogStatus& message) {
+  writer.flag(message.wants_reply).flag(message.is_empty);
+  writer.number(message.term).number(message.last_term).number(message.last_index);
+  writer.number(message.acknowledged_term).number(message.acknowledged_index);
+}
+void read(Reader& reader, LogStatus& message) {
+  message.wants_reply = reader.flag();
+  message.is_empty = reader.flag();
+  message.term = reader.number();
+  message.last_term = reader.number();
+  message.last_index = reader.number();
+  message.acknowledged_term = reader.number();
+  message.acknowledged_index = reader.number();
+}
+
+constexpr std::size_t field_count(const VersionQuery&) { return 0; }
+void write(Writer&, const VersionQuery&) {}
+void read(Reader&, VersionQuery&) {}
+
+constexpr std::size_t field_count(const VersionNews&) { return 2; }
+void write(Writer& writer, const VersionNews& message) {
+  pack(writer, message.current);
+  pack(writer, message.accepted);
+}
+void read(Reader& reader, VersionNews& message) {
+  message.current = read_version(reader);
+  message.accepted = read_optional_version(reader);
+}
+
+constexpr std::size_t field_count(const RenewHint&) { return 0; }
+void write(Writer&, const RenewHint&) {}
 void read(Reader&, RenewHint&) {}
 
-constexpr std::size_t fields(const Verdict&) { return 3; }
-void write(Packer& p, const Verdict& m) { p.number(m.nonce).number(m.number).flag(m.go_on); }
-void read(Reader& r, Verdict& m) {
-  m.nonce = r.number(), m.number = r.number(), m.go_on = r.flag();
+constexpr std::size_t field_count(const CanaryDecision&) { return 3; }
+void write(Writer& writer, const CanaryDecision& message) {
+  writer.number(message.nonce).number(message.version_number).flag(message.promote);
+}
+void read(Reader& reader, CanaryDecision& message) {
+  message.nonce = reader.number();
+  message.version_number = reader.number();
+  message.promote = reader.flag();
 }
 
-template <class M>
-constexpr std::size_t least(const M& m) {
-  return fields(m);
+template <class Kind>
+constexpr std::size_t required_field_count(const Kind& message) {
+  return field_count(message);
 }
 
-template <std::size_t I = 0>
-std::optional<Message> read_kind(std::uint64_t kind, const msgpack_object& o, Reader& r) {
-  if constexpr (I == std::variant_size_v<Message>) {
-    return {};  // of a later program
+template <std::size_t Index = 0>
+std::optional<Message> read_message(std::uint64_t kind, std::size_t array_size, Reader& reader) {
+  if constexpr (Index == std::variant_size_v<Message>) {
+    return {};  // a kind of a later program
   } else {
-    if (kind != I + 1) return read_kind<I + 1>(kind, o, r);
-    std::variant_alternative_t<I, Message> m;
-    if (o.via.array.size < least(m) + 1) return {};
-    read(r, m);
-    return r.good ? std::optional<Message>(std::move(m)) : std::nullopt;
+    if (kind != Index + 1) return read_message<Index + 1>(kind, array_size, reader);
+    std::variant_alternative_t<Index, Message> message;
+    if (array_size < required_field_count(message) + 1) return {};
+    read(reader, message);
+    return reader.ok() ? std::optional<Message>(std::move(message)) : std::nullopt;
   }
 }
 
 }  // namespace
 
 std::string encode(const Message& message) {
-  Packer p;
+  Writer writer;
   std::visit(
-      [&](const auto& m) {
-        p.array(fields(m) + 1).number(message.index() + 1);
-        write(p, m);
+      [&](const auto& alternative) {
+        writer.array(field_count(alternative) + 1).number(message.index() + 1);
+        write(writer, alternative);
       },
       message);
-  return p.take();
+  return writer.str();
 }
 
 std::optional<Message> decode_message(std::string_view bytes) {
-  if (bytes.size() > kFrameMost) return {};
-  const cluster::Unpacked u(bytes);
-  if (!u.good) return {};
-  Reader r(u.m.data, 1);
-  const auto kind = r.number();
-  return read_kind(kind, u.m.data, r);
-}
-
-std::string plain(std::string_view text, std::size_t most) {
-  std::string out(text.substr(0, most));
-  for (char& c : out)
-    if (c < ' ' || c > '~' || c == '"') c = c == '"' ? '\'' : ' ';
-  return out;
+  if (bytes.size() > kMaxMessageBytes) return {};
+  const msgpack_codec::Document unpacked(bytes);
+  if (!unpacked.is_valid()) return {};
+  Reader reader(unpacked.root(), 1);
+  const auto kind = reader.number();
+  // Not an array: the reader is bad, and the size below is never read.
+  if (!reader.ok()) return {};
+  return read_message(kind, unpacked.root().via.array.size, reader);
+}
+
+std::string to_printable(std::string_view text, std::size_t max_length) {
+  std::string result(text.substr(0, max_length));
+  for (char& character : result) {
+    if (character == '"') {
+      character = '\'';
+    } else if (character < ' ' || character > '~') {
+      character = ' ';
+    }
+  }
+  return result;
 }
 
 }  // namespace alderspur::consensus
