--- a/example/editor/alder.vim
+++ b/example/editor/alder.vim
@@ -1,6 +1,6 @@
 " Syntax of .alder files for Vim: copy to ~/.vim/syntax/ and add
 "   autocmd BufRead,BufNewFile *.alder set filetype=alder
-" to ~/.vimrc. The words are those of src/lang/schema.cpp; docs/language.md has the grammar.
+" to ~/.vimrc. The words are those of src/config_language/schema.cpp; docs/language.md has the grammar.
 if exists("b:current_syntax")
   finish
 endif
