--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 using namespace alderspur;
 
-constexpr Time ms = 1000, second = 1000 * ms;
-constexpr Time kStart = 100 * second;
+constexpr Time kMs = 1000, kSecond = 1000 * kMs;
+constexpr Time kStart = 100 * kSecond;
 
 Settings site() {
   Settings s;
@@ -22,27 +22,27 @@
   s.router_count = 2;
   s.router_count_by_location = {0, 0, 0, 1, 1};
   ClassSettings parts, pages, keyed, once;
-  parts.latency_objective = 500 * ms;
+  parts.latency_objective = 500 * kMs;
   parts.latency_objective_stretch = 2;
   pages = parts;
-  pages.fresh_time = 8 * second;
-  pages.stale_grace_time = 30 * second;
+  pages.fresh_time = 8 * kSecond;
+  pages.stale_grace_time = 30 * kSecond;
   keyed = parts;
   keyed.idempotency = Idempotency::idempotent_with_key;
   keyed.dedup_scope = DedupScope::cell;
-  keyed.dedup_window = 5 * second;
+  keyed.dedup_window = 5 * kSecond;
   once = parts;
   once.idempotency = Idempotency::not_idempotent;
   s.classes = {parts, pages, keyed, once};
   s.max_attempts = 6;
   s.can_cancel_attempts = s.sends_retry_after = true;
-  s.max_retry_after = 2 * second;
+  s.max_retry_after = 2 * kSecond;
   s.cache_slow_start_fraction = 0.2;
-  s.cache_slow_start_time = 20 * second;
-  s.overload_window = 1500 * ms;
+  s.cache_slow_start_time = 20 * kSecond;
+  s.overload_window = 1500 * kMs;
   s.parent_slow_start_fraction = 0.1;
-  s.parent_slow_start_time = 20 * second;
-  s.purge_propagation_time = 6 * second;
+  s.parent_slow_start_time = 20 * kSecond;
+  s.purge_propagation_time = 6 * kSecond;
   s.stream_kb_per_second = 1000;
   s.weights = WeightKind::nominal;
   s.can_join_fills = s.has_fills = true;
@@ -104,11 +104,11 @@
   RequestId ask(std::uint64_t object, std::uint32_t cls = 0, double size = 100,
                 std::uint32_t part = 0, std::uint32_t group = 5) {
     const RequestId id{next++};
-    tell(Request{id, {object}, {group}, {cls}, part, size, 5 * second, false});
+    tell(Request{id, {object}, {group}, {cls}, part, size, 5 * kSecond, false});
     return id;
   }
   AttemptOutcome outcome(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
-                         std::uint32_t attempt = 0, Time elapsed = 100 * ms) {
+                         std::uint32_t attempt = 0, Time elapsed = 100 * kMs) {
     AttemptOutcome o;
     o.id = id;
     o.attempt = {attempt};
@@ -120,7 +120,7 @@
     return o;
   }
   std::vector<Action> end(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
-                          std::uint32_t attempt = 0, Time elapsed = 100 * ms) {
+                          std::uint32_t attempt = 0, Time elapsed = 100 * kMs) {
     return tell(outcome(id, result, note, attempt, elapsed));
   }
   std::uint64_t serve(std::uint64_t object, double size = 100, std::uint32_t part = 0) {
@@ -188,7 +188,7 @@
   for (int i = 0; i < 240; ++i) {
     ++by[bed.serve(777, 400)];
     bed.serve(1000 + static_cast<std::uint64_t>(i % 50), 100);
-    bed.advance(50 * ms);
+    bed.advance(50 * kMs);
   }
   EXPECT_EQ(by.size(), 2u);
   by.clear();
@@ -196,7 +196,7 @@
   for (auto& [server, n] : by) EXPECT_NEAR(n, 10, 3) << server;
   for (int i = 0; i < 40; ++i) {
     bed.serve(1000 + static_cast<std::uint64_t>(i % 50), 100);
-    bed.advance(500 * ms);
+    bed.advance(500 * kMs);
   }
   by.clear();
   for (int i = 0; i < 4; ++i) ++by[bed.serve(777, 1)];
@@ -236,7 +236,7 @@
   for (int i = 0; i < 600; ++i) {
     const auto o = 1 + static_cast<std::uint64_t>(i % 60);
     homes[o].insert(bed.serve(o));
-    bed.advance(20 * ms);
+    bed.advance(20 * kMs);
   }
   for (auto& [o, h] : homes) EXPECT_EQ(h.size(), 1u) << o;
 }
@@ -251,13 +251,13 @@
     bed.end(id, AttemptResult::error, FillOutcome::none, i);
     bed.end(id, AttemptResult::error, FillOutcome::none, i);  // a repeated outcome is harmless
   }
-  bed.advance(10 * second);
+  bed.advance(10 * kSecond);
   EXPECT_EQ(bed.answers[id], 1);
 }
 TEST(Answers, SilenceIsAnsweredByTheDeadline) {
   Bed bed;
   const auto id = bed.ask(1);
-  bed.advance(5 * second + 2 * ms);
+  bed.advance(5 * kSecond + 2 * kMs);
   EXPECT_EQ(bed.answers[id], 1);
   EXPECT_EQ(bed.end(id, AttemptResult::timeout).size(), 0u);
 }
@@ -265,7 +265,7 @@
   Bed bed(site(), {});
   std::vector<Action> actions;
   actions = bed.tell(
-      Request{{50}, {1}, {0}, {0}, 0, std::numeric_limits<double>::quiet_NaN(), second, false});
+      Request{{50}, {1}, {0}, {0}, 0, std::numeric_limits<double>::quiet_NaN(), kSecond, false});
   bool refused = false;
   for (auto& a : actions) {
     if (auto* r = std::get_if<Reject>(&a)) refused = r->retry_after > 0;
@@ -312,8 +312,8 @@
   const auto id = bed.ask(7, 2);
   bed.end(id, AttemptResult::error);
   ASSERT_EQ(bed.sends[id].size(), 2u);
-  EXPECT_TRUE(bed.router.may_send(bed.now + 4900 * ms, id, {1}));
-  EXPECT_FALSE(bed.router.may_send(bed.now + 5 * second, id, {1}));
+  EXPECT_TRUE(bed.router.may_send(bed.now + 4900 * kMs, id, {1}));
+  EXPECT_FALSE(bed.router.may_send(bed.now + 5 * kSecond, id, {1}));
   EXPECT_FALSE(bed.router.may_send(bed.now, id, {2})) << "there is none";
   EXPECT_FALSE(bed.router.may_send(bed.now, {12345}, {0}));
 }
@@ -344,7 +344,7 @@
 TEST(Effects, NeverTwoAttemptsOut) {
   Bed bed;
   const auto id = bed.ask(1);
-  bed.advance(4 * second);
+  bed.advance(4 * kSecond);
   EXPECT_EQ(bed.sends[id].size(), 1u);
 }
 
@@ -357,7 +357,7 @@
   bed.tell(EndpointUpdate{false, false, {cache(home, ServerStatus::draining), parent}});
   bed.end(out, AttemptResult::error);
   for (std::uint64_t o = 1; o < 60; ++o) bed.ask(o);
-  bed.advance(2 * second);  // second copies too
+  bed.advance(2 * kSecond);  // second copies too
   for (auto& [id, sends] : bed.sends) {
     for (std::size_t i = id == out ? 1 : 0; i < sends.size(); ++i) {
       EXPECT_NE(sends[i].server.value, home);
@@ -386,12 +386,12 @@
 }
 TEST(Cold, ABurstDoesNotSpendMoreThanAColdCacheCanDo) {
   Bed bed;
-  bed.advance(30 * second);
+  bed.advance(30 * kSecond);
   bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::gone)}});
   bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::ready, bed.now)}});
   for (int i = 0; i < 150; ++i) {
     for (std::uint64_t o = 1; o <= 8; ++o) bed.ask(o + static_cast<std::uint64_t>(i) * 8);
-    bed.advance(10 * ms);
+    bed.advance(10 * kMs);
   }
   // 2 x 0.2..0.26 x 4 transfers x 1.5 s = 2.4 at the least.
   EXPECT_LT(sent_to(bed, 1, false), 2.4);
@@ -404,88 +404,131 @@
 // Stirred: some routers see several times the mean, and seven in ten start anew a second later.
 // Late: each hears of the start when it does, up to 2 s later.
 struct Sum {
-  double part = 0, over = -1e9;
+  double part = 0;
+  double over = -1e9;
 };
 enum class How { plain, stirred, late };
-Sum most_sent(std::size_t routers, bool told, bool parent, double capacity, How how = How::plain) {
-  auto s = site();
-  const bool stirred = how == How::stirred;
-  s.router_count = static_cast<std::uint32_t>(routers);
-  s.router_count_by_location = {0, 0, 0, static_cast<std::uint32_t>(routers)};
-  s.weights = told ? WeightKind::nominal : WeightKind::none;
-  const std::uint64_t victim = parent ? 20 : 1;
-  std::vector<Server> servers = fleet();
-  for (auto& x : servers) x.weight = told && x.role != Role::origin ? capacity : 1;
-  std::vector<Bed> beds;
-  for (std::size_t i = 0; i < routers; ++i) beds.emplace_back(s, servers, 1000 + 77 * i);
+
+class ColdServerTrial {
+ public:
+  ColdServerTrial(std::size_t routers, bool told, bool parent, double capacity, How how)
+      : routers_(routers), told_(told), parent_(parent), capacity_(capacity), how_(how) {
+    settings_.router_count = static_cast<std::uint32_t>(routers);
+    settings_.router_count_by_location = {0, 0, 0, static_cast<std::uint32_t>(routers)};
+    settings_.weights = told ? WeightKind::nominal : WeightKind::none;
+    for (auto& server : servers_) {
+      server.weight = told && server.role != Role::origin ? capacity : 1;
+    }
+    for (std::size_t i = 0; i < routers; ++i) {
+      beds_.emplace_back(settings_, servers_, 1000 + 77 * i);
+    }
+  }
+  Sum run() {
+    for (Time t = 0; t < 40 * kSecond; t += kStep) {
+      for (auto& bed : beds_) bed.advance(kStep);
+      if (t == kRestart) born_ = beds_[0].now;
+      if (t >= kRestart && t <= kRestart + 2 * kSecond) tell_of_restart(t);
+      if (how_ == How::stirred && t == kRestart + kSecond) start_seven_in_ten_anew();
+      for (due_ += rate() * 0.005; due_ >= 1; --due_) ask(t);
+    }
+    return most();
+  }
+
+ private:
+  struct Sent {
+    Time at = 0;
+    double work = 0;
+  };
+  static constexpr Time kStep = 5 * kMs;
+  static constexpr Time kRestart = 30 * kSecond;
+
+  std::uint64_t victim() const { return parent_ ? 20 : 1; }
+  double work() const { return told_ ? 0.2 : 0.1; }
   // All together ask for as much as warm servers carry at six tenths of their capacity; each a
   // request at a time.
-  const double work = told ? 0.2 : 0.1, rate = 0.6 * capacity * (parent ? 2 : 4) / work;
-  std::vector<std::pair<Time, double>> sent;
-  double due = 0;
-  std::uint64_t pick = 5;
-  Time born = 0;
-  const auto hears = [&](std::size_t i) {
-    return 30 * second + (how == How::late ? static_cast<Time>(i * 7919 % 400) * 5 * ms : 0);
-  };
-  for (Time t = 0; t < 40 * second; t += 5 * ms) {
-    for (auto& b : beds) b.advance(5 * ms);
-    if (t == 30 * second) born = beds[0].now;
-    for (std::size_t i = 0; i < routers && t >= 30 * second && t <= 32 * second; ++i) {
-      for (auto x : servers) {
-        if (x.id.value == victim && hears(i) == t) {
-          x.started_at = born, beds[i].tell(EndpointUpdate{false, false, {x}});
-        }
+  double rate() const { return 0.6 * capacity_ * (parent_ ? 2 : 4) / work(); }
+  Time hears(std::size_t router) const {
+    return kRestart + (how_ == How::late ? static_cast<Time>(router * 7919 % 400) * 5 * kMs : 0);
+  }
+  void tell_of_restart(Time t) {
+    for (std::size_t i = 0; i < routers_; ++i) {
+      for (auto server : servers_) {
+        if (server.id.value != victim() || hears(i) != t) continue;
+        server.started_at = born_;
+        beds_[i].tell(EndpointUpdate{false, false, {server}});
       }
     }
-    if (stirred && t == 31 * second) {
-      auto known = servers;
-      for (auto& x : known) {
-        if (x.id.value == victim) x.started_at = born;
-      }
-      std::vector<Bed> after;
-      for (std::size_t i = 0; i < routers; ++i) {
-        if (i % 10 < 3) {
-          after.push_back(std::move(beds[i]));
-          continue;
-        }
-        after.emplace_back(s, std::vector<Server>{}, 5000 + 31 * i).now = beds[i].now;
-        after.back().next = 1'000'000;
-        after.back().tell(EndpointUpdate{true, false, known});
-      }
-      beds.swap(after);
+  }
+  void start_seven_in_ten_anew() {
+    auto known = servers_;
+    for (auto& server : known) {
+      if (server.id.value == victim()) server.started_at = born_;
     }
-    for (due += rate * 0.005; due >= 1; --due) {
-      pick = pick * 6364136223846793005ULL + 1442695040888963407ULL;
-      const double u =
-          static_cast<double>(pick >> 33) / 2147483648.0;  // squared: a tenth see a third of it
-      const std::size_t at = stirred
-                                 ? static_cast<std::size_t>(u * u * static_cast<double>(routers))
-                                 : (pick >> 33) % routers;
-      Bed& b = beds[at];
-      const auto id = b.ask(pick >> 20, 0, told ? 1000 * work : 0);
-      if (b.sends[id].empty()) continue;
-      const Send first = b.sends[id][0];
-      const bool hits_it = (parent ? first.fill->source : first.server).value == victim;
-      if (born && hits_it && t >= hears(at)) sent.emplace_back(b.now, work);
-      b.end(id, AttemptResult::ok, FillOutcome::filled);
+    std::vector<Bed> after;
+    for (std::size_t i = 0; i < routers_; ++i) {
+      if (i % 10 < 3) {
+        after.push_back(std::move(beds_[i]));
+        continue;
+      }
+      after.emplace_back(settings_, std::vector<Server>{}, 5000 + 31 * i).now = beds_[i].now;
+      after.back().next = 1'000'000;
+      after.back().tell(EndpointUpdate{true, false, known});
     }
+    beds_.swap(after);
+  }
+  std::size_t draw_router() {
+    pick_ = pick_ * 6364136223846793005ULL + 1442695040888963407ULL;
+    if (how_ != How::stirred) return (pick_ >> 33) % routers_;
+    // Squared: a tenth see a third of it.
+    const double u = static_cast<double>(pick_ >> 33) / 2147483648.0;
+    return static_cast<std::size_t>(u * u * static_cast<double>(routers_));
+  }
+  void ask(Time t) {
+    const std::size_t router = draw_router();
+    Bed& bed = beds_[router];
+    const auto id = bed.ask(pick_ >> 20, 0, told_ ? 1000 * work() : 0);
+    if (bed.sends[id].empty()) return;
+    const Send first = bed.sends[id][0];
+    const bool hits_it = (parent_ ? first.fill->source : first.server).value == victim();
+    if (born_ && hits_it && t >= hears(router)) sent_.push_back({bed.now, work()});
+    bed.end(id, AttemptResult::ok, FillOutcome::filled);
   }
-  Sum most;
-  for (std::size_t i = 0; i < sent.size(); ++i) {
-    double sum = 0;
-    for (std::size_t k = i; k < sent.size() && sent[k].first <= sent[i].first + s.overload_window;
-         ++k) {
-      sum += sent[k].second;
+  Sum most() const {
+    Sum most;
+    for (std::size_t i = 0; i < sent_.size(); ++i) {
+      const Time begin = sent_[i].at;
+      double sum = 0;
+      for (std::size_t k = i; k < sent_.size() && sent_[k].at <= begin + settings_.overload_window;
+           ++k) {
+        sum += sent_[k].work;
+      }
+      const double from =
+          parent_ ? settings_.parent_slow_start_fraction : settings_.cache_slow_start_fraction;
+      const double grown = static_cast<double>(begin - born_) / static_cast<double>(20 * kSecond);
+      const double budget = (from + (1 - from) * grown) * capacity_ * 1.5;
+      const double calls = budget / work();
+      most.part = std::max(most.part, sum / (2 * budget));
+      most.over = std::max(most.over, sum / work() - (calls + 2 * std::sqrt(calls) + 2));
     }
-    const double from = parent ? s.parent_slow_start_fraction : s.cache_slow_start_fraction;
-    const double grown =
-        static_cast<double>(sent[i].first - born) / static_cast<double>(20 * second);
-    const double budget = (from + (1 - from) * grown) * capacity * 1.5, calls = budget / work;
-    most.part = std::max(most.part, sum / (2 * budget));
-    most.over = std::max(most.over, sum / work - (calls + 2 * std::sqrt(calls) + 2));
+    return most;
   }
-  return most;
+
+  const std::size_t routers_;
+  const bool told_;
+  const bool parent_;
+  const double capacity_;
+  const How how_;
+  Settings settings_ = site();
+  std::vector<Server> servers_ = fleet();
+  std::vector<Bed> beds_;
+  std::vector<Sent> sent_;
+  double due_ = 0;
+  std::uint64_t pick_ = 5;
+  Time born_ = 0;
+};
+
+Sum most_sent(std::size_t routers, bool told, bool parent, double capacity, How how = How::plain) {
+  return ColdServerTrial(routers, told, parent, capacity, how).run();
 }
 TEST(Cold, HundredsOfRoutersTogetherDoNotPushOverAColdParent) {
   for (const bool told : {true, false}) {
@@ -532,11 +575,11 @@
 
 TEST(Cold, FillsCountAgainstAColdParent) {
   Bed bed;
-  bed.advance(30 * second);
+  bed.advance(30 * kSecond);
   bed.tell(EndpointUpdate{false, false, {upstream(20, Role::parent, bed.now)}});
   for (int i = 0; i < 150; ++i) {
     for (std::uint64_t o = 1; o <= 8; ++o) bed.ask(o + static_cast<std::uint64_t>(i) * 8);
-    bed.advance(10 * ms);
+    bed.advance(10 * kMs);
   }
   // 2 x 0.1 x 10 x 1.5 s over two routers = 1.5 for this one.
   EXPECT_LT(sent_to(bed, 20, true), 1.5);
@@ -550,7 +593,7 @@
     if (bed.sends[id][0].server.value == 1) bed.end(id, AttemptResult::connect_failed);
   }
   EXPECT_NE(bed.sends[bed.ask(o)][0].server.value, 1u);
-  bed.advance(9 * second);
+  bed.advance(9 * kSecond);
   bool tested = false;
   for (int i = 0; i < 5 && !tested; ++i) tested = bed.serve(o) == 1;  // a trickle tests it
   EXPECT_TRUE(tested);
@@ -562,19 +605,19 @@
 TEST(Purges, NoOlderCopyNoJoinNoRenewUntilSettled) {
   Bed bed;
   for (int i = 0; i < 3; ++i) bed.ask(9, 1);
-  bed.tell(Purge{ObjectId{9}, {5}, 100 * ms});
+  bed.tell(Purge{ObjectId{9}, {5}, 100 * kMs});
   auto f = bed.sends[bed.ask(9, 1)].at(0).fill;
   ASSERT_TRUE(f);
   EXPECT_GE(f->max_age, 1);
-  EXPECT_LE(f->max_age, 100 * ms);
+  EXPECT_LE(f->max_age, 100 * kMs);
   EXPECT_FALSE(f->may_join);
   EXPECT_FALSE(f->refresh_in_background);
-  bed.advance(2 * second);
+  bed.advance(2 * kSecond);
   f = bed.sends[bed.ask(9, 0)].at(0).fill;
-  EXPECT_GE(f->max_age, second);
-  EXPECT_LE(f->max_age, 2100 * ms);
+  EXPECT_GE(f->max_age, kSecond);
+  EXPECT_LE(f->max_age, 2100 * kMs);
   EXPECT_FALSE(bed.sends[bed.ask(10, 0)].at(0).fill->max_age) << "other objects keep any age";
-  bed.advance(30 * second);
+  bed.advance(30 * kSecond);
   EXPECT_TRUE(bed.sends[bed.ask(9, 0)].at(0).fill->may_join);
 }
 TEST(Purges, OfAGroupAtThisVeryMomentStillAsksForAnAge) {
@@ -585,7 +628,7 @@
 TEST(Purges, HoldForRetriesOfWhatWasOutBefore) {
   Bed bed;
   const auto id = bed.ask(9);
-  bed.tell(Purge{ObjectId{9}, {5}, 50 * ms});
+  bed.tell(Purge{ObjectId{9}, {5}, 50 * kMs});
   bed.end(id, AttemptResult::overloaded);
   ASSERT_EQ(bed.sends[id].size(), 2u);
   EXPECT_GE(bed.sends[id][1].fill->max_age, 1);
@@ -605,7 +648,7 @@
       bed.end(id, bed.sends[id][k].server.value == 2 ? AttemptResult::error : AttemptResult::ok,
               FillOutcome::hit, k);
     }
-    bed.advance(10 * ms);
+    bed.advance(10 * kMs);
   }
   EXPECT_LT(sent[2], 20);
 }
@@ -640,10 +683,10 @@
   std::uint64_t o = 1;
   while (bed.serve(o) != 1) ++o;
   for (int i = 0; i < 2; ++i) bed.end(bed.ask(o), AttemptResult::connect_failed);
-  bed.advance(5 * second);
+  bed.advance(5 * kSecond);
   EXPECT_NE(bed.sends[bed.ask(o)][0].server.value, 1u);
-  bed.tell(HealthCheckResult{{1}, true, ms, {}});
-  bed.advance(2 * second);
+  bed.tell(HealthCheckResult{{1}, true, kMs, {}});
+  bed.advance(2 * kSecond);
   EXPECT_EQ(bed.sends[bed.ask(o)][0].server.value, 1u);
 }
 TEST(Health, AllParentsDownFallsBackToTheOrigin) {
@@ -668,14 +711,14 @@
   std::uint64_t o = 1;
   while (bed.serve(o) == 0) ++o;
   const auto slow = bed.ask(o);
-  EXPECT_EQ(bed.sends[slow][0].timeout, 5 * second);
-  bed.advance(100 * ms);
+  EXPECT_EQ(bed.sends[slow][0].timeout, 5 * kSecond);
+  bed.advance(100 * kMs);
   const auto home = bed.sends[slow][0].server;
   std::uint64_t other = o + 1;
   while (bed.sends[bed.ask(other)][0].server != home) ++other;
   bed.end(RequestId{bed.next - 1}, AttemptResult::ok,
           FillOutcome::hit);  // the same cache answers something else
-  bed.advance(3 * second);
+  bed.advance(3 * kSecond);
   EXPECT_EQ(bed.sends[slow].size(), 1u);
 }
 TEST(Crowding, AHomeWithTooMuchWorkOutYieldsToTheNext) {
@@ -699,7 +742,7 @@
     ASSERT_FALSE(bed.sends[id].empty());
     named += bed.sends[id][0].fill->source == dead;
     bed.end(id, AttemptResult::ok, FillOutcome::filled);
-    bed.advance(10 * ms);
+    bed.advance(10 * kMs);
   }
   EXPECT_LE(named, 1) << "of 300 routers, each may test it with about as much as a cold one bears";
 }
@@ -722,10 +765,10 @@
     }
     return refused;
   };
-  EXPECT_EQ(run(200 * ms), 0);
-  EXPECT_GT(run(4 * second), 30);
-  for (int i = 0; i < 3; ++i) run(100 * ms);
-  EXPECT_LT(run(100 * ms), 30);
+  EXPECT_EQ(run(200 * kMs), 0);
+  EXPECT_GT(run(4 * kSecond), 30);
+  for (int i = 0; i < 3; ++i) run(100 * kMs);
+  EXPECT_LT(run(100 * kMs), 30);
 }
 // Guards against blaming caches for a dead source where answers carry no notes: every cache looked
 // sick, the next one was asked to fill from the same source, and the door shut. Guards against a
@@ -736,14 +779,14 @@
   std::multimap<Time, RequestId> due;
   int served = 0;
   for (std::uint64_t o = 1; o <= 2000; ++o) {
-    bed.advance(10 * ms);
+    bed.advance(10 * kMs);
     while (!due.empty() && due.begin()->first <= bed.now) {
-      bed.end(due.begin()->second, AttemptResult::ok, FillOutcome::none, 0, 310 * ms);
+      bed.end(due.begin()->second, AttemptResult::ok, FillOutcome::none, 0, 310 * kMs);
       due.erase(due.begin());
     }
     const auto id = bed.ask(o);  // 100 ms to send, wanted within 700: a third of the room is gone
     if (bed.sends[id].empty()) continue;
-    due.emplace(bed.now + 310 * ms, id);
+    due.emplace(bed.now + 310 * kMs, id);
     served += o > 1000;
   }
   EXPECT_GE(served, 950);
@@ -753,12 +796,12 @@
   int to_dead_late = 0, refused = 0;
   for (std::uint64_t o = 1; o <= 60; ++o) {
     const auto id = bed.ask(o, 0, 400);
-    bed.advance(100 * ms);
+    bed.advance(100 * kMs);
     if (bed.sends[id].empty()) continue;
     const bool dead = bed.sends[id][0].fill->source == ServerId{20};
     to_dead_late += dead && o > 30;
     bed.end(id, dead ? AttemptResult::overloaded : AttemptResult::ok, FillOutcome::none, 0,
-            50 * ms);
+            50 * kMs);
     if (dead && bed.sends[id].size() > 1) {
       EXPECT_EQ(bed.sends[id][1].server, bed.sends[id][0].server);
       EXPECT_NE(bed.sends[id][1].fill->source, ServerId{20});
@@ -778,7 +821,7 @@
     int errors = 0, late = 0, refused = 0, others = 0;
     for (std::uint64_t o = 1; o <= 400; ++o) {
       const auto id = bed.ask(o, 0, 50);
-      bed.advance(50 * ms);
+      bed.advance(50 * kMs);
       for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
         const auto& to = bed.sends[id][k];
         const bool concerned = to.server == failing || to.fill->source == failing;
@@ -786,7 +829,7 @@
         late += concerned && o > 100;
         others += !concerned && o > 100;
         if (bed.end(id, fails ? AttemptResult::error : AttemptResult::ok, FillOutcome::none, k,
-                    20 * ms);
+                    20 * kMs);
             !fails) {
           break;
         }
@@ -804,9 +847,9 @@
   Bed bed(probing_site());
   const auto id = bed.ask(1);
   const auto silent = bed.sends[id][0].server;
-  bed.advance(550 * ms);  // 100 of them are its own sending time
+  bed.advance(550 * kMs);  // 100 of them are its own sending time
   ASSERT_EQ(bed.probes[silent], 1);
-  const auto actions = bed.tell(HealthCheckResult{silent, false, 250 * ms, {}});
+  const auto actions = bed.tell(HealthCheckResult{silent, false, 250 * kMs, {}});
   ASSERT_EQ(std::count_if(actions.begin(), actions.end(),
                           [](auto& a) { return std::holds_alternative<Cancel>(a); }),
             1);
@@ -821,7 +864,7 @@
   Bed bed(probing_site());
   ServerId home{};
   for (int i = 0; i < 6; ++i) {
-    bed.advance(4 * second);
+    bed.advance(4 * kSecond);
     const auto id = bed.ask(1);
     ASSERT_EQ(bed.sends[id].size(), 1u);
     if (i > 0) {
@@ -832,20 +875,20 @@
     EXPECT_GE(bed.probes[home], i + 1);
     ASSERT_EQ(bed.sends[id].size(), 2u);
     EXPECT_EQ(bed.sends[id][1].server, home);
-    bed.tell(HealthCheckResult{home, true, ms, {}});
+    bed.tell(HealthCheckResult{home, true, kMs, {}});
     bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
   }
   // Where it happens to one cache only, again and again, that one is out however well its probes
   // go.
   for (int i = 0; i < 40; ++i) {
-    bed.advance(20 * ms);
+    bed.advance(20 * kMs);
     bed.serve(static_cast<std::uint64_t>(100 + i));
   }
   for (int i = 0; i < 20 && bed.sends[bed.ask(1)][0].server == home; ++i) {
-    bed.advance(20 * ms);
+    bed.advance(20 * kMs);
     const RequestId id{bed.next - 1};
     bed.end(id, AttemptResult::reset);
-    bed.tell(HealthCheckResult{home, true, ms, {}});
+    bed.tell(HealthCheckResult{home, true, kMs, {}});
     if (bed.sends[id].size() > 1) bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
   }
   EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
@@ -855,7 +898,7 @@
   const auto id = bed.ask(1);
   const auto home = bed.sends[id][0].server;
   bed.end(id, AttemptResult::reset);
-  bed.tell(HealthCheckResult{home, false, 250 * ms, {}});
+  bed.tell(HealthCheckResult{home, false, 250 * kMs, {}});
   EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
 }
 // A parent is looked at while a fill by it is late, and is out after four probes without a word.
@@ -864,7 +907,7 @@
   const auto id = bed.ask(1);
   parent = bed.sends[id][0].fill->source;
   EXPECT_EQ(bed.probes[parent], 0);
-  bed.advance(2 * second);
+  bed.advance(2 * kSecond);
   bed.end(id, AttemptResult::ok);
   return bed;
 }
@@ -884,7 +927,7 @@
   EXPECT_GT(fills_by(bed, parent, 100, 140), 0);
   for (int i = 0; i < 4; ++i) {
     ASSERT_EQ(bed.probes[parent], i + 1);
-    bed.tell(HealthCheckResult{parent, false, 250 * ms, {}});
+    bed.tell(HealthCheckResult{parent, false, 250 * kMs, {}});
   }
   EXPECT_EQ(fills_by(bed, parent, 200, 240), 0);
 }
@@ -895,7 +938,7 @@
   int probes = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Bed bed(s, fleet(), seed);
-    for (std::uint64_t o = 1; o <= 20; ++o) bed.serve(o), bed.advance(500 * ms);
+    for (std::uint64_t o = 1; o <= 20; ++o) bed.serve(o), bed.advance(500 * kMs);
     for (const std::uint64_t p : {20, 21}) probes += bed.probes[{p}];
   }
   EXPECT_EQ(probes, 0);
@@ -914,14 +957,14 @@
     Bed bed(s, fleet(), seed);
     for (std::uint64_t o = 1; o <= 40; ++o) {
       const auto id = bed.ask(o);
-      bed.advance((350 + 10 * static_cast<Time>(o * seed % 20)) * ms);
+      bed.advance((350 + 10 * static_cast<Time>(o * seed % 20)) * kMs);
       bed.end(id, AttemptResult::ok);
-      for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, ms, {}});
+      for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, kMs, {}});
     }
     const int usual = all(bed);
     probes += usual;
     bed.ask(1);
-    bed.advance(1500 * ms);
+    bed.advance(1500 * kMs);
     found += all(bed) > usual;
   }
   EXPECT_LE(probes, 400) << "4,000 requests; a look at 300 ms would be one for each";
@@ -935,9 +978,9 @@
   Bed bed(probing_site());
   const auto id = bed.ask(1, 0, 3000);  // three seconds at the top pace
   const auto server = bed.sends[id].at(0).server;
-  bed.advance(3200 * ms);
+  bed.advance(3200 * kMs);
   EXPECT_EQ(bed.probes[server], 0);
-  bed.advance(300 * ms);
+  bed.advance(300 * kMs);
   EXPECT_EQ(bed.probes[server], 1) << "then its silence counts as any";
 }
 TEST(Fleet, AFewSlowFillsDoNotShutTheDoorOfAnIdleLocation) {
@@ -953,10 +996,10 @@
       const auto id =
           bed.ask(o, 0, o % 10 == 0 ? 1200 : 200);  // of 48 transfers, 6 are this router's
       refused += bed.answers[id];
-      bed.advance(120 * ms);
+      bed.advance(120 * kMs);
       if (o > 2 && bed.answers[RequestId{id.value - 2}] == 0) {
         bed.end(RequestId{id.value - 2}, AttemptResult::ok, FillOutcome::none, 0,
-                o % 4 == 0 ? 2 * second : 300 * ms);
+                o % 4 == 0 ? 2 * kSecond : 300 * kMs);
       }
     }
   }
@@ -988,12 +1031,12 @@
       Bed bed(s, fleet(), 100 + r);
       bed.tell(Purge{{}, {5}, 0});
       for (std::uint64_t o = 1; o <= 30; ++o) {
-        bed.advance(120 * ms);
+        bed.advance(120 * kMs);
         const auto id = bed.ask(o, 0, 200);
         if (bed.answers[id] || bed.sends[id].empty()) continue;
         const bool held = bed.sends[id][0].fill->cached_only;
         bed.end(id, held ? AttemptResult::miss : AttemptResult::overloaded, FillOutcome::none, 0,
-                60 * ms);
+                60 * kMs);
         if (held) {
           EXPECT_EQ(bed.sends[id].size(), 1u) << "nobody else holds it either";
         }
@@ -1015,24 +1058,25 @@
   ServerId parent;
   auto bed = with_late_fill(parent);
   const auto held = bed.ask(1);
-  const auto actions = bed.tell(HealthCheckResult{parent, false, 250 * ms, {}, 20 * second, true});
+  const auto actions =
+      bed.tell(HealthCheckResult{parent, false, 250 * kMs, {}, 20 * kSecond, true});
   EXPECT_TRUE(actions.empty()) << "what it has is not called off";
   bed.end(held, AttemptResult::ok);
   EXPECT_EQ(fills_by(bed, parent, 100, 140), 0);
-  bed.advance(2100 * ms);
+  bed.advance(2100 * kMs);
   ASSERT_GE(bed.probes[parent], 2);
-  bed.tell(HealthCheckResult{parent, true, 50 * ms, {}, 22 * second, true});
+  bed.tell(HealthCheckResult{parent, true, 50 * kMs, {}, 22 * kSecond, true});
   EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
 }
 TEST(Fleet, AWordByAConnectionFromBeforeProvesThatNothingRestarted) {
-  for (const Time up : {Time{0}, second, 30 * second}) {
+  for (const Time up : {Time{0}, kSecond, 30 * kSecond}) {
     ServerId parent;
     auto bed = with_late_fill(parent);
-    for (int i = 0; i < 4; ++i) bed.tell(HealthCheckResult{parent, false, 250 * ms, {}});
+    for (int i = 0; i < 4; ++i) bed.tell(HealthCheckResult{parent, false, 250 * kMs, {}});
     ASSERT_EQ(fills_by(bed, parent, 100, 140), 0);
-    bed.advance(2 * second);
-    bed.tell(HealthCheckResult{parent, true, 2 * second, {}, up, true, true});
-    if (up > 10 * second) {
+    bed.advance(2 * kSecond);
+    bed.tell(HealthCheckResult{parent, true, 2 * kSecond, {}, up, true, true});
+    if (up > 10 * kSecond) {
       EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
     } else {
       EXPECT_LT(fills_by(bed, parent, 200, 300), 20) << "it may be a new one: cold";
@@ -1052,8 +1096,8 @@
   const auto id = bed.ask(100);
   EXPECT_TRUE(bed.sends[id].empty());
   EXPECT_EQ(bed.answers[id], 1);
-  bed.advance(2 * second);
-  for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, ms, {}});
+  bed.advance(2 * kSecond);
+  for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, kMs, {}});
   EXPECT_FALSE(bed.sends[bed.ask(101)].empty());
 }
 // Guards against taking a request's own sending for a crowd: large objects alone closed the door.
@@ -1066,7 +1110,7 @@
     refused += bed.answers[out.back()];
     if (out.size() < 12) continue;
     if (bed.answers[out.front()] == 0) {
-      bed.end(out.front(), AttemptResult::ok, FillOutcome::none, 0, 1550 * ms);
+      bed.end(out.front(), AttemptResult::ok, FillOutcome::none, 0, 1550 * kMs);
     }
     out.erase(out.begin());
   }
@@ -1083,9 +1127,9 @@
     Bed bed(s, fleet(), 50 + i);
     for (std::uint64_t o = 1; o <= 120; ++o) {
       const auto id = bed.ask(o, 0, 400);
-      bed.advance(100 * ms);
+      bed.advance(100 * kMs);
       if (bed.answers[id]) continue;
-      bed.end(id, AttemptResult::ok, FillOutcome::hit, 0, 4 * second);
+      bed.end(id, AttemptResult::ok, FillOutcome::hit, 0, 4 * kSecond);
     }
     for (std::uint64_t o = 1; o <= 30; ++o) sent += !bed.sends[bed.ask(o, 0, 400)].empty();
   }
@@ -1101,14 +1145,14 @@
   for (std::uint64_t o = 1; o < 60;
        ++o) {  // everything takes twice the aim: that is how it is today
     const auto id = bed.ask(o);
-    bed.advance(1400 * ms);
+    bed.advance(1400 * kMs);
     if (bed.answers[id] || bed.sends[id].size() > 1) continue;
-    bed.end(id, AttemptResult::ok, FillOutcome::none, 0, 1400 * ms);
+    bed.end(id, AttemptResult::ok, FillOutcome::none, 0, 1400 * kMs);
   }
   std::size_t copies = 0;
   for (std::uint64_t o = 100; o < 110; ++o) {
     const auto id = bed.ask(o);
-    bed.advance(1200 * ms);
+    bed.advance(1200 * kMs);
     copies += bed.sends[id].size() > 1;
     bed.end(id, AttemptResult::ok, FillOutcome::hit);
   }
@@ -1122,7 +1166,7 @@
   EXPECT_EQ(bed.answers[parts], 1);
   bed.end(pages, AttemptResult::overloaded, FillOutcome::origin_failed);
   ASSERT_EQ(bed.sends[pages].size(), 2u);
-  EXPECT_EQ(bed.sends[pages][1].fill->max_age, 38 * second);
+  EXPECT_EQ(bed.sends[pages][1].fill->max_age, 38 * kSecond);
   bed.end(pages, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
   EXPECT_EQ(bed.sends[pages].size(), 2u);
 }
@@ -1139,8 +1183,8 @@
     if (waiting.size() < 20) continue;
     // What was asked long ago comes at last, from the origin.
     AttemptOutcome o = bed.outcome(waiting.front(), AttemptResult::ok,
-                                   FillOutcome::filled_by_origin, 0, 4 * second);
-    o.time_to_first_byte = 3800 * ms;
+                                   FillOutcome::filled_by_origin, 0, 4 * kSecond);
+    o.time_to_first_byte = 3800 * kMs;
     bed.tell(o);
     waiting.erase(waiting.begin());
   }
@@ -1155,11 +1199,11 @@
   Bed bed;
   for (std::uint64_t o = 1; o <= 300; ++o) {
     const auto id = bed.ask(o, 0, 50);
-    bed.advance(50 * ms);
+    bed.advance(50 * kMs);
     if (bed.sends[id].empty()) continue;
     EXPECT_FALSE(bed.sends[id][0].fill->cached_only) << o;
     bed.end(id, o % 3 ? AttemptResult::ok : AttemptResult::timeout, FillOutcome::none, 0,
-            o % 3 ? 50 * ms : 5 * second);
+            o % 3 ? 50 * kMs : 5 * kSecond);
   }
 }
 TEST(Cold, SuspectedColdnessYieldsWhenNobodyElseCanServe) {
@@ -1167,7 +1211,7 @@
   s.weights = WeightKind::none;
   Bed bed(s, {cache(1), upstream(20, Role::parent), upstream(30, Role::origin)});
   for (int i = 0; i < 2; ++i) bed.end(bed.ask(1), AttemptResult::connect_failed);
-  bed.advance(9 * second);
+  bed.advance(9 * kSecond);
   bed.serve(1);  // the test that it passes; it may have restarted unseen
   for (int i = 0; i < 20; ++i) EXPECT_EQ(bed.serve(static_cast<std::uint64_t>(i)), 1u);
 }
@@ -1183,10 +1227,10 @@
     } else {
       EXPECT_EQ(bed.answers[id], 1) << "given up at once";
     }
-    bed.advance(20 * ms);
+    bed.advance(20 * kMs);
   }
   const auto silent = bed.ask(99);
-  bed.advance(6 * second);
+  bed.advance(6 * kSecond);
   EXPECT_EQ(bed.answers[silent], 1);
 }
 TEST(Odd, FleetsOfNoneOneAndThousandsAnswerEveryRequest) {
@@ -1216,7 +1260,7 @@
     for (auto& s : bed.sends[id]) EXPECT_GT(s.server.value, 100u);
     answered += !bed.sends[id].empty();
     if (!bed.sends[id].empty()) bed.end(id, AttemptResult::ok, FillOutcome::filled_by_origin);
-    bed.advance(20 * ms);
+    bed.advance(20 * kMs);
   }
   EXPECT_GT(answered, 100);
   expect_answers(bed);
@@ -1250,7 +1294,7 @@
       const auto id = a.ask(static_cast<std::uint64_t>(i * 7 % 31));
       trace += std::to_string(a.sends[id].at(0).server.value) + ",";
       a.end(id, i % 9 ? AttemptResult::ok : AttemptResult::overloaded);
-      a.advance(7 * ms);
+      a.advance(7 * kMs);
       for (auto& s : a.sends[id]) trace += std::to_string(s.timeout) + ";";
     }
     return trace;
@@ -1277,13 +1321,13 @@
     for (std::uint64_t o = from; o < from + 60; ++o) {
       const auto id = bed.ask(o);
       bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
-      bed.advance(20 * ms);
+      bed.advance(20 * kMs);
     }
   };
   ask_many(100);
   bed.tell(EndpointUpdate{true, false, fleet()});
   bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::gone)}});
-  bed.advance(3 * second);  // forgotten by the list
+  bed.advance(3 * kSecond);  // forgotten by the list
   bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::ready, bed.now)}});
   bed.tell(Ban{{1}, true});  // the call may come twice
   ask_many(200);
@@ -1308,7 +1352,7 @@
   Bed bed;
   for (std::uint64_t id = 1; id <= 4; ++id) bed.tell(Ban{{id}, true});
   std::vector<Action> actions;
-  bed.router.handle(bed.now, Request{{999}, {1}, {5}, {0}, 0, 100, 5 * second, false}, actions);
+  bed.router.handle(bed.now, Request{{999}, {1}, {5}, {0}, 0, 100, 5 * kSecond, false}, actions);
   const auto refusal =
       std::ranges::find_if(actions, [](auto& a) { return std::holds_alternative<Reject>(a); });
   ASSERT_NE(refusal, actions.end());
@@ -1330,7 +1374,7 @@
         if (bed.sends.contains(id)) {
           ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
         }
-        bed.advance(5 * ms);
+        bed.advance(5 * kMs);
       }
     }
     return static_cast<double>(n);
@@ -1365,7 +1409,7 @@
         if (bed.sends.contains(id)) {
           ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
         }
-        bed.advance(5 * ms);
+        bed.advance(5 * kMs);
       }
     }
     return static_cast<double>(n);
@@ -1389,7 +1433,7 @@
     bed.tell(EndpointUpdate{
         true, false, {cache(1, ServerStatus::ready, bed.now), upstream(30, Role::origin)}});
     for (const auto& e : said) bed.tell(e);
-    bed.advance(10 * ms);
+    bed.advance(10 * kMs);
     return bed.sends.contains(bed.ask(1, 0, 200));
   };
   std::size_t held_back = 0;
