--- a/src/admin/router_admin_handler.cpp
+++ b/src/admin/router_admin_handler.cpp
@@ -37,7 +37,7 @@
 void RouterAdminHandler::ban(std::string_view id, bool out, Done done) {
   const std::string name(id);
   const bool banned = core::is_plain_word(id) && twin_.banned(name);
-  if (!banned && (!core::is_plain_word(id) || !caches_.listed(config::server_id(id))))
+  if (!banned && (!core::is_plain_word(id) || !caches_.is_listed(config::server_id(id))))
     return done(404, "no such cache\n");
   if (banned != out && twin_.full())
     return done(503, "too many changes wait for the disk, call again\n");
--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -234,7 +234,7 @@
   update.servers.reserve(changes.size());
   for (const auto& c : changes) {
     if (!concerns(c.member.server)) continue;
-    node_.upstream_pool().update(c.member);
+    node_.upstream_pool().update_endpoint(c.member);
     update.servers.push_back(c.member.server);
     if (serving_ &&
         (c.reason == endpoints::Reason::flapping || c.reason == endpoints::Reason::places_differ)) {
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -46,7 +46,7 @@
   node.config_path = settings.config;
   node.on_counters([&] {
     std::vector<log::Field> fields{{"open", node.engine().open_request_count()},
-                                   {"links", node.upstream_pool().links()}};
+                                   {"links", node.upstream_pool().connection_count()}};
     for (const auto& [name, value] : core::named_counters(node.engine().counters())) {
       fields.emplace_back(name, value);
     }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -164,7 +164,7 @@
     input_ended_ = true;
     return handler_.on_close(Closed::by_peer);
   }
-  last_read = unix_now();
+  last_read_at_ = unix_now();
   in_size_ += static_cast<std::size_t>(got);
   const auto taken = handler_.on_data(std::string_view(in_.data(), in_size_));
   if (taken < 0) return fail(Closed::unreadable);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -70,12 +70,12 @@
 
   bool connecting() const { return connecting_; }
   bool closed() const { return closed_; }
-  bool input_ended() const { return input_ended_; }
   std::size_t unwritten() const { return queue_.size() - queue_at_; }
   std::size_t unread() const { return in_size_ - consumed_; }  // of a message not whole yet
   std::uint64_t queued_total() const { return queued_total_; }
   std::uint64_t written_total() const { return queued_total_ - unwritten(); }
-  core::Time last_read = 0;
+  /// Unix time at which bytes last came; 0: none have.
+  core::Time last_read_at() const { return last_read_at_; }
 
  private:
   void ready(int events);
@@ -97,6 +97,7 @@
   std::string queue_;
   std::size_t queue_at_ = 0;
   std::uint64_t queued_total_ = 0;
+  core::Time last_read_at_ = 0;
   std::unique_ptr<IoWatcher> watcher_;
 };
 
--- a/src/platform/cache_protocol.cpp
+++ b/src/platform/cache_protocol.cpp
@@ -5,115 +5,187 @@
 namespace alderspur::platform {
 namespace {
 
-constexpr std::size_t kLineMost = 4096, kBodyMost = 240'000;
+constexpr std::size_t kMaxLineBytes = 4096;
+constexpr std::size_t kMaxBodyBytes = 240'000;
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr core::Time kMicrosecondsPerMillisecond = 1000;
+/// Later dates would overflow as microseconds.
+constexpr core::Time kMaxDateMilliseconds = core::Time{1} << 50;
 
-// Cuts the part before `mark` off the front of `text`.
-std::string_view cut(std::string_view& text, char mark) {
-  const auto at = text.find(mark);
+struct StatusWord {
+  std::string_view word;
+  ResponseStatus status;
+};
+constexpr StatusWord kStatusWords[] = {
+    {"served", ResponseStatus::served},  {"still_good", ResponseStatus::not_modified},
+    {"not_here", ResponseStatus::miss},  {"overload", ResponseStatus::overloaded},
+    {"crashed", ResponseStatus::failed}, {"nobody", ResponseStatus::already_finished},
+    {"green", ResponseStatus::healthy},
+};
+
+ResponseStatus parse_status(std::string_view word) {
+  for (const StatusWord& known : kStatusWords) {
+    if (known.word == word) return known.status;
+  }
+  return ResponseStatus::unknown;
+}
+
+// Takes the part before the separator off the front of `text`.
+std::string_view take_until(std::string_view& text, char separator) {
+  const auto at = text.find(separator);
   const auto part = text.substr(0, at);
   text.remove_prefix(at == std::string_view::npos ? text.size() : at + 1);
   return part;
 }
+
+std::string to_milliseconds(core::Time time) {
+  return std::to_string(std::max<core::Time>(1, time / kMicrosecondsPerMillisecond));
+}
+
+void add_field(std::string& line, std::string_view name, std::string_view value) {
+  if (line.back() != ' ') line += ',';
+  line += name;
+  line += '=';
+  line += value;
+}
+
+void add_fill_fields(std::string& line, const alderspur::Fill& fill, std::string_view source) {
+  if (!source.empty()) add_field(line, "next", source);
+  if (fill.cache_rank) add_field(line, "admit", std::to_string(fill.cache_rank));
+  if (fill.max_age > 0) add_field(line, "agelim", to_milliseconds(fill.max_age));
+  std::string flags;
+  if (fill.may_join) flags += "+j";
+  if (fill.cached_only) flags += "+h";
+  if (fill.refresh_in_background) flags += "+r";
+  if (!flags.empty()) add_field(line, "ways", std::string_view{flags}.substr(1));
+}
+
+std::string encode_line(std::string_view command, std::string_view argument) {
+  std::string line(command);
+  line += ' ';
+  line += argument;
+  line += kLineEnd;
+  return line;
+}
+
+// False: a date that cannot be one.
+bool parse_fields(std::string_view fields, CacheResponse& response) {
+  while (!fields.empty()) {
+    std::string_view value = take_until(fields, ',');
+    const auto name = take_until(value, '=');
+    if (name == "sum") response.tag = value;
+    if (name == "rep") response.report = value;
+    if (name != "t0") continue;
+    core::Time milliseconds = 0;
+    if (!core::parse_number(value, milliseconds)) return false;
+    if (milliseconds < 0 || milliseconds > kMaxDateMilliseconds) return false;
+    response.created_at = milliseconds * kMicrosecondsPerMillisecond;
+  }
+  return true;
+}
+
 }  // namespace
 
-std::string fetch_line(const core::UpstreamRequest& o, std::string_view lane,
-                       std::string_view source, core::Time now) {
+std::string encode_fetch(const core::UpstreamRequest& request, std::string_view class_name,
+                         std::string_view source, core::Time now) {
   std::string line = "fetch ";
-  const auto add = [&](const char* name, std::string_view value) {
-    if (line.back() != ' ') line += ',';
-    (line += name) += '=';
-    line += value;
-  };
-  const auto milliseconds = [](core::Time t) {
-    return std::to_string(std::max<core::Time>(1, t / 1000));
-  };
-  (line += o.id) += ' ';
-  add("lane", lane);
-  add("name", o.object_text);
-  add("piece", std::to_string(o.part));
-  add("ttl", milliseconds(o.deadline - now));
-  if (!o.idempotency_key.empty()) add("dedupe", o.idempotency_key);
-  if (o.fill) {
-    if (!source.empty()) add("next", source);
-    if (o.fill->cache_rank) add("admit", std::to_string(o.fill->cache_rank));
-    if (o.fill->max_age > 0) add("agelim", milliseconds(o.fill->max_age));
-    std::string ways;
-    if (o.fill->may_join) ways += "+j";
-    if (o.fill->cached_only) ways += "+h";
-    if (o.fill->refresh_in_background) ways += "+r";
-    if (!ways.empty()) add("ways", std::string_view{ways}.substr(1));
-  }
-  if (!o.client_copy_tag.empty()) add("cached", o.client_copy_tag);
-  return line + ' ' + std::to_string(o.body.size()) + "\r\n";
+  line += request.id;
+  line += ' ';
+  add_field(line, "lane", class_name);
+  add_field(line, "name", request.object_text);
+  add_field(line, "piece", std::to_string(request.part));
+  add_field(line, "ttl", to_milliseconds(request.deadline - now));
+  if (!request.idempotency_key.empty()) add_field(line, "dedupe", request.idempotency_key);
+  if (request.fill) add_fill_fields(line, *request.fill, source);
+  if (!request.client_copy_tag.empty()) add_field(line, "cached", request.client_copy_tag);
+  line += ' ';
+  line += std::to_string(request.body.size());
+  line += kLineEnd;
+  return line;
 }
 
-Parsed next_answer(std::string_view& bytes, CacheResponse& answer) {
+std::string encode_abort(std::string_view request_id) { return encode_line("abort", request_id); }
+std::string encode_health_check(std::string_view tag) { return encode_line("stats", tag); }
+std::string encode_liveness_query(std::string_view tag) { return encode_line("alive", tag); }
+
+std::string health_check_tag(std::uint64_t number) {
+  std::string tag = "p";
+  tag += std::to_string(number);
+  return tag;
+}
+
+std::string liveness_tag(std::uint64_t number) {
+  std::string tag = "w";
+  tag += std::to_string(number);
+  return tag;
+}
+
+Parsed next_response(std::string_view& bytes, CacheResponse& response) {
   // After a length of 0 the closing CR LF reads as an empty line.
-  while (bytes.starts_with("\r\n")) bytes.remove_prefix(2);
-  const auto end = bytes.find("\r\n");
-  if (end == std::string_view::npos) {
-    return bytes.size() > kLineMost ? Parsed::unreadable : Parsed::partial;
+  while (bytes.starts_with(kLineEnd)) bytes.remove_prefix(kLineEnd.size());
+  const auto line_size = bytes.find(kLineEnd);
+  if (line_size == std::string_view::npos) {
+    return bytes.size() > kMaxLineBytes ? Parsed::unreadable : Parsed::partial;
   }
-  if (end > kLineMost) return Parsed::unreadable;
-  std::string_view line = bytes.substr(0, end);
-  answer = {};
-  answer.id = cut(line, ' ');
-  answer.word = cut(line, ' ');
-  std::string_view fields = cut(line, ' ');
-  std::size_t length = 0;
-  if (answer.id.empty() || answer.word.empty()) return Parsed::unreadable;
-  // Without its length a line says nothing of where the answer ends.
-  if (fields.empty() || !core::parse_number(line, length) || length > kBodyMost) {
+  if (line_size > kMaxLineBytes) return Parsed::unreadable;
+  std::string_view line = bytes.substr(0, line_size);
+  response = {};
+  response.id = take_until(line, ' ');
+  const std::string_view word = take_until(line, ' ');
+  const std::string_view fields = take_until(line, ' ');
+  if (response.id.empty() || word.empty()) return Parsed::unreadable;
+  response.status = parse_status(word);
+  // Without its length a line says nothing of where the response ends.
+  std::size_t body_size = 0;
+  if (fields.empty() || !core::parse_number(line, body_size) || body_size > kMaxBodyBytes) {
     return Parsed::unreadable;
   }
-  if (fields == "-") fields = {};
-  while (!fields.empty()) {
-    std::string_view value = cut(fields, ',');
-    const auto name = cut(value, '=');
-    if (name == "sum") answer.sum = value;
-    if (name == "rep") answer.report = value;
-    core::Time ms = 0;
-    if (name == "t0") {
-      if (!core::parse_number(value, ms) || ms < 0 || ms > core::Time{1} << 50) {
-        return Parsed::unreadable;
-      }
-      answer.born = ms * 1000;
-    }
-  }
-  const std::size_t head = end + 2;
-  if (length > 0) {
-    if (bytes.size() < head + length + 2) return Parsed::partial;
-    answer.body = bytes.substr(head, length);
-    if (bytes.substr(head + length, 2) != "\r\n") return Parsed::unreadable;
-    bytes.remove_prefix(head + length + 2);
-  } else {
-    bytes.remove_prefix(head);
+  if (fields != "-" && !parse_fields(fields, response)) return Parsed::unreadable;
+  std::size_t used = line_size + kLineEnd.size();
+  if (body_size > 0) {
+    if (bytes.size() < used + body_size + kLineEnd.size()) return Parsed::partial;
+    response.body = bytes.substr(used, body_size);
+    used += body_size;
+    if (bytes.substr(used, kLineEnd.size()) != kLineEnd) return Parsed::unreadable;
+    used += kLineEnd.size();
   }
+  bytes.remove_prefix(used);
   return Parsed::whole;
 }
 
-std::optional<alderspur::AttemptResult> result_of(std::string_view word) {
-  using R = alderspur::AttemptResult;
-  if (word == "served" || word == "still_good") return R::ok;
-  if (word == "not_here") return R::miss;
-  if (word == "overload") return R::overloaded;
-  if (word == "crashed") return R::error;
-  if (word == "nobody") return R::already_finished;
+std::optional<alderspur::AttemptResult> attempt_result(ResponseStatus status) {
+  using alderspur::AttemptResult;
+  switch (status) {
+    case ResponseStatus::served:
+    case ResponseStatus::not_modified:
+      return AttemptResult::ok;
+    case ResponseStatus::miss:
+      return AttemptResult::miss;
+    case ResponseStatus::overloaded:
+      return AttemptResult::overloaded;
+    case ResponseStatus::failed:
+      return AttemptResult::error;
+    case ResponseStatus::already_finished:
+      return AttemptResult::already_finished;
+    case ResponseStatus::healthy:
+    case ResponseStatus::unknown:
+      break;
+  }
   return {};
 }
 
-alderspur::LoadReport report_of(std::string_view text) {
-  alderspur::LoadReport r;
+alderspur::LoadReport parse_load_report(std::string_view text) {
+  alderspur::LoadReport report;
   while (!text.empty()) {
-    std::string_view value = cut(text, ';');
-    const auto name = cut(value, ':');
-    double x = 0;
-    if (!core::parse_number(value, x)) continue;
-    if (name == "inflight" || name == "outstanding") r.in_flight = x;
-    if (name == "util" || name == "utilization") r.utilization = x;
-    if (name == "x1") r.link_or_fill_utilization = x;
+    std::string_view value = take_until(text, ';');
+    const auto name = take_until(value, ':');
+    double number = 0;
+    if (!core::parse_number(value, number)) continue;
+    if (name == "inflight" || name == "outstanding") report.in_flight = number;
+    if (name == "util" || name == "utilization") report.utilization = number;
+    if (name == "x1") report.link_or_fill_utilization = number;
   }
-  return r;
+  return report;
 }
 
 }  // namespace alderspur::platform
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -18,12 +18,12 @@
 
 void DirectEndpointSink::update_endpoints(bool complete,
                                           const std::vector<config::Member>& members) {
-  if (complete) caches_.only(members);
+  if (complete) caches_.remove_unlisted(members);
   al::EndpointUpdate update;
   update.is_complete = complete;
   for (const auto& m : members) {
     update.servers.push_back(m.server);
-    if (!caches_.update(m)) update.servers.back().status = al::ServerStatus::gone;
+    if (!caches_.update_endpoint(m)) update.servers.back().status = al::ServerStatus::gone;
   }
   engine_.update_endpoints(std::move(update));
 }
--- a/src/platform/edge_router.cpp
+++ b/src/platform/edge_router.cpp
@@ -41,7 +41,7 @@
                                  [this](const hot_restart::BanChange& change) {
                                    const auto id = config::server_id(change.name);
                                    engine_.set_ban(id, change.out);
-                                   if (change.out) upstream_pool_.give_back(id);
+                                   if (change.out) upstream_pool_.return_unsent(id);
                                    if (banned_) banned_(change);
                                  },
                                  [this](const hot_restart::PeerSummary& o, double share) {
@@ -72,7 +72,7 @@
 // clients once our end is planned.
 void EdgeRouter::others(const hot_restart::PeerSummary& others, double share) {
   engine_.set_budget_share({share, others.door, all_, here_});
-  upstream_pool_.share(others.count + 1);
+  upstream_pool_.set_process_count(others.count + 1);
   if (!complete_) return;  // still in the constructor: the front is not there yet
   front_.share(others.count + 1);
   if (!leave_at_) return;
@@ -159,7 +159,8 @@
 void EdgeRouter::say_counters() {
   if (counted_) return counted_();
   say_("counters", "open " + std::to_string(engine_.open_request_count()) +
-                       ", connections to servers " + std::to_string(upstream_pool_.links()) + "; " +
+                       ", connections to servers " +
+                       std::to_string(upstream_pool_.connection_count()) + "; " +
                        core::to_line(engine_.counters()));
 }
 
--- a/src/platform/rpc_front.cpp
+++ b/src/platform/rpc_front.cpp
@@ -142,7 +142,7 @@
     if (c->queued == 0 || taken != c->taken) c->taken = taken, c->taken_at = now;
     // A message may be long and the way slow: as long as some of it comes it has the time of a
     // request.
-    const core::Time word = std::max(c->since, c->connection->last_read);
+    const core::Time word = std::max(c->since, c->connection->last_read_at());
     const bool half = c->begun && (now > word + kWord || now > c->begun + longest_);
     const bool silent = half || (!c->asked && !c->begun && now > c->since + kWord);
     const bool idle = c->open.empty() && c->queued == 0 && now > c->idle + kIdle;
--- /dev/null
+++ b/src/platform/upstream_requests.cpp
@@ -0,0 +1,196 @@
+// Attempts on pooled connections: sending, aborting, and their responses.
+#include "platform/cache_protocol.h"
+#include "platform/upstream_connection.h"
+#include "platform/upstream_pool.h"
+
+namespace alderspur::platform {
+
+using alderspur::AttemptResult;
+using alderspur::ServerId;
+using core::AttemptId;
+
+namespace {
+
+/// A connection that brought nothing for so long while an attempt waited may be dead.
+constexpr core::Time kSuspectSilence = 300'000;
+/// A connection with more unusable ids than this is retired, which bounds the set's memory.
+constexpr std::size_t kMaxUnusableIds = 512;
+
+}  // namespace
+
+// ---- Sending ----
+
+void UpstreamPool::send(AttemptId attempt, ServerId server) {
+  const auto found = endpoints_.find(server);
+  const core::UpstreamRequest* request = engine_.upstream_request(attempt);
+  UpstreamConnection* connection = found != endpoints_.end() && request
+                                       ? choose_connection(*found->second, request->id)
+                                       : nullptr;
+  if (!connection) return fail_attempt(attempt, AttemptResult::connect_failed);
+  connections_by_attempt_[attempt] = connection;
+  connection->waiting.push_back(attempt);
+  write_waiting(*connection);
+}
+
+void UpstreamPool::fail_attempt(AttemptId attempt, AttemptResult result) {
+  connections_by_attempt_.erase(attempt);
+  core::UpstreamResponse response;
+  response.result = result;
+  engine_.on_upstream_response(attempt, response);
+}
+
+void UpstreamPool::write_waiting(UpstreamConnection& connection) {
+  while (!connection.is_closed && !connection.waiting.empty() && connection.takes_commands()) {
+    const AttemptId attempt = connection.waiting.front();
+    connection.waiting.pop_front();
+    write_command(connection, attempt);
+  }
+}
+
+void UpstreamPool::write_command(UpstreamConnection& connection, AttemptId attempt) {
+  const core::UpstreamRequest* request = engine_.upstream_request(attempt);
+  if (!request) return;
+  if (!engine_.may_still_send(attempt)) {
+    connections_by_attempt_.erase(attempt);
+    return engine_.return_unsent(attempt);
+  }
+  const std::string id(request->id);
+  // Clients may give two requests the same id. Responses are told apart by it, so each of the two
+  // needs a connection of its own.
+  if (connection.pending.contains(id)) return send(attempt, request->server);
+  std::string source_name;
+  if (request->fill && request->fill->source != request->server) {
+    const auto source = endpoints_.find(request->fill->source);
+    if (source != endpoints_.end()) source_name = source->second->member.name;
+  }
+  const auto command =
+      encode_fetch(*request, config_.names.classes[request->class_id], source_name, engine_.now());
+  PendingResponse& pending = connection.pending[id];
+  pending.attempt = attempt;
+  pending.sent_at = engine_.now();
+  pending.expected_at = pending.sent_at + request->transfer_time;
+  connection.last_used_at = pending.sent_at;
+  connection.socket->write(command, request->body, "\r\n");
+  connection.unwritten.push_back({connection.socket->queued_total(), attempt});
+  mark_written(connection);
+}
+
+void UpstreamPool::mark_written(UpstreamConnection& connection) {
+  const auto written = connection.socket->written_total();
+  auto& unwritten = connection.unwritten;
+  while (!unwritten.empty() && unwritten.front().end <= written) {
+    engine_.mark_written(unwritten.front().attempt);
+    unwritten.pop_front();
+  }
+}
+
+void UpstreamPool::abort(AttemptId attempt) {
+  const auto found = connections_by_attempt_.find(attempt);
+  if (found == connections_by_attempt_.end()) return;
+  UpstreamConnection& connection = *found->second;
+  connections_by_attempt_.erase(found);
+  if (std::erase(connection.waiting, attempt)) return;
+  const core::UpstreamRequest* request = engine_.upstream_request(attempt);
+  if (!request) return;
+  const std::string id(request->id);
+  const auto pending = connection.pending.find(id);
+  if (pending == connection.pending.end() || pending->second.attempt != attempt) return;
+  const core::Time sent_at = pending->second.sent_at;
+  connection.pending.erase(pending);
+  // In a stuck write queue the abort would leave long after the request's next attempt elsewhere.
+  if (connection.socket->unwritten() > 0) return on_closed(connection, net::Closed::reset);
+  connection.socket->write(encode_abort(id));
+  connection.unusable_ids.insert(id);
+  // A machine that vanished and came back leaves its old connections silent for ever.
+  const core::Time now = engine_.now();
+  const bool is_silent =
+      connection.socket->last_read_at() < sent_at && now - sent_at > kSuspectSilence;
+  if (is_silent || connection.unusable_ids.size() > kMaxUnusableIds) retire(connection);
+}
+
+// ---- Responses ----
+
+std::ptrdiff_t UpstreamPool::on_data(UpstreamConnection& connection, std::string_view bytes) {
+  touch(*connection.endpoint);
+  const auto size_before = bytes.size();
+  CacheResponse response;
+  auto parsed = next_response(bytes, response);
+  while (parsed == Parsed::whole) {
+    connection.partial_since = 0;
+    if (!on_response(connection, response)) {
+      parsed = Parsed::unreadable;
+      break;
+    }
+    if (connection.is_closed) break;
+    parsed = next_response(bytes, response);
+  }
+  if (parsed == Parsed::unreadable) {
+    ++engine_.counters().invalid_responses;
+    engine_.log_invalid_input(core::InvalidInput::response, connection.endpoint->member.name);
+    return -1;
+  }
+  return static_cast<std::ptrdiff_t>(size_before - bytes.size());
+}
+
+// False: an unknown status, or a response to a request that was not sent whole or that did not ask
+// for this. Nothing that comes on this connection can be trusted then.
+bool UpstreamPool::on_response(UpstreamConnection& connection, const CacheResponse& response) {
+  if (!connection.liveness_tag.empty() && response.id == connection.liveness_tag) {
+    connection.liveness_tag.clear();
+    return true;
+  }
+  const std::string id(response.id);
+  const auto pending = connection.pending.find(id);
+  if (pending == connection.pending.end()) {
+    ++engine_.counters().late_responses;
+    return true;
+  }
+  if (pending->second.is_health_check()) {
+    on_health_check_response(connection, id, response);
+    return true;
+  }
+  learn_response_interval(connection);
+  const AttemptId attempt = pending->second.attempt;
+  const auto result = attempt_result(response.status);
+  if (!result || !engine_.was_written(attempt) || !is_plausible(response, attempt)) return false;
+  if (*result != AttemptResult::ok) connection.unusable_ids.insert(id);
+  connection.pending.erase(pending);
+  connections_by_attempt_.erase(attempt);
+  connection.last_used_at = engine_.now();
+  const bool is_not_modified = response.status == ResponseStatus::not_modified;
+  engine_.on_upstream_response(attempt, {*result, is_not_modified, response.body, response.tag,
+                                         response.created_at, parse_load_report(response.report)});
+  if (connection.unusable_ids.size() > kMaxUnusableIds) connection.is_retired = true;
+  if (connection.is_retired && connection.load() == 0) close(connection);
+  return true;
+}
+
+// A corrupted line can still parse. What is passed on must be what this request asked for: cached
+// objects come with their tag and date, writes with bytes, and only a copy that the client named is
+// confirmed.
+bool UpstreamPool::is_plausible(const CacheResponse& response, AttemptId attempt) const {
+  const core::UpstreamRequest* request = engine_.upstream_request(attempt);
+  if (!request) return true;  // it is over, nothing is passed on
+  if (response.status == ResponseStatus::not_modified) {
+    return response.body.empty() && !request->client_copy_tag.empty() &&
+           response.tag == request->client_copy_tag;
+  }
+  if (response.status != ResponseStatus::served) return true;
+  if (config_.settings.classes[request->class_id].never_cached) return !response.body.empty();
+  return !response.tag.empty() && response.created_at > 0;
+}
+
+// Where a router sends little, most connections are quiet for long while they serve; a life sign
+// asked of each would be a query for every second request. Replies to health checks and liveness
+// queries are no measure of that.
+void UpstreamPool::learn_response_interval(UpstreamConnection& connection) {
+  const core::Time now = engine_.now();
+  const core::Time oldest = connection.earliest(&PendingResponse::sent_at, now);
+  if (oldest < now) {
+    const core::Time interval = now - std::max(oldest, connection.last_response_at);
+    response_interval_.learn(static_cast<double>(interval));
+  }
+  connection.last_response_at = now;
+}
+
+}  // namespace alderspur::platform
--- /dev/null
+++ b/src/platform/upstream_watchdog.cpp
@@ -0,0 +1,94 @@
+// The pool's watchdog ends connections that stay open but have stopped responding. After a response
+// that stops short or never comes, a connection is of no further use, also for the other requests
+// on it, while the machine behind it may be well.
+#include "platform/cache_protocol.h"
+#include "platform/upstream_connection.h"
+#include "platform/upstream_pool.h"
+
+namespace alderspur::platform {
+namespace {
+
+constexpr core::Time kWatchdogInterval = 50'000;
+/// A connection with pending attempts that has been silent for at least so long, and for longer
+/// than is usual before a response, is asked for a life sign.
+constexpr core::Time kQuietTime = 250'000;
+constexpr double kUnusualDeviations = 4;  // mean deviations above the mean
+/// Without a life sign in this time the connection is closed.
+constexpr core::Time kLifeSignTimeout = 300'000;
+/// A response must be complete in this time and twice the transfer time of what is pending, unless
+/// it comes at kMinBytesPerSecond or faster.
+constexpr core::Time kPartialResponseTimeout = 1'500'000;
+constexpr core::Time kMinBytesPerSecond = 32'768;
+constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
+
+}  // namespace
+
+void UpstreamPool::check_all_connections() {
+  deadlines_.set(engine_.now() + kWatchdogInterval, [this] { check_all_connections(); });
+  for (auto& [id, endpoint] : connected_endpoints_) {
+    for (auto& connection : endpoint->connections) {
+      if (!connection->is_closed && !connection->socket->connecting()) {
+        check_connection(*connection);
+      }
+    }
+  }
+}
+
+void UpstreamPool::check_connection(UpstreamConnection& connection) {
+  const core::Time now = engine_.now();
+  if (is_response_too_slow(connection, now)) return close_silent(connection);
+  const core::Time last_read_at = connection.socket->last_read_at();
+  if (connection.liveness_asked_at &&
+      (connection.liveness_tag.empty() || last_read_at >= connection.liveness_asked_at)) {
+    connection.liveness_asked_at = 0;
+  }
+  const core::Time expected_at = connection.earliest(&PendingResponse::expected_at, now);
+  const core::Time silence = now - std::max(expected_at, last_read_at);
+  if (silence <= unusual_silence()) return;
+  // Behind part of a response nothing can be asked.
+  const bool is_partial = connection.socket->unread() > 0;
+  const bool is_life_sign_missing =
+      connection.liveness_asked_at && now > connection.liveness_asked_at + kLifeSignTimeout;
+  if (is_partial || is_life_sign_missing) return close_silent(connection);
+  if (connection.liveness_asked_at || !config_.settings.health_checks_allowed) return;
+  ask_for_life_sign(connection, now);
+}
+
+core::Time UpstreamPool::unusual_silence() const {
+  const double unusual =
+      response_interval_.value + kUnusualDeviations * response_interval_.deviation;
+  return std::max(kQuietTime, static_cast<core::Time>(unusual));
+}
+
+void UpstreamPool::close_silent(UpstreamConnection& connection) {
+  ++engine_.counters().silent_upstream_connections;
+  on_closed(connection, net::Closed::unreadable);
+}
+
+void UpstreamPool::ask_for_life_sign(UpstreamConnection& connection, core::Time now) {
+  connection.liveness_asked_at = now;
+  connection.liveness_tag = liveness_tag(++last_tag_);
+  ++engine_.counters().health_checks;
+  connection.socket->write(encode_liveness_query(connection.liveness_tag));
+}
+
+// A response that comes byte by byte for ever keeps its connection from looking silent, and all
+// other responses wait behind it.
+bool UpstreamPool::is_response_too_slow(UpstreamConnection& connection, core::Time now) {
+  const auto unread = static_cast<core::Time>(connection.socket->unread());
+  if (unread == 0) {
+    connection.partial_since = 0;
+    return false;
+  }
+  if (!connection.partial_since) connection.partial_since = now;
+  core::Time transfer_time = 0;
+  for (const auto& [id, pending] : connection.pending) {
+    if (pending.is_health_check()) continue;
+    transfer_time = std::max(transfer_time, pending.expected_at - pending.sent_at);
+  }
+  const core::Time elapsed = now - connection.partial_since;
+  const core::Time time_at_min_rate = unread * kMicrosecondsPerSecond / kMinBytesPerSecond;
+  return elapsed > kPartialResponseTimeout + 2 * transfer_time && time_at_min_rate < elapsed;
+}
+
+}  // namespace alderspur::platform
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -81,7 +81,7 @@
     watch_ = watcher();
     auto member = config.notices[0].members[0];
     member.address = late.address();
-    caches->update(member);
+    caches->update_endpoint(member);
     // s-b is out, so that all goes to the one that hangs.
     watch_->write(event(2, "s-b", box[1].address(), "terminating"));
     ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 2; }));
@@ -90,7 +90,7 @@
   void ask(loopback::Socket& c, std::map<std::string, std::string> fields = {},
            const std::string& cls = "asset") {
     c.write(request(1, cls, std::move(fields)));
-    ASSERT_TRUE(until([&] { return engine->open_request_count() == 1 && caches->links() == 1; }));
+    ASSERT_TRUE(until([&] { return engine->open_request_count() == 1 && caches->connection_count() == 1; }));
   }
   bool comes_up() {
     return until([&] { return late.let_up(), late.alive() > 0; });
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -76,8 +76,8 @@
         platform::CacheResponse a;
         for (auto before = bytes.size() + 1; bytes.size() < before;) {
           before = bytes.size();
-          if (platform::next_answer(bytes, a) != platform::Parsed::whole) break;
-          platform::report_of(a.report);
+          if (platform::next_response(bytes, a) != platform::Parsed::whole) break;
+          platform::parse_load_report(a.report);
           EXPECT_LE(a.body.size(), 240'000u);
         }
       });
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -553,7 +553,7 @@
   config.dial_timeout = dial_timeout;
   auto member = config.notices[0].members[0];
   member.address = net::to_string(at);
-  caches->update(member);
+  caches->update_endpoint(member);
   auto c = client(front->address());
   for (unsigned i = 1; i <= 6; ++i) {
     c->write(request(
@@ -736,6 +736,11 @@
   const std::string all =
       "a served sum=f,t0=17 3\r\nxyz\r\nb not_here - 0\r\n\r\np1 green rep=inflight:7;x1:0.5 "
       "0\r\n\r\n";
+  const auto letter = [](platform::ResponseStatus status) {
+    if (status == platform::ResponseStatus::served) return 's';
+    if (status == platform::ResponseStatus::miss) return 'n';
+    return status == platform::ResponseStatus::healthy ? 'g' : '?';
+  };
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
     std::string buffer;
     std::vector<std::string> got;
@@ -743,17 +748,17 @@
       buffer += piece;
       std::string_view bytes = buffer;
       platform::CacheResponse a;
-      while (platform::next_answer(bytes, a) == platform::Parsed::whole) {
-        got.push_back(std::string(a.id) + a.word.substr(0, 3).data()[0] + std::string(a.body));
+      while (platform::next_response(bytes, a) == platform::Parsed::whole) {
+        got.push_back(std::string(a.id) + letter(a.status) + std::string(a.body));
       }
       buffer = std::string(bytes);
     }
     EXPECT_EQ(got, (std::vector<std::string>{"asxyz", "bn", "p1g"})) << cut;
   }
-  EXPECT_EQ(platform::report_of("inflight:7;x1:0.5").in_flight, 7);
+  EXPECT_EQ(platform::parse_load_report("inflight:7;x1:0.5").in_flight, 7);
   std::string_view bad = "a served - 240001\r\n";
   platform::CacheResponse a;
-  EXPECT_EQ(platform::next_answer(bad, a), platform::Parsed::unreadable);
+  EXPECT_EQ(platform::next_response(bad, a), platform::Parsed::unreadable);
 }
 
 TEST(Config, MistakesAreOnePlainLine) {
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -90,7 +90,7 @@
 
   auto member = config.notices[0].members[1];
   member.server.status = alderspur::ServerStatus::draining;
-  caches->update(member);
+  caches->update_endpoint(member);
   engine->update_endpoints({false, false, {member.server}});
   proxy->write(post(kAsk));
   ASSERT_EQ(next(), 200);
