--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -16,6 +16,7 @@
 #include "core/deadlines.h"
 #include "http/message.h"
 #include "net/connection.h"
+#include "net/listener.h"
 
 namespace alderspur::admin {
 
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -78,7 +78,7 @@
   node_.on_versions([this](std::string_view what, std::string_view query,
                            std::string body) { return told(what, query, std::move(body)); },
                     kBodyMost);
-  node_.cluster_share(unleased_, unleased_);
+  node_.set_cluster_share(unleased_, unleased_);
   measure();
   begin();
 }
@@ -215,7 +215,7 @@
                        a.is_conservative != acting_.is_conservative || a.heard != acting_.heard;
   acting_ = a;
   const bool share = a.share_all > 0;
-  node_.cluster_share(share ? a.share_all : unleased_, share ? a.share_point : unleased_);
+  node_.set_cluster_share(share ? a.share_all : unleased_, share ? a.share_point : unleased_);
   if (!version) return;
   if (a.version.number != judged_) {
     judged_ = a.version.number, bad_part_ = 0;  // what ends from here on is its own
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -43,7 +43,7 @@
     };
   }
   platform::EdgeRouter node(std::move(config), say, make_sink);
-  node.config_path = settings.config;
+  node.set_config_path(settings.config);
   node.on_counters([&] {
     std::vector<log::Field> fields{{"open", node.engine().open_request_count()},
                                    {"links", node.upstream_pool().connection_count()}};
--- a/src/cluster_transport/exchanges.cpp
+++ b/src/cluster_transport/exchanges.cpp
@@ -154,7 +154,7 @@
 void ClusterTransport::finish_writes(Peer& peer) {
   if (peer.is_closed) return;
   peer.connection->end_turn();
-  if (peer.connection->feed_again()) peer.connection->end_turn();
+  if (peer.connection->reoffer_unread()) peer.connection->end_turn();
   if (peer.is_closed || !peer.is_finished || peer.connection->unwritten() > 0) return;
   // The caller has all it wanted; the called side waits for the caller to close, so that its last
   // frame is read.
--- a/src/cluster_transport/transport.h
+++ b/src/cluster_transport/transport.h
@@ -37,6 +37,7 @@
 #include "cluster/frame_authenticator.h"
 #include "cluster/membership.h"
 #include "net/connection.h"
+#include "net/listener.h"
 #include "net/loop.h"
 
 namespace alderspur::cluster_transport {
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -30,7 +30,7 @@
   platform::EdgeRouter node(std::move(config), [](const std::string&, const std::string& text) {
     std::fprintf(stderr, "%s\n", text.c_str());
   });
-  node.config_path = path;
+  node.set_config_path(path);
   node.run();
   // Danger: a disk that hangs would hold the end of the process until somebody kills it.
   if (!node.settle()) {
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -1,29 +1,35 @@
 #include "platform/discovery_client.h"
 
-namespace alderspur::platform {
-namespace al = ::alderspur;
+#include <utility>
 
+namespace alderspur::platform {
 namespace {
 
-constexpr core::Time kAgainLeast = 50'000, kAgainMost = 350'000, kCheck = 250'000;
-constexpr core::Time kSilence = 1'800'000;  // a line comes every second
-constexpr core::Time kGapPatience = 1'500'000;
-constexpr std::size_t kLineMost = 1 << 20, kAheadMost = 4096;
+constexpr core::Time kMinReconnectDelay = 50'000;
+constexpr core::Time kMaxReconnectDelay = 350'000;
+constexpr core::Time kLivenessCheckInterval = 250'000;
+/// The server sends a line every second.
+constexpr core::Time kSilenceTimeout = 1'800'000;
+/// A gap that is not filled in this time is asked for anew, on a new connection.
+constexpr core::Time kGapTimeout = 1'500'000;
+constexpr std::size_t kMaxLineBytes = 1 << 20;
+constexpr std::size_t kMaxAppliedBeyondGap = 4096;
 
 }  // namespace
 
-core::Time pause_before_dial(std::mt19937_64& random) {
-  return std::uniform_int_distribution<core::Time>(kAgainLeast, kAgainMost)(random);
+core::Time reconnect_delay(std::mt19937_64& random) {
+  return std::uniform_int_distribution<core::Time>(kMinReconnectDelay, kMaxReconnectDelay)(random);
 }
 
 void DirectEndpointSink::update_endpoints(bool complete,
                                           const std::vector<config::Member>& members) {
-  if (complete) caches_.remove_unlisted(members);
-  al::EndpointUpdate update;
+  if (complete) upstream_pool_.remove_unlisted(members);
+  alderspur::EndpointUpdate update;
   update.is_complete = complete;
-  for (const auto& m : members) {
-    update.servers.push_back(m.server);
-    if (!caches_.update_endpoint(m)) update.servers.back().status = al::ServerStatus::gone;
+  for (const auto& member : members) {
+    update.servers.push_back(member.server);
+    const bool is_usable = upstream_pool_.update_endpoint(member);
+    if (!is_usable) update.servers.back().status = alderspur::ServerStatus::gone;
   }
   engine_.update_endpoints(std::move(update));
 }
@@ -36,127 +42,153 @@
       sink_(sink),
       config_(config),
       random_(config.seed) {
-  for (const auto& n : config.notices) apply(n);
-  held_ = std::max(held_, config.known);
-  ahead_.clear();
-  if (const auto at = net::parse_address(config.board)) {
-    address_ = *at;
+  for (const auto& event : config.notices) apply(event);
+  applied_up_to_ = std::max(applied_up_to_, config.known);
+  applied_beyond_gap_.clear();
+  if (const auto address = net::parse_address(config.board)) {
+    address_ = *address;
     connect();
-    listen_for_life();
+    check_liveness();
   }
 }
 
-void DiscoveryClient::apply(const config::Notice& n) {
-  if (n.number <= held_ || ahead_.contains(n.number)) return;
-  ahead_.insert(n.number);
-  while (ahead_.contains(held_ + 1)) ahead_.erase(++held_);
-  if (ahead_.size() > kAheadMost) held_ = *ahead_.begin(), ahead_.erase(ahead_.begin());
-  if (n.pool) tell(n);
-  if (n.flush) engine_.purge({n.flush->object, n.flush->group, n.flush->at});
-  if (ahead_.empty()) told_.clear();
+// ---- Events ----
+
+void DiscoveryClient::apply(const config::Notice& event) {
+  if (event.number <= applied_up_to_ || applied_beyond_gap_.contains(event.number)) return;
+  advance_applied(event.number);
+  if (event.pool) apply_endpoints(event);
+  if (event.flush) engine_.purge({event.flush->object, event.flush->group, event.flush->at});
+  if (applied_beyond_gap_.empty()) applied_members_.clear();
+}
+
+void DiscoveryClient::advance_applied(std::uint64_t number) {
+  applied_beyond_gap_.insert(number);
+  while (applied_beyond_gap_.contains(applied_up_to_ + 1)) {
+    ++applied_up_to_;
+    applied_beyond_gap_.erase(applied_up_to_);
+  }
+  // A gap this old is given up.
+  if (applied_beyond_gap_.size() > kMaxAppliedBeyondGap) {
+    applied_up_to_ = *applied_beyond_gap_.begin();
+    applied_beyond_gap_.erase(applied_beyond_gap_.begin());
+  }
 }
 
-// Danger: what fills a gap comes behind later events, and would put a server that drains back into
-// service.
-void DiscoveryClient::tell(const config::Notice& n) {
-  if (n.number < whole_) return;
-  if (n.complete) whole_ = n.number;
+// An event that fills a gap comes after later ones. It must not undo what these said, for instance
+// put a draining server back into service.
+void DiscoveryClient::apply_endpoints(const config::Notice& event) {
+  if (event.number < last_complete_list_) return;
+  if (event.complete) last_complete_list_ = event.number;
   std::vector<config::Member> members;
-  for (const auto& m : n.members) {
-    const auto later = told_.find(m.server.id);
-    if (later != told_.end() && later->second.first > n.number) continue;
-    members.push_back(m);
-    if (!ahead_.empty()) told_[m.server.id] = {n.number, m};
+  for (const auto& member : event.members) {
+    const auto applied = applied_members_.find(member.server.id);
+    const bool is_outdated =
+        applied != applied_members_.end() && applied->second.event_number > event.number;
+    if (is_outdated) continue;
+    members.push_back(member);
+    if (!applied_beyond_gap_.empty()) applied_members_[member.server.id] = {event.number, member};
   }
-  if (n.complete) {
-    for (const auto& [id, later] : told_) {
-      if (later.first > n.number) members.push_back(later.second);
+  if (event.complete) {
+    for (const auto& [id, applied] : applied_members_) {
+      if (applied.event_number > event.number) members.push_back(applied.member);
     }
   }
-  sink_.update_endpoints(n.complete, members);
+  sink_.update_endpoints(event.complete, members);
 }
 
+// ---- The watch's connection ----
+
 void DiscoveryClient::connect() {
   net::Connection::Handler handler;
-  handler.on_data = [this](std::string_view bytes) { return take(bytes); };
-  handler.on_close = [this](net::Closed) { try_again(); };
+  handler.on_data = [this](std::string_view bytes) { return on_data(bytes); };
+  handler.on_close = [this](net::Closed) { reconnect_later(); };
   connection_ = net::connect(loop_, address_, std::move(handler));
-  heard_ = engine_.now();
-  if (!connection_) return try_again();
-  connection_->write("watch " + std::to_string(held_) + "\n");
+  last_data_at_ = engine_.now();
+  if (!connection_) return reconnect_later();
+  connection_->write("watch " + std::to_string(applied_up_to_) + "\n");
 }
 
-void DiscoveryClient::drop() {
+void DiscoveryClient::close_connection() {
   if (!connection_) return;
   connection_->close();
-  graves_.push_back(std::move(connection_));  // its callback may be running
+  closed_connections_.push_back(std::move(connection_));
 }
 
-void DiscoveryClient::try_again() {
-  drop();
-  if (waiting_) return;
-  waiting_ = deadlines_.set(engine_.now() + pause_before_dial(random_), [this] {
-    waiting_.reset();
+void DiscoveryClient::reconnect_later() {
+  close_connection();
+  if (reconnect_timer_) return;
+  reconnect_timer_ = deadlines_.set(engine_.now() + reconnect_delay(random_), [this] {
+    reconnect_timer_.reset();
     connect();
   });
 }
 
-// Danger: the old board accepts nobody, tells nothing more and may still be open for seconds; a gap
-// it left is filled by the new one, since the numbers go on.
-bool DiscoveryClient::move(const config::Config& renewed) {
-  const auto at = net::parse_address(renewed.board);
-  if (!at) return false;
-  for (const auto& n : renewed.notices) apply(n);
-  const bool first = !address_.sin_port;
-  address_ = *at;
-  if (waiting_) deadlines_.cancel(*waiting_);
-  waiting_.reset();
+// The watch moves whatever state the old connection is in: the old server accepts nobody and sends
+// nothing more, but may still be open for seconds. A gap it left is filled by the new one, since
+// the numbers go on.
+bool DiscoveryClient::reconfigure(const config::Config& renewed) {
+  const auto address = net::parse_address(renewed.board);
+  if (!address) return false;
+  for (const auto& event : renewed.notices) apply(event);
+  const bool is_first = !address_.sin_port;
+  address_ = *address;
+  if (reconnect_timer_) deadlines_.cancel(*reconnect_timer_);
+  reconnect_timer_.reset();
   gap_since_ = 0;
-  drop();
+  close_connection();
   connect();
-  if (first) listen_for_life();
+  if (is_first) check_liveness();
   return true;
 }
 
-// Danger: a board that fell silent leaves its connection open; drains and purges would pass
-// unheard.
-void DiscoveryClient::listen_for_life() {
+// A server that fell silent leaves its connection open, and drains and purges would be missed.
+void DiscoveryClient::check_liveness() {
   const core::Time now = engine_.now();
-  if (connection_ && now > heard_ + kSilence) try_again();
-  if (connection_ && gap_since_ && now > gap_since_ + kGapPatience) gap_since_ = 0, try_again();
-  deadlines_.set(now + kCheck, [this] { listen_for_life(); });
+  if (connection_ && now > last_data_at_ + kSilenceTimeout) reconnect_later();
+  if (connection_ && gap_since_ && now > gap_since_ + kGapTimeout) {
+    gap_since_ = 0;
+    reconnect_later();
+  }
+  deadlines_.set(now + kLivenessCheckInterval, [this] { check_liveness(); });
 }
 
-std::ptrdiff_t DiscoveryClient::take(std::string_view bytes) {
-  const auto before = bytes.size();
-  heard_ = engine_.now();
+std::ptrdiff_t DiscoveryClient::on_data(std::string_view bytes) {
+  const auto size_before = bytes.size();
+  last_data_at_ = engine_.now();
   for (auto end = bytes.find('\n'); end != std::string_view::npos; end = bytes.find('\n')) {
     std::string_view line = bytes.substr(0, end);
     bytes.remove_prefix(end + 1);
     if (line.ends_with('\r')) line.remove_suffix(1);
-    const auto notice = config::read_notice(line, config_.names);
-    if (!notice) {
-      ++engine_.counters().invalid_responses;
-      engine_.log_invalid_input(core::InvalidInput::watch_event, line);
-      continue;
-    }
-    if (notice->pool || notice->flush) apply(*notice);
-    const std::uint64_t last =
-        ahead_.empty() ? notice->number : std::max(notice->number, *ahead_.rbegin());
-    if (last <= held_) {
-      gap_since_ = 0;
-    } else if (!gap_since_) {
-      gap_since_ = heard_;
-    }
+    on_line(line);
+  }
+  if (bytes.size() > kMaxLineBytes) {
+    engine_.log_invalid_input(core::InvalidInput::watch_event, bytes);
+    return -1;
+  }
+  return static_cast<std::ptrdiff_t>(size_before - bytes.size());
+}
+
+void DiscoveryClient::on_line(std::string_view line) {
+  const auto event = config::read_notice(line, config_.names);
+  if (!event) {
+    ++engine_.counters().invalid_responses;
+    engine_.log_invalid_input(core::InvalidInput::watch_event, line);
+    return;
   }
-  if (bytes.size() > kLineMost) {
-    return engine_.log_invalid_input(core::InvalidInput::watch_event, bytes), -1;
+  if (event->pool || event->flush) apply(*event);
+  const std::uint64_t last_known = applied_beyond_gap_.empty()
+                                       ? event->number
+                                       : std::max(event->number, *applied_beyond_gap_.rbegin());
+  if (last_known <= applied_up_to_) {
+    gap_since_ = 0;
+  } else if (!gap_since_) {
+    gap_since_ = last_data_at_;
   }
-  return static_cast<std::ptrdiff_t>(before - bytes.size());
 }
 
 void DiscoveryClient::end_turn() {
-  graves_.clear();
+  closed_connections_.clear();
   if (connection_) connection_->end_turn();
 }
 
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -1,5 +1,6 @@
-// The notice board: watched from the last number held on, applied in order, tolerant of repeats and
-// gaps.
+// The watch on the service discovery server: endpoint lists and purges, asked for from the last
+// event number held on, applied once each, tolerant of repeats and gaps. The loop's thread only;
+// times are microseconds.
 #pragma once
 
 #include <map>
@@ -8,7 +9,6 @@
 #include <random>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "config/config.h"
@@ -18,46 +18,49 @@
 
 namespace alderspur::platform {
 
-// Who takes the board's news of servers: straight to connections and core, or through membership.
+/// Takes endpoint updates: straight to pool and engine, or by way of the cluster.
 class EndpointSink {
  public:
   virtual ~EndpointSink() = default;
+  /// `complete`: endpoints that are not among `members` are gone.
   virtual void update_endpoints(bool complete, const std::vector<config::Member>& members) = 0;
 };
+
 class DirectEndpointSink : public EndpointSink {
  public:
-  DirectEndpointSink(UpstreamPool& caches, core::Engine& engine)
-      : caches_(caches), engine_(engine) {}
+  DirectEndpointSink(UpstreamPool& upstream_pool, core::Engine& engine)
+      : upstream_pool_(upstream_pool), engine_(engine) {}
   void update_endpoints(bool complete, const std::vector<config::Member>& members) override;
 
  private:
-  UpstreamPool& caches_;
+  UpstreamPool& upstream_pool_;
   core::Engine& engine_;
 };
 
-// How long to wait before the next connection to the board, in microseconds: a draw of the router's
-// own seed. Danger: a board that ends all its connections at once would be dialled by the whole
-// fleet in one instant, and as one again for as long as it refuses.
-core::Time pause_before_dial(std::mt19937_64& random);
+/// How long to wait before the next connection to the discovery server, drawn from the router's own
+/// seed. When the server ends all its connections at once, the whole fleet would otherwise dial it
+/// in one instant, and again for as long as it refuses.
+core::Time reconnect_delay(std::mt19937_64& random);
 
 class DiscoveryClient {
  public:
   DiscoveryClient(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
                   EndpointSink& sink, const config::Config& config);
-  // The settings were read anew: what they know already is taken in, and the watch moves to their
-  // board from the last number held on, whatever state the old connection is in. False: they name
-  // no usable address, and the watch stays where it is.
-  bool move(const config::Config& renewed);
+  /// The settings were read anew: applies the events in them and moves the watch to their discovery
+  /// server, from the last number held on. False: they name no usable address, and nothing changes.
+  bool reconfigure(const config::Config& renewed);
   void end_turn();
 
  private:
-  void apply(const config::Notice& notice);
-  void tell(const config::Notice& notice);
+  void apply(const config::Notice& event);
+  void advance_applied(std::uint64_t number);
+  void apply_endpoints(const config::Notice& event);
   void connect();
-  void try_again();
-  void drop();
-  void listen_for_life();
-  std::ptrdiff_t take(std::string_view bytes);
+  void reconnect_later();
+  void close_connection();
+  void check_liveness();
+  std::ptrdiff_t on_data(std::string_view bytes);
+  void on_line(std::string_view line);
 
   net::Loop& loop_;
   core::Deadlines& deadlines_;
@@ -66,15 +69,20 @@
   const config::Config& config_;
   sockaddr_in address_{};
   std::unique_ptr<net::Connection> connection_;
-  std::vector<std::unique_ptr<net::Connection>> graves_;
-  std::uint64_t held_ = 0;         // all up to it have been applied
-  std::set<std::uint64_t> ahead_;  // applied beyond a gap
-  // While there is a gap: who was told of beyond it, by which event; and the last event with the
-  // whole list.
-  std::map<alderspur::ServerId, std::pair<std::uint64_t, config::Member>> told_;
-  std::uint64_t whole_ = 0;
-  core::Time heard_ = 0, gap_since_ = 0;
-  std::optional<core::Deadlines::Key> waiting_;
+  /// Freed at the end of the turn: the callback of one may be running.
+  std::vector<std::unique_ptr<net::Connection>> closed_connections_;
+  std::uint64_t applied_up_to_ = 0;  // all numbers up to it have been applied
+  std::set<std::uint64_t> applied_beyond_gap_;
+  struct AppliedMember {
+    std::uint64_t event_number = 0;
+    config::Member member;
+  };
+  /// While there is a gap: the last that was applied of each endpoint, and by which event.
+  std::map<alderspur::ServerId, AppliedMember> applied_members_;
+  std::uint64_t last_complete_list_ = 0;  // the number of its event
+  core::Time last_data_at_ = 0;
+  core::Time gap_since_ = 0;  // 0: no gap
+  std::optional<core::Deadlines::Key> reconnect_timer_;
   std::mt19937_64 random_;
 };
 
--- a/src/platform/edge_router.cpp
+++ b/src/platform/edge_router.cpp
@@ -6,83 +6,101 @@
 namespace alderspur::platform {
 namespace {
 
-constexpr core::Time kLongest = 3'000'000;
-constexpr core::Time kLastWord = 200'000;  // before it is killed, its last answer must be out,
-constexpr core::Time kCut = 100'000;       // and so much later clients that still stay are cut off
-constexpr core::Time kLinger = 700'000;    // after SIGTERM clients still come and ask for this long
+/// Bounds the time that any client waits, as far as shutdown is concerned.
+constexpr core::Time kMaxClientWait = 3'000'000;
+/// After SIGTERM clients still connect and send requests for this long.
+constexpr core::Time kLameDuckTime = 700'000;
+/// The last responses are given so long before the process may be killed.
+constexpr core::Time kFinalResponseMargin = 200'000;
+/// Clients that are still there are closed so long after the last responses.
+constexpr core::Time kCloseAllDelay = 100'000;
 
 sockaddr_in listen_address(const std::string& text) {
-  const auto at = net::parse_address(text);
-  if (!at) throw config::Error("no usable listen address: '" + text + "'");
-  return *at;
+  const auto address = net::parse_address(text);
+  if (!address) throw config::Error("no usable listen address: '" + text + "'");
+  return *address;
 }
 
 }  // namespace
 
-EdgeRouter::EdgeRouter(config::Config config, LogSink say, const MakeEndpointSink& make_sink)
+EdgeRouter::EdgeRouter(config::Config config, LogSink log, const MakeEndpointSink& make_sink)
     : config_(std::move(config)),
-      say_(std::move(say)),
+      log_(std::move(log)),
       loop_(deadlines_),
       engine_(config_.settings, config_.seed, deadlines_, net::unix_now),
       upstream_pool_(loop_, deadlines_, engine_, config_),
       sink_(make_sink ? make_sink(*this)
                       : std::make_unique<DirectEndpointSink>(upstream_pool_, engine_)),
       discovery_client_(loop_, deadlines_, engine_, *sink_, config_),
-      hot_restart_(config_.operator_listen.empty()
-                       ? nullptr
-                       : std::make_unique<hot_restart::HotRestartCoordinator>(
-                             loop_, deadlines_, [this] { return engine_.now(); },
-                             config_.state_folder, config_.listen, say_,
-                             hot_restart::HotRestartCoordinator::Hooks{
-                                 [this] {
-                                   return hot_restart::HotRestartCoordinator::Load{
-                                       engine_.counters().admitted, engine_.concurrency_limit()};
-                                 },
-                                 [this](const hot_restart::BanChange& change) {
-                                   const auto id = config::server_id(change.name);
-                                   engine_.set_ban(id, change.out);
-                                   if (change.out) upstream_pool_.return_unsent(id);
-                                   if (banned_) banned_(change);
-                                 },
-                                 [this](const hot_restart::PeerSummary& o, double share) {
-                                   others(o, share);
-                                 }})),
-      // What is known comes before the first status.
-      front_(loop_, deadlines_, (engine_.attach(upstream_pool_), engine_.run(), engine_),
-             listen_address(config_.listen), config_) {
-  engine_.invalid_input_log().set_sink(say_);
-  say_("platform_front", "platform clients on " + net::to_string(front_.address()));
-  if (hot_restart_) begin_operation();
-}
-
-void EdgeRouter::begin_operation() {
-  desk_ = std::make_unique<admin::RouterAdminHandler>(deadlines_, engine_, upstream_pool_,
-                                                      *hot_restart_, config_.names.classes,
-                                                      [this] { return leave_at_ > 0; });
-  operators_ = std::make_unique<admin::AdminServer>(loop_, deadlines_,
-                                                    listen_address(config_.operator_listen), *desk_,
-                                                    [this] { return engine_.now(); });
-  complete_ = true;
-  say_("operator_front", "operators on " + net::to_string(operators_->address()));
-  if (hot_restart_->others().count > 0) others(hot_restart_->others(), hot_restart_->share());
+      hot_restart_(make_hot_restart()),
+      front_(loop_, deadlines_, start_engine(), listen_address(config_.listen), config_) {
+  engine_.invalid_input_log().set_sink(log_);
+  log_("platform_front", "platform clients on " + net::to_string(front_.address()));
+  if (hot_restart_) start_admin();
+}
+
+std::unique_ptr<hot_restart::HotRestartCoordinator> EdgeRouter::make_hot_restart() {
+  using hot_restart::HotRestartCoordinator;
+  if (config_.operator_listen.empty()) return nullptr;
+  HotRestartCoordinator::Hooks hooks{
+      [this] {
+        return HotRestartCoordinator::Load{engine_.counters().admitted,
+                                           engine_.concurrency_limit()};
+      },
+      [this](const hot_restart::BanChange& change) { apply_ban(change); },
+      [this](const hot_restart::PeerSummary& peers, double share) { update_peers(peers, share); }};
+  return std::make_unique<HotRestartCoordinator>(
+      loop_, deadlines_, [this] { return engine_.now(); }, config_.state_folder, config_.listen,
+      log_, std::move(hooks));
+}
+
+// What the configuration and the shared folder say is in force before the front gives its first
+// status.
+core::Engine& EdgeRouter::start_engine() {
+  engine_.attach(upstream_pool_);
+  engine_.run();
+  return engine_;
+}
+
+void EdgeRouter::start_admin() {
+  admin_handler_ = std::make_unique<admin::RouterAdminHandler>(deadlines_, engine_, upstream_pool_,
+                                                               *hot_restart_, config_.names.classes,
+                                                               [this] { return drain_from_ > 0; });
+  admin_server_ = std::make_unique<admin::AdminServer>(
+      loop_, deadlines_, listen_address(config_.operator_listen), *admin_handler_,
+      [this] { return engine_.now(); });
+  is_constructed_ = true;
+  log_("operator_front", "operators on " + net::to_string(admin_server_->address()));
+  if (hot_restart_->others().count > 0) {
+    update_peers(hot_restart_->others(), hot_restart_->share());
+  }
   hot_restart_->serving();
 }
 
-// Who else acts as this router: budgets and limits are shared, and whoever comes after us takes our
-// clients once our end is planned.
-void EdgeRouter::others(const hot_restart::PeerSummary& others, double share) {
-  engine_.set_budget_share({share, others.door, all_, here_});
-  upstream_pool_.set_process_count(others.count + 1);
-  if (!complete_) return;  // still in the constructor: the front is not there yet
-  front_.share(others.count + 1);
-  if (!leave_at_) return;
-  if (others.successor) {
-    front_.hand_over(leave_at_ - kLinger + killed_after());
+// Other processes that act as this router share its budgets and limits. A successor takes our
+// clients once our shutdown has begun.
+void EdgeRouter::update_peers(const hot_restart::PeerSummary& peers, double share) {
+  engine_.set_budget_share({share, peers.door, share_of_all_, share_of_location_});
+  upstream_pool_.set_process_count(peers.count + 1);
+  if (!is_constructed_) return;  // there is no front yet
+  front_.set_process_count(peers.count + 1);
+  if (!drain_from_) return;
+  if (peers.successor) {
+    front_.start_handoff(drain_from_ - kLameDuckTime + drain_time());
   } else {
-    front_.take_back();
+    front_.cancel_handoff();
   }
 }
 
+// ---- Bans and shares ----
+
+void EdgeRouter::apply_ban(const hot_restart::BanChange& change) {
+  const auto server = config::server_id(change.name);
+  engine_.set_ban(server, change.out);
+  if (change.out) upstream_pool_.return_unsent(server);
+  if (ban_callback_) ban_callback_(change);
+}
+
 void EdgeRouter::ban(const hot_restart::BanChange& change) {
   if (hot_restart_) {
     hot_restart_->change(change, [](const std::string&) {});
@@ -90,75 +108,98 @@
     engine_.set_ban(config::server_id(change.name), change.out);
   }
 }
+
 std::vector<std::string> EdgeRouter::bans() const {
   if (!hot_restart_) return {};
   const auto& names = hot_restart_->bans();
   return {names.begin(), names.end()};
 }
 
-void EdgeRouter::cluster_share(double all, double here) {
-  all_ = all, here_ = here;
-  engine_.set_budget_share({hot_restart_ ? hot_restart_->share() : 1,
-                            hot_restart_ ? hot_restart_->others().door : 0, all, here});
+void EdgeRouter::set_cluster_share(double of_all, double of_location) {
+  share_of_all_ = of_all;
+  share_of_location_ = of_location;
+  const double process_share = hot_restart_ ? hot_restart_->share() : 1;
+  const double peers_limit = hot_restart_ ? hot_restart_->others().door : 0;
+  engine_.set_budget_share({process_share, peers_limit, of_all, of_location});
 }
 
-// A planned end is cut off no sooner than this after it began: the longest time a client waits, 3 s
-// at most, and 0.7 s.
-core::Time EdgeRouter::killed_after() const {
+// ---- Shutdown ----
+
+// The process is killed no sooner than kLameDuckTime and the longest time that a client waits (3 s
+// at most) after its shutdown began.
+core::Time EdgeRouter::drain_time() const {
   core::Time longest = 0;
-  for (const core::Time t : config_.names.give_up) {
-    longest = std::max(longest, t > 0 ? t : kLongest);
+  for (const core::Time limit : config_.names.give_up) {
+    longest = std::max(longest, limit > 0 ? limit : kMaxClientWait);
   }
-  return std::min(longest, kLongest) + kLinger - kLastWord;
+  return std::min(longest, kMaxClientWait) + kLameDuckTime - kFinalResponseMargin;
 }
 
-void EdgeRouter::leave() {
-  if (leave_at_) return;
-  leave_at_ = engine_.now() + kLinger;
+// The last two deadlines guard against a cache that hangs and holds its requests, and against
+// clients that, with the successor dead, go on sending requests: SIGKILL would find some open.
+void EdgeRouter::start_shutdown() {
+  if (drain_from_) return;
+  drain_from_ = engine_.now() + kLameDuckTime;
   if (hot_restart_) {
     hot_restart_->leaving();
-    others(hot_restart_->others(), hot_restart_->share());
+    update_peers(hot_restart_->others(), hot_restart_->share());
   }
-  // Danger: a cache that hangs holds its requests longer than we live, and with the successor dead
-  // clients go on asking us, until SIGKILL finds something open.
-  deadlines_.set(leave_at_ - kLinger + killed_after(), [this] {
+  const core::Time drain_until = drain_from_ - kLameDuckTime + drain_time();
+  deadlines_.set(drain_until, [this] {
     engine_.finish_all_now();
-    front_.end();
+    front_.finish_all_now();
   });
-  deadlines_.set(leave_at_ - kLinger + killed_after() + kCut, [this] {
-    front_.cut();
-    over_ = true;
+  deadlines_.set(drain_until + kCloseAllDelay, [this] {
+    front_.close_all();
+    is_drain_time_over_ = true;
   });
-  deadlines_.set(leave_at_, [this] {
-    for (auto& p : parts_) {
-      if (p.leave) p.leave();
+  deadlines_.set(drain_from_, [this] {
+    for (auto& component : components_) {
+      if (component.leave) component.leave();
     }
   });
 }
 
-// Danger: an operator's half-written file must not end a router under load. Only the board's
-// address can change while it runs; the rest describes the process itself and is named so that
-// nobody waits for it.
+// Clients hear of the shutdown by a close, each once it has its responses; those that are idle
+// until then hold nothing up. With another process to take over, or its operators, busy ones are
+// served until the time to drain is over.
+void EdgeRouter::stop_when_drained() {
+  const bool is_idle = engine_.open_request_count() == 0 && front_.is_idle();
+  if (!hot_restart_ || is_idle) front_.drain();
+  const auto is_done = [](const Component& component) {
+    return !component.idle || component.idle();
+  };
+  if (is_drain_time_over_ || (is_idle && front_.is_drained() &&
+                              std::all_of(components_.begin(), components_.end(), is_done))) {
+    loop_.stop();
+  }
+}
+
+// ---- Operation ----
+
+// A half-written file must not end a router under load. Only the address of the discovery server
+// can change while it runs. The rest describes the process itself; a change of it is logged, so
+// that nobody waits for it to take effect.
 void EdgeRouter::reload() {
   try {
-    const auto renewed = config::read_file(config_path);
-    if (!discovery_client_.move(renewed)) {
+    const auto renewed = config::read_file(config_path_);
+    if (!discovery_client_.reconfigure(renewed)) {
       throw config::Error("no usable board address: '" + renewed.board + "'");
     }
-    say_("reload", "settings read anew, board at " + renewed.board);
+    log_("reload", "settings read anew, board at " + renewed.board);
     if (renewed.memory_mb != config_.memory_mb || renewed.sockets != config_.sockets ||
         renewed.names.classes != config_.names.classes) {
-      say_("reload", "limits and classes have changed too: they hold from the next start");
+      log_("reload", "limits and classes have changed too: they hold from the next start");
     }
-  } catch (const std::exception& e) {
-    say_("reload", std::string("reload: ") + e.what() + "; the settings stay as they were");
+  } catch (const std::exception& error) {
+    log_("reload", std::string("reload: ") + error.what() + "; the settings stay as they were");
   }
-  if (reloaded_) reloaded_();
+  if (reload_callback_) reload_callback_();
 }
 
-void EdgeRouter::say_counters() {
-  if (counted_) return counted_();
-  say_("counters", "open " + std::to_string(engine_.open_request_count()) +
+void EdgeRouter::report_counters() {
+  if (counters_report_) return counters_report_();
+  log_("counters", "open " + std::to_string(engine_.open_request_count()) +
                        ", connections to servers " +
                        std::to_string(upstream_pool_.connection_count()) + "; " +
                        core::to_line(engine_.counters()));
@@ -168,36 +209,24 @@
   deadlines_.run_due(engine_.now());
   engine_.run();
   front_.end_turn();
-  for (auto& p : parts_) {
-    if (p.end_turn) p.end_turn();
+  for (auto& component : components_) {
+    if (component.end_turn) component.end_turn();
   }
-  if (operators_) operators_->end_turn();
+  if (admin_server_) admin_server_->end_turn();
   upstream_pool_.end_turn();
   discovery_client_.end_turn();
-  engine_.run();  // clients and servers let go of just now
-  if (leave_at_ && engine_.now() >= leave_at_) end_when_idle();
-}
-
-// Clients hear of our end by a close, each once it has its answers; those that rest until then hold
-// nothing up. With another process to take over, or its operators, busy ones are served until our
-// time is over.
-void EdgeRouter::end_when_idle() {
-  const bool idle = engine_.open_request_count() == 0 && front_.idle();
-  if (!hot_restart_ || idle) front_.leave();
-  const auto done = [](auto& part) { return !part.idle || part.idle(); };
-  if (over_ || (idle && front_.gone() && std::all_of(parts_.begin(), parts_.end(), done))) {
-    loop_.stop();
-  }
+  engine_.run();  // for clients and servers that were closed just now
+  if (drain_from_ && engine_.now() >= drain_from_) stop_when_drained();
 }
 
 void EdgeRouter::run() {
-  loop_.on_signal(SIGTERM, [this] { leave(); });
+  loop_.on_signal(SIGTERM, [this] { start_shutdown(); });
   loop_.on_signal(SIGHUP, [this] { reload(); });
   loop_.on_signal(SIGINT, [this] { loop_.stop(); });
-  loop_.on_signal(SIGUSR1, [this] { say_counters(); });
+  loop_.on_signal(SIGUSR1, [this] { report_counters(); });
   loop_.on_turn([this] { turn(); });
   loop_.run();
-  say_counters();
+  report_counters();
 }
 
 }  // namespace alderspur::platform
--- a/src/platform/edge_router.h
+++ b/src/platform/edge_router.h
@@ -1,9 +1,9 @@
-// One running router: loop, core, connections to servers, board and the platform's front, wired
-// together.
+// One running router: loop, engine, upstream pool, discovery client and the platform's front, wired
+// together. The program edge_router is this; `alderspur run` adds further fronts, and the cluster
+// between discovery client and engine.
 //
-// Both programs are built round it: edge_router as it is, `alderspur run` with further fronts and
-// with membership between board and core. One thread; run() returns when a planned leave is over.
-// Throws std::runtime_error from its constructor where an address is not to be had.
+// One thread. run() returns when a graceful shutdown is over. The constructor throws
+// std::runtime_error if an address is not to be had. Times are microseconds.
 #pragma once
 
 #include <functional>
@@ -26,43 +26,50 @@
  public:
   using MakeEndpointSink = std::function<std::unique_ptr<EndpointSink>(EdgeRouter&)>;
   using LogSink = std::function<void(const std::string& event, const std::string& text)>;
-  // What else takes part in the turns of this node.
+  /// What else takes part in the turns of this router. Each function may be empty.
   struct Component {
     std::function<void()> end_turn;
     std::function<void()> leave;  // some time after SIGTERM: accept nothing new
-    std::function<bool()> idle;   // nothing is owed
+    std::function<bool()> idle;   // no response is owed
   };
 
-  EdgeRouter(config::Config config, LogSink say, const MakeEndpointSink& make_sink = {});
-  void add(Component part) { parts_.push_back(std::move(part)); }
-  // In place of saying the counters in one line, on SIGUSR1 and at the end.
-  void on_counters(std::function<void()> then) { counted_ = std::move(then); }
-  // What operators are told of the cluster; nothing where they cannot call.
+  EdgeRouter(config::Config config, LogSink log, const MakeEndpointSink& make_sink = {});
+  void add(Component component) { components_.push_back(std::move(component)); }
+  /// Runs in place of logging the counters, on SIGUSR1 and at the end.
+  void on_counters(std::function<void()> report) { counters_report_ = std::move(report); }
+  /// What operators are told of the cluster. No effect where operators cannot call, as with the
+  /// next two.
   void on_cluster(std::function<std::string()> view) {
-    if (desk_) desk_->on_cluster(std::move(view));
+    if (admin_handler_) admin_handler_->on_cluster(std::move(view));
   }
-  // This router's part of what all routers, and those of its location, may do together; 0: by told
-  // numbers.
-  void cluster_share(double all, double here);
-  // What operators are told of versions, and what they propose.
-  void on_versions(admin::RouterAdminHandler::Versions versions, std::size_t body_most) {
-    if (desk_) desk_->on_versions(std::move(versions), body_most);
+  /// What operators are told of configuration versions, and what they propose.
+  void on_versions(admin::RouterAdminHandler::Versions versions, std::size_t max_body_bytes) {
+    if (admin_handler_) admin_handler_->on_versions(std::move(versions), max_body_bytes);
   }
-  // Of bans by hand, whoever makes them; and one that others made. Unlisted servers as well.
-  void on_ban(std::function<void(const hot_restart::BanChange&)> then) {
-    banned_ = std::move(then);
+  /// Operators are told that this router is ready only once `may_be_ready` holds.
+  void on_ready(std::function<bool()> may_be_ready) {
+    if (admin_handler_) admin_handler_->on_ready(std::move(may_be_ready));
   }
+  /// Called after SIGHUP.
+  void on_reload(std::function<void()> callback) { reload_callback_ = std::move(callback); }
+  /// Called of each ban or unban by hand, whoever made it.
+  void on_ban(std::function<void(const hot_restart::BanChange&)> callback) {
+    ban_callback_ = std::move(callback);
+  }
+  /// This router's part of what all routers, and those of its location, may do together; 0: as the
+  /// settings say.
+  void set_cluster_share(double of_all, double of_location);
+  /// A ban made elsewhere; the server need not be listed.
   void ban(const hot_restart::BanChange& change);
   std::vector<std::string> bans() const;
-  // The yes to `ready` waits for it.
-  void on_ready(std::function<bool()> may) {
-    if (desk_) desk_->on_ready(std::move(may));
-  }
-  void on_reload(std::function<void()> then) { reloaded_ = std::move(then); }
+  /// Where SIGHUP reads the configuration anew; empty: it cannot be.
+  void set_config_path(std::string path) { config_path_ = std::move(path); }
+
   void run();
-  // After run(): false where the shared folder hangs, and the process can only be ended by _exit().
+  /// After run(): false if the shared folder hangs, and the process can only be ended by _exit().
   bool settle() { return !hot_restart_ || hot_restart_->settle(); }
-  void turn();  // of the loop, for whoever drives it by hand
+  /// One turn of the loop, for tests that drive it by hand.
+  void turn();
 
   const config::Config& config() const { return config_; }
   core::Deadlines& deadlines() { return deadlines_; }
@@ -71,39 +78,43 @@
   UpstreamPool& upstream_pool() { return upstream_pool_; }
   const RpcFront& front() const { return front_; }
 
-  // Where the configuration came from, for SIGHUP; empty: it cannot be read anew.
-  std::string config_path;
-
  private:
+  std::unique_ptr<hot_restart::HotRestartCoordinator> make_hot_restart();
+  core::Engine& start_engine();
+  void start_admin();
   void reload();
-  void say_counters();
-  void begin_operation();
-  void leave();
-  void end_when_idle();
-  core::Time killed_after() const;
-  void others(const hot_restart::PeerSummary& others, double share);
+  void report_counters();
+  void apply_ban(const hot_restart::BanChange& change);
+  void update_peers(const hot_restart::PeerSummary& peers, double share);
+  void start_shutdown();
+  void stop_when_drained();
+  core::Time drain_time() const;
 
   const config::Config config_;
-  LogSink say_;
+  LogSink log_;
   core::Deadlines deadlines_;
   net::Loop loop_;
   core::Engine engine_;
   UpstreamPool upstream_pool_;
   std::unique_ptr<EndpointSink> sink_;
   DiscoveryClient discovery_client_;
-  // Before what tells us of others: its first word comes while the members below are not there yet.
-  bool complete_ = false;
-  double all_ = 0, here_ = 0;  // see cluster_share
-  std::function<void(const hot_restart::BanChange&)> banned_;
-  std::unique_ptr<hot_restart::HotRestartCoordinator>
-      hot_restart_;  // where operators call, as are the next two
+  // These stand before hot_restart_, which calls update_peers() and apply_ban() while the members
+  // below it are not constructed yet.
+  bool is_constructed_ = false;
+  double share_of_all_ = 0;
+  double share_of_location_ = 0;
+  std::function<void(const hot_restart::BanChange&)> ban_callback_;
+  // Null where operators cannot call, as are admin_handler_ and admin_server_.
+  std::unique_ptr<hot_restart::HotRestartCoordinator> hot_restart_;
   RpcFront front_;
-  std::unique_ptr<admin::RouterAdminHandler> desk_;
-  std::unique_ptr<admin::AdminServer> operators_;
-  std::vector<Component> parts_;
-  std::function<void()> reloaded_, counted_;
-  core::Time leave_at_ = 0;
-  bool over_ = false;  // our time is, whoever still stays
+  std::unique_ptr<admin::RouterAdminHandler> admin_handler_;
+  std::unique_ptr<admin::AdminServer> admin_server_;
+  std::vector<Component> components_;
+  std::function<void()> reload_callback_;
+  std::function<void()> counters_report_;
+  std::string config_path_;
+  core::Time drain_from_ = 0;  // 0: no shutdown is under way
+  bool is_drain_time_over_ = false;
 };
 
 }  // namespace alderspur::platform
--- a/src/platform/rpc_codec.cpp
+++ b/src/platform/rpc_codec.cpp
@@ -11,74 +11,139 @@
 using msgpack_codec::MeasureStatus;
 using msgpack_codec::Writer;
 
-constexpr std::uint64_t kResponseType = 1;                          // of a MessagePack-RPC message
-constexpr std::size_t kMessageMost = 64 << 10, kBodyMost = 48'000;  // of a write
-constexpr double kLimitMost = 1e7, kSizeMost = 1e6;                 // milliseconds, KB
-constexpr std::uint32_t kPartMost = 1'000'000, kGroupMost = 255;
-
-std::string_view text(const msgpack_object& o) {
-  if (o.type == MSGPACK_OBJECT_STR) return {o.via.str.ptr, o.via.str.size};
-  if (o.type == MSGPACK_OBJECT_BIN) return {o.via.bin.ptr, o.via.bin.size};
-  return {};
+// Types of MessagePack-RPC messages, and the number of items in each.
+constexpr std::uint64_t kRequestType = 0;
+constexpr std::uint64_t kResponseType = 1;
+constexpr std::uint64_t kNotificationType = 2;
+constexpr std::uint32_t kRequestItems = 4;
+constexpr std::uint32_t kResponseItems = 4;
+constexpr std::uint32_t kNotificationItems = 3;
+// First bytes of arrays of three and of four items.
+constexpr unsigned char kArrayOfThree = 0x93;
+constexpr unsigned char kArrayOfFour = 0x94;
+
+constexpr std::size_t kMaxMessageBytes = 64 << 10;
+constexpr std::size_t kMaxWriteBodyBytes = 48'000;
+constexpr double kMaxTimeLimitMilliseconds = 1e7;
+constexpr double kMaxSizeKb = 1e6;
+constexpr std::uint32_t kMaxPart = 1'000'000;
+constexpr std::uint32_t kMaxGroup = 255;
+constexpr std::size_t kIdDigits = 16;
+constexpr std::size_t kIdempotencyKeyDigits = 32;
+constexpr core::Time kMicrosecondsPerMillisecond = 1000;
+
+struct FieldName {
+  std::string_view name;
+  std::string_view Call::*field;
+};
+constexpr FieldName kFieldNames[] = {
+    {"txn", &Call::request_id},
+    {"limit", &Call::time_limit},
+    {"unique", &Call::idempotency_key},
+    {"item", &Call::object},
+    {"slice", &Call::part},
+    {"set", &Call::group},
+    {"ram", &Call::size_kb},
+    {"seen", &Call::client_copy_tag},
+};
+
+bool is_number(const msgpack_object& object) {
+  return object.type == MSGPACK_OBJECT_POSITIVE_INTEGER;
 }
-bool is_text(const msgpack_object& o) {
-  return o.type == MSGPACK_OBJECT_STR || o.type == MSGPACK_OBJECT_BIN;
+
+bool is_text(const msgpack_object& object) {
+  return object.type == MSGPACK_OBJECT_STR || object.type == MSGPACK_OBJECT_BIN;
+}
+
+std::string_view text(const msgpack_object& object) {
+  if (object.type == MSGPACK_OBJECT_STR) return {object.via.str.ptr, object.via.str.size};
+  if (object.type == MSGPACK_OBJECT_BIN) return {object.via.bin.ptr, object.via.bin.size};
+  return {};
 }
 
-// A map of strings to strings; what is not known is passed over.
+// A map of strings to strings; unknown names are passed over.
 bool read_fields(const msgpack_object& map, Call& call) {
   if (map.type != MSGPACK_OBJECT_MAP) return false;
   for (std::uint32_t i = 0; i < map.via.map.size; ++i) {
     const auto& [key, value] = map.via.map.ptr[i];
     if (!is_text(key) || !is_text(value)) return false;
     const auto name = text(key);
-    std::string_view* field = name == "txn"      ? &call.txn
-                              : name == "limit"  ? &call.limit
-                              : name == "unique" ? &call.unique
-                              : name == "item"   ? &call.item
-                              : name == "slice"  ? &call.slice
-                              : name == "set"    ? &call.set
-                              : name == "ram"    ? &call.ram
-                              : name == "seen"   ? &call.seen
-                                                 : nullptr;
-    if (field) *field = text(value);
+    for (const FieldName& known : kFieldNames) {
+      if (known.name == name) call.*known.field = text(value);
+    }
   }
   return true;
 }
 
-Parsed read_call(const msgpack_object& o, Call& call) {
-  if (o.type != MSGPACK_OBJECT_ARRAY || o.via.array.size < 3) return Parsed::unreadable;
-  const msgpack_object* part = o.via.array.ptr;
-  const std::size_t size = o.via.array.size;
-  const auto is_number = [](const msgpack_object& x) {
-    return x.type == MSGPACK_OBJECT_POSITIVE_INTEGER;
-  };
-  if (!is_number(part[0])) return Parsed::unreadable;
-  if (part[0].via.u64 == 2 && size == 3) {
-    call.notification = true;
-    call.method = text(part[1]);
-    const auto& args = part[2];
-    call.well_formed = args.type == MSGPACK_OBJECT_ARRAY && args.via.array.size >= 1 &&
-                       is_number(args.via.array.ptr[0]);
-    if (call.well_formed) call.id = args.via.array.ptr[0].via.u64;
+void read_notification(const msgpack_object* items, Call& call) {
+  call.is_notification = true;
+  call.method = text(items[1]);
+  const auto& arguments = items[2];
+  call.is_well_formed = arguments.type == MSGPACK_OBJECT_ARRAY && arguments.via.array.size >= 1 &&
+                        is_number(arguments.via.array.ptr[0]);
+  if (call.is_well_formed) call.id = arguments.via.array.ptr[0].via.u64;
+}
+
+void read_request(const msgpack_object* items, Call& call) {
+  call.id = items[1].via.u64;
+  call.method = text(items[2]);
+  const auto& arguments = items[3];
+  if (arguments.type != MSGPACK_OBJECT_ARRAY || arguments.via.array.size < 1) return;
+  call.is_well_formed = read_fields(arguments.via.array.ptr[0], call);
+  if (arguments.via.array.size == 1) return;
+  const auto& body = arguments.via.array.ptr[1];
+  if (!is_text(body) && body.type != MSGPACK_OBJECT_NIL) call.is_well_formed = false;
+  call.body = text(body);
+}
+
+Parsed read_call(const msgpack_object& message, Call& call) {
+  if (message.type != MSGPACK_OBJECT_ARRAY) return Parsed::unreadable;
+  const std::uint32_t size = message.via.array.size;
+  const msgpack_object* items = message.via.array.ptr;
+  if (size < kNotificationItems || !is_number(items[0])) return Parsed::unreadable;
+  const std::uint64_t type = items[0].via.u64;
+  if (type == kNotificationType && size == kNotificationItems) {
+    read_notification(items, call);
     return Parsed::whole;
   }
-  if (part[0].via.u64 != 0 || size != 4 || !is_number(part[1])) return Parsed::unreadable;
-  call.id = part[1].via.u64;
-  call.method = text(part[2]);
-  const auto& args = part[3];
-  if (args.type != MSGPACK_OBJECT_ARRAY || args.via.array.size < 1) return Parsed::whole;
-  call.well_formed = read_fields(args.via.array.ptr[0], call);
-  if (args.via.array.size > 1) {
-    const auto& body = args.via.array.ptr[1];
-    call.well_formed = call.well_formed && (is_text(body) || body.type == MSGPACK_OBJECT_NIL);
-    call.body = text(body);
+  if (type == kRequestType && size == kRequestItems && is_number(items[1])) {
+    read_request(items, call);
+    return Parsed::whole;
   }
-  return Parsed::whole;
+  return Parsed::unreadable;
+}
+
+bool read_time_limit(const Call& call, const RequestRules& rules, core::RequestView& view) {
+  double milliseconds = 0;
+  if (!core::parse_number(call.time_limit, milliseconds)) return false;
+  if (milliseconds < 1 || milliseconds > kMaxTimeLimitMilliseconds) return false;
+  view.time_limit = static_cast<core::Time>(milliseconds * kMicrosecondsPerMillisecond);
+  return rules.max_time_limit <= 0 ||
+         view.time_limit <= rules.max_time_limit + kMicrosecondsPerMillisecond;
+}
+
+bool read_size(const Call& call, core::RequestView& view) {
+  if (call.size_kb.empty()) return true;
+  return core::parse_number(call.size_kb, view.size_kb) && !(view.size_kb < 0) &&
+         !(view.size_kb > kMaxSizeKb);
 }
 
-void begin_answer(Writer& writer, std::uint64_t id) {
-  writer.array(4).number(kResponseType).number(id);
+void begin_response(Writer& writer, std::uint64_t call_id) {
+  writer.array(kResponseItems).number(kResponseType).number(call_id);
+}
+
+EncodedResponse encode_error(std::uint64_t call_id, const core::Response& response) {
+  const bool is_rejected = response.status == core::FinalStatus::rejected;
+  const bool has_advice = is_rejected && response.retry_after > 0;
+  Writer head;
+  begin_response(head, call_id);
+  head.array(2).text(is_rejected ? "Busy" : "Failed").map(has_advice ? 1 : 0);
+  if (has_advice) {
+    const core::Time rounded_up = response.retry_after + kMicrosecondsPerMillisecond - 1;
+    head.text("later").text(std::to_string(rounded_up / kMicrosecondsPerMillisecond));
+  }
+  head.nil();
+  return {head.str(), {}};
 }
 
 }  // namespace
@@ -87,8 +152,8 @@
   call = {};
   if (bytes.empty()) return Parsed::partial;
   const auto first = static_cast<unsigned char>(bytes[0]);
-  if (first != 0x93 && first != 0x94) return Parsed::unreadable;  // an array of three or four
-  const auto measured = msgpack_codec::measure_item(bytes, kMessageMost);
+  if (first != kArrayOfThree && first != kArrayOfFour) return Parsed::unreadable;
+  const auto measured = msgpack_codec::measure_item(bytes, kMaxMessageBytes);
   if (measured.status == MeasureStatus::incomplete) return Parsed::partial;
   if (measured.status == MeasureStatus::invalid) return Parsed::unreadable;
   const auto document = Document::of_measured_item(bytes.substr(0, measured.size));
@@ -97,52 +162,43 @@
   return read_call(document.root(), call);
 }
 
-bool to_request_view(const Call& c, const ClassForm& form, core::RequestView& d) {
-  double limit = 0;
-  if (!c.well_formed || !core::is_hex_word(c.txn, 16) || !core::is_hex_word(c.item, 16) ||
-      !core::is_plain_word(c.seen) || !core::parse_number(c.item, d.object, 16)) {
-    return false;
-  }
-  if (form.keyed ? !core::is_hex_word(c.unique, 32) : !c.unique.empty()) return false;
-  if (!core::parse_number(c.limit, limit) || limit < 1 || limit > kLimitMost) return false;
-  d.time_limit = static_cast<core::Time>(limit * 1000);
-  if (form.longest > 0 && d.time_limit > form.longest + 1000) return false;
-  if (!core::parse_number(c.slice, d.part) || d.part > kPartMost) return false;
-  if (!core::parse_number(c.set, d.group) || d.group > kGroupMost) return false;
-  if (!c.ram.empty() &&
-      (!core::parse_number(c.ram, d.size_kb) || d.size_kb < 0 || d.size_kb > kSizeMost)) {
-    return false;
-  }
-  if (c.body.size() > (form.write ? kBodyMost : 0)) return false;
-  d.id = c.txn;
-  d.idempotency_key = c.unique;
-  d.client_copy_tag = c.seen;
-  d.object_text = c.item;
-  d.body = c.body;
+bool to_request_view(const Call& call, const RequestRules& rules, core::RequestView& view) {
+  if (!call.is_well_formed) return false;
+  if (!core::is_hex_word(call.request_id, kIdDigits)) return false;
+  if (!core::is_hex_word(call.object, kIdDigits)) return false;
+  if (!core::is_plain_word(call.client_copy_tag)) return false;
+  if (!core::parse_number(call.object, view.object, 16)) return false;
+  const bool is_key_valid = rules.requires_idempotency_key
+                                ? core::is_hex_word(call.idempotency_key, kIdempotencyKeyDigits)
+                                : call.idempotency_key.empty();
+  if (!is_key_valid) return false;
+  if (!read_time_limit(call, rules, view)) return false;
+  if (!core::parse_number(call.part, view.part) || view.part > kMaxPart) return false;
+  if (!core::parse_number(call.group, view.group) || view.group > kMaxGroup) return false;
+  if (!read_size(call, view)) return false;
+  if (call.body.size() > (rules.is_write ? kMaxWriteBodyBytes : 0)) return false;
+  view.id = call.request_id;
+  view.idempotency_key = call.idempotency_key;
+  view.client_copy_tag = call.client_copy_tag;
+  view.object_text = call.object;
+  view.body = call.body;
   return true;
 }
 
-Encoded encode_answer(std::uint64_t id, const core::Response& answer) {
+EncodedResponse encode_response(std::uint64_t call_id, const core::Response& response) {
+  if (response.status != core::FinalStatus::served) return encode_error(call_id, response);
   Writer head;
-  begin_answer(head, id);
-  if (answer.status == core::FinalStatus::served) {
-    Writer tail;
-    head.nil().array(2).bytes_header(answer.body.size());
-    tail.map(answer.not_modified ? 1 : 0);
-    if (answer.not_modified) tail.text("current").text("1");
-    return {head.str(), tail.str()};
-  }
-  const bool refused = answer.status == core::FinalStatus::rejected;
-  const bool later = refused && answer.retry_after > 0;
-  head.array(2).text(refused ? "Busy" : "Failed").map(later ? 1 : 0);
-  if (later) head.text("later").text(std::to_string((answer.retry_after + 999) / 1000));
-  head.nil();
-  return {head.str(), {}};
+  begin_response(head, call_id);
+  head.nil().array(2).bytes_header(response.body.size());
+  Writer tail;
+  tail.map(response.not_modified ? 1 : 0);
+  if (response.not_modified) tail.text("current").text("1");
+  return {head.str(), tail.str()};
 }
 
-std::string encode_status(std::uint64_t id) {
+std::string encode_status(std::uint64_t call_id) {
   Writer writer;
-  begin_answer(writer, id);
+  begin_response(writer, call_id);
   writer.nil().array(2).boolean_true().map(0);
   return writer.str();
 }
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -256,7 +256,8 @@
 void HttpFront::settle(Client& c) {
   if (c.dead) return;
   c.connection->end_turn();
-  while (!c.dead && !c.ticket && !c.ending && c.connection->feed_again()) c.connection->end_turn();
+  while (!c.dead && !c.ticket && !c.ending && c.connection->reoffer_unread())
+    c.connection->end_turn();
   if (!c.dead && c.ending && c.connection->unwritten() == 0) drop(c, true);
 }
 
@@ -276,7 +277,7 @@
 
 void HttpFront::leave() {
   leaving_ = true;
-  listener_.stop_empty();
+  listener_.accept_rest_and_stop(net::Listener::AcceptRest::all);
   for (auto& c : clients_) {
     if (rests(*c)) drop(*c, true);
   }
--- a/src/signed_url/http_front.h
+++ b/src/signed_url/http_front.h
@@ -10,6 +10,7 @@
 #include "core/engine.h"
 #include "http/message.h"
 #include "net/connection.h"
+#include "net/listener.h"
 #include "signed_url/route_selector.h"
 #include "signed_url/token.h"
 
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -91,7 +91,7 @@
   for (auto& c : clients_) {
     if (c->dead) continue;
     c->connection->end_turn();
-    while (!c->dead && !c->ending && c->connection->feed_again()) c->connection->end_turn();
+    while (!c->dead && !c->ending && c->connection->reoffer_unread()) c->connection->end_turn();
     if (!c->dead && c->ending && c->connection->unwritten() == 0) drop(*c, true);
   }
   std::erase_if(clients_, [](auto& c) { return c->dead; });
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -7,6 +7,7 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/connection.h"
+#include "net/listener.h"
 #include "platform/upstream_pool.h"
 
 namespace alderspur::xds {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -361,7 +361,7 @@
   for (int round = 0; round < 5; ++round) {
     std::map<core::Time, int> in_10_ms;
     for (std::size_t i = 0; i < routers.size(); ++i) {
-      at[i] += alderspur::platform::pause_before_dial(routers[i]);
+      at[i] += alderspur::platform::reconnect_delay(routers[i]);
       EXPECT_LE(at[i], (round + 1) * 350'000);
       ++in_10_ms[at[i] / 10'000];
     }
@@ -370,8 +370,8 @@
     }
   }
   std::mt19937_64 once(7), again(7);
-  EXPECT_EQ(alderspur::platform::pause_before_dial(once),
-            alderspur::platform::pause_before_dial(again));
+  EXPECT_EQ(alderspur::platform::reconnect_delay(once),
+            alderspur::platform::reconnect_delay(again));
 }
 
 TEST_F(Platform, TheBoardIsWatchedFromTheLastNumberHeldAndADrainBindsAtOnce) {
