--- a/src/net/lingering.cpp
+++ b/src/net/lingering.cpp
@@ -1,6 +1,7 @@
 #include "net/lingering.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "net/connection.h"
 #include "net/loop.h"
@@ -9,43 +10,44 @@
 
 Lingering::Lingering(core::Deadlines& deadlines) : deadlines_(deadlines) {}
 Lingering::~Lingering() {
-  for (auto& one : all_) {
-    if (!one.ended) deadlines_.cancel(one.until);
+  for (auto& entry : entries_) {
+    if (!entry.has_ended) deadlines_.cancel(entry.timeout);
   }
 }
 
 void Lingering::take(std::unique_ptr<Connection> connection) {
   if (!connection || connection->closed()) return;
-  if (size() >= kLingeringMost) cut_oldest();
-  const auto place = all_.insert(all_.end(), One{std::move(connection)});
-  place->until = deadlines_.set(unix_now() + kLingerTime, [this, place] { end(place); });
-  place->connection->linger([this, place] { end(place); });
+  if (size() >= kMaxLingering) cut_oldest();
+  const auto position = entries_.insert(entries_.end(), Entry{std::move(connection)});
+  position->timeout = deadlines_.set(unix_now() + kLingerTime, [this, position] { end(position); });
+  position->connection->linger([this, position] { end(position); });
 }
 
-// Its callback may be running: the connection itself goes at the turn's end.
-void Lingering::end(Place place) {
-  if (std::exchange(place->ended, true)) return;
-  deadlines_.cancel(place->until);
-  place->connection->close();
-  ended_.push_back(place);
+// A callback of the connection may be running: it is destroyed when the turn ends.
+void Lingering::end(Position position) {
+  if (std::exchange(position->has_ended, true)) return;
+  deadlines_.cancel(position->timeout);
+  position->connection->close();
+  ended_.push_back(position);
 }
 
 bool Lingering::cut_oldest() {
-  const auto oldest = std::find_if(all_.begin(), all_.end(), [](auto& one) { return !one.ended; });
-  if (oldest == all_.end()) return false;
+  const auto oldest = std::find_if(entries_.begin(), entries_.end(),
+                                   [](const Entry& entry) { return !entry.has_ended; });
+  if (oldest == entries_.end()) return false;
   end(oldest);
   return true;
 }
 
-bool Lingering::fit(std::size_t others, std::size_t most) {
-  while (others + size() >= most) {
+bool Lingering::fit(std::size_t others, std::size_t limit) {
+  while (others + size() >= limit) {
     if (!cut_oldest()) return false;
   }
   return true;
 }
 
 void Lingering::end_turn() {
-  for (const Place place : ended_) all_.erase(place);
+  for (const Position position : ended_) entries_.erase(position);
   ended_.clear();
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -8,113 +8,148 @@
 #include "net/lingering.h"
 
 namespace alderspur::net {
-
 namespace {
 
+constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
+constexpr core::Time kNanosecondsPerMicrosecond = 1'000;
+/// The wall clock is compared so often.
+constexpr core::Time kClockCheckInterval = 100'000;
+/// It is followed at a fiftieth of the time that passes, at most.
+constexpr core::Time kMaxSlewDivisor = 50;
+/// The loop waits no longer, so that a step of the wall clock cannot hold the deadlines back.
+constexpr core::Time kMaxWait = kMicrosecondsPerSecond;
+
+core::Time to_microseconds(const timespec& time) {
+  return static_cast<core::Time>(time.tv_sec) * kMicrosecondsPerSecond +
+         time.tv_nsec / kNanosecondsPerMicrosecond;
+}
+
 core::Time wall_now() {
-  timespec t{};
-  ::clock_gettime(CLOCK_REALTIME, &t);
-  return static_cast<core::Time>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000;
+  timespec time{};
+  ::clock_gettime(CLOCK_REALTIME, &time);
+  return to_microseconds(time);
 }
 
 sigset_t held_signals() {
-  sigset_t held;
-  sigemptyset(&held);
-  for (const int number : {SIGTERM, SIGHUP, SIGUSR1}) sigaddset(&held, number);
-  return held;
+  sigset_t signals;
+  sigemptyset(&signals);
+  for (const int number : {SIGTERM, SIGHUP, SIGUSR1}) sigaddset(&signals, number);
+  return signals;
 }
 
 }  // namespace
 
-void hold_signals() {
-  const auto held = held_signals();
-  pthread_sigmask(SIG_BLOCK, &held, nullptr);
-}
+// ---- Clocks ----
 
 core::Time steady_now() {
-  timespec t{};
-  if (::clock_gettime(CLOCK_BOOTTIME, &t) != 0) ::clock_gettime(CLOCK_MONOTONIC, &t);
-  return static_cast<core::Time>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000;
+  timespec time{};
+  if (::clock_gettime(CLOCK_BOOTTIME, &time) != 0) ::clock_gettime(CLOCK_MONOTONIC, &time);
+  return to_microseconds(time);
 }
 
-// Danger: a wall clock that is set back by an hour would hold all deadlines for an hour, and one
-// that is set forward would fire them all at once. So it is followed at kSlew at most. Any thread.
+// A wall clock that is set back by an hour would hold all deadlines for an hour, and one that is
+// set forward would run them all at once. So this is the steady clock, corrected towards the wall
+// clock little by little.
 core::Time unix_now() {
-  constexpr core::Time kLook = 100'000, kSlew = 50;  // a fiftieth of the time that passes
-  static const core::Time first = wall_now() - steady_now();
-  static std::atomic<core::Time> ahead{0}, looked{0};
+  static const core::Time initial_offset = wall_now() - steady_now();
+  static std::atomic<core::Time> correction{0};
+  static std::atomic<core::Time> last_check{0};
   const core::Time steady = steady_now();
-  core::Time last = looked.load(std::memory_order_relaxed);
-  if (steady - last >= kLook &&
-      looked.compare_exchange_strong(last, steady, std::memory_order_relaxed) && last) {
-    const core::Time off = wall_now() - steady - first - ahead.load(std::memory_order_relaxed);
-    const core::Time most = (steady - last) / kSlew;
-    ahead.fetch_add(std::clamp(off, -most, most), std::memory_order_relaxed);
+  core::Time last = last_check.load(std::memory_order_relaxed);
+  const bool is_due = steady - last >= kClockCheckInterval;
+  // Only one thread makes each check; the first one only sets its time.
+  if (is_due && last_check.compare_exchange_strong(last, steady, std::memory_order_relaxed) &&
+      last) {
+    const core::Time error =
+        wall_now() - steady - initial_offset - correction.load(std::memory_order_relaxed);
+    const core::Time max_step = (steady - last) / kMaxSlewDivisor;
+    correction.fetch_add(std::clamp(error, -max_step, max_step), std::memory_order_relaxed);
   }
-  return steady + first + ahead.load(std::memory_order_relaxed);
+  return steady + initial_offset + correction.load(std::memory_order_relaxed);
 }
 
+// ---- IoWatcher ----
+
 IoWatcher::IoWatcher(struct ev_loop* loop, int fd, std::function<void(int)> on_ready)
     : loop_(loop), on_ready_(std::move(on_ready)) {
-  ev_io_init(&io_, &IoWatcher::called, fd, 0);
-  io_.data = this;
+  ev_io_init(&watcher_, &IoWatcher::on_event, fd, 0);
+  watcher_.data = this;
 }
-IoWatcher::~IoWatcher() { ev_io_stop(loop_, &io_); }
+IoWatcher::~IoWatcher() { ev_io_stop(loop_, &watcher_); }
+
 void IoWatcher::want(int events) {
   if (events == wanted_) return;
   wanted_ = events;
-  ev_io_stop(loop_, &io_);
+  ev_io_stop(loop_, &watcher_);
   if (!events) return;
-  ev_io_set(&io_, io_.fd, events);
-  ev_io_start(loop_, &io_);
+  ev_io_set(&watcher_, watcher_.fd, events);
+  ev_io_start(loop_, &watcher_);
 }
-void IoWatcher::called(struct ev_loop*, ev_io* w, int events) {
-  static_cast<IoWatcher*>(w->data)->on_ready_(events);
+
+void IoWatcher::on_event(struct ev_loop*, ev_io* watcher, int events) {
+  static_cast<IoWatcher*>(watcher->data)->on_ready_(events);
+}
+
+// ---- Loop ----
+
+void hold_signals() {
+  const auto signals = held_signals();
+  pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
 Loop::Loop(core::Deadlines& deadlines)
     : deadlines_(deadlines),
       loop_(ev_loop_new(EVFLAG_AUTO)),
       lingering_(std::make_unique<Lingering>(deadlines)) {
-  ev_prepare_init(&prepare_, &Loop::prepared);
-  prepare_.data = this;
-  ev_prepare_start(loop_, &prepare_);
-  ev_timer_init(&timer_, &Loop::timed, 0, 0);
+  ev_prepare_init(&prepare_watcher_, &Loop::on_prepare);
+  prepare_watcher_.data = this;
+  ev_prepare_start(loop_, &prepare_watcher_);
+  ev_timer_init(&timer_, &Loop::on_timer, 0, 0);
 }
+
 Loop::~Loop() {
   lingering_.reset();
-  for (auto& s : signals_) ev_signal_stop(loop_, &s->watcher);
+  for (auto& signal : signals_) ev_signal_stop(loop_, &signal->watcher);
   ev_timer_stop(loop_, &timer_);
-  ev_prepare_stop(loop_, &prepare_);
+  ev_prepare_stop(loop_, &prepare_watcher_);
   ev_loop_destroy(loop_);
 }
-void Loop::on_signal(int number, std::function<void()> then) {
-  auto s = std::make_unique<Signal>();
-  s->then = std::move(then);
-  ev_signal_init(&s->watcher, &Loop::signalled, number);
-  s->watcher.data = s.get();
-  ev_signal_start(loop_, &s->watcher);
-  signals_.push_back(std::move(s));
+
+void Loop::on_signal(int number, std::function<void()> callback) {
+  auto signal = std::make_unique<Signal>();
+  signal->callback = std::move(callback);
+  ev_signal_init(&signal->watcher, &Loop::on_signal_event, number);
+  signal->watcher.data = signal.get();
+  ev_signal_start(loop_, &signal->watcher);
+  signals_.push_back(std::move(signal));
 }
+
 void Loop::run() {
-  const auto held = held_signals();
-  pthread_sigmask(SIG_UNBLOCK, &held, nullptr);
+  const auto signals = held_signals();
+  pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
   ev_run(loop_, 0);
 }
+
 void Loop::stop() { ev_break(loop_, EVBREAK_ALL); }
 
-void Loop::prepared(struct ev_loop* raw, ev_prepare* w, int) {
-  auto& loop = *static_cast<Loop*>(w->data);
-  if (loop.turn_) loop.turn_();
-  loop.lingering_->end_turn();
-  ev_timer_stop(raw, &loop.timer_);
-  const core::Time next = loop.deadlines_.next();
-  // Danger: without a bound a step of the wall clock would put off every deadline for its length.
-  const core::Time wait = std::clamp<core::Time>(next - std::min(next, unix_now()), 0, 1'000'000);
-  ev_now_update(raw);
-  ev_timer_set(&loop.timer_, static_cast<double>(wait) / 1e6, 0);
-  ev_timer_start(raw, &loop.timer_);
-}
-void Loop::signalled(struct ev_loop*, ev_signal* w, int) { static_cast<Signal*>(w->data)->then(); }
+void Loop::on_prepare(struct ev_loop*, ev_prepare* watcher, int) {
+  static_cast<Loop*>(watcher->data)->end_turn();
+}
+
+// Ends with the timer set for the next deadline.
+void Loop::end_turn() {
+  if (turn_callback_) turn_callback_();
+  lingering_->end_turn();
+  ev_timer_stop(loop_, &timer_);
+  const core::Time next = deadlines_.next();
+  const core::Time wait = std::clamp<core::Time>(next - std::min(next, unix_now()), 0, kMaxWait);
+  ev_now_update(loop_);
+  ev_timer_set(&timer_, static_cast<double>(wait) / kMicrosecondsPerSecond, 0);
+  ev_timer_start(loop_, &timer_);
+}
+
+void Loop::on_signal_event(struct ev_loop*, ev_signal* watcher, int) {
+  static_cast<Signal*>(watcher->data)->callback();
+}
 
 }  // namespace alderspur::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,5 @@
-// The event loop: libev underneath, one turn of work before each wait.
+// The event loop, on libev: one turn of work before each wait. All but the clocks and
+// hold_signals() is for the loop's thread only. Times are microseconds.
 #pragma once
 
 #include <ev.h>
@@ -11,33 +12,34 @@
 
 namespace alderspur::net {
 
-// Microseconds since 1970. Follows the wall clock, but never by jumps: see loop.cpp.
+/// Since 1970. Follows the wall clock, but never by jumps: see loop.cpp. Any thread.
 core::Time unix_now();
-// Microseconds of a clock that never goes back and is set by nobody; also runs while the machine
-// sleeps.
+/// Of a clock that never goes back and that nobody sets; it also runs while the machine sleeps. Any
+/// thread.
 core::Time steady_now();
 
-// A watcher that stops itself when it goes; the callback is a plain function object.
+/// Watches a descriptor while it exists; the callback is a plain function object.
 class IoWatcher {
  public:
   IoWatcher(struct ev_loop* loop, int fd, std::function<void(int events)> on_ready);
   ~IoWatcher();
   IoWatcher(const IoWatcher&) = delete;
   IoWatcher& operator=(const IoWatcher&) = delete;
-  void want(int events);  // EV_READ, EV_WRITE, both or 0
+  /// EV_READ, EV_WRITE, both or 0.
+  void want(int events);
 
  private:
-  static void called(struct ev_loop*, ev_io* w, int events);
+  static void on_event(struct ev_loop*, ev_io* watcher, int events);
   struct ev_loop* loop_;
-  ev_io io_{};
+  ev_io watcher_{};
   int wanted_ = 0;
   std::function<void(int)> on_ready_;
 };
 
 class Lingering;
 
-// SIGTERM, SIGHUP and SIGUSR1 wait from here until Loop::run(), which hears them in its first turn.
-// For the start of a program, before it makes threads: they inherit it.
+/// Blocks SIGTERM, SIGHUP and SIGUSR1 until Loop::run(), which handles them in its first turn. To
+/// be called before a program makes threads: they inherit it.
 void hold_signals();
 
 class Loop {
@@ -50,27 +52,29 @@
   struct ev_loop* raw() {
     return loop_;
   }
-  // Called before each wait, after all that was ready has been read.
-  void on_turn(std::function<void()> turn) { turn_ = std::move(turn); }
-  void on_signal(int number, std::function<void()> then);
+  /// Called before each wait, after all that was ready has been read.
+  void on_turn(std::function<void()> callback) { turn_callback_ = std::move(callback); }
+  void on_signal(int number, std::function<void()> callback);
   void run();
   void stop();
-  Lingering& lingering() { return *lingering_; }  // where every orderly close ends
+  /// Takes all connections that are closed in order.
+  Lingering& lingering() { return *lingering_; }
 
  private:
   struct Signal {
     ev_signal watcher{};
-    std::function<void()> then;
+    std::function<void()> callback;
   };
-  static void prepared(struct ev_loop*, ev_prepare* w, int);
-  static void signalled(struct ev_loop*, ev_signal* w, int);
-  static void timed(struct ev_loop*, ev_timer*, int) {}
+  static void on_prepare(struct ev_loop*, ev_prepare* watcher, int);
+  static void on_signal_event(struct ev_loop*, ev_signal* watcher, int);
+  static void on_timer(struct ev_loop*, ev_timer*, int) {}
+  void end_turn();
 
   core::Deadlines& deadlines_;
   struct ev_loop* loop_;
-  ev_prepare prepare_{};
+  ev_prepare prepare_watcher_{};
   ev_timer timer_{};
-  std::function<void()> turn_;
+  std::function<void()> turn_callback_;
   std::vector<std::unique_ptr<Signal>> signals_;
   std::unique_ptr<Lingering> lingering_;
 };
--- a/src/net/wakeup.cpp
+++ b/src/net/wakeup.cpp
@@ -5,25 +5,30 @@
 namespace alderspur::net {
 
 Wakeup::Wakeup(Loop& loop) : loop_(loop.raw()) {
-  ev_async_init(&async_, &Wakeup::called);
-  async_.data = this;
-  ev_async_start(loop_, &async_);
+  ev_async_init(&watcher_, &Wakeup::on_event);
+  watcher_.data = this;
+  ev_async_start(loop_, &watcher_);
 }
-Wakeup::~Wakeup() { ev_async_stop(loop_, &async_); }
+Wakeup::~Wakeup() { ev_async_stop(loop_, &watcher_); }
 
-void Wakeup::post(std::function<void()> then) {
+void Wakeup::post(std::function<void()> function) {
   const std::lock_guard lock(mutex_);
-  posted_.push_back(std::move(then));
-  ev_async_send(loop_, &async_);
+  posted_.push_back(std::move(function));
+  ev_async_send(loop_, &watcher_);
 }
-void Wakeup::called(struct ev_loop*, ev_async* w, int) {
-  auto& self = *static_cast<Wakeup*>(w->data);
-  std::vector<std::function<void()>> posted;
+
+void Wakeup::on_event(struct ev_loop*, ev_async* watcher, int) {
+  static_cast<Wakeup*>(watcher->data)->run_posted();
+}
+
+// The lock is not held while they run: a function may post another, for the next event.
+void Wakeup::run_posted() {
+  std::vector<std::function<void()>> functions;
   {
-    const std::lock_guard lock(self.mutex_);
-    posted.swap(self.posted_);
+    const std::lock_guard lock(mutex_);
+    functions.swap(posted_);
   }
-  for (auto& then : posted) then();
+  for (auto& function : functions) function();
 }
 
 }  // namespace alderspur::net
--- a/src/net/wakeup.h
+++ b/src/net/wakeup.h
@@ -1,8 +1,4 @@
-// Lets another thread have something done on the loop's thread.
-//
-// post() may be called from any thread; the functions run on the loop, in the order of their
-// posting, before the turn that follows. The Wakeup must outlive all posters; what is posted after
-// close() is dropped.
+// Lets another thread run functions on the loop's thread.
 #pragma once
 
 #include <ev.h>
@@ -15,18 +11,23 @@
 
 namespace alderspur::net {
 
+/// Must outlive all threads that post; what has not run when it is destroyed is dropped.
 class Wakeup {
  public:
   explicit Wakeup(Loop& loop);
   ~Wakeup();
   Wakeup(const Wakeup&) = delete;
   Wakeup& operator=(const Wakeup&) = delete;
-  void post(std::function<void()> then);
+  /// From any thread. The functions run on the loop's thread, in the order of their posting, before
+  /// the turn that follows.
+  void post(std::function<void()> function);
 
  private:
-  static void called(struct ev_loop*, ev_async* w, int);
+  static void on_event(struct ev_loop*, ev_async* watcher, int);
+  void run_posted();
+
   struct ev_loop* loop_;
-  ev_async async_{};
+  ev_async watcher_{};
   std::mutex mutex_;
   std::vector<std::function<void()>> posted_;  // guarded by mutex_
 };
--- a/src/platform/upstream_watchdog.cpp
+++ b/src/platform/upstream_watchdog.cpp
@@ -23,6 +23,8 @@
 
 }  // namespace
 
+// Closing a connection sends its health check again, which may dial and so append to the endpoint's
+// connections while they are walked.
 void UpstreamPool::check_all_connections() {
   deadlines_.set(engine_.now() + kWatchdogInterval, [this] { check_all_connections(); });
   for (auto& [id, endpoint] : connected_endpoints_) {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -20,7 +20,7 @@
 const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 class Platform : public loopback::BoardStory {};
 
-TEST_F(Platform, ARequestPassesThroughUnchangedAndItsBytesComeBackWhole) {
+TEST_F(Platform, ForwardsRequestUnchangedAndReturnsWholeBodyWhenBytesArriveOneByOne) {
   auto c = client(front->address());
   const std::string all =
       request(1, "plan-accept", {{"unique", kKey}, {"slice", "3"}, {"seen", "ab"}}, "pay\r\nme");
@@ -50,7 +50,7 @@
   EXPECT_EQ(answers(c->in)[1].fields["current"], "1");
 }
 
-TEST_F(Platform, ARefusedConnectProvesNothingRanAndTheNextBoxIsAsked) {
+TEST_F(Platform, SendsToNextCacheWhenConnectIsRefused) {
   auto c = client(front->address());
   box[0].stop();
   for (unsigned i = 1; i <= 4; ++i) {
@@ -63,7 +63,7 @@
   EXPECT_EQ(engine->counters().served, 4u);
 }
 
-TEST_F(Platform, AfterWithdrawNothingIsOwedAndTheAttemptIsAborted) {
+TEST_F(Platform, AbortsAttemptAndSendsNoResponseWhenCallIsCancelled) {
   auto c = client(front->address());
   c->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
@@ -77,7 +77,7 @@
 
 // Guards against a late answer of the attempt given up passing for the next one's under the same
 // id.
-TEST_F(Platform, ALostConnectionEndsAllItsAttemptsAndTheRetryIsTheOnlyOneOut) {
+TEST_F(Platform, RetriesEachAttemptOnceWhenConnectionIsLost) {
   auto c = client(front->address());
   for (unsigned i = 1; i <= 3; ++i) c->write(request(i, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 3; }));
@@ -97,7 +97,7 @@
 
 // Guards against caches being sent what they can't read or use: they would close, on others'
 // requests too.
-TEST_F(Platform, AnUnreadableFrameClosesItsConnectionOnlyAndBadFieldsGetAnAnswer) {
+TEST_F(Platform, ClosesOnlyItsConnectionWhenFrameIsUnreadableAndRejectsInvalidFields) {
   auto bad = client(front->address()), good = client(front->address());
   bad->write("\xc1garbage");
   ASSERT_TRUE(until([&] { return bad->ended; }));
@@ -123,7 +123,7 @@
   EXPECT_EQ(engine->counters().forwarded, 0u);
 }
 
-TEST_F(Platform, AnOpenIdWithAnotherObjectIsTurnedAwayAndTheFirstIsServed) {
+TEST_F(Platform, RejectsSecondRequestWhenOpenIdNamesAnotherObject) {
   auto usual = client(front->address()), bad = client(front->address());
   usual->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
@@ -137,7 +137,7 @@
   ASSERT_TRUE(until([&] { return fetches() == 2; })) << "over, it is free again";
 }
 
-TEST_F(Platform, MoreThanItsShareOfOpenRequestsIsRefusedWithAdvice) {
+TEST_F(Platform, RejectsWithRetryAfterWhenClientHasTooManyOpenCalls) {
   auto c = client(front->address());
   for (unsigned i = 1; i <= 40; ++i) c->write(request(i, "asset", {}));
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 8; }));
@@ -146,7 +146,7 @@
 
 // Guards against clients that hold a place and say nothing, or only half of it, or that asked once
 // and stay.
-TEST_F(Platform, SilentAndHalfSpeakingClientsAreEndedAndIdleOnesGiveWay) {
+TEST_F(Platform, ClosesSilentClientsAfterTimeoutAndIdleOnesWhenPlacesRunOut) {
   const auto started = net::unix_now();
   auto silent = client(front->address()), half = client(front->address()),
        idle = client(front->address());
@@ -169,7 +169,7 @@
 
 // Guards against passing on what is spoilt: lines without a length, without tag and date, with
 // lengths that don't fit, confirmations of a copy that the client never named.
-TEST_F(Platform, ASpoiltAnswerFailsTheAttemptAndClosesTheConnection) {
+TEST_F(Platform, FailsAttemptAndClosesConnectionWhenResponseIsCorrupted) {
   auto c = client(front->address());
   std::size_t asked = 0;
   unsigned id = 0;
@@ -200,7 +200,7 @@
 
 // Guards against the second copy of a failed answer passing for the answer to the request's next
 // attempt.
-TEST_F(Platform, ASecondCopyOfAFailedAnswerEndsNothing) {
+TEST_F(Platform, IgnoresSecondCopyOfResponseWhenNextAttemptIsPending) {
   alderspur::EndpointUpdate gone;
   gone.servers = {config.notices[0].members[1].server};
   gone.servers[0].status = alderspur::ServerStatus::gone;
@@ -238,7 +238,7 @@
 
 // Guards against connections that stay open and are of no further use: after half an answer, or
 // after none.
-TEST_F(Watched, ASilentConnectionCostsItsRequestsAnAttemptButNotTheBoxItsGoodName) {
+TEST_F(Watched, RetriesOnSameCacheWhenConnectionFallsSilent) {
   for (const bool half : {true, false}) {
     for (auto& b : box) b.commands.clear();
     auto c = client(front->address());
@@ -261,7 +261,7 @@
 }
 
 // Guards against a reset under a probe passing for a sick machine.
-TEST_F(Watched, AProbeThatAResetCutsOffIsAskedAgainElsewhere) {
+TEST_F(Watched, SendsHealthCheckAgainWhenConnectionIsReset) {
   bool again = false;
   for (int i = 0; i < 20 && !again;
        ++i) {  // a probe has a quarter of a second, which a slow machine may miss
@@ -276,7 +276,7 @@
 }
 
 // Guards against a full box passing for a dead one, and against a dial for each probe of it.
-TEST_F(Watched, AProbesLateWordIsHeardAndFurtherProbesDialOnlyOnce) {
+TEST_F(Watched, AcceptsLateHealthCheckReplyAndDialsOnceWhenCacheIsSlow) {
   const auto id = config.notices[0].members[0].server.id;
   caches->send_health_check(id);
   ASSERT_TRUE(until([&] { return box[0].count("stats") == 1; }));
@@ -295,7 +295,7 @@
 
 // Guards against a probe on every connection whose one request takes long, as most do where many
 // routers share the work.
-TEST_F(Watched, AConnectionIsNotAskedForAWordWhileItsSilenceIsUsual) {
+TEST_F(Watched, SendsNoLivenessQueryWhenSilenceIsUsual) {
   std::uint64_t early = 0;
   for (unsigned i = 1; i <= 6; ++i) {
     auto c = client(front->address());
@@ -315,7 +315,7 @@
 
 // Guards against the same for a large answer, which a box gives in one piece after its own sending
 // time.
-TEST_F(Watched, AConnectionIsNotAskedForAWordWhileALargeAnswerIsDue) {
+TEST_F(Watched, SendsNoLivenessQueryWhenLargeResponseIsDue) {
   auto c = client(front->address());
   c->write(request(1, "asset", {{"ram", "90000"}}));  // ten seconds at the top pace
   ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == 1; }));
@@ -325,7 +325,7 @@
 }
 
 // Guards against one reset taking all that is open at a box along.
-TEST_F(Platform, ABusyBoxIsSentRequestsOnSeveralConnections) {
+TEST_F(Platform, UsesSeveralConnectionsWhenCacheIsBusy) {
   auto c = client(front->address());
   for (unsigned i = 1; i <= 30; ++i) {
     c->write(
@@ -341,7 +341,7 @@
   EXPECT_GE(open.size(), 4u);
 }
 
-TEST_F(Platform, AHalfClosedClientStillGetsItsAnswer) {
+TEST_F(Platform, RespondsWhenClientHasHalfClosed) {
   auto c = client(front->address());
   c->write(request(1, "asset", {}));
   c->half_close();
@@ -354,7 +354,7 @@
 
 // Guards against a fleet that dials its board in step, again and again, after it has ended all
 // connections.
-TEST(Board, AHundredRoutersThatLoseItTogetherDialSpreadOverTheTime) {
+TEST(Board, SpreadsReconnectsWhenAHundredRoutersLoseTheServer) {
   std::vector<std::mt19937_64> routers;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) routers.emplace_back(seed);
   std::vector<core::Time> at(100, 0);
@@ -374,7 +374,7 @@
             alderspur::platform::reconnect_delay(again));
 }
 
-TEST_F(Platform, TheBoardIsWatchedFromTheLastNumberHeldAndADrainBindsAtOnce) {
+TEST_F(Platform, WatchesFromLastEventAndAppliesDrainAtOnceWhenReconnected) {
   auto w = watcher();
   ASSERT_TRUE(until([&] { return w->in == "watch 1\n"; }));
   const auto gone = [&](int rev, const char* id, Box& b) {
@@ -402,7 +402,7 @@
 // Guards against a crowd of useless requests, or for the status only, each on a connection of its
 // own that stays: those that can be used must be taken up at once. Guards against a spoilt feed:
 // what cannot be read or used costs one line a kind and nothing else.
-TEST_F(Platform, ABoardOfBadNoticesEmptiesNoListAndFillsNoLog) {
+TEST_F(Platform, KeepsEndpointsAndLogsOnceWhenEventsAreInvalid) {
   std::vector<std::string> lines;
   engine->invalid_input_log().set_sink(
       [&](const std::string& event, const std::string&) { lines.push_back(event); });
@@ -444,7 +444,7 @@
   EXPECT_EQ(engine->counters().rejected + engine->counters().failed, 0u);
 }
 
-TEST(Complaints, OneLineAKindInTenSecondsWithWhatWasPassedOver) {
+TEST(Complaints, LogsOneLinePerKindWithCountWhenReportsRepeat) {
   core::RateLimitedLog complaints;
   std::vector<std::string> lines;
   complaints.report(core::InvalidInput::response, 1, "nobody listens yet");
@@ -465,7 +465,7 @@
   EXPECT_NE(lines[2].find("(999 more since the last line)"), std::string::npos) << lines[2];
 }
 
-TEST_F(Platform, ClientsThatHadTheirWordGiveWayAtOnce) {
+TEST_F(Platform, ClosesAnsweredClientsAtOnceWhenPlacesRunOut) {
   std::vector<std::unique_ptr<loopback::Socket>> bad;
   auto usual = client(front->address());
   usual->write(request(1, "asset", {}));
@@ -487,7 +487,7 @@
 
 // Guards against a listener that spins, or forgets its clients, once all places are taken by open
 // requests.
-TEST_F(Platform, ClientsBeyondTheBudgetWaitUntilOthersLeave) {
+TEST_F(Platform, DefersAcceptsUntilClientsLeaveWhenAllPlacesAreBusy) {
   std::vector<std::unique_ptr<loopback::Socket>> clients;
   for (int i = 0; i < 64; ++i) {
     clients.push_back(client(front->address()));
@@ -507,7 +507,7 @@
 }
 
 // Guards against one slow reader holding up the others or losing bytes of its own.
-TEST_F(Platform, ASlowReaderGetsEverythingInTheEndAndHoldsUpNobody) {
+TEST_F(Platform, DeliversEverythingWithoutDelayingOthersWhenReaderIsSlow) {
   auto slow = client(front->address()), quick = client(front->address());
   watched.assign(1, quick.get());
   const std::string body(240'000, 'y');
@@ -540,7 +540,7 @@
 // Guards against a connect that never comes up: nothing ran, so the next box is asked in time.
 class HungConnect : public Platform,
                     public ::testing::WithParamInterface<std::pair<core::Time, const char*>> {};
-TEST_P(HungConnect, IsGivenUpAndTheRequestMovesOn) {
+TEST_P(HungConnect, SendsToNextCacheWhenConnectHangs) {
   const auto [dial_timeout, limit] = GetParam();
   sockaddr_in at{};
   const int full = loopback::bound(at);
@@ -624,7 +624,7 @@
   std::optional<core::Engine> engine;
 };
 
-TEST_F(Core, AClientThatLeavesInTheTurnOfItsRequestIsOwedNothing) {
+TEST_F(Core, SendsNothingWhenClientLeavesInTheSameTurn) {
   const auto t = take();
   engine->cancel_request(t);
   engine->run();
@@ -633,7 +633,7 @@
   EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
-TEST_F(Core, OneAnswerThoughReplyAndDeadlineFallInOneTurn) {
+TEST_F(Core, RespondsOnceWhenResponseAndDeadlineShareATurn) {
   take();
   engine->run();
   ASSERT_EQ(recorder.sent.size(), 1u);
@@ -652,7 +652,7 @@
 
 // Found on days with 300 routers: the next attempt reached a cache, or the same one by another
 // connection, before the abort of the one before had arrived.
-TEST_F(Core, TheNextAttemptLeavesOnlyWhenTheAbortOfTheOneBeforeMustHaveArrived) {
+TEST_F(Core, DelaysNextAttemptWhenAbortMayStillBeOnItsWay) {
   for (const auto result : {alderspur::AttemptResult::cancelled, alderspur::AttemptResult::reset}) {
     recorder.sent.clear();
     const auto ticket = take();
@@ -687,7 +687,7 @@
 
 // A client leaves in the turn in which its attempt fails, or in the 50 ms before the next one may
 // leave.
-TEST_F(Core, ForAClientThatHasLeftNoNextAttemptBegins) {
+TEST_F(Core, StartsNoFurtherAttemptWhenClientHasLeft) {
   for (const bool ended_its_side : {false, true}) {
     for (const bool in_the_turn : {true, false}) {
       recorder.sent.clear();
@@ -715,7 +715,7 @@
   EXPECT_EQ(recorder.answers.size(), 2u) << "who may still be there is answered";
 }
 
-TEST_F(Core, APurgeHeardBeforeTheWritingTightensTheAge) {
+TEST_F(Core, TightensMaxAgeWhenPurgeComesBeforeWriting) {
   take();
   engine->run();
   ASSERT_TRUE(engine->upstream_request(recorder.sent[0])->fill->may_join);
@@ -732,7 +732,7 @@
       << "a copy older than asked for is not passed on";
 }
 
-TEST(Lines, AnswersAreTakenWhateverTheCuts) {
+TEST(Lines, ParsesResponsesWhereverTheBytesAreCut) {
   const std::string all =
       "a served sum=f,t0=17 3\r\nxyz\r\nb not_here - 0\r\n\r\np1 green rep=inflight:7;x1:0.5 "
       "0\r\n\r\n";
@@ -761,7 +761,7 @@
   EXPECT_EQ(platform::next_response(bad, a), platform::Parsed::unreadable);
 }
 
-TEST(Config, MistakesAreOnePlainLine) {
+TEST(Config, ThrowsConfigErrorWhenSettingsAreInvalid) {
   EXPECT_THROW(config::read("{"), config::Error);
   EXPECT_THROW(config::read(R"({"settings":{}})"), config::Error);
   EXPECT_NO_THROW(config::read(R"({"settings":{"classes":[{"name":"asset"}]}})"));
