--- a/tests/consensus/fleet.h
+++ b/tests/consensus/fleet.h
@@ -4,6 +4,8 @@
 
 #include <gtest/gtest.h>
 
+#include <deque>
+
 #include "cluster/rig.h"
 #include "consensus/version.h"
 #include "loopback.h"
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -90,7 +90,8 @@
   void ask(loopback::Socket& c, std::map<std::string, std::string> fields = {},
            const std::string& cls = "asset") {
     c.write(request(1, cls, std::move(fields)));
-    ASSERT_TRUE(until([&] { return engine->open_request_count() == 1 && caches->connection_count() == 1; }));
+    ASSERT_TRUE(until(
+        [&] { return engine->open_request_count() == 1 && caches->connection_count() == 1; }));
   }
   bool comes_up() {
     return until([&] { return late.let_up(), late.alive() > 0; });
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -452,7 +452,7 @@
     lines.push_back(event + ' ' + text);
   });
   const core::Time second = 1'000'000;
-  for (int i = 0; i < 1000; ++i) {
+  for (core::Time i = 0; i < 1000; ++i) {
     complaints.report(core::InvalidInput::watch_event, second + i * 1000,
                       "\x1b[2J" + std::string(500, 'x'));
   }
