--- a/src/platform/upstream_connection.h
+++ b/src/platform/upstream_connection.h
@@ -82,6 +82,13 @@
   bool is_touched = false;  // in touched_
 
   alderspur::ServerId id() const { return member.server.id; }
+  /// The connections as they are now: what is done to one of them may open another.
+  std::vector<UpstreamConnection*> current_connections() const {
+    std::vector<UpstreamConnection*> current;
+    current.reserve(connections.size());
+    for (const auto& connection : connections) current.push_back(connection.get());
+    return current;
+  }
 };
 
 }  // namespace alderspur::platform
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -59,7 +59,9 @@
   // A restarted process knows nothing of what the previous one was asked.
   if (has_moved || has_restarted) {
     return_unsent(member.server.id);  // before the connections fail: none of these was sent
-    for (auto& connection : endpoint.connections) on_closed(*connection, net::Closed::reset);
+    for (UpstreamConnection* connection : endpoint.current_connections()) {
+      on_closed(*connection, net::Closed::reset);
+    }
   }
   if (member.server.status != ServerStatus::ready) take_out_of_service(endpoint);
   return member.server.status == ServerStatus::gone || endpoint.address.sin_port != 0;
--- a/src/platform/upstream_watchdog.cpp
+++ b/src/platform/upstream_watchdog.cpp
@@ -28,7 +28,7 @@
 void UpstreamPool::check_all_connections() {
   deadlines_.set(engine_.now() + kWatchdogInterval, [this] { check_all_connections(); });
   for (auto& [id, endpoint] : connected_endpoints_) {
-    for (auto& connection : endpoint->connections) {
+    for (UpstreamConnection* connection : endpoint->current_connections()) {
       if (!connection->is_closed && !connection->socket->connecting()) {
         check_connection(*connection);
       }
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -262,7 +262,9 @@
 }
 
 void HttpFront::end_turn() {
-  for (auto& i : touched_) settle(*i);
+  // By index: settle() may touch further clients.
+  // NOLINTNEXTLINE(modernize-loop-convert): the vector grows during the walk.
+  for (std::size_t i = 0; i < touched_.size(); ++i) settle(*touched_[i]);
   const auto touched = std::exchange(touched_, {});
   for (Client* c : touched) {
     c->touched = false;
