--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -1,3 +1,5 @@
+// `alderspur run`: reads the settings, builds the router with all parts that they switch on, and
+// runs it on this thread until it has left.
 #include <unistd.h>
 
 #include <csignal>
@@ -5,6 +7,10 @@
 #include <cstdlib>
 #include <filesystem>
 #include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "app/cluster_service.h"
 #include "app/commands.h"
@@ -20,105 +26,230 @@
 namespace alderspur::app {
 namespace {
 
-constexpr std::size_t kProxiesMost = 32;
+/// Proxies that may be connected to the discovery service at the same time.
+constexpr std::size_t kMaxProxies = 32;
 
-int refuse(const diagnostics::Findings& findings) {
-  for (const auto& f : findings.list()) {
-    std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
+int print_findings(const diagnostics::Findings& findings) {
+  for (const auto& finding : findings.list()) {
+    std::fprintf(stderr, "%s\n", diagnostics::to_string(finding).c_str());
   }
   return kFinding;
 }
 
-void serve(const settings::Settings& settings, config::Config config, log::Log& log) {
-  const auto say = [&log](const std::string& event, const std::string& text) {
+/// One router with all parts that its settings switch on, from construction to the end of the
+/// process. The members are constructed in the order of their declaration and destroyed in the
+/// reverse order: each uses only those above it.
+class RunningRouter {
+ public:
+  /// Throws std::exception where a part cannot start, with the reason in one line.
+  RunningRouter(const settings::Settings& settings, config::Config config, log::Log& log);
+  RunningRouter(const RunningRouter&) = delete;
+  RunningRouter& operator=(const RunningRouter&) = delete;
+
+  /// Returns when the router has been told to leave and has left.
+  void run();
+
+ private:
+  platform::EdgeRouter::LogSink log_sink();
+  platform::EdgeRouter::MakeEndpointSink endpoint_sink_factory();
+  void create_routes();
+  void create_signed_url_front();
+  void create_discovery_server();
+  void create_cluster();
+  void create_replication();
+  void create_consensus();
+  void handle_signals();
+  void log_counters();
+  void log_endpoint_summary();
+  void reload_files();
+  std::uint64_t endpoint_list_generation() const;
+  bool stop_workers();
+  void shut_down();
+
+  const settings::Settings& settings_;
+  log::Log& log_;
+  EndpointController* endpoint_controller_ = nullptr;  // owned by node_; null without membership
+  platform::EdgeRouter node_;
+  std::unique_ptr<Routes> routes_;
+  std::unique_ptr<signed_url::HttpFront> signed_url_front_;
+  std::unique_ptr<xds::Server> discovery_server_;
+  std::unique_ptr<ClusterService> cluster_;
+  std::unique_ptr<ReplicationService> replication_;
+  std::unique_ptr<ConsensusService> consensus_;
+};
+
+RunningRouter::RunningRouter(const settings::Settings& settings, config::Config config,
+                             log::Log& log)
+    : settings_(settings),
+      log_(log),
+      node_(std::move(config), log_sink(), endpoint_sink_factory()) {
+  node_.config_path = settings_.config;
+  node_.on_counters([this] { log_counters(); });
+  create_routes();
+  create_signed_url_front();
+  create_discovery_server();
+  create_cluster();
+  create_replication();
+  create_consensus();
+  if (endpoint_controller_) endpoint_controller_->start();
+  handle_signals();
+}
+
+platform::EdgeRouter::LogSink RunningRouter::log_sink() {
+  return [&log = log_](const std::string& event, const std::string& text) {
     log.record("router", log::Level::info, event, {{"text", text}});
   };
-  EndpointController* keeper = nullptr;
-  platform::EdgeRouter::MakeEndpointSink make_sink;
-  if (settings.membership) {
-    make_sink = [&](platform::EdgeRouter& node) {
-      auto made = std::make_unique<EndpointController>(node, *settings.membership, log);
-      keeper = made.get();
-      return made;
-    };
-  }
-  platform::EdgeRouter node(std::move(config), say, make_sink);
-  node.config_path = settings.config;
-  node.on_counters([&] {
-    std::vector<log::Field> fields{{"open", node.engine().open_request_count()},
-                                   {"links", node.upstream_pool().links()}};
-    for (const auto& [name, value] : core::named_counters(node.engine().counters())) {
-      fields.emplace_back(name, value);
-    }
-    log.record("router", log::Level::info, "counters", fields);
+}
+
+platform::EdgeRouter::MakeEndpointSink RunningRouter::endpoint_sink_factory() {
+  if (!settings_.membership) return {};
+  return [this](platform::EdgeRouter& node) {
+    auto controller = std::make_unique<EndpointController>(node, *settings_.membership, log_);
+    endpoint_controller_ = controller.get();
+    return controller;
+  };
+}
+
+void RunningRouter::create_routes() {
+  if (settings_.routes_file.empty()) return;
+  routes_ = std::make_unique<Routes>(node_, settings_.routes_file, log_);
+}
+
+void RunningRouter::create_signed_url_front() {
+  if (!settings_.links) return;
+  signed_url_front_ = std::make_unique<signed_url::HttpFront>(
+      node_.loop(), node_.deadlines(), node_.engine(), node_.config(), *settings_.links,
+      net::unix_now, routes_.get());
+  node_.add({[this] { signed_url_front_->end_turn(); }, [this] { signed_url_front_->leave(); },
+             [this] { return signed_url_front_->idle(); }});
+  log_.record("signed", log::Level::info, "listening",
+              {{"address", net::to_string(signed_url_front_->address())}});
+}
+
+void RunningRouter::create_discovery_server() {
+  if (!settings_.xds) return;
+  discovery_server_ =
+      std::make_unique<xds::Server>(node_.loop(), node_.deadlines(), node_.engine(),
+                                    node_.upstream_pool(), *settings_.xds, kMaxProxies);
+  node_.add({[this] { discovery_server_->end_turn(); },
+             [this] { discovery_server_->stop_listening(); },
+             {}});
+  log_.record("xds", log::Level::info, "listening",
+              {{"address", net::to_string(discovery_server_->address())}});
+}
+
+void RunningRouter::create_cluster() {
+  if (!settings_.cluster) return;
+  cluster_ = std::make_unique<ClusterService>(node_, *settings_.cluster, log_);
+}
+
+void RunningRouter::create_replication() {
+  if (!cluster_ || !settings_.cluster->replicate) return;
+  replication_ = std::make_unique<ReplicationService>(node_, *cluster_, *settings_.cluster, log_);
+}
+
+void RunningRouter::create_consensus() {
+  if (!cluster_ || !settings_.cluster->agreement) return;
+  ConsensusService::Files files{settings_.membership ? settings_.membership->list : std::string(),
+                                settings_.routes_file, [this] { reload_files(); },
+                                [this] { return endpoint_list_generation(); }};
+  consensus_ = std::make_unique<ConsensusService>(node_, *cluster_, *settings_.cluster,
+                                                  std::move(files), log_);
+}
+
+void RunningRouter::handle_signals() {
+  node_.on_reload([this] { reload_files(); });
+  node_.loop().on_signal(SIGUSR1, [this] {
+    log_endpoint_summary();
+    log_.flush();
   });
-  std::unique_ptr<Routes> routes;
-  if (!settings.routes_file.empty()) {
-    routes = std::make_unique<Routes>(node, settings.routes_file, log);
-  }
-  std::unique_ptr<signed_url::HttpFront> links;
-  if (settings.links) {
-    links = std::make_unique<signed_url::HttpFront>(node.loop(), node.deadlines(), node.engine(),
-                                                    node.config(), *settings.links, net::unix_now,
-                                                    routes.get());
-    node.add({[&] { links->end_turn(); }, [&] { links->leave(); }, [&] { return links->idle(); }});
-    log.record("signed", log::Level::info, "listening",
-               {{"address", net::to_string(links->address())}});
-  }
-  std::unique_ptr<xds::Server> discovery;
-  if (settings.xds) {
-    discovery = std::make_unique<xds::Server>(node.loop(), node.deadlines(), node.engine(),
-                                              node.upstream_pool(), *settings.xds, kProxiesMost);
-    node.add({[&] { discovery->end_turn(); }, [&] { discovery->stop_listening(); }, {}});
-    log.record("xds", log::Level::info, "listening",
-               {{"address", net::to_string(discovery->address())}});
-  }
-  std::unique_ptr<ClusterService> cluster;
-  if (settings.cluster) cluster = std::make_unique<ClusterService>(node, *settings.cluster, log);
-  std::unique_ptr<ReplicationService> replica;
-  if (cluster && settings.cluster->replicate) {
-    replica = std::make_unique<ReplicationService>(node, *cluster, *settings.cluster, log);
-  }
-  std::unique_ptr<ConsensusService> versions;
-  if (cluster && settings.cluster->agreement) {
-    ConsensusService::Files files{
-        settings.membership ? settings.membership->list : std::string(), settings.routes_file,
-        [&] {
-          if (keeper) keeper->look();
-          if (routes) routes->reload();
-        },
-        [&]() -> std::uint64_t {
-          const auto list = keeper ? keeper->fleet().current_list() : nullptr;
-          return list ? list->generation : 0;
-        }};
-    versions = std::make_unique<ConsensusService>(node, *cluster, *settings.cluster,
-                                                  std::move(files), log);
-  }
-  if (keeper) {
-    keeper->start();
+}
+
+void RunningRouter::log_counters() {
+  std::vector<log::Field> fields{{"open", node_.engine().open_request_count()},
+                                 {"links", node_.upstream_pool().links()}};
+  for (const auto& [name, value] : core::named_counters(node_.engine().counters())) {
+    fields.emplace_back(name, value);
   }
-  node.on_reload([&] {
-    if (keeper) keeper->look();
-    if (routes) routes->reload();
-  });
-  node.loop().on_signal(SIGUSR1, [&] {
-    if (keeper) {
-      log.record("membership", log::Level::info, "standing", {{"text", keeper->summary()}});
-    }
-    log.flush();
-  });
-  node.run();
-  if (!node.settle() || (versions && !versions->settle()) ||
-      (replica && !replica->settle())) {  // a disk that hangs must not hold the end of the process
-    log.record("router", log::Level::warning, "shared_folder",
-               {{"reason", "hangs, ending without it"}});
-    log.flush();
+  log_.record("router", log::Level::info, "counters", fields);
+}
+
+void RunningRouter::log_endpoint_summary() {
+  if (!endpoint_controller_) return;
+  log_.record("membership", log::Level::info, "standing",
+              {{"text", endpoint_controller_->summary()}});
+}
+
+void RunningRouter::reload_files() {
+  if (endpoint_controller_) endpoint_controller_->look();
+  if (routes_) routes_->reload();
+}
+
+/// 0 where no list is in force.
+std::uint64_t RunningRouter::endpoint_list_generation() const {
+  if (!endpoint_controller_) return 0;
+  const auto list = endpoint_controller_->fleet().current_list();
+  return list ? list->generation : 0;
+}
+
+/// False where a worker hangs on its disk: the process can then only be ended by _exit().
+bool RunningRouter::stop_workers() {
+  if (!node_.settle()) return false;
+  if (consensus_ && !consensus_->settle()) return false;
+  return !replication_ || replication_->settle();
+}
+
+void RunningRouter::run() {
+  node_.run();
+  shut_down();
+}
+
+void RunningRouter::shut_down() {
+  if (!stop_workers()) {
+    log_.record("router", log::Level::warning, "shared_folder",
+                {{"reason", "hangs, ending without it"}});
+    log_.flush();
     ::_exit(kYes);
   }
-  if (keeper) {
-    keeper->finish();
-    log.record("membership", log::Level::info, "standing", {{"text", keeper->summary()}});
+  if (endpoint_controller_) endpoint_controller_->finish();
+  log_endpoint_summary();
+}
+
+/// The settings and the configuration that they name, with what overrides the latter.
+struct LoadedSettings {
+  settings::Settings settings;
+  config::Config config;
+};
+
+/// Nothing where there are findings that forbid a start. Throws config::Error for the
+/// configuration.
+std::optional<LoadedSettings> load_settings(const std::string& file,
+                                            diagnostics::Findings& findings) {
+  LoadedSettings loaded;
+  const auto folder = std::filesystem::path(file).parent_path().string();
+  loaded.settings = settings::read(config::read_text(file), file, folder, findings);
+  if (!findings.good()) return std::nullopt;
+  loaded.config = config::read_file(loaded.settings.config);
+  config::Config& config = loaded.config;
+  if (!loaded.settings.listen.empty()) config.listen = loaded.settings.listen;
+  if (!loaded.settings.operators.empty()) config.operator_listen = loaded.settings.operators;
+  if (const char* shared = std::getenv("TMPDIR")) config.state_folder = shared;
+  settings::resolve(loaded.settings, config, findings);
+  if (!findings.good()) return std::nullopt;
+  return loaded;
+}
+
+/// The exit code of the router, started and run to its end.
+int run_router(LoadedSettings loaded) {
+  log::Log log(loaded.settings.log);
+  try {
+    RunningRouter router(loaded.settings, std::move(loaded.config), log);
+    router.run();
+  } catch (const std::exception& error) {
+    log.record("router", log::Level::error, "cannot_start", {{"reason", error.what()}});
+    return kFinding;
   }
+  return kYes;
 }
 
 }  // namespace
@@ -128,25 +259,11 @@
   net::hold_signals();
   try {
     diagnostics::Findings findings;
-    const auto folder = std::filesystem::path(file).parent_path().string();
-    auto settings = settings::read(config::read_text(file), file, folder, findings);
-    if (!findings.good()) return refuse(findings);
-    auto config = config::read_file(settings.config);
-    if (!settings.listen.empty()) config.listen = settings.listen;
-    if (!settings.operators.empty()) config.operator_listen = settings.operators;
-    if (const char* shared = std::getenv("TMPDIR")) config.state_folder = shared;
-    settings::resolve(settings, config, findings);
-    if (!findings.good()) return refuse(findings);
-    log::Log log(settings.log);
-    try {
-      serve(settings, std::move(config), log);
-    } catch (const std::exception& e) {
-      log.record("router", log::Level::error, "cannot_start", {{"reason", e.what()}});
-      return kFinding;
-    }
-    return kYes;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "alderspur: %s\n", e.what());
+    auto loaded = load_settings(file, findings);
+    if (!loaded) return print_findings(findings);
+    return run_router(std::move(*loaded));
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "alderspur: %s\n", error.what());
     return kFinding;
   }
 }
