--- a/src/app/endpoint_controller.cpp
+++ b/src/app/endpoint_controller.cpp
@@ -13,44 +13,58 @@
 namespace alderspur::app {
 namespace {
 
-constexpr core::Time kFirst = 2'000'000, kSaveEvery = 1'000'000;
-constexpr const char* kName = "membership";
+/// How long the start waits for the files to settle.
+constexpr core::Time kFirstLookTimeout = 2'000'000;
+/// Changes within this time are saved together.
+constexpr core::Time kSaveDelay = 1'000'000;
+constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
+constexpr const char* kLogModule = "membership";
 
 std::string state_path(const std::string& folder) { return folder + "/membership.state"; }
 
+/// The files that a manifest names. Its findings are reported later, by evaluate(), which reads it
+/// once all of its files have settled.
 std::vector<std::string> piece_names(const std::string& manifest,
                                      const endpoints::ListLimits& limits) {
-  diagnostics::Findings ignored;  // judged with the rest, once all has settled
-  std::vector<std::string> out;
-  for (const auto& p : endpoints::read_list(manifest, "manifest.toml", 0, limits, ignored).pieces) {
-    out.push_back(p.file);
-  }
-  return out;
+  diagnostics::Findings ignored;
+  std::vector<std::string> names;
+  const auto read = endpoints::read_list(manifest, "manifest.toml", 0, limits, ignored);
+  for (const auto& piece : read.pieces) names.push_back(piece.file);
+  return names;
+}
+
+const char* status_name(ServerStatus status) {
+  if (status == ServerStatus::ready) return "ready";
+  return status == ServerStatus::draining ? "draining" : "gone";
 }
 
 }  // namespace
 
-// What the worker judges by. The list in force is written by the loop only, between two looks.
-struct EndpointController::Shared {
-  settings::Membership settings;
-  std::vector<std::string> zones;
+/// What the reading worker evaluates lists against. Only the loop's thread replaces the list in
+/// force.
+struct EndpointController::EvaluationContext {
   endpoints::SnapshotPtr in_force() const {
     const std::lock_guard lock(mutex);
     return list;
   }
-  void bring(endpoints::SnapshotPtr next) {
+  void set_in_force(endpoints::SnapshotPtr next) {
     const std::lock_guard lock(mutex);
     list = std::move(next);
   }
+
+  settings::Membership settings;
+  std::vector<std::string> zones;
   mutable std::mutex mutex;
   endpoints::SnapshotPtr list;  // guarded by mutex
 };
-struct EndpointController::Judged {
-  std::optional<endpoints::CandidateList> offer;
-  bool unchanged = false;
-  std::string refusal;  // the first finding
-  std::size_t findings = 0;
-  core::Time took = 0;
+
+/// The result of reading and checking the files once.
+struct EndpointController::Evaluation {
+  std::optional<endpoints::CandidateList> candidate;  // only if valid and not yet in force
+  bool is_unchanged = false;                          // valid, and its generation is in force
+  std::string rejection;                              // the first finding
+  std::size_t finding_count = 0;
+  core::Time duration = 0;  // microseconds
 };
 
 EndpointController::EndpointController(platform::EdgeRouter& node,
@@ -58,263 +72,295 @@
     : node_(node),
       settings_(settings),
       log_(log),
-      fleet_(settings.fleet),
-      shared_(std::make_shared<Shared>()),
+      endpoints_(settings.fleet),
+      context_(std::make_shared<EvaluationContext>()),
       wakeup_(node.loop()) {
-  shared_->settings = settings;
-  shared_->settings.limits.threads = endpoints::spare_threads();
-  shared_->zones = node.config().names.zones;
+  context_->settings = settings;
+  context_->settings.limits.threads = endpoints::spare_threads();
+  context_->zones = node.config().names.zones;
   const core::Time now = node_.engine().now();
-  if (!settings_.list.empty()) {
-    file_watch::WatchSettings w{settings_.list, settings_.settle, settings_.poll,
-                                settings_.limits.max_bytes};
-    watcher_ = std::make_unique<file_watch::Watcher>(
-        node_.loop(), node_.deadlines(), wakeup_, reader_, w,
-        [limits = settings_.limits](const std::string& text) { return piece_names(text, limits); },
-        [this, shared = shared_](file_watch::LookResult&& look) -> file_watch::Apply {
-          return [this, judged = std::make_shared<Judged>(judge(*shared, std::move(look)))] {
-            take(*judged);
-          };
-        });
-  }
-  begin(now);
+  if (settings_.list.empty()) return;
+  create_watcher();
+  load_initial_list(now);
 }
+
 EndpointController::~EndpointController() {
-  if (step_) node_.deadlines().cancel(*step_);
-  if (save_) node_.deadlines().cancel(*save_);
+  if (advance_timer_) node_.deadlines().cancel(*advance_timer_);
+  if (save_timer_) node_.deadlines().cancel(*save_timer_);
+}
+
+void EndpointController::create_watcher() {
+  const file_watch::WatchSettings watch{settings_.list, settings_.settle, settings_.poll,
+                                        settings_.limits.max_bytes};
+  const auto list_pieces = [limits = settings_.limits](const std::string& text) {
+    return piece_names(text, limits);
+  };
+  const auto evaluate_files =
+      [this, context = context_](file_watch::LookResult&& look) -> file_watch::Apply {
+    auto evaluation = std::make_shared<Evaluation>(evaluate(*context, std::move(look)));
+    return [this, evaluation = std::move(evaluation)] { apply_evaluation(*evaluation); };
+  };
+  watcher_ = std::make_unique<file_watch::Watcher>(node_.loop(), node_.deadlines(), wakeup_,
+                                                   reader_, watch, list_pieces, evaluate_files);
 }
 
-// What an earlier process had in force counts as in force: a list may not go back behind it, and
-// whoever is new against it is cold.
-std::optional<endpoints::CandidateList> EndpointController::begin_with_state(core::Time now) {
-  if (settings_.state.empty()) return {};
+// The list that an earlier process had in force counts as in force: a list of the files with a
+// lower generation is rejected, and servers that are new against it begin with a cold cache.
+std::optional<endpoints::CandidateList> EndpointController::restore_state(core::Time now) {
+  if (settings_.state.empty()) return std::nullopt;
   std::error_code ignored;
   std::filesystem::create_directories(settings_.state, ignored);
-  auto restored = store::load_endpoint_state(state_path(settings_.state));
+  const auto restored = store::load_endpoint_state(state_path(settings_.state));
   if (!restored.state) {
     if (!restored.is_absent) {
-      log_.record(kName, log::Level::warning, "state_unusable",
+      log_.record(kLogModule, log::Level::warning, "state_unusable",
                   {{"reason", to_string(*restored.error)}});
     }
-    return {};
+    return std::nullopt;
   }
-  endpoints::CandidateList offer{
-      restored.state->list, nullptr, difference(nullptr, *restored.state->list), {}};
+  const auto& list = restored.state->list;
+  endpoints::CandidateList candidate{list, nullptr, difference(nullptr, *list), {}};
   diagnostics::Findings findings;
-  offer.zones = resolve_zones(*offer.list, shared_->zones, findings);
-  check_alone(*offer.list, findings);
+  candidate.zones = resolve_zones(*list, context_->zones, findings);
+  check_alone(*list, findings);
   if (!findings.good()) {
-    log_.record(kName, log::Level::warning, "state_unusable",
+    log_.record(kLogModule, log::Level::warning, "state_unusable",
                 {{"reason", diagnostics::to_string(findings.list()[0])}});
-    return {};
+    return std::nullopt;
   }
-  fleet_.restore(restored.state->remembered);
-  fleet_.apply_list(offer, now);
-  return offer;
+  endpoints_.restore(restored.state->remembered);
+  endpoints_.apply_list(candidate, now);
+  return candidate;
 }
 
-void EndpointController::begin(core::Time now) {
-  if (!watcher_) return;
-  const auto kept = begin_with_state(now);
-  shared_->bring(fleet_.current_list());
-  const auto look = watcher_->first(kFirst);
-  Judged judged;
-  if (look) {
-    judged = judge(*shared_, file_watch::LookResult(*look));
+void EndpointController::load_initial_list(core::Time now) {
+  const auto restored = restore_state(now);
+  context_->set_in_force(endpoints_.current_list());
+  Evaluation evaluation;
+  if (const auto look = watcher_->first(kFirstLookTimeout)) {
+    evaluation = evaluate(*context_, file_watch::LookResult(*look));
   } else {
-    judged.refusal = settings_.list + " has not settled";
+    evaluation.rejection = settings_.list + " has not settled";
   }
-  const bool has_list = judged.offer || judged.unchanged;
-  if (has_list || kept) take(judged);  // says what is wrong with the files, if anything
-  if (!has_list && kept) {
-    const core::Time age = now - kept->list->read_at;
-    if (age > settings_.oldest) {
-      throw config::Error("no usable list of servers: " + judged.refusal +
-                          "; the last good one is " + std::to_string(age / 1'000'000) +
-                          " s old, over the bound of " +
-                          std::to_string(settings_.oldest / 1'000'000) + " s");
-    }
-    log_.record(kName, log::Level::warning, "started_from_state",
-                {{"generation", kept->list->generation}, {"age_s", age / 1'000'000}});
-    push();
+  const bool has_list = evaluation.candidate || evaluation.is_unchanged;
+  if (has_list || restored) apply_evaluation(evaluation);  // logs the rejection, if it is one
+  if (!has_list && restored) {
+    continue_from_state(*restored->list, evaluation.rejection, now);
   } else if (settings_.fleet.authority == endpoints::Authority::files) {
-    throw config::Error("no usable list of servers: " + judged.refusal);
+    throw config::Error("no usable list of servers: " + evaluation.rejection);
   } else {
-    take(judged);
+    apply_evaluation(evaluation);
+  }
+  is_serving_ = true;
+}
+
+void EndpointController::continue_from_state(const endpoints::Snapshot& list,
+                                             const std::string& rejection, core::Time now) {
+  const core::Time age = now - list.read_at;
+  const core::Time age_seconds = age / kMicrosecondsPerSecond;
+  if (age > settings_.oldest) {
+    throw config::Error("no usable list of servers: " + rejection + "; the last good one is " +
+                        std::to_string(age_seconds) + " s old, over the bound of " +
+                        std::to_string(settings_.oldest / kMicrosecondsPerSecond) + " s");
   }
-  serving_ = true;
+  log_.record(kLogModule, log::Level::warning, "started_from_state",
+              {{"generation", list.generation}, {"age_s", age_seconds}});
+  publish_changes();
 }
 
-EndpointController::Judged EndpointController::judge(const Shared& shared,
-                                                     file_watch::LookResult&& look) {
-  Judged out;
-  const core::Time begun = net::unix_now();
+EndpointController::Evaluation EndpointController::evaluate(const EvaluationContext& context,
+                                                            file_watch::LookResult&& look) {
+  Evaluation evaluation;
+  const core::Time began_at = net::unix_now();
   if (look.sight == file_watch::Observation::unreadable) {
-    out.refusal = look.error;
-    return out;
+    evaluation.rejection = look.error;
+    return evaluation;
   }
   diagnostics::Findings findings;
-  const auto& s = shared.settings;
-  auto read = endpoints::read_list(look.texts.text, look.texts.file, begun, s.limits, findings);
+  const auto& settings = context.settings;
+  const auto read =
+      endpoints::read_list(look.texts.text, look.texts.file, began_at, settings.limits, findings);
   endpoints::SnapshotPtr list = read.list;
   if (list && look.texts.directory) {
-    list = endpoints::read_pieces(read, look.texts.pieces, s.limits, findings);
+    list = endpoints::read_pieces(read, look.texts.pieces, settings.limits, findings);
   } else if (list && !read.pieces.empty()) {
     findings.error("L004", {look.texts.file, 0, 0}, "a manifest is given by its directory",
                    "name the directory");
   }
-  const auto in_force = shared.in_force();
+  const auto in_force = context.in_force();
   if (list && findings.good()) {
     check_alone(*list, findings);
-    check_change(in_force.get(), *list, s.bounds, findings);
+    check_change(in_force.get(), *list, settings.bounds, findings);
   }
   if (list && findings.good()) {
-    endpoints::CandidateList offer{list, in_force, difference(in_force.get(), *list), {}};
-    offer.zones = resolve_zones(*list, shared.zones, findings);
-    out.unchanged = in_force && in_force->generation == list->generation;
-    if (findings.good() && !out.unchanged) out.offer = std::move(offer);
+    endpoints::CandidateList candidate{list, in_force, difference(in_force.get(), *list), {}};
+    candidate.zones = resolve_zones(*list, context.zones, findings);
+    evaluation.is_unchanged = in_force && in_force->generation == list->generation;
+    if (findings.good() && !evaluation.is_unchanged) evaluation.candidate = std::move(candidate);
   }
   if (!findings.good()) {
-    out.unchanged = false;
-    out.refusal = diagnostics::to_string(findings.list()[0]);
-    out.findings = findings.errors();
+    evaluation.is_unchanged = false;
+    evaluation.rejection = diagnostics::to_string(findings.list()[0]);
+    evaluation.finding_count = findings.errors();
   }
-  out.took = net::unix_now() - begun;
-  return out;
+  evaluation.duration = net::unix_now() - began_at;
+  return evaluation;
 }
 
-void EndpointController::take(const Judged& judged) {
-  if (judged.unchanged) {
-    last_refusal_.clear();
-    return;
-  }
-  if (!judged.offer) {
-    ++counters_.refused;
-    if (judged.refusal == last_refusal_) return;  // told already
-    last_refusal_ = judged.refusal;
-    const auto& in_force = fleet_.current_list();
-    log_.record(kName, log::Level::error, "list_refused",
-                {{"reason", judged.refusal},
-                 {"findings", judged.findings},
-                 {"in_force", in_force ? in_force->generation : 0}});
-    return;
+void EndpointController::apply_evaluation(const Evaluation& evaluation) {
+  if (evaluation.is_unchanged) {
+    last_rejection_.clear();
+  } else if (evaluation.candidate) {
+    apply_list(evaluation);
+  } else {
+    reject_list(evaluation);
   }
-  const core::Time begun = net::unix_now();
-  const auto before = fleet_.current_list();
-  if (!fleet_.apply_list(*judged.offer, node_.engine().now())) {
-    watcher_->look_now();  // something else came into force meanwhile: judge it again
+}
+
+void EndpointController::reject_list(const Evaluation& evaluation) {
+  ++counters_.lists_rejected;
+  if (evaluation.rejection == last_rejection_) return;  // already logged
+  last_rejection_ = evaluation.rejection;
+  const auto& in_force = endpoints_.current_list();
+  log_.record(kLogModule, log::Level::error, "list_refused",
+              {{"reason", evaluation.rejection},
+               {"findings", evaluation.finding_count},
+               {"in_force", in_force ? in_force->generation : 0}});
+}
+
+void EndpointController::apply_list(const Evaluation& evaluation) {
+  const auto& candidate = *evaluation.candidate;
+  const core::Time began_at = net::unix_now();
+  const auto before = endpoints_.current_list();
+  if (!endpoints_.apply_list(candidate, node_.engine().now())) {
+    watcher_->look_now();  // another list came into force meanwhile: evaluate against that one
     return;
   }
-  shared_->bring(fleet_.current_list());
-  last_refusal_.clear();
-  ++counters_.taken;
-  push();
-  const core::Time held = net::unix_now() - begun;
-  if (serving_) held_since(begun);
-  const auto& list = *judged.offer->list;
-  log_.record(kName, log::Level::info, "list_taken",
+  context_->set_in_force(endpoints_.current_list());
+  last_rejection_.clear();
+  ++counters_.lists_applied;
+  publish_changes();
+  const core::Time hold_time = net::unix_now() - began_at;
+  if (is_serving_) record_hold_time(began_at);
+  const auto& list = *candidate.list;
+  log_.record(kLogModule, log::Level::info, "list_taken",
               {{"generation", list.generation},
                {"servers", list.servers.size()},
-               {"change", endpoints::summary(before.get(), list, judged.offer->difference)},
-               {"judged_us", judged.took},
-               {"held_us", held}});
-  save_soon();
+               {"change", endpoints::summary(before.get(), list, candidate.difference)},
+               {"judged_us", evaluation.duration},
+               {"held_us", hold_time}});
+  schedule_save();
 }
 
 void EndpointController::update_endpoints(bool complete,
                                           const std::vector<config::Member>& members) {
   if (settings_.fleet.authority == endpoints::Authority::files) return;
-  fleet_.apply_board_update(complete, members, node_.engine().now());
-  push();
+  endpoints_.apply_board_update(complete, members, node_.engine().now());
+  publish_changes();
 }
 
-// Connections hear of a server before the core does, and departures come before whoever takes their
-// place.
-void EndpointController::push() {
-  auto changes = fleet_.take_changes();
+// The connections learn of a server before the engine does, so that the engine never chooses one
+// that cannot be reached. Departures come before the servers that replace them.
+void EndpointController::publish_changes() {
   EndpointUpdate update;
+  const auto changes = endpoints_.take_changes();
   update.servers.reserve(changes.size());
-  for (const auto& c : changes) {
-    if (!concerns(c.member.server)) continue;
-    node_.upstream_pool().update(c.member);
-    update.servers.push_back(c.member.server);
-    if (serving_ && (c.reason == endpoints::Reason::flapping ||
-                     c.reason == endpoints::Reason::locations_differ)) {
-      log_.record(kName, log::Level::warning, "held_out",
-                  {{"id", c.member.name}, {"why", endpoints::to_string(c.reason)}});
-    }
-    if (!serving_ || !log_.enabled(kName, log::Level::debug)) continue;
-    log_.record(kName, log::Level::debug, "server",
-                {{"id", c.member.name},
-                 {"status", c.member.server.status == ServerStatus::ready      ? "ready"
-                            : c.member.server.status == ServerStatus::draining ? "draining"
-                                                                               : "gone"},
-                 {"weight", c.member.server.weight},
-                 {"why", endpoints::to_string(c.reason)}});
+  for (const auto& change : changes) {
+    const Server& server = change.member.server;
+    if (!is_relevant(server)) continue;
+    node_.upstream_pool().update(change.member);
+    update.servers.push_back(server);
+    if (is_serving_) log_change(change);
   }
   if (!update.servers.empty()) {
     node_.engine().update_endpoints(std::move(update));
-    save_soon();
+    schedule_save();
+  }
+  schedule_advance();
+}
+
+void EndpointController::log_change(const endpoints::EndpointChange& change) {
+  const auto& member = change.member;
+  if (change.reason == endpoints::Reason::flapping ||
+      change.reason == endpoints::Reason::locations_differ) {
+    log_.record(kLogModule, log::Level::warning, "held_out",
+                {{"id", member.name}, {"why", endpoints::to_string(change.reason)}});
   }
-  arm();
+  if (!log_.enabled(kLogModule, log::Level::debug)) return;
+  log_.record(kLogModule, log::Level::debug, "server",
+              {{"id", member.name},
+               {"status", status_name(member.server.status)},
+               {"weight", member.server.weight},
+               {"why", endpoints::to_string(change.reason)}});
 }
 
-// Caches of other points are asked by nobody here: a list of a hundred thousand must not make every
-// update of the module's view, and every sweep, as long as itself. One that leaves our point is
-// still told of.
-bool EndpointController::concerns(const Server& s) {
-  const bool ours = s.role != Role::cache || s.location == node_.config().settings.location;
-  if (ours && s.status != ServerStatus::gone) return passed_.insert(s.id.value), true;
-  return passed_.erase(s.id.value) > 0;
+// This router never asks the caches of other locations. Without them, the cost of an update of the
+// engine's view and of each sweep does not grow with a list of a hundred thousand servers. The
+// departure of a server that was published is still published.
+bool EndpointController::is_relevant(const Server& server) {
+  const bool is_local =
+      server.role != Role::cache || server.location == node_.config().settings.location;
+  if (is_local && server.status != ServerStatus::gone) {
+    published_servers_.insert(server.id.value);
+    return true;
+  }
+  return published_servers_.erase(server.id.value) > 0;
 }
 
-void EndpointController::held_since(core::Time begun) {
-  counters_.longest_apply = std::max(counters_.longest_apply, net::unix_now() - begun);
+void EndpointController::record_hold_time(core::Time began_at) {
+  counters_.longest_apply = std::max(counters_.longest_apply, net::unix_now() - began_at);
 }
 
-void EndpointController::arm() {
-  const core::Time next = fleet_.next_wakeup();
-  if (step_ && step_at_ <= next) return;
-  if (step_) node_.deadlines().cancel(*step_), step_.reset();
+void EndpointController::schedule_advance() {
+  const core::Time next = endpoints_.next_wakeup();
+  if (advance_timer_ && advance_at_ <= next) return;
+  if (advance_timer_) {
+    node_.deadlines().cancel(*advance_timer_);
+    advance_timer_.reset();
+  }
   if (next == std::numeric_limits<core::Time>::max()) return;
-  step_at_ = next;
-  step_ = node_.deadlines().set(next, [this] {
-    step_.reset();
-    const core::Time begun = net::unix_now();
-    fleet_.advance(node_.engine().now());
-    push();
-    held_since(begun);
+  advance_at_ = next;
+  advance_timer_ = node_.deadlines().set(next, [this] {
+    advance_timer_.reset();
+    const core::Time began_at = net::unix_now();
+    endpoints_.advance(node_.engine().now());
+    publish_changes();
+    record_hold_time(began_at);
   });
 }
 
 void EndpointController::start() {
   if (watcher_) watcher_->start();
-  save_soon();
+  schedule_save();
 }
-void EndpointController::look() {
+
+void EndpointController::reload() {
   if (watcher_) watcher_->look_now();
 }
 
-void EndpointController::save_soon() {
-  if (settings_.state.empty() || save_ || saving_) return;
-  save_ = node_.deadlines().set(net::unix_now() + kSaveEvery, [this] {
-    save_.reset();
+void EndpointController::schedule_save() {
+  if (settings_.state.empty() || save_timer_ || is_saving_) return;
+  save_timer_ = node_.deadlines().set(net::unix_now() + kSaveDelay, [this] {
+    save_timer_.reset();
     save();
   });
 }
 
 void EndpointController::save() {
-  if (saving_ || !fleet_.current_list()) return;
+  if (is_saving_ || !endpoints_.current_list()) return;
   const core::Time now = net::unix_now();
-  store::EndpointState state{fleet_.current_list(), fleet_.remembered(now), now};
-  saving_ = writer_.submit([this, state = std::move(state), path = state_path(settings_.state)] {
+  store::EndpointState state{endpoints_.current_list(), endpoints_.remembered(now), now};
+  is_saving_ = writer_.submit([this, state = std::move(state), path = state_path(settings_.state)] {
     const auto error = store::save_endpoint_state(path, state);
     wakeup_.post([this, error] {
-      saving_ = false;
-      ++(!error ? counters_.saved : counters_.save_failed);
-      if (error) {
-        log_.record(kName, log::Level::error, "state_not_saved", {{"reason", to_string(*error)}});
+      is_saving_ = false;
+      if (!error) {
+        ++counters_.saves;
+        return;
       }
+      ++counters_.failed_saves;
+      log_.record(kLogModule, log::Level::error, "state_not_saved",
+                  {{"reason", to_string(*error)}});
     });
   });
 }
@@ -322,22 +368,22 @@
 void EndpointController::finish() {
   if (settings_.state.empty()) return;
   writer_.drain();
-  saving_ = false;
+  is_saving_ = false;
   save();
   writer_.drain();
 }
 
 std::string EndpointController::summary() const {
-  const auto& c = fleet_.counters();
-  const auto& list = fleet_.current_list();
-  return "generation " + std::to_string(list ? list->generation : 0) + ", known " +
-         std::to_string(fleet_.known_count()) + " ready " + std::to_string(fleet_.ready_count()) +
-         "; lists taken " + std::to_string(counters_.taken) + " refused " +
-         std::to_string(counters_.refused) + ", changes " + std::to_string(c.changes) +
-         " departures " + std::to_string(c.departures) + " weight steps " +
-         std::to_string(c.weight_steps) + " held out " + std::to_string(c.suppressed) +
-         " let back " + std::to_string(c.reinstated) + ", saved " +
-         std::to_string(counters_.saved) + ", longest hold us " +
+  const auto& changes = endpoints_.counters();
+  const auto& list = endpoints_.current_list();
+  const auto number = [](std::uint64_t value) { return std::to_string(value); };
+  return "generation " + number(list ? list->generation : 0) + ", known " +
+         number(endpoints_.known_count()) + " ready " + number(endpoints_.ready_count()) +
+         "; lists taken " + number(counters_.lists_applied) + " refused " +
+         number(counters_.lists_rejected) + ", changes " + number(changes.changes) +
+         " departures " + number(changes.departures) + " weight steps " +
+         number(changes.weight_steps) + " held out " + number(changes.suppressed) + " let back " +
+         number(changes.reinstated) + ", saved " + number(counters_.saves) + ", longest hold us " +
          std::to_string(counters_.longest_apply);
 }
 
--- a/src/app/endpoint_controller.h
+++ b/src/app/endpoint_controller.h
@@ -1,9 +1,11 @@
-// Membership in service: watched files and the board on one side, connections and core on the
-// other, the last good state on disk between one process and the next.
+// Keeps the router's set of endpoints current: takes lists of servers from watched files and
+// updates from the discovery board, passes the resulting changes to the connections and to the
+// engine, and keeps the last good state on disk from one process to the next.
 //
-// The loop's thread owns the Fleet and applies what changes; a worker reads, parses, checks and
-// reckons the difference against the list in force, and another writes the state. Where a list is
-// refused, the one in force stays, and the refusal is told once for each content.
+// Threads: the loop's thread owns the endpoint set and applies changes. One worker reads, parses
+// and checks the files and computes the difference against the list in force; another writes the
+// state. Errors: where a list is rejected, the one in force stays. The rejection is logged once for
+// each reason.
 #pragma once
 
 #include <memory>
@@ -23,54 +25,74 @@
 namespace alderspur::app {
 
 struct EndpointControllerCounters {
-  std::uint64_t taken = 0, refused = 0, unreadable = 0, saved = 0, save_failed = 0;
-  core::Time longest_apply = 0;  // microseconds that the loop was held by one list
+  std::uint64_t lists_applied = 0;
+  std::uint64_t lists_rejected = 0;
+  std::uint64_t saves = 0;
+  std::uint64_t failed_saves = 0;
+  core::Time longest_apply = 0;  // microseconds for which one change held the loop
 };
 
 class EndpointController : public platform::EndpointSink {
  public:
-  // Chooses the list to start from: the files', else the last good state. Throws config::Error
-  // where authority needs files and there is neither.
+  /// Loads the list to start from: that of the files, else the last good state. Throws
+  /// config::Error where the files are the authority and there is neither.
   EndpointController(platform::EdgeRouter& node, const settings::Membership& settings,
                      log::Log& log);
   ~EndpointController() override;
 
   void update_endpoints(bool complete, const std::vector<config::Member>& members) override;
-  void start();   // watching; once the node is complete
-  void look();    // SIGHUP
-  void finish();  // writes the state, waits for it
+  /// Begins to watch the files. To be called once the router is complete.
+  void start();
+  /// Reads the files again now, without waiting for the watcher to see a change.
+  void reload();
+  /// Writes the state and waits until it is on disk.
+  void finish();
+  /// Counts and the generation in force as one line for the log.
   std::string summary() const;
   const EndpointControllerCounters& counters() const { return counters_; }
-  const endpoints::EndpointSet& fleet() const { return fleet_; }
+  const endpoints::EndpointSet& endpoints() const { return endpoints_; }
 
  private:
-  struct Judged;
-  struct Shared;
-  std::optional<endpoints::CandidateList> begin_with_state(core::Time now);
-  void begin(core::Time now);
-  static Judged judge(const Shared& shared, file_watch::LookResult&& look);
-  void take(const Judged& judged);
-  void push();
-  bool concerns(const Server& server);
-  void held_since(core::Time begun);
-  void arm();
-  void save_soon();
+  struct Evaluation;
+  struct EvaluationContext;
+
+  void create_watcher();
+  void load_initial_list(core::Time now);
+  /// What the state of an earlier process gave; nothing where there is none that can be used.
+  std::optional<endpoints::CandidateList> restore_state(core::Time now);
+  /// Throws config::Error where the restored list is older than the settings allow.
+  void continue_from_state(const endpoints::Snapshot& list, const std::string& rejection,
+                           core::Time now);
+  /// Runs on the reading worker's thread.
+  static Evaluation evaluate(const EvaluationContext& context, file_watch::LookResult&& look);
+  void apply_evaluation(const Evaluation& evaluation);
+  void reject_list(const Evaluation& evaluation);
+  void apply_list(const Evaluation& evaluation);
+  void publish_changes();
+  void log_change(const endpoints::EndpointChange& change);
+  bool is_relevant(const Server& server);
+  void record_hold_time(core::Time began_at);
+  void schedule_advance();
+  void schedule_save();
   void save();
 
   platform::EdgeRouter& node_;
   const settings::Membership settings_;
   log::Log& log_;
-  endpoints::EndpointSet fleet_;
-  std::shared_ptr<Shared> shared_;
-  std::optional<core::Deadlines::Key> step_, save_;
-  core::Time step_at_ = 0;
-  std::string last_refusal_;
-  std::unordered_set<std::uint64_t> passed_;  // servers that connections and core know of
-  bool saving_ = false, serving_ = false;
+  endpoints::EndpointSet endpoints_;
+  std::shared_ptr<EvaluationContext> context_;
+  std::optional<core::Deadlines::Key> advance_timer_;
+  std::optional<core::Deadlines::Key> save_timer_;
+  core::Time advance_at_ = 0;
+  std::string last_rejection_;
+  std::unordered_set<std::uint64_t> published_servers_;  // known to the connections and the engine
+  bool is_saving_ = false;
+  bool is_serving_ = false;
   EndpointControllerCounters counters_;
-  // Last, so that they end first: their jobs use what stands above.
+  // Last, so that they are destroyed first: their jobs use the members above.
   net::Wakeup wakeup_;
-  file_watch::Worker reader_, writer_;
+  file_watch::Worker reader_;
+  file_watch::Worker writer_;
   std::unique_ptr<file_watch::Watcher> watcher_;
 };
 
--- a/src/app/run.cpp
+++ b/src/app/run.cpp
@@ -181,14 +181,14 @@
 }
 
 void RunningRouter::reload_files() {
-  if (endpoint_controller_) endpoint_controller_->look();
+  if (endpoint_controller_) endpoint_controller_->reload();
   if (routes_) routes_->reload();
 }
 
 /// 0 where no list is in force.
 std::uint64_t RunningRouter::endpoint_list_generation() const {
   if (!endpoint_controller_) return 0;
-  const auto list = endpoint_controller_->fleet().current_list();
+  const auto list = endpoint_controller_->endpoints().current_list();
   return list ? list->generation : 0;
 }
 
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -84,17 +84,17 @@
         std::move(config), [](auto&, auto&) {},
         [&](platform::EdgeRouter& n) {
           auto made = std::make_unique<app::EndpointController>(n, settings, *log);
-          keeper = made.get();
+          controller = made.get();
           return made;
         });
-    keeper->start();
+    controller->start();
     node->loop().on_turn([this] { node->turn(); });
     client = loopback::dial(node->front().address());
   }
   void stop() {
     client.reset();
-    if (keeper) keeper->finish();
-    keeper = nullptr;
+    if (controller) controller->finish();
+    controller = nullptr;
     node.reset();
     log.reset();
   }
@@ -150,7 +150,7 @@
                        [&](auto& l) { return l.find(what) != std::string::npos; });
   }
   bool in_force(std::uint64_t generation) {
-    return keeper->fleet().current_list()->generation == generation;
+    return controller->endpoints().current_list()->generation == generation;
   }
   // The change acts within a second: by the log's figures and by the first request to the box.
   core::Time change(const std::function<void()>& what, std::uint64_t generation) {
@@ -166,7 +166,7 @@
   Box box[3], origin, stranger;  // the stranger is named by refused files only
   std::unique_ptr<log::Log> log;
   std::unique_ptr<platform::EdgeRouter> node;
-  app::EndpointController* keeper = nullptr;
+  app::EndpointController* controller = nullptr;
   std::unique_ptr<loopback::Socket> client;
   std::vector<std::string> lines;
   std::map<Box*, std::size_t> served;
@@ -229,7 +229,7 @@
             kWithin)
       << "the file is a symlink";
   EXPECT_LT(change([&] { std::thread([&] { rename_in(of(8)); }).join(); }, 8), kWithin);
-  EXPECT_LE(keeper->counters().refused, 1u) << "while the directory was gone";
+  EXPECT_LE(controller->counters().lists_rejected, 1u) << "while the directory was gone";
   all_answered();
 }
 
@@ -264,18 +264,18 @@
        }()},
   };
   for (const auto& [name, text] : bad) {
-    const auto before = keeper->counters().refused;
+    const auto before = controller->counters().lists_rejected;
     rename_in(text);
-    EXPECT_TRUE(until([&] { return keeper->counters().refused > before; })) << name;
+    EXPECT_TRUE(until([&] { return controller->counters().lists_rejected > before; })) << name;
   }
   // The same refused content written anew is counted, and told once.
   const auto told = lines.size();
   rename_in(bad[0].second);
   ASSERT_TRUE(until([&] { return lines.size() > told; }));
   for_a_while(700'000);  // no longer so young that its date could hide a change
-  const auto refused = keeper->counters().refused;
+  const auto refused = controller->counters().lists_rejected;
   rename_in(bad[0].second);
-  ASSERT_TRUE(until([&] { return keeper->counters().refused > refused; }));
+  ASSERT_TRUE(until([&] { return controller->counters().lists_rejected > refused; }));
   EXPECT_EQ(lines.size(), told + 1);
   // Byte by byte, with pauses in which the half of it settles.
   {
@@ -377,7 +377,7 @@
   // The manifest first: refused until its pieces are there.
   texts[0] = piece({{"a", &box[0]}, {"c", &box[2]}});
   put("manifest.toml", manifest(2, texts, 4));
-  EXPECT_TRUE(until([&] { return keeper->counters().refused > 0; }));
+  EXPECT_TRUE(until([&] { return controller->counters().lists_rejected > 0; }));
   EXPECT_TRUE(in_force(1));
   EXPECT_LT(change([&] { put("p0.toml", texts[0]); }, 2), kWithin);
   put("p1.toml", texts[1].substr(0, 20));
@@ -413,10 +413,10 @@
   fs::remove(path);
   settings.oldest = 1;
   EXPECT_THROW(start(), config::Error) << "too old to start from";
-  keeper = nullptr;
+  controller = nullptr;
   fs::remove_all(settings.state);
   EXPECT_THROW(start(), config::Error) << "nothing at all to start from";
-  keeper = nullptr;
+  controller = nullptr;
 }
 
 // The watching threads run without the right to read what only root may: theirs alone, by the raw
