--- a/src/app/replication_service.cpp
+++ b/src/app/replication_service.cpp
@@ -1,167 +1,224 @@
 #include "app/replication_service.h"
 
+#include <algorithm>
 #include <chrono>
+#include <random>
+#include <utility>
 
 #include "store/state_file.h"
 
 namespace alderspur::app {
 namespace {
 
-using namespace alderspur::replication;
-constexpr const char* kName = "replica";
-constexpr std::size_t kFileMost = 1 << 20;
-constexpr core::Time kOld =
-    10'000'000;  // beyond the time in which caches drop what was purged by themselves
-constexpr std::chrono::milliseconds kSettle(200);
+constexpr const char* kLogModule = "replica";
+constexpr std::size_t kMaxFileBytes = 1 << 20;
+/// Older purges are not applied: beyond the propagation time and this, caches have dropped the
+/// objects by themselves.
+constexpr core::Time kPurgeAgeMargin = 10'000'000;
+/// The shortest time to the next tick, so that a replica that is late does not spin the loop.
+constexpr core::Time kMinTickDelay = 1'000;
+constexpr core::Time kMicrosecondsPerMillisecond = 1'000;
+constexpr std::chrono::milliseconds kSettleTimeout(200);
+
+std::string file_path(const std::string& state_folder) {
+  return state_folder.empty() ? std::string() : state_folder + "/replica.bans";
+}
+
+std::uint64_t random_seed() {
+  std::random_device random;
+  return (static_cast<std::uint64_t>(random()) << 32) ^ random();
+}
+
+void write_count(Writer& writer, const char* key, std::uint64_t value) {
+  writer.Key(key);
+  writer.Uint64(value);
+}
 
 }  // namespace
 
 ReplicationService::ReplicationService(platform::EdgeRouter& node, ClusterService& cluster,
-                                       const settings::Cluster& s, log::Log& log)
+                                       const settings::Cluster& settings, log::Log& log)
     : node_(node),
       cluster_(cluster),
       log_(log),
-      path_(s.state.empty() ? std::string() : s.state + "/replica.bans"),
-      settles_(node.config().settings.purge_propagation_time),
+      path_(file_path(settings.state)),
+      purge_propagation_time_(node.config().settings.purge_propagation_time),
       wakeup_(node.loop()) {
-  ReplicaSettings settings;
+  replication::ReplicaSettings replica_settings;
   const auto& self = cluster.link().membership().self();
-  settings.self = {self.name, self.epoch};
-  std::random_device random;
-  replica_ =
-      std::make_unique<Replica>(settings, (static_cast<std::uint64_t>(random()) << 32) ^ random());
-  node_.on_ban([this](const hot_restart::BanChange& change) { called(change); });
-  node_.on_ready([this] { return begun_ && replica_->is_caught_up(); });
+  replica_settings.self = {self.name, self.epoch};
+  replica_ = std::make_unique<replication::Replica>(replica_settings, random_seed());
+  subscribe_to_router();
+  subscribe_to_cluster();
+  if (path_.empty()) {
+    start_replica(std::nullopt, {});
+  } else {
+    load_stored_bans();
+  }
+}
+
+ReplicationService::~ReplicationService() {
+  if (tick_timer_) node_.deadlines().cancel(*tick_timer_);
+}
+
+bool ReplicationService::settle() { return writer_.settle(kSettleTimeout); }
+
+void ReplicationService::subscribe_to_router() {
+  node_.on_ban([this](const hot_restart::BanChange& change) { handle_local_ban(change); });
+  node_.on_ready([this] { return has_started_ && replica_->is_caught_up(); });
   node_.engine().on_purge([this](const core::PurgeNotice& notice) {
-    handle(PurgeObserved{
+    handle(replication::PurgeObserved{
         {notice.object.has_value(), notice.object.value_or(notice.group), notice.unix_time}});
   });
+}
+
+void ReplicationService::subscribe_to_cluster() {
   cluster_.on_replica([this](const std::string& from, std::string_view bytes) {
-    if (begun_) handle(FrameReceived{from, std::string(bytes)});
+    if (has_started_) handle(replication::FrameReceived{from, std::string(bytes)});
   });
   cluster_.on_members([this](const std::vector<std::string>& names) {
-    others_ = names;
-    if (begun_) handle(PeersChanged{names});
+    peers_ = names;
+    if (has_started_) handle(replication::PeersChanged{names});
   });
-  cluster_.on_view([this](Writer& w) { view(w); });
-  if (path_.empty()) {
-    begin({}, {});
-    return;
-  }
+  cluster_.on_view([this](Writer& writer) { write_view(writer); });
+}
+
+void ReplicationService::load_stored_bans() {
   writer_.submit([this, path = path_] {
-    auto loaded = store::load_file(path, kFileMost);
+    auto loaded = store::load_file(path, kMaxFileBytes);
+    const bool has_failed = loaded.error && !loaded.is_absent;
     wakeup_.post([this, payload = std::move(loaded.payload),
-                  error = loaded.error && !loaded.is_absent ? to_string(*loaded.error) : ""] {
-      begin(payload, error);
+                  error = has_failed ? to_string(*loaded.error) : std::string()] {
+      start_replica(payload, error);
     });
   });
 }
-ReplicationService::~ReplicationService() {
-  if (due_) node_.deadlines().cancel(*due_);
-}
-bool ReplicationService::settle() { return writer_.settle(kSettle); }
 
-// Danger: what the file cannot tell is taken from the bans that this router holds, as new ones. So
-// a ban may hold that was lifted while it was away, and none is forgotten.
-void ReplicationService::begin(std::optional<std::string> kept, const std::string& error) {
-  const auto stored = kept ? BanSet::decode(*kept) : std::nullopt;
-  if (!error.empty() || (kept && !stored)) {
-    log_.record(kName, log::Level::warning, "not_read",
+// Bans of the router that the file does not hold are added as new ones. So a ban that was lifted
+// elsewhere while an unreadable file was in use may hold again; without this, one that is still
+// wanted would be lost.
+void ReplicationService::start_replica(const std::optional<std::string>& stored_payload,
+                                       const std::string& error) {
+  const auto stored = stored_payload ? replication::BanSet::decode(*stored_payload) : std::nullopt;
+  if (!error.empty() || (stored_payload && !stored)) {
+    log_.record(kLogModule, log::Level::warning, "not_read",
                 {{"reason", error.empty() ? "not of this form" : error}});
   }
-  begun_ = true;
-  handle(BansLoaded{stored.value_or(BanSet())});
-  saved_ = stored ? replica_->bans().digest() : 0;
-  handle(PeersChanged{others_});
-  binding_ = true;
-  for (const auto& s : replica_->bans().banned_servers()) node_.ban({s, true});
-  binding_ = false;
-  for (const auto& s : node_.bans())
-    if (!replica_->bans().is_banned(s)) called({s, true});
-  for (const auto& change : std::exchange(early_, {})) called(change);
-}
-
-// By hand, here; what was made elsewhere comes in by SetBan and is no call.
-void ReplicationService::called(const hot_restart::BanChange& change) {
-  if (binding_) return;
-  if (!begun_) return early_.push_back(change);
-  if (change.is_banned)
-    handle(BanRequested{change.server, "by hand", node_.engine().now()});
-  else
-    handle(LiftRequested{change.server});
+  has_started_ = true;
+  handle(replication::BansLoaded{stored.value_or(replication::BanSet())});
+  saved_digest_ = stored ? replica_->bans().digest() : 0;
+  handle(replication::PeersChanged{peers_});
+  apply_replicated_bans();
+  for (const auto& server : node_.bans()) {
+    if (!replica_->bans().is_banned(server)) handle_local_ban({server, true});
+  }
+  for (const auto& change : std::exchange(pending_changes_, {})) handle_local_ban(change);
+}
+
+void ReplicationService::apply_replicated_bans() {
+  is_applying_ban_ = true;
+  for (const auto& server : replica_->bans().banned_servers()) node_.ban({server, true});
+  is_applying_ban_ = false;
+}
+
+/// A change by an operator of this router. Those of other routers come as SetBan.
+void ReplicationService::handle_local_ban(const hot_restart::BanChange& change) {
+  if (is_applying_ban_) return;
+  if (!has_started_) {
+    pending_changes_.push_back(change);
+    return;
+  }
+  if (change.is_banned) {
+    handle(replication::BanRequested{change.server, "by hand", node_.engine().now()});
+  } else {
+    handle(replication::LiftRequested{change.server});
+  }
 }
 
 void ReplicationService::handle(const replication::Event& event) {
   std::vector<replication::Action> actions;
   replica_->handle(net::steady_now(), event, actions);
-  for (const auto& a : actions) carry_out(a);
-  if (!std::holds_alternative<PurgeObserved>(event)) {
-    save();  // a purge changes no ban, and there may be many
-  }
-  arm();
+  for (const auto& action : actions) perform(action);
+  // A purge changes no ban, and there may be many: the digest is not computed for each.
+  if (!std::holds_alternative<replication::PurgeObserved>(event)) save();
+  schedule_tick();
 }
 
-void ReplicationService::arm() {
-  if (due_) node_.deadlines().cancel(*due_);
-  const core::Time in = std::max<core::Time>(1000, replica_->next_tick() - net::steady_now());
-  due_ = node_.deadlines().set(node_.engine().now() + in, [this] {
-    due_.reset();
-    handle(Tick{});
+void ReplicationService::schedule_tick() {
+  if (tick_timer_) node_.deadlines().cancel(*tick_timer_);
+  const core::Time delay = std::max(kMinTickDelay, replica_->next_tick() - net::steady_now());
+  tick_timer_ = node_.deadlines().set(node_.engine().now() + delay, [this] {
+    tick_timer_.reset();
+    handle(replication::Tick{});
   });
 }
 
-void ReplicationService::carry_out(const replication::Action& action) {
-  if (const auto* s = std::get_if<replication::SendFrame>(&action)) {
-    return cluster_.send_replica(s->to, s->bytes);
-  }
-  if (const auto* b = std::get_if<SetBan>(&action)) {
-    log_.record(kName, log::Level::info, b->is_banned ? "banned" : "lifted",
-                {{"server", b->server}});
-    binding_ = true;
-    node_.ban({b->server, b->is_banned});
-    binding_ = false;
-    return;
+void ReplicationService::perform(const replication::Action& action) {
+  if (const auto* send = std::get_if<replication::SendFrame>(&action)) {
+    cluster_.send_replica(send->to, send->bytes);
+  } else if (const auto* ban = std::get_if<replication::SetBan>(&action)) {
+    apply_ban(*ban);
+  } else {
+    apply_purge(std::get<replication::ApplyPurge>(action).floor);
   }
-  const PurgeFloor& f = std::get<ApplyPurge>(action).floor;
-  if (f.at < node_.engine().now() - settles_ - kOld)
-    return;  // caches have dropped it by themselves
-  const auto object = f.is_object ? std::optional(f.id) : std::nullopt;
-  node_.engine().purge({object, f.is_object ? 0 : static_cast<std::uint32_t>(f.id), f.at});
+}
+
+void ReplicationService::apply_ban(const replication::SetBan& ban) {
+  log_.record(kLogModule, log::Level::info, ban.is_banned ? "banned" : "lifted",
+              {{"server", ban.server}});
+  is_applying_ban_ = true;
+  node_.ban({ban.server, ban.is_banned});
+  is_applying_ban_ = false;
+}
+
+void ReplicationService::apply_purge(const replication::PurgeFloor& floor) {
+  const core::Time oldest = node_.engine().now() - purge_propagation_time_ - kPurgeAgeMargin;
+  if (floor.at < oldest) return;
+  const auto object = floor.is_object ? std::optional(floor.id) : std::nullopt;
+  const auto group = floor.is_object ? 0 : static_cast<std::uint32_t>(floor.id);
+  node_.engine().purge({object, group, floor.at});
 }
 
 void ReplicationService::save() {
-  if (path_.empty() || !begun_ || saving_ || replica_->bans().digest() == saved_) return;
+  if (path_.empty() || !has_started_ || is_saving_) return;
   const auto digest = replica_->bans().digest();
-  saving_ = writer_.submit([this, path = path_, digest, text = replica_->bans().encode()] {
-    const auto error = store::replace_file(path, text);
+  if (digest == saved_digest_) return;
+  is_saving_ = writer_.submit([this, path = path_, digest, payload = replica_->bans().encode()] {
+    const auto error = store::replace_file(path, payload);
     wakeup_.post([this, digest, error] {
-      saving_ = false;
+      is_saving_ = false;
       if (!error) {
-        saved_ = digest;
-      } else {
-        log_.record(kName, log::Level::error, "not_written",
-                    {{"reason", to_string(*error)}});  // again with the next event
+        saved_digest_ = digest;
+        return;
       }
+      log_.record(kLogModule, log::Level::error, "not_written", {{"reason", to_string(*error)}});
     });
   });
 }
 
-void ReplicationService::view(Writer& w) const {
-  const auto& c = replica_->counters();
-  w.Key("replica"), w.StartObject();
-  w.Key("caught_up"), w.Bool(begun_ && replica_->is_caught_up());
-  w.Key("bans"), w.StartArray();
+void ReplicationService::write_view(Writer& writer) const {
+  const auto& counters = replica_->counters();
+  writer.Key("replica");
+  writer.StartObject();
+  writer.Key("caught_up");
+  writer.Bool(has_started_ && replica_->is_caught_up());
+  writer.Key("bans");
+  writer.StartArray();
   for (const auto& [dot, ban] : replica_->bans().bans()) {
-    w.StartObject();
-    text(w, "server", ban.server), text(w, "by", dot.author.name), text(w, "cause", ban.cause);
-    w.Key("at_ms"), w.Int64(ban.at / 1000);
-    w.EndObject();
+    writer.StartObject();
+    text(writer, "server", ban.server);
+    text(writer, "by", dot.author.name);
+    text(writer, "cause", ban.cause);
+    writer.Key("at_ms");
+    writer.Int64(ban.at / kMicrosecondsPerMillisecond);
+    writer.EndObject();
   }
-  w.EndArray();
-  w.Key("floors"), w.Uint64(replica_->floors().size());
-  w.Key("compared"), w.Uint64(c.comparisons), w.Key("same"), w.Uint64(c.identical),
-      w.Key("refused"), w.Uint64(c.rejected);
-  w.EndObject();
+  writer.EndArray();
+  write_count(writer, "floors", replica_->floors().size());
+  write_count(writer, "compared", counters.comparisons);
+  write_count(writer, "same", counters.identical);
+  write_count(writer, "refused", counters.rejected);
+  writer.EndObject();
 }
 
 }  // namespace alderspur::app
--- a/src/app/replication_service.h
+++ b/src/app/replication_service.h
@@ -1,15 +1,17 @@
-// Bans by hand and purges that all routers of a cluster keep alike, in service: the replica with
-// its channels, its file and what it binds.
+// Runs the replica of manual bans and purges that all routers of a cluster share: connects it with
+// the cluster's transport, with the router that applies its decisions, and with its file.
 //
-// The loop's thread owns the Replica. A worker reads and writes the bans with all that they have
-// seen, as one file that is replaced whole: so a ban that was lifted while this router was away is
-// lifted here as well, and one that nobody has lifted is never lost. A disk that hangs holds the
-// worker only.
+// Threads: the loop's thread owns the Replica. A worker reads and writes the file, so that a disk
+// that hangs does not hold the loop.
+// Storage: one file with the bans and all operations on them that this router has seen, replaced
+// whole. So a ban that was lifted while this router was away is lifted here as well, and one that
+// nobody lifted is not lost.
+// Errors: a file that cannot be read or written is logged; the write is tried again with the next
+// event.
 #pragma once
 
 #include <memory>
 #include <optional>
-#include <random>
 #include <string>
 #include <vector>
 
@@ -25,30 +27,42 @@
   ReplicationService(platform::EdgeRouter& node, ClusterService& cluster,
                      const settings::Cluster& settings, log::Log& log);
   ~ReplicationService();
-  bool settle();  // false: the disk hangs, and the process can only be ended by _exit()
+  /// Waits a short time for the worker. False: its disk hangs, and the process can only be ended by
+  /// _exit().
+  bool settle();
 
  private:
-  void begin(std::optional<std::string> kept, const std::string& error);
-  void called(const hot_restart::BanChange& change);
+  void subscribe_to_router();
+  void subscribe_to_cluster();
+  void load_stored_bans();
+  /// Starts the replica. `stored_payload` is empty where there is no file or it cannot be read;
+  /// `error` then says why not.
+  void start_replica(const std::optional<std::string>& stored_payload, const std::string& error);
+  void apply_replicated_bans();
+  void handle_local_ban(const hot_restart::BanChange& change);
   void handle(const replication::Event& event);
-  void carry_out(const replication::Action& action);
-  void arm();
+  void perform(const replication::Action& action);
+  void apply_ban(const replication::SetBan& ban);
+  void apply_purge(const replication::PurgeFloor& floor);
+  void schedule_tick();
   void save();
-  void view(Writer& w) const;
+  void write_view(Writer& writer) const;
 
   platform::EdgeRouter& node_;
   ClusterService& cluster_;
   log::Log& log_;
-  const std::string path_;  // empty: nothing is kept
-  const core::Time settles_;
+  const std::string path_;  // empty: nothing is stored
+  const core::Time purge_propagation_time_;
   std::unique_ptr<replication::Replica> replica_;
-  std::vector<std::string> others_;
-  std::vector<hot_restart::BanChange> early_;  // called before the file was read
-  bool begun_ = false, binding_ = false, saving_ = false;
-  std::uint64_t saved_ = 0;  // the digest of what the file holds
-  std::optional<core::Deadlines::Key> due_;
+  std::vector<std::string> peers_;
+  std::vector<hot_restart::BanChange> pending_changes_;  // made before the file was read
+  bool has_started_ = false;
+  bool is_applying_ban_ = false;  // the router's own notice of that ban is then no manual change
+  bool is_saving_ = false;
+  std::uint64_t saved_digest_ = 0;  // of the bans that the file holds
+  std::optional<core::Deadlines::Key> tick_timer_;
   net::Wakeup wakeup_;
-  file_watch::Worker writer_;  // last: its jobs use what stands above
+  file_watch::Worker writer_;  // last: its jobs use the members above
 };
 
 }  // namespace alderspur::app
