--- a/src/app/cluster_service.h
+++ b/src/app/cluster_service.h
@@ -1,9 +1,13 @@
-// The cluster in service: the link with its log records, the view that operators ask for, and
-// leaving in order.
+// Runs this router's membership of its cluster: starts the transport, passes frames and changes of
+// the members on to the services that use them, logs them, and renders the view for operators.
+// On the loop's thread only.
 #pragma once
 
+#include <functional>
 #include <memory>
 #include <string>
+#include <string_view>
+#include <vector>
 
 #include "app/json.h"
 #include "cluster_transport/transport.h"
@@ -13,48 +17,51 @@
 
 namespace alderspur::app {
 
-// The view as JSON, as GET /control/cluster gives it; docs/cluster.md explains its fields.
+/// Adds members to the JSON object of a view.
+using ViewExtension = std::function<void(Writer&)>;
+
+/// The view as JSON, as GET /control/cluster gives it; docs/cluster.md explains its fields.
 std::string cluster_view(const cluster::Membership& membership,
-                         const cluster_transport::TransportCounters& counts, core::Time now,
-                         const std::function<void(Writer&)>& more = {});
+                         const cluster_transport::TransportCounters& counters, core::Time now,
+                         const ViewExtension& extension = {});
 
 class ClusterService {
  public:
-  // Reads the secret and makes a new epoch. Throws config::Error with one plain line.
+  using FrameHandler = std::function<void(const std::string& from, std::string_view frame)>;
+  using MembersHandler = std::function<void(const std::vector<std::string>& names)>;
+
+  /// Reads the secret and takes a new epoch. Throws config::Error with the reason in one line.
   ClusterService(platform::EdgeRouter& node, const settings::Cluster& settings, log::Log& log);
+
   std::string view() const;
-  const cluster_transport::ClusterTransport& link() const { return *link_; }
-  void send_frame(const std::string& to, std::string_view frame) { link_->send_frame(to, frame); }
-  void on_frame(std::function<void(const std::string& from, std::string_view frame)> then) {
-    frame_ = std::move(then);
+  const cluster_transport::ClusterTransport& link() const { return *transport_; }
+  /// Frames of the consensus on versions.
+  void send_frame(const std::string& to, std::string_view frame) {
+    transport_->send_frame(to, frame);
   }
-  // The same for what routers keep alike: frames of its own.
+  void on_frame(FrameHandler handler) { consensus_handler_ = std::move(handler); }
+  /// Frames of the replication of bans and purges; a first byte tells them from the others.
   void send_replica(const std::string& to, std::string_view frame);
-  void on_replica(std::function<void(const std::string& from, std::string_view frame)> then) {
-    replica_ = std::move(then);
-  }
-  void on_view(std::function<void(Writer&)> more) { more_ = std::move(more); }
-  // Told at once, and at each change, who is there: alive or suspect.
-  void on_members(std::function<void(const std::vector<std::string>&)> then);
+  void on_replica(FrameHandler handler) { replication_handler_ = std::move(handler); }
+  void on_view(ViewExtension extension) { view_extension_ = std::move(extension); }
+  /// Calls the handler now, and at each change, with the members that are alive or suspect.
+  void on_members(MembersHandler handler);
 
  private:
+  cluster_transport::ClusterTransport::Hooks transport_hooks();
+  void create_transport(const settings::Cluster& settings, std::string secret,
+                        const cluster::Identity& self);
+  void handle_frame(const std::string& from, std::string_view frame);
+  void handle_member_change(const cluster::MemberChanged& change);
+  void notify_members();
+
   platform::EdgeRouter& node_;
   log::Log& log_;
-  void tell_members();
-  std::function<void(const std::string&, std::string_view)> frame_, replica_;
-  std::vector<std::function<void(const std::vector<std::string>&)>> members_;
-  std::function<void(Writer&)> more_;
-  std::unique_ptr<cluster_transport::ClusterTransport> link_;
-};
-
-struct Asked {
-  int status = 0;  // 0: nobody answers
-  std::string text;
+  FrameHandler consensus_handler_;
+  FrameHandler replication_handler_;
+  std::vector<MembersHandler> members_handlers_;
+  ViewExtension view_extension_;
+  std::unique_ptr<cluster_transport::ClusterTransport> transport_;
 };
-// One call to a running process over its operators' address.
-Asked ask_operators(const std::string& address, const std::string& method,
-                    const std::string& target, const std::string& body = {});
-// Prints the members, or the JSON as it came.
-int cluster_members(const std::string& address, bool json);
 
 }  // namespace alderspur::app
--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -26,6 +26,9 @@
 // What the state directory holds: generation, age, servers and what is remembered of them.
 int state(const std::string& folder, bool json);
 
+// Prints the members that a running router knows of, or its answer as JSON.
+int cluster_members(const std::string& address, bool json);
+
 // Proposes a version to a running router (NAME=FILE each), or other voters, and follows it to its
 // end; the versions that it knows; what differs between two of them.
 struct TrialOptions {  // of a version that holds for some routers first; see consensus::Trial
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -6,7 +6,6 @@
 #include <string>
 #include <vector>
 
-#include "app/cluster_service.h"
 #include "app/commands.h"
 #include "app/language.h"
 
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -7,6 +7,7 @@
 #include "app/commands.h"
 #include "app/consensus_service.h"
 #include "app/json.h"
+#include "app/operator_client.h"
 
 namespace alderspur::app {
 namespace {
