--- a/src/app/routes.cpp
+++ b/src/app/routes.cpp
@@ -1,6 +1,7 @@
 #include "app/routes.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "app/language.h"
 #include "core/parsing.h"
@@ -8,10 +9,67 @@
 namespace alderspur::app {
 namespace {
 
-constexpr std::size_t kTold = 5;
-constexpr const char* kName = "routes";
+constexpr const char* kLogModule = "routes";
+constexpr std::size_t kMaxReportedFindings = 5;
+/// Of requests whose class sets none, in microseconds.
+constexpr core::Time kDefaultTimeLimit = 2'500'000;
+/// The part of requests whose path names none.
+constexpr const char* kDefaultPart = "0";
 
-limits::Rule rule(const routing::Limits& l) { return {l.max_in_flight, l.max_rate, l.burst}; }
+limits::Rule to_rule(const routing::Limits& limits) {
+  return {limits.max_in_flight, limits.max_rate, limits.burst};
+}
+
+bool has_capture(const routing::Route& route, const char* name) {
+  return std::any_of(route.path.begin(), route.path.end(), [name](const auto& segment) {
+    return segment.kind == config_language::Segment::Kind::capture && segment.text == name;
+  });
+}
+
+/// The number of the route's class, with a finding where links cannot use the class or the path.
+std::uint32_t resolve_class(const routing::Route& route, const config::Config& config,
+                            diagnostics::Findings& findings) {
+  const auto& names = config.names.classes;
+  const auto found = std::find(names.begin(), names.end(), route.cls);
+  const auto number = static_cast<std::uint32_t>(found - names.begin());
+  if (found == names.end()) {
+    findings.error("S002", route.place, "the router's configuration has no class " + route.cls);
+  } else if (config.settings.classes[number].never_cached) {
+    findings.error("S002", route.place,
+                   "class " + route.cls + " runs at the origin and cannot be fetched by links");
+  }
+  if (!has_capture(route, "object")) {
+    findings.error("S002", route.place, "the path of route " + route.name + " has no {object}",
+                   "the signed front takes object and part from {object} and {part}");
+  }
+  return number;
+}
+
+void report_errors(const diagnostics::Findings& findings, std::vector<std::string>& reported) {
+  for (const auto& finding : findings.list()) {
+    if (finding.severity != diagnostics::Severity::error) continue;
+    if (reported.size() >= kMaxReportedFindings) return;
+    reported.push_back(diagnostics::to_string(finding));
+  }
+}
+
+std::vector<std::string> limit_names(const routing::Table& table) {
+  std::vector<std::string> names;
+  for (const auto& route : table.routes()) names.push_back("route " + route.name);
+  for (const auto& pool : table.pools()) names.push_back("pool " + pool.name);
+  for (const auto& policy : table.policies()) names.push_back("policy " + policy.name);
+  return names;
+}
+
+/// A policy may only shorten the time limit of the class.
+core::Time time_limit(const TableInForce& table, std::uint32_t class_id,
+                      const routing::Target& target) {
+  const core::Time of_class = table.deadlines[class_id];
+  const core::Time limit = of_class > 0 ? of_class : kDefaultTimeLimit;
+  if (!target.policy) return limit;
+  const auto of_policy = table.table->policies()[*target.policy].deadline;
+  return of_policy ? std::min(limit, *of_policy) : limit;
+}
 
 }  // namespace
 
@@ -19,40 +77,19 @@
                  std::vector<std::string>& findings) {
   diagnostics::Findings found;
   const auto checked = check_language(file, found);
-  auto out = std::make_shared<TableInForce>();
+  auto compiled = std::make_shared<TableInForce>();
   if (found.good()) {
-    out->table = std::make_unique<routing::Table>(checked.meaning, checked.program.sources);
-    const auto& names = config.names.classes;
-    out->deadlines = config.names.give_up;
-    for (const auto& r : out->table->routes()) {
-      const auto it = std::find(names.begin(), names.end(), r.cls);
-      out->classes.push_back(static_cast<std::uint32_t>(it - names.begin()));
-      if (it == names.end()) {
-        found.error("S002", r.place, "the router's configuration has no class " + r.cls);
-      } else if (config.settings.classes[out->classes.back()].never_cached) {
-        found.error("S002", r.place,
-                    "class " + r.cls + " runs at the origin and cannot be fetched by links");
-      }
-      const auto named = [&](const char* capture) {
-        return std::any_of(r.path.begin(), r.path.end(), [&](auto& s) {
-          return s.kind == config_language::Segment::Kind::capture && s.text == capture;
-        });
-      };
-      if (!named("object")) {
-        found.error("S002", r.place, "the path of route " + r.name + " has no {object}",
-                    "the signed front takes object and part from {object} and {part}");
-      }
-    }
-  }
-  for (const auto& f : found.list()) {
-    if (f.severity == diagnostics::Severity::error && findings.size() < kTold) {
-      findings.push_back(diagnostics::to_string(f));
+    compiled->table = std::make_unique<routing::Table>(checked.meaning, checked.program.sources);
+    compiled->deadlines = config.names.give_up;
+    for (const auto& route : compiled->table->routes()) {
+      compiled->classes.push_back(resolve_class(route, config, found));
     }
   }
-  return found.good() ? out : nullptr;
+  report_errors(found, findings);
+  return found.good() ? compiled : nullptr;
 }
 
-// What a request holds: the table it began under, its match, and later its room.
+/// What a request keeps until its end: the table under which it began, its match, and its permit.
 class Routes::Held : public signed_url::Hold {
  public:
   void end(core::Time now) override { permit.release(now); }
@@ -69,95 +106,98 @@
   if (!table_) {
     throw config::Error("the routes do not check: " + (findings.empty() ? file_ : findings[0]));
   }
-  log_.record(kName, log::Level::info, "table_taken", {{"routes", table_->table->routes().size()}});
+  log_.record(kLogModule, log::Level::info, "table_taken",
+              {{"routes", table_->table->routes().size()}});
 }
+
 Routes::~Routes() = default;
 
 void Routes::reload() {
-  if (std::exchange(reading_, true)) {
-    again_ = true;
+  if (is_compiling_) {
+    must_compile_again_ = true;
     return;
   }
-  const bool given = worker_.submit([this, &config = node_.config()] {
+  is_compiling_ = true;
+  const bool is_submitted = worker_.submit([this, &config = node_.config()] {
     std::vector<std::string> findings;
     auto table = compile(file_, config, findings);
     wakeup_.post([this, table = std::move(table), findings = std::move(findings)] {
-      take(table, findings);
+      finish_reload(table, findings);
     });
   });
-  if (!given) reading_ = false;
+  if (!is_submitted) is_compiling_ = false;
 }
 
-void Routes::take(TablePtr table, const std::vector<std::string>& findings) {
-  reading_ = false;
-  if (!table) {
-    for (const auto& f : findings) {
-      log_.record(kName, log::Level::error, "table_refused", {{"reason", f}});
-    }
+void Routes::finish_reload(TablePtr table, const std::vector<std::string>& findings) {
+  is_compiling_ = false;
+  if (table) {
+    replace_table(std::move(table));
   } else {
-    const auto before = std::exchange(table_, std::move(table));
-    std::vector<std::string> named;
-    for (const auto& r : table_->table->routes()) named.push_back("route " + r.name);
-    for (const auto& p : table_->table->pools()) named.push_back("pool " + p.name);
-    for (const auto& p : table_->table->policies()) named.push_back("policy " + p.name);
-    limits_.keep(named);
-    log_.record(
-        kName, log::Level::info, "table_taken",
-        {{"routes", table_->table->routes().size()}, {"before", before->table->routes().size()}});
+    for (const auto& finding : findings) {
+      log_.record(kLogModule, log::Level::error, "table_refused", {{"reason", finding}});
+    }
   }
-  if (std::exchange(again_, false)) reload();
+  if (std::exchange(must_compile_again_, false)) reload();
+}
+
+void Routes::replace_table(TablePtr table) {
+  const auto before = std::exchange(table_, std::move(table));
+  limits_.keep(limit_names(*table_->table));
+  log_.record(
+      kLogModule, log::Level::info, "table_taken",
+      {{"routes", table_->table->routes().size()}, {"before", before->table->routes().size()}});
+}
+
+std::optional<routing::Match> Routes::match(const http::Request& request, std::string_view path,
+                                            std::string_view query) const {
+  routing::Question question;
+  question.host = request.host;
+  question.path = path;
+  question.method = request.method == http::Method::head ? "HEAD" : "GET";
+  const auto& zones = node_.config().names.zones;
+  const auto own_zone = node_.config().settings.location.value;
+  if (own_zone < zones.size()) question.point = zones[own_zone];
+  question.header = [&request](std::string_view name) { return request.field(name); };
+  question.query = [query](std::string_view name) { return http::parameter(query, name); };
+  question.hash = core::stable_hash(path);
+  return table_->table->match(question);
 }
 
 std::optional<signed_url::Found> Routes::find(const http::Request& request, std::string_view path,
                                               std::string_view query) {
-  routing::Question q;
-  q.host = request.host;
-  q.path = path;
-  q.method = request.method == http::Method::head ? "HEAD" : "GET";
-  const auto& zones = node_.config().names.zones;
-  const auto own = node_.config().settings.location.value;
-  if (own < zones.size()) q.point = zones[own];
-  q.header = [&](std::string_view name) { return request.field(name); };
-  q.query = [&](std::string_view name) { return http::parameter(query, name); };
-  q.hash = core::stable_hash(path);
-  const auto m = table_->table->match(q);
-  if (!m) return {};
+  const auto matched = match(request, path, query);
+  if (!matched) return std::nullopt;
   signed_url::Found found;
-  const auto at = static_cast<std::size_t>(m->route - table_->table->routes().data());
-  found.cls = table_->classes[at];
-  found.part = "0";
-  for (const auto& [name, value] : m->captures) {
+  const auto route_index =
+      static_cast<std::size_t>(matched->route - table_->table->routes().data());
+  found.cls = table_->classes[route_index];
+  found.part = kDefaultPart;
+  for (const auto& [name, value] : matched->captures) {
     if (name == "object") found.object = value;
     if (name == "part") found.part = value;
   }
-  found.limit = table_->deadlines[found.cls] > 0 ? table_->deadlines[found.cls] : 2'500'000;
-  // A policy may only tighten.
-  if (m->target.policy) {
-    if (const auto d = table_->table->policies()[*m->target.policy].deadline) {
-      found.limit = std::min(found.limit, *d);
-    }
-  }
+  found.limit = time_limit(*table_, found.cls, matched->target);
   auto held = std::make_unique<Held>();
   held->table = table_;
-  held->route = m->route;
-  held->target = m->target;
+  held->route = matched->route;
+  held->target = matched->target;
   found.hold = std::move(held);
   return found;
 }
 
 core::Time Routes::admit(signed_url::Found& found, core::Time now) {
   auto& held = static_cast<Held&>(*found.hold);
-  const auto& t = *held.table->table;
-  std::vector<limits::Limits::Ask> asked{{"route " + held.route->name, rule(held.route->limits)}};
+  const auto& table = *held.table->table;
+  std::vector<limits::Limits::Ask> asks{{"route " + held.route->name, to_rule(held.route->limits)}};
   if (held.target.pool) {
-    const auto& p = t.pools()[*held.target.pool];
-    asked.push_back({"pool " + p.name, rule(p.limits)});
+    const auto& pool = table.pools()[*held.target.pool];
+    asks.push_back({"pool " + pool.name, to_rule(pool.limits)});
   }
   if (held.target.policy) {
-    const auto& p = t.policies()[*held.target.policy];
-    asked.push_back({"policy " + p.name, rule(p.limits)});
+    const auto& policy = table.policies()[*held.target.policy];
+    asks.push_back({"policy " + policy.name, to_rule(policy.limits)});
   }
-  auto verdict = limits_.ask(asked, now);
+  auto verdict = limits_.ask(asks, now);
   if (!verdict.admitted) return std::max<core::Time>(1, verdict.retry_after);
   held.permit = std::move(verdict.permit);
   return 0;
--- a/src/app/routes.h
+++ b/src/app/routes.h
@@ -1,8 +1,10 @@
-// Routes in service: a program of the configuration language read, checked and compiled off the
-// loop, its table swapped whole between turns, and its limits kept over the swap.
+// The routes of the signed-URL front: reads, checks and compiles a program of the configuration
+// language, selects the route of each request, and admits requests within the routes' limits.
 //
-// A program that does not check leaves the table in force; the refusal is told with its first
-// findings. A request keeps the table that it began under until it has its answer.
+// Threads: the loop's thread owns the table and the limits; a worker compiles. A new table replaces
+// the old one whole, between turns of the loop; limits with the same names keep their state.
+// Errors: a program with errors leaves the table in force, and its first findings are logged. A
+// request keeps the table under which it began until its end.
 #pragma once
 
 #include <memory>
@@ -20,24 +22,27 @@
 
 namespace alderspur::app {
 
-// A table with what this router's own configuration makes of it.
+/// A table of routes, resolved against the router's configuration.
 struct TableInForce {
   std::unique_ptr<const routing::Table> table;
   std::vector<std::uint32_t> classes;  // by route: the class's number in the configuration
-  std::vector<core::Time> deadlines;   // by class
+  std::vector<core::Time> deadlines;   // by class, in microseconds; 0: none
 };
 using TablePtr = std::shared_ptr<const TableInForce>;
-// Null with findings (rendered, the first few) where the program does not check or names unknown
-// classes.
+
+/// Null where the program has errors or names unknown classes; the first errors are then added to
+/// `findings`, as text.
 TablePtr compile(const std::string& file, const config::Config& config,
                  std::vector<std::string>& findings);
 
 class Routes : public signed_url::RouteSelector {
  public:
-  // Throws config::Error where the file does not check: there is nothing to go on from.
+  /// Compiles the file on this thread. Throws config::Error where it has errors.
   Routes(platform::EdgeRouter& node, std::string file, log::Log& log);
   ~Routes() override;
-  void reload();  // SIGHUP
+
+  /// Compiles the file again on the worker, and once more if called meanwhile.
+  void reload();
 
   std::optional<signed_url::Found> find(const http::Request& request, std::string_view path,
                                         std::string_view query) override;
@@ -47,14 +52,20 @@
 
  private:
   class Held;
-  void take(TablePtr table, const std::vector<std::string>& findings);
+
+  void finish_reload(TablePtr table, const std::vector<std::string>& findings);
+  void replace_table(TablePtr table);
+  std::optional<routing::Match> match(const http::Request& request, std::string_view path,
+                                      std::string_view query) const;
 
   platform::EdgeRouter& node_;
   const std::string file_;
   log::Log& log_;
   limits::Limits limits_;
   TablePtr table_;
-  bool reading_ = false, again_ = false;
+  bool is_compiling_ = false;
+  bool must_compile_again_ = false;
+  // Last, so that they are destroyed first: their jobs use the members above.
   net::Wakeup wakeup_;
   file_watch::Worker worker_;
 };
