--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -1,3 +1,4 @@
+// The subcommands check, diff, seal and state, on settings and lists of servers.
 #include "endpoints/check.h"
 
 #include <chrono>
@@ -21,269 +22,348 @@
 namespace alderspur::app {
 namespace {
 
-core::Time now() {
-  using namespace std::chrono;
-  return duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
+constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
+
+using Renderer = std::function<std::string(const diagnostics::Finding&)>;
+
+/// What the check of one file gave.
+struct CheckResult {
+  diagnostics::Findings findings;
+  std::string summary;                       // of a good file
+  Renderer render = diagnostics::to_string;  // with the source line, for files of the language
+};
+
+core::Time unix_now() {
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
+}
+
+/// The file that holds a list: of a directory, its manifest.
+std::string list_file(const std::string& path) {
+  return std::filesystem::is_directory(path) ? path + "/manifest.toml" : path;
 }
 
-// A list from a file or a directory, as the running router would read it.
+void print_to_stderr(const diagnostics::Findings& findings) {
+  for (const auto& finding : findings.list()) {
+    std::fprintf(stderr, "%s\n", diagnostics::to_string(finding).c_str());
+  }
+}
+
+/// Reads a list from a file or a directory, as the running router would.
 endpoints::SnapshotPtr read_list(const std::string& path, diagnostics::Findings& findings) {
   const endpoints::ListLimits limits;
-  const bool directory = std::filesystem::is_directory(path);
-  const std::string file = directory ? path + "/manifest.toml" : path;
-  const auto read = endpoints::read_list(config::read_text(file), file, now(), limits, findings);
+  const std::string file = list_file(path);
+  const auto read =
+      endpoints::read_list(config::read_text(file), file, unix_now(), limits, findings);
   if (!read.list || read.pieces.empty()) return read.list;
   std::vector<std::string> texts;
   const auto folder = std::filesystem::path(file).parent_path();
-  for (const auto& p : read.pieces) texts.push_back(config::read_text((folder / p.file).string()));
+  for (const auto& piece : read.pieces) {
+    texts.push_back(config::read_text((folder / piece.file).string()));
+  }
   return endpoints::read_pieces(read, texts, limits, findings);
 }
 
 bool is_settings(const std::string& text) { return text.find("[router]") != std::string::npos; }
 
+/// Null where the program of routes has errors, which are added as findings of the settings file.
+TablePtr check_routes(const settings::Settings& settings, const std::string& file,
+                      const config::Config& config, diagnostics::Findings& findings) {
+  std::vector<std::string> errors;
+  auto routes = compile(settings.routes_file, config, errors);
+  if (!routes) {
+    for (const auto& error : errors) findings.error("S002", {file, 0, 0}, error);
+  }
+  return routes;
+}
+
+void check_pools(const routing::Table& table, const endpoints::Snapshot& list,
+                 diagnostics::Findings& findings) {
+  for (const auto& pool : table.pools()) {
+    if (!table.servers(pool, list).empty()) continue;
+    findings.error("A043", pool.place,
+                   "pool " + pool.name + " selects no server in service of " + list.source,
+                   "change what it selects, or list a server for it");
+  }
+}
+
+/// Checks what the settings name: the configuration, the routes and the list of servers.
+void check_named_files(settings::Settings& settings, const std::string& file,
+                       diagnostics::Findings& findings) {
+  const auto config = config::read_file(settings.config);
+  settings::resolve(settings, config, findings);
+  TablePtr routes;
+  if (!settings.routes_file.empty()) routes = check_routes(settings, file, config, findings);
+  if (!settings.membership || settings.membership->list.empty()) return;
+  const auto list = read_list(settings.membership->list, findings);
+  if (!list) return;
+  check_alone(*list, findings);
+  (void)to_members(*list, config.names.zones, findings);
+  if (routes) check_pools(*routes->table, *list, findings);
+}
+
 void check_settings(const std::string& file, const std::string& content,
                     diagnostics::Findings& findings) {
-  auto s =
-      settings::read(content, file, std::filesystem::path(file).parent_path().string(), findings);
-  if (s.config.empty()) return;
+  const auto folder = std::filesystem::path(file).parent_path().string();
+  auto settings = settings::read(content, file, folder, findings);
+  if (settings.config.empty()) return;
   try {
-    const auto config = config::read_file(s.config);
-    settings::resolve(s, config, findings);
-    TablePtr routes;
-    if (!s.routes_file.empty()) {
-      std::vector<std::string> told;
-      routes = compile(s.routes_file, config, told);
-      if (!routes) {
-        for (const auto& t : told) findings.error("S002", {file, 0, 0}, t);
-      }
-    }
-    if (!s.membership || s.membership->list.empty()) return;
-    const auto list = read_list(s.membership->list, findings);
-    if (!list) return;
-    check_alone(*list, findings);
-    (void)to_members(*list, config.names.zones, findings);
-    if (!routes) return;
-    for (const auto& pool : routes->table->pools()) {
-      if (routes->table->servers(pool, *list).empty()) {
-        findings.error("A043", pool.place,
-                       "pool " + pool.name + " selects no server in service of " + list->source,
-                       "change what it selects, or list a server for it");
-      }
-    }
-  } catch (const std::exception& e) {
-    findings.error("S002", {file, 0, 0}, e.what());
+    check_named_files(settings, file, findings);
+  } catch (const std::exception& error) {
+    findings.error("S002", {file, 0, 0}, error.what());
   }
 }
 
-// `render` shows a finding, with its line where the file is one of the language.
-diagnostics::Findings check_one(const std::string& path, const endpoints::Snapshot* against,
-                                std::string& said,
-                                std::function<std::string(const diagnostics::Finding&)>& render) {
-  diagnostics::Findings findings;
-  render = diagnostics::to_string;
+void check_program(const std::string& path, CheckResult& result) {
+  const auto checked = std::make_shared<Checked>(check_language(path, result.findings));
+  result.render = [checked](const diagnostics::Finding& finding) {
+    return checked->program.sources.render(finding);
+  };
+  result.summary = std::to_string(checked->meaning.declarations.size()) + " declarations in " +
+                   std::to_string(checked->program.trees.size()) + " files";
+}
+
+void check_list(const std::string& path, const endpoints::Snapshot* against, CheckResult& result) {
+  const auto list = read_list(path, result.findings);
+  if (!list) return;
+  check_alone(*list, result.findings);
+  check_change(against, *list, {}, result.findings);
+  result.summary = std::to_string(list->servers.size()) + " servers, " +
+                   summary(against, *list, difference(against, *list));
+}
+
+CheckResult check_one(const std::string& path, const endpoints::Snapshot* against) {
+  CheckResult result;
   try {
     if (is_language(path)) {
-      const auto checked = std::make_shared<Checked>(check_language(path, findings));
-      render = [checked](const diagnostics::Finding& f) {
-        return checked->program.sources.render(f);
-      };
-      said = std::to_string(checked->meaning.declarations.size()) + " declarations in " +
-             std::to_string(checked->program.trees.size()) + " files";
-      return findings;
+      check_program(path, result);
+      return result;
     }
-    const bool directory = std::filesystem::is_directory(path);
-    const auto content = directory ? std::string() : config::read_text(path);
-    if (!directory && is_settings(content)) {
-      check_settings(path, content, findings);
-      said = "settings";
-      return findings;
+    const bool is_directory = std::filesystem::is_directory(path);
+    const auto content = is_directory ? std::string() : config::read_text(path);
+    if (!is_directory && is_settings(content)) {
+      check_settings(path, content, result.findings);
+      result.summary = "settings";
+      return result;
     }
-    const auto list = read_list(path, findings);
-    if (!list) return findings;
-    check_alone(*list, findings);
-    check_change(against, *list, {}, findings);
-    said = std::to_string(list->servers.size()) + " servers, " +
-           summary(against, *list, difference(against, *list));
-  } catch (const std::exception& e) {
-    findings.error("S002", {path, 0, 0}, e.what());
+    check_list(path, against, result);
+  } catch (const std::exception& error) {
+    result.findings.error("S002", {path, 0, 0}, error.what());
   }
-  return findings;
+  return result;
+}
+
+void write_finding(Writer& writer, const diagnostics::Finding& finding) {
+  const bool is_error = finding.severity == diagnostics::Severity::error;
+  writer.StartObject();
+  text(writer, "severity", is_error ? "error" : "warning");
+  text(writer, "code", finding.code);
+  text(writer, "file", finding.place.file);
+  writer.Key("line");
+  writer.Uint(finding.place.line);
+  writer.Key("column");
+  writer.Uint(finding.place.column);
+  text(writer, "text", finding.text);
+  text(writer, "mend", finding.mend);
+  writer.EndObject();
+}
+
+void write_findings(Writer& writer, const std::string& path,
+                    const diagnostics::Findings& findings) {
+  writer.StartObject();
+  text(writer, "file", path);
+  writer.Key("good");
+  writer.Bool(findings.good());
+  writer.Key("findings");
+  writer.StartArray();
+  for (const auto& finding : findings.list()) write_finding(writer, finding);
+  writer.EndArray();
+  writer.Key("left_out");
+  writer.Uint64(findings.left_out());
+  writer.EndObject();
 }
 
-void write_json(Writer& w, const std::string& path, const diagnostics::Findings& findings) {
-  w.StartObject();
-  text(w, "file", path);
-  w.Key("good"), w.Bool(findings.good());
-  w.Key("findings"), w.StartArray();
-  for (const auto& f : findings.list()) {
-    w.StartObject();
-    text(w, "severity", f.severity == diagnostics::Severity::error ? "error" : "warning");
-    text(w, "code", f.code), text(w, "file", f.place.file);
-    w.Key("line"), w.Uint(f.place.line);
-    w.Key("column"), w.Uint(f.place.column);
-    text(w, "text", f.text), text(w, "mend", f.mend);
-    w.EndObject();
+void print_result(const std::string& path, const CheckResult& result) {
+  const auto& findings = result.findings;
+  for (const auto& finding : findings.list()) std::printf("%s\n", result.render(finding).c_str());
+  if (findings.left_out()) std::printf("%s: and %zu more\n", path.c_str(), findings.left_out());
+  if (findings.good()) std::printf("%s: good: %s\n", path.c_str(), result.summary.c_str());
+}
+
+/// The list that counts as in force; null where none is given.
+endpoints::SnapshotPtr read_list_in_force(const std::string& path) {
+  if (path.empty()) return nullptr;
+  diagnostics::Findings findings;
+  auto list = read_list(path, findings);
+  if (!list) {
+    throw config::Error(path + " is no good list: " + to_string(findings.list().at(0)));
   }
-  w.EndArray();
-  w.Key("left_out"), w.Uint64(findings.left_out());
-  w.EndObject();
+  return list;
 }
 
-void names(Writer& w, const char* key, const std::vector<ServerId>& ids,
-           const endpoints::Snapshot& from, const endpoints::Snapshot& to) {
-  w.Key(key), w.StartArray();
+void write_names(Writer& writer, const char* key, const std::vector<ServerId>& ids,
+                 const endpoints::Snapshot& from, const endpoints::Snapshot& to) {
+  writer.Key(key);
+  writer.StartArray();
   for (const ServerId id : ids) {
-    const auto* s = to.find(id) ? to.find(id) : from.find(id);
-    w.String(s->name.data(), static_cast<rapidjson::SizeType>(s->name.size()));
+    const auto* server = to.find(id) ? to.find(id) : from.find(id);
+    writer.String(server->name.data(), static_cast<rapidjson::SizeType>(server->name.size()));
   }
-  w.EndArray();
+  writer.EndArray();
+}
+
+void print_difference(const endpoints::Snapshot& from, const endpoints::Snapshot& to,
+                      const endpoints::Difference& changes) {
+  rapidjson::StringBuffer buffer;
+  Writer writer(buffer);
+  writer.StartObject();
+  write_names(writer, "added", changes.added, from, to);
+  write_names(writer, "removed", changes.removed, from, to);
+  write_names(writer, "drained", changes.drained, from, to);
+  write_names(writer, "returned", changes.reinstated, from, to);
+  write_names(writer, "moved", changes.moved, from, to);
+  write_names(writer, "weighted", changes.reweighted, from, to);
+  write_names(writer, "other", changes.reassigned, from, to);
+  writer.Key("places");
+  writer.Bool(changes.has_location_changes);
+  writer.EndObject();
+  std::printf("%s\n", buffer.GetString());
 }
 
-int guarded(const std::function<int()>& what) {
+void print_state(const store::EndpointState& state, core::Time age_seconds) {
+  std::printf("generation %llu of %s, %zu servers, read %lld s ago; remembered of %zu\n",
+              static_cast<unsigned long long>(state.list->generation), state.list->source.c_str(),
+              state.list->servers.size(), static_cast<long long>(age_seconds),
+              state.remembered.size());
+}
+
+void print_state_as_json(const store::EndpointState& state, core::Time age_seconds) {
+  rapidjson::StringBuffer buffer;
+  Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("generation");
+  writer.Uint64(state.list->generation);
+  text(writer, "source", state.list->source);
+  writer.Key("servers");
+  writer.Uint64(state.list->servers.size());
+  writer.Key("age_s");
+  writer.Int64(age_seconds);
+  writer.Key("remembered");
+  writer.Uint64(state.remembered.size());
+  writer.EndObject();
+  std::printf("%s\n", buffer.GetString());
+}
+
+/// Runs a command; an exception becomes its message and the exit code of a finding.
+int with_errors_printed(const std::function<int()>& command) {
   try {
-    return what();
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "alderspur: %s\n", e.what());
+    return command();
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "alderspur: %s\n", error.what());
     return kFinding;
   }
 }
 
 void replace_text(const std::string& path, const std::string& content) {
-  const auto fresh = path + ".new";
+  const auto temporary = path + ".new";
   {
-    std::ofstream out(fresh, std::ios::binary);
+    std::ofstream out(temporary, std::ios::binary);
     out << content;
-    if (!out.flush()) throw config::Error("cannot write " + fresh);
+    if (!out.flush()) throw config::Error("cannot write " + temporary);
   }
-  std::filesystem::rename(fresh, path);
+  std::filesystem::rename(temporary, path);
 }
 
-// The digest of each piece goes into the line after its `file = "..."`.
+/// Writes the digest of each piece into the line after its `file = "..."`.
 std::string sealed_manifest(const std::string& folder, const std::string& manifest) {
-  diagnostics::Findings findings;
-  std::string out, line, piece;
+  std::string sealed;
+  std::string piece;
   for (std::size_t at = 0; at < manifest.size();) {
     const auto end = std::min(manifest.find('\n', at), manifest.size() - 1);
-    line = manifest.substr(at, end + 1 - at);
+    std::string line = manifest.substr(at, end + 1 - at);
     at = end + 1;
     const auto quote = line.find('"');
     if (line.starts_with("file") && quote != std::string::npos) {
       piece = line.substr(quote + 1, line.find('"', quote + 1) - quote - 1);
     }
     if (line.starts_with("digest") && !piece.empty()) {
-      const auto content = config::read_text(folder + "/" + piece);
+      const auto content = config::read_text((std::filesystem::path(folder) / piece).string());
       line = "digest = \"";
       line += endpoints::format_digest(endpoints::compute_digest(content));
       line += "\"\n";
       piece.clear();
     }
-    out += line;
+    sealed += line;
   }
-  return out;
+  return sealed;
 }
 
 }  // namespace
 
 int check(const CheckOptions& options) {
-  return guarded([&] {
-    endpoints::SnapshotPtr against;
-    if (!options.against.empty()) {
-      diagnostics::Findings findings;
-      against = read_list(options.against, findings);
-      if (!against) {
-        throw config::Error(options.against +
-                            " is no good list: " + to_string(findings.list().at(0)));
-      }
-    }
+  return with_errors_printed([&] {
+    const auto against = read_list_in_force(options.against);
     rapidjson::StringBuffer buffer;
-    Writer w(buffer);
-    w.StartArray();
-    bool good = true;
+    Writer writer(buffer);
+    writer.StartArray();
+    bool is_good = true;
     for (const auto& path : options.files) {
-      std::string said;
-      std::function<std::string(const diagnostics::Finding&)> render;
-      const auto findings = check_one(path, against.get(), said, render);
-      good &= findings.good();
-      write_json(w, path, findings);
-      if (options.json) continue;
-      for (const auto& f : findings.list()) std::printf("%s\n", render(f).c_str());
-      if (findings.left_out()) std::printf("%s: and %zu more\n", path.c_str(), findings.left_out());
-      if (findings.good()) std::printf("%s: good: %s\n", path.c_str(), said.c_str());
+      const auto result = check_one(path, against.get());
+      is_good &= result.findings.good();
+      write_findings(writer, path, result.findings);
+      if (!options.json) print_result(path, result);
     }
-    w.EndArray();
+    writer.EndArray();
     if (options.json) std::printf("%s\n", buffer.GetString());
-    return good ? kYes : kFinding;
+    return is_good ? kYes : kFinding;
   });
 }
 
 int diff(const std::string& from, const std::string& to, bool json, bool by_risk) {
-  return guarded([&] {
+  return with_errors_printed([&] {
     if (is_language(from) && is_language(to)) return diff_language(from, to, json, by_risk);
     diagnostics::Findings findings;
-    const auto a = read_list(from, findings), b = read_list(to, findings);
-    if (!a || !b) {
-      for (const auto& f : findings.list()) {
-        std::fprintf(stderr, "%s\n", diagnostics::to_string(f).c_str());
-      }
+    const auto old_list = read_list(from, findings);
+    const auto new_list = read_list(to, findings);
+    if (!old_list || !new_list) {
+      print_to_stderr(findings);
       return kUsage;
     }
-    const auto d = difference(a.get(), *b);
+    const auto changes = difference(old_list.get(), *new_list);
     if (json) {
-      rapidjson::StringBuffer buffer;
-      Writer w(buffer);
-      w.StartObject();
-      names(w, "added", d.added, *a, *b), names(w, "removed", d.removed, *a, *b);
-      names(w, "drained", d.drained, *a, *b), names(w, "returned", d.reinstated, *a, *b);
-      names(w, "moved", d.moved, *a, *b), names(w, "weighted", d.reweighted, *a, *b);
-      names(w, "other", d.reassigned, *a, *b);
-      w.Key("places"), w.Bool(d.has_location_changes);
-      w.EndObject();
-      std::printf("%s\n", buffer.GetString());
+      print_difference(*old_list, *new_list, changes);
     } else {
-      std::printf("%s\n", summary(a.get(), *b, d).c_str());
+      std::printf("%s\n", summary(old_list.get(), *new_list, changes).c_str());
     }
-    return d.is_empty() ? kYes : kFinding;
+    return changes.is_empty() ? kYes : kFinding;
   });
 }
 
 int seal(const std::string& path) {
-  return guarded([&] {
-    const bool directory = std::filesystem::is_directory(path);
-    const std::string file = directory ? path + "/manifest.toml" : path;
+  return with_errors_printed([&] {
+    const std::string file = list_file(path);
     auto content = config::read_text(file);
-    if (directory) content = sealed_manifest(path, content);
+    if (std::filesystem::is_directory(path)) content = sealed_manifest(path, content);
     replace_text(file, endpoints::with_digest(content));
     diagnostics::Findings findings;
-    if (!read_list(path, findings)) {
-      for (const auto& f : findings.list()) std::printf("%s\n", diagnostics::to_string(f).c_str());
-      return kFinding;
+    if (read_list(path, findings)) return kYes;
+    for (const auto& finding : findings.list()) {
+      std::printf("%s\n", diagnostics::to_string(finding).c_str());
     }
-    return kYes;
+    return kFinding;
   });
 }
 
 int state(const std::string& folder, bool json) {
-  return guarded([&] {
+  return with_errors_printed([&] {
     const auto restored = store::load_endpoint_state(folder + "/membership.state");
     if (!restored.state) throw config::Error(to_string(*restored.error));
-    const auto& s = *restored.state;
-    const auto age = (now() - s.list->read_at) / 1'000'000;
-    if (!json) {
-      std::printf("generation %llu of %s, %zu servers, read %lld s ago; remembered of %zu\n",
-                  static_cast<unsigned long long>(s.list->generation), s.list->source.c_str(),
-                  s.list->servers.size(), static_cast<long long>(age), s.remembered.size());
-      return kYes;
+    const auto age_seconds = (unix_now() - restored.state->list->read_at) / kMicrosecondsPerSecond;
+    if (json) {
+      print_state_as_json(*restored.state, age_seconds);
+    } else {
+      print_state(*restored.state, age_seconds);
     }
-    rapidjson::StringBuffer buffer;
-    Writer w(buffer);
-    w.StartObject();
-    w.Key("generation"), w.Uint64(s.list->generation);
-    text(w, "source", s.list->source);
-    w.Key("servers"), w.Uint64(s.list->servers.size());
-    w.Key("age_s"), w.Int64(age);
-    w.Key("remembered"), w.Uint64(s.remembered.size());
-    w.EndObject();
-    std::printf("%s\n", buffer.GetString());
     return kYes;
   });
 }
