--- a/src/app/language.cpp
+++ b/src/app/language.cpp
@@ -7,6 +7,8 @@
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
+#include <optional>
+#include <string_view>
 
 #include "app/commands.h"
 #include "config_language/differ.h"
@@ -18,21 +20,24 @@
 namespace alderspur::app {
 namespace {
 
-void tell(const config_language::Sources& sources, const diagnostics::Findings& findings) {
-  for (const auto& f : findings.list()) std::fprintf(stderr, "%s\n", sources.render(f).c_str());
+void print_findings(const config_language::Sources& sources,
+                    const diagnostics::Findings& findings) {
+  for (const auto& finding : findings.list()) {
+    std::fprintf(stderr, "%s\n", sources.render(finding).c_str());
+  }
   if (findings.left_out()) std::fprintf(stderr, "and %zu more\n", findings.left_out());
 }
 
 bool replace(const std::string& path, const std::string& text) {
-  const auto fresh = path + ".new";
+  const auto temporary = path + ".new";
   {
-    std::ofstream out(fresh, std::ios::binary | std::ios::trunc);
+    std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
     out << text;
     if (!out.flush()) return false;
   }
   std::error_code error;
-  std::filesystem::permissions(fresh, std::filesystem::status(path).permissions(), error);
-  std::filesystem::rename(fresh, path, error);
+  std::filesystem::permissions(temporary, std::filesystem::status(path).permissions(), error);
+  std::filesystem::rename(temporary, path, error);
   return !error;
 }
 
@@ -42,10 +47,10 @@
 
 Checked check_language(const std::string& path, diagnostics::Findings& findings) {
   config_language::FileLoader loader;
-  Checked out;
-  out.program = config_language::load(path, loader, findings);
-  out.meaning = config_language::check(out.program, findings);
-  return out;
+  Checked checked;
+  checked.program = config_language::load(path, loader, findings);
+  checked.meaning = config_language::check(checked.program, findings);
+  return checked;
 }
 
 int format_files(const FormatOptions& options) {
@@ -62,9 +67,9 @@
     config_language::Sources sources;
     diagnostics::Findings findings;
     const auto tree = config_language::parse(sources, sources.add(path, *text), findings);
-    // Danger: what did not parse is not in the tree, and would be gone from the file.
+    // What did not parse is not in the tree: writing the tree would remove it from the file.
     if (!findings.good()) {
-      tell(sources, findings);
+      print_findings(sources, findings);
       code = kFinding;
       continue;
     }
@@ -83,101 +88,144 @@
   return code;
 }
 
+namespace {
+
+/// A request of the command line, taken apart. The question that is put to the table holds views of
+/// it.
+struct RequestText {
+  std::string method;
+  std::string host;
+  std::string path;
+  std::string query;  // "&name=value&...", or empty
+};
+
+/// Nothing where the text is not of the form "GET host/path?query".
+std::optional<RequestText> parse_request(const std::string& text) {
+  const auto space = text.find(' ');
+  const auto slash = text.find('/', space);
+  if (space == std::string::npos || slash == std::string::npos) return std::nullopt;
+  const auto mark = std::min(text.find('?', slash), text.size());
+  RequestText request;
+  request.method = text.substr(0, space);
+  request.host = text.substr(space + 1, slash - space - 1);
+  request.path = text.substr(slash, mark - slash);
+  if (mark < text.size()) request.query = "&" + text.substr(mark + 1) + "&";
+  return request;
+}
+
+std::optional<std::string_view> find_header(const std::vector<std::string>& headers,
+                                            std::string_view name) {
+  for (const std::string_view header : headers) {
+    const auto equals = header.find('=');
+    if (equals != std::string_view::npos && header.substr(0, equals) == name) {
+      return header.substr(equals + 1);
+    }
+  }
+  return std::nullopt;
+}
+
+std::optional<std::string_view> find_parameter(std::string_view query, std::string_view name) {
+  const auto at = query.find("&" + std::string(name) + "=");
+  if (at == std::string_view::npos) return std::nullopt;
+  const auto value = at + name.size() + 2;
+  return query.substr(value, query.find('&', value) - value);
+}
+
+/// The name of a declaration with its place.
+std::string name_with_place(const Checked& checked, const char* kind, const std::string& name) {
+  const auto* declaration = checked.meaning.find(kind, name);
+  const auto place = checked.program.sources.place(declaration->span);
+  return name + " (" + place.file + ":" + std::to_string(place.line) + ")";
+}
+
+void print_match(const std::string& request, const Checked& checked, const routing::Table& table,
+                 const routing::Match& match) {
+  std::printf("%s: route %s, class %s", request.c_str(),
+              name_with_place(checked, "route", match.route->name).c_str(),
+              name_with_place(checked, "class", match.route->cls).c_str());
+  if (match.target.pool) {
+    const auto& pool = table.pools()[*match.target.pool];
+    std::printf(", pool %s", name_with_place(checked, "pool", pool.name).c_str());
+  }
+  if (match.target.policy) {
+    const auto& policy = table.policies()[*match.target.policy];
+    std::printf(", policy %s", name_with_place(checked, "policy", policy.name).c_str());
+  }
+  for (const auto& [name, value] : match.captures) {
+    std::printf(", %s=%.*s", std::string(name).c_str(), static_cast<int>(value.size()),
+                value.data());
+  }
+  if (!match.route->splits.empty()) std::printf("; splits send others elsewhere");
+  std::printf("\n");
+}
+
+}  // namespace
+
 int explain(const ExplainOptions& options) {
   diagnostics::Findings findings;
   const auto checked = check_language(options.file, findings);
-  tell(checked.program.sources, findings);
+  print_findings(checked.program.sources, findings);
   if (!findings.good()) return kUsage;
   const routing::Table table(checked.meaning, checked.program.sources);
-  const auto where = [&](const char* kind, const std::string& name) {
-    const auto* d = checked.meaning.find(kind, name);
-    const auto p = checked.program.sources.place(d->span);
-    return name + " (" + p.file + ":" + std::to_string(p.line) + ")";
-  };
-  int code = kYes;
-  for (const auto& request : options.requests) {
-    const auto space = request.find(' '), slash = request.find('/', space);
-    if (space == std::string::npos || slash == std::string::npos) {
-      std::fprintf(stderr, "'%s' is no request: write \"GET host/path\"\n", request.c_str());
+  int exit_code = kYes;
+  for (const auto& text : options.requests) {
+    const auto request = parse_request(text);
+    if (!request) {
+      std::fprintf(stderr, "'%s' is no request: write \"GET host/path\"\n", text.c_str());
       return kUsage;
     }
-    const auto mark = std::min(request.find('?', slash), request.size());
-    const std::string host = request.substr(space + 1, slash - space - 1),
-                      method = request.substr(0, space);
-    const std::string path = request.substr(slash, mark - slash);
-    const std::string query = mark < request.size() ? "&" + request.substr(mark + 1) + "&" : "";
-    routing::Question q{host, path, method, options.point, {}, {}, 0};
-    q.header = [&](std::string_view name) -> std::optional<std::string_view> {
-      for (const auto& h : options.headers) {
-        if (const auto is = h.find('=');
-            is != std::string::npos && std::string_view(h).substr(0, is) == name) {
-          return std::string_view(h).substr(is + 1);
-        }
-      }
-      return {};
-    };
-    q.query = [&](std::string_view name) -> std::optional<std::string_view> {
-      const auto at = query.find("&" + std::string(name) + "=");
-      if (at == std::string::npos) return {};
-      const auto from = at + name.size() + 2;
-      return std::string_view{query}.substr(from, query.find('&', from) - from);
-    };
-    const auto m = table.match(q);
-    if (!m) {
-      std::printf("%s: no route\n", request.c_str());
-      code = kFinding;
-      continue;
-    }
-    std::printf("%s: route %s, class %s", request.c_str(), where("route", m->route->name).c_str(),
-                where("class", m->route->cls).c_str());
-    if (m->target.pool) {
-      std::printf(", pool %s", where("pool", table.pools()[*m->target.pool].name).c_str());
+    routing::Question question{
+        request->host, request->path, request->method, options.point, {}, {}, 0};
+    question.header = [&](std::string_view name) { return find_header(options.headers, name); };
+    question.query = [&](std::string_view name) { return find_parameter(request->query, name); };
+    if (const auto match = table.match(question)) {
+      print_match(text, checked, table, *match);
+    } else {
+      std::printf("%s: no route\n", text.c_str());
+      exit_code = kFinding;
     }
-    if (m->target.policy) {
-      std::printf(", policy %s", where("policy", table.policies()[*m->target.policy].name).c_str());
-    }
-    for (const auto& [name, value] : m->captures) {
-      std::printf(", %s=%.*s", std::string(name).c_str(), static_cast<int>(value.size()),
-                  value.data());
-    }
-    if (!m->route->splits.empty()) std::printf("; splits send others elsewhere");
-    std::printf("\n");
   }
-  return code;
+  return exit_code;
 }
 
 int diff_language(const std::string& from, const std::string& to, bool json, bool by_risk) {
-  diagnostics::Findings a_found, b_found;
-  const auto a = check_language(from, a_found), b = check_language(to, b_found);
-  if (!a_found.good() || !b_found.good()) {
-    tell(a.program.sources, a_found), tell(b.program.sources, b_found);
+  diagnostics::Findings old_findings;
+  diagnostics::Findings new_findings;
+  const auto old_program = check_language(from, old_findings);
+  const auto new_program = check_language(to, new_findings);
+  if (!old_findings.good() || !new_findings.good()) {
+    print_findings(old_program.program.sources, old_findings);
+    print_findings(new_program.program.sources, new_findings);
     return kUsage;
   }
-  auto changes = config_language::differ(a.meaning, b.meaning);
+  auto changes = config_language::differ(old_program.meaning, new_program.meaning);
   if (by_risk) {
     std::stable_sort(changes.begin(), changes.end(),
-                     [](auto& x, auto& y) { return x.risk > y.risk; });
+                     [](const auto& left, const auto& right) { return left.risk > right.risk; });
   }
   if (!json) {
-    for (const auto& c : changes) {
-      std::printf("%-4s  %s\n", config_language::word(c.risk), c.text.c_str());
+    for (const auto& change : changes) {
+      std::printf("%-4s  %s\n", config_language::word(change.risk), change.text.c_str());
     }
     return changes.empty() ? kYes : kFinding;
   }
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   const auto text = [&](const char* key, const std::string& value) {
-    w.Key(key);
-    w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+    writer.Key(key);
+    writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   };
-  w.StartArray();
-  for (const auto& c : changes) {
-    w.StartObject();
-    text("risk", config_language::word(c.risk)), text("what", c.what), text("name", c.name);
-    text("field", c.field), text("text", c.text);
-    w.EndObject();
+  writer.StartArray();
+  for (const auto& change : changes) {
+    writer.StartObject();
+    text("risk", config_language::word(change.risk));
+    text("what", change.what);
+    text("name", change.name);
+    text("field", change.field);
+    text("text", change.text);
+    writer.EndObject();
   }
-  w.EndArray();
+  writer.EndArray();
   std::printf("%s\n", buffer.GetString());
   return changes.empty() ? kYes : kFinding;
 }
--- a/src/app/language.h
+++ b/src/app/language.h
@@ -8,29 +8,35 @@
 
 namespace alderspur::app {
 
-bool is_language(const std::string& path);  // by its ending, .alder
+/// Whether the path ends in .alder.
+bool is_language(const std::string& path);
 
-// The program of a file and what it means, findings told by their place.
+/// The program of a file and its meaning.
 struct Checked {
   config_language::Program program;
   config_language::Meaning meaning;
 };
+
 Checked check_language(const std::string& path, diagnostics::Findings& findings);
 
 struct FormatOptions {
   std::vector<std::string> files;
-  bool write = false, check = false;
+  bool write = false;
+  bool check = false;
 };
-// Prints the canonical form, writes it in place, or says which files are not in it. A file that
-// does not parse is left as it is.
+/// Prints the canonical form, writes it in place, or says which files are not in it. A file that
+/// does not parse is left as it is.
 int format_files(const FormatOptions& options);
+
 struct ExplainOptions {
-  std::string file, point;
+  std::string file;
+  std::string point;
   std::vector<std::string> requests;  // "GET host/path?query"
   std::vector<std::string> headers;   // "name=value", of all requests
 };
-// Which route, pool and policy hold for each request, and where they stand.
+/// Prints which route, pool and policy hold for each request, and where they are declared.
 int explain(const ExplainOptions& options);
+/// Prints the changes between two programs, by meaning.
 int diff_language(const std::string& from, const std::string& to, bool json, bool by_risk);
 
 }  // namespace alderspur::app
