--- a/bench/config_language_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -46,7 +46,7 @@
   return m;
 }
 
-void LoadAndCheck(benchmark::State& state) {
+void load_and_check_benchmark(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
     diagnostics::Findings f;
@@ -55,7 +55,7 @@
     if (!f.good()) state.SkipWithError(diagnostics::to_string(f.list()[0]).c_str());
   }
 }
-void Format(benchmark::State& state) {
+void format_benchmark(benchmark::State& state) {
   const auto m = program(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
     for (const auto& [path, text] : m.files) {
@@ -66,7 +66,7 @@
     }
   }
 }
-void Compile(benchmark::State& state) {
+void compile_benchmark(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
   diagnostics::Findings f;
   const auto p = config_language::load("main.alder", m, f);
@@ -75,14 +75,14 @@
     benchmark::DoNotOptimize(std::make_unique<routing::Table>(meaning, p.sources));
   }
 }
-void Differ(benchmark::State& state) {
+void differ_benchmark(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
   diagnostics::Findings f;
   const auto p = config_language::load("main.alder", m, f);
   const auto meaning = config_language::check(p, f);
   for (auto _ : state) benchmark::DoNotOptimize(config_language::differ(meaning, meaning));
 }
-void Match(benchmark::State& state) {
+void match_benchmark(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
   diagnostics::Findings f;
   const auto p = config_language::load("main.alder", m, f);
@@ -101,7 +101,7 @@
     benchmark::DoNotOptimize(found);
   }
 }
-void ThreeLimits(benchmark::State& state) {
+void three_limits_benchmark(benchmark::State& state) {
   limits::Limits l;
   const std::vector<limits::Limits::Ask> asked = {
       {"route r", {100, 1e6, 1000}}, {"pool p", {100, 1e6, 1000}}, {"policy q", {100, 1e6, 1000}}};
@@ -112,12 +112,32 @@
   }
 }
 
-BENCHMARK(LoadAndCheck)->Arg(100)->Arg(10'000)->Arg(100'000)->Unit(benchmark::kMillisecond);
-BENCHMARK(Format)->Arg(100)->Arg(10'000)->Arg(100'000)->Unit(benchmark::kMillisecond);
-BENCHMARK(Compile)->Arg(100)->Arg(10'000)->Arg(100'000)->Unit(benchmark::kMillisecond);
-BENCHMARK(Differ)->Arg(100)->Arg(10'000)->Arg(100'000)->Unit(benchmark::kMillisecond);
-BENCHMARK(Match)->Arg(10)->Arg(1'000)->Arg(100'000);
-BENCHMARK(ThreeLimits);
+BENCHMARK(load_and_check_benchmark)
+    ->Name("LoadAndCheck")
+    ->Arg(100)
+    ->Arg(10'000)
+    ->Arg(100'000)
+    ->Unit(benchmark::kMillisecond);
+BENCHMARK(format_benchmark)
+    ->Name("Format")
+    ->Arg(100)
+    ->Arg(10'000)
+    ->Arg(100'000)
+    ->Unit(benchmark::kMillisecond);
+BENCHMARK(compile_benchmark)
+    ->Name("Compile")
+    ->Arg(100)
+    ->Arg(10'000)
+    ->Arg(100'000)
+    ->Unit(benchmark::kMillisecond);
+BENCHMARK(differ_benchmark)
+    ->Name("Differ")
+    ->Arg(100)
+    ->Arg(10'000)
+    ->Arg(100'000)
+    ->Unit(benchmark::kMillisecond);
+BENCHMARK(match_benchmark)->Name("Match")->Arg(10)->Arg(1'000)->Arg(100'000);
+BENCHMARK(three_limits_benchmark)->Name("ThreeLimits");
 
 }  // namespace
 
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -365,13 +365,13 @@
     if (i % 100 == 0) ::usleep(2000);
   }
   ::usleep(300'000);
-  const std::size_t kRequests = 4'000;
+  const std::size_t requests_per_step = 4'000;
   double used = 0;
   if (http) {
     HttpClient client(rig.http_at, 1);
     std::size_t done = 0;
     double before = 0;
-    while (done < kRequests + 200) {
+    while (done < requests_per_step + 200) {
       rig.play();
       if (client.poll(true) && ++done == 200) before = rig.loop_cpu_us();
     }
@@ -380,7 +380,7 @@
     auto client = loopback::dial(rig.rpc_at);
     std::size_t done = 0;
     double before = 0;
-    for (unsigned id = 1; done < kRequests + 200; ++id) {
+    for (unsigned id = 1; done < requests_per_step + 200; ++id) {
       char text[17];
       std::snprintf(text, sizeof text, "%016x", id * 7919);
       client->write(loopback::request(id, "asset", {{"txn", text}, {"item", text}}));
@@ -390,7 +390,7 @@
     }
     used = rig.loop_cpu_us() - before;
   }
-  return used / static_cast<double>(kRequests);
+  return used / static_cast<double>(requests_per_step);
 }
 
 int idle(const std::string& program) {
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -13,7 +13,8 @@
 namespace alderspur::app {
 namespace {
 
-using namespace alderspur::consensus;
+using namespace alderspur::consensus;  // NOLINT(google-build-using-namespace): all of its messages
+                                       // are handled here
 constexpr const char* kName = "agreement";
 constexpr Time kMeasure = 500'000;
 constexpr std::size_t kLoadedMost = 2 * kMaxStoredContents, kSettledKept = 16, kBodyMost = 4 << 20;
@@ -30,13 +31,15 @@
   Start out;
   std::error_code ignored;
   std::filesystem::create_directories(folder, ignored);
-  if (const auto kept = store::load_file(folder + "/agree.kept", 1 << 20); kept.payload)
+  if (const auto kept = store::load_file(folder + "/agree.kept", 1 << 20); kept.payload) {
     out.state = decode_persisted_state(*kept.payload).value_or(PersistedState{});
+  }
   const auto take = [&](const std::string& digest) {
     if (digest.empty() || out.contents.size() >= kLoadedMost) return;
     if (const auto c = store::load_file(content_path(folder, digest), kMaxContentBytes + 4096);
-        c.payload)
+        c.payload) {
       out.contents[digest] = *c.payload;
+    }
   };
   take(out.state.current.digest);
   if (out.state.accepted) take(out.state.accepted->digest);
@@ -75,7 +78,7 @@
   cluster_.on_members(
       [this](const std::vector<std::string>& names) { handle(PeersChanged{names}); });
   node_.on_versions([this](std::string_view what, std::string_view query,
-                           std::string body) { return told(what, query, std::move(body)); },
+                           std::string body) { return told(what, query, body); },
                     kBodyMost);
   node_.set_cluster_share(unleased_, unleased_);
   measure();
@@ -92,10 +95,12 @@
 void ConsensusService::begin() {
   log_writer_.submit([this, disk = disk_, folder = folder_] {
     wakeup_.post([this, begin = load(folder, *disk)] {
-      if (begin.is_log_corrupt)
+      if (begin.is_log_corrupt) {
         log_.record(kName, log::Level::error, "log_spoilt", {{"folder", folder_}});
-      if (begin.has_no_disk)
+      }
+      if (begin.has_no_disk) {
         log_.record(kName, log::Level::error, "no_disk", {{"folder", folder_}});
+      }
       handle(begin);
     });
   });
@@ -146,8 +151,9 @@
   const bool given = log_writer_.submit([this, disk = disk_, p = std::move(p)] {
     const auto status = disk->apply(p.write);
     wakeup_.post([this, number = p.number, status] {
-      if (!status.is_ok())
+      if (!status.is_ok()) {
         log_.record(kName, log::Level::error, "log_not_written", {{"reason", status.message()}});
+      }
       handle(LogWritten{number, status.is_ok()});
     });
   });
@@ -194,8 +200,9 @@
         const auto file = folder + "/checked.alder";
         std::ofstream(file) << text;
         std::vector<std::string> findings;
-        if (!compile(file, config, findings))
+        if (!compile(file, config, findings)) {
           reason = findings.empty() ? "does not check" : findings[0];
+        }
       } else {
         reason = "this program knows no document '" + name + "'";
       }
@@ -217,8 +224,9 @@
   const bool share = a.total_share > 0;
   node_.set_cluster_share(share ? a.total_share : unleased_, share ? a.location_share : unleased_);
   if (!version) return;
-  if (a.version.number != judged_)
+  if (a.version.number != judged_) {
     judged_ = a.version.number, bad_part_ = 0;  // what ends from here on is its own
+  }
   log_.record(kName, log::Level::info, "acts",
               {{"version", a.version.number},
                {"careful", a.is_conservative ? 1 : 0},
@@ -238,8 +246,9 @@
     if (const auto it = acting.content->find("servers");
         it != acting.content->end() && !files.servers.empty()) {
       std::vector<std::string> texts{it->second};
-      for (const auto& h : acting.newer_contents)
+      for (const auto& h : acting.newer_contents) {
         if (const auto x = h->find("servers"); x != h->end()) texts.push_back(x->second);
+      }
       const auto merged = merge_list_texts(texts, generation);
       if (!merged.is_ok()) {
         error = merged.error();
@@ -248,14 +257,16 @@
       }
     }
     if (const auto it = acting.content->find("routes");
-        it != acting.content->end() && !files.routes.empty())
+        it != acting.content->end() && !files.routes.empty()) {
       if (const auto failure = store::replace_text_file(files.routes, it->second)) {
         error = to_string(*failure);
       }
+    }
     wakeup_.post([this, error] {
       writing_ = false;
-      if (!error.empty())
+      if (!error.empty()) {
         log_.record(kName, log::Level::error, "not_acted_on", {{"reason", error}});
+      }
       if (files_.look) files_.look();
       if (std::exchange(again_, false)) write_files();
     });
@@ -283,14 +294,16 @@
 // ---- Operators
 
 admin::HttpReply ConsensusService::told(std::string_view what, std::string_view query,
-                                        std::string body) {
+                                        const std::string& body) {
   if (body.empty() && what.empty()) return {200, view()};
   if (body.empty() && what.starts_with("/proposals/")) {
     const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
-    for (const auto& s : settled_)
-      if (s.nonce == nonce)
+    for (const auto& s : settled_) {
+      if (s.nonce == nonce) {
         return {200, std::string(s.is_accepted ? "yes" : "no") + " " +
                          std::to_string(s.version_number) + " " + s.reason + "\n"};
+      }
+    }
     return {202, "under way\n"};
   }
   if (body.empty() && what.starts_with("/content/")) {
@@ -308,15 +321,18 @@
   OperatorProposal p;
   p.nonce = random_() >> 1 | 1;
   if (const auto nonce =
-          http::parameter(query, "nonce"))  // asked again by whoever did not hear the answer
+          http::parameter(query, "nonce")) {  // asked again by whoever did not hear the answer
     p.nonce = std::max(1ULL, std::strtoull(std::string(*nonce).c_str(), nullptr, 10));
+  }
   if (const auto author = http::parameter(query, "author")) p.author = *author;
-  if (const auto base = http::parameter(query, "base"); base && !base->empty())
+  if (const auto base = http::parameter(query, "base"); base && !base->empty()) {
     p.base_number = std::strtoull(std::string(*base).c_str(), nullptr, 10);
+  }
   if (const auto first = http::parameter(query, "first")) {
     std::istringstream names{std::string(*first)};
-    for (std::string n; std::getline(names, n, ',') && p.canary.routers.size() <= kMaxVoters;)
+    for (std::string n; std::getline(names, n, ',') && p.canary.routers.size() <= kMaxVoters;) {
       p.canary.routers.push_back(n);
+    }
     const auto real = [&](const char* key, double otherwise) {
       const auto text = http::parameter(query, key);
       return text ? std::strtod(std::string(*text).c_str(), nullptr) : otherwise;
@@ -330,8 +346,9 @@
     std::istringstream words(body);
     std::string go;
     CanaryDecision v;
-    if (!(words >> go >> v.version_number) || (go != "go" && go != "back"))
+    if (!(words >> go >> v.version_number) || (go != "go" && go != "back")) {
       return {400, "say go or back, and the number of the version on trial\n"};
+    }
     v.promote = go == "go";
     p.canary_decision = v;
   } else if (what == "/voters") {
--- a/src/app/consensus_service.h
+++ b/src/app/consensus_service.h
@@ -51,7 +51,7 @@
   void act(const consensus::ActiveVersion& acting);
   void write_files();
   void measure();
-  admin::HttpReply told(std::string_view what, std::string_view query, std::string body);
+  admin::HttpReply told(std::string_view what, std::string_view query, const std::string& body);
   std::string view() const;
   admin::HttpReply propose(std::string_view what, std::string_view query, const std::string& body);
 
--- a/src/app/versions_view.cpp
+++ b/src/app/versions_view.cpp
@@ -12,7 +12,8 @@
 namespace alderspur::app {
 namespace {
 
-using namespace alderspur::consensus;
+using namespace alderspur::consensus;  // NOLINT(google-build-using-namespace): all of its messages
+                                       // are handled here
 
 void version(Writer& w, const char* key, const Version& v, const char* state) {
   if (key) w.Key(key);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -23,14 +23,14 @@
 }
 // Looks that never fail: absent or oddly typed fields give the default.
 const Json& at(const Json& j, const char* key) {
-  static const Json kNothing;
-  if (!j.IsObject()) return kNothing;
+  static const Json nothing;
+  if (!j.IsObject()) return nothing;
   const auto it = j.FindMember(key);
-  return it == j.MemberEnd() ? kNothing : it->value;
+  return it == j.MemberEnd() ? nothing : it->value;
 }
 const Json& item(const Json& j, std::size_t i) {
-  static const Json kNothing;
-  return j.IsArray() && i < j.Size() ? j[static_cast<rapidjson::SizeType>(i)] : kNothing;
+  static const Json nothing;
+  return j.IsArray() && i < j.Size() ? j[static_cast<rapidjson::SizeType>(i)] : nothing;
 }
 double real(const Json& j, double absent = 0) { return j.IsNumber() ? j.GetDouble() : absent; }
 std::int64_t micros(const Json& j, std::int64_t absent = 0) {
--- a/src/config_language/schema.cpp
+++ b/src/config_language/schema.cpp
@@ -48,7 +48,7 @@
 }  // namespace
 
 const std::vector<DeclarationKind>& declaration_kinds() {
-  static const std::vector<DeclarationKind> kKinds = {
+  static const std::vector<DeclarationKind> kinds = {
       {"class",
        {word_of("repeat", {"safe", "keyed", "unsafe"}, true), count("worth", 0, 1000),
         duration("target", kMs, 60 * kSecond), duration("deadline", kMs, 600 * kSecond, true),
@@ -79,7 +79,7 @@
                     reference("class", "class", true), reference("pool", "pool"),
                     reference("policy", "policy")})},
   };
-  return kKinds;
+  return kinds;
 }
 
 const DeclarationKind* declaration_kind(std::string_view name) {
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -13,7 +13,9 @@
 
 namespace {
 
-using namespace alderspur;
+namespace config = alderspur::config;
+namespace net = alderspur::net;
+namespace platform = alderspur::platform;
 
 std::string variable(const char* name) {
   const char* value = std::getenv(name);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -17,8 +17,9 @@
     "sig=", "secret=", "token=", "password=", "bearer ", "key=", "cookie:", "authorization:"};
 
 core::Time wall() {
-  using namespace std::chrono;
-  return duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
+  using std::chrono::microseconds;
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<microseconds>(now).count();
 }
 std::string time_text(core::Time at) {
   const auto seconds = static_cast<std::time_t>(at / 1'000'000);
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -191,8 +191,8 @@
     upstream.unanswered_health_checks = 0;
     // A connection from before the silence proves that the process has not restarted.
     if (result.connection_age > context_.now - upstream.silent_since) upstream.was_silent = false;
-    if (result.is_healthy && upstream.is_parent() && upstream.on_probation)
-      record_success(upstream);
+    const bool was_tested = upstream.is_parent() && upstream.on_probation;
+    if (result.is_healthy && was_tested) record_success(upstream);
   }
   bool judge_silence(Upstream& upstream) {
     const bool is_news = !upstream.on_probation;
--- a/src/policy/send_rules.h
+++ b/src/policy/send_rules.h
@@ -1,5 +1,5 @@
-// The rules that bind every send, whatever asked for it: when a request may run again, move or be
-// rejected, and how old a copy may be after a purge.
+// The rules of every send: when a request may run again, move or be rejected, and the age of
+// copies.
 #pragma once
 
 #include <algorithm>
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,5 +1,4 @@
-// Slow start: how much a server that has just started may be sent. All routers together must not
-// overload it, so each keeps to its part of the least capacity that the settings promise.
+// Slow start: how much of what all routers together may send to a new server this one may send.
 #pragma once
 
 #include <algorithm>
--- a/src/replication/digest.h
+++ b/src/replication/digest.h
@@ -11,8 +11,9 @@
 /// Hash of a dot, or of an author with the highest sequence number seen.
 inline std::uint64_t hash_dot(const Author& author, std::uint64_t sequence) {
   std::uint64_t hash = 0x9e3779b97f4a7c15ULL;
-  for (const char character : author.name)
+  for (const char character : author.name) {
     hash = estimators::mix_bits(hash ^ static_cast<unsigned char>(character));
+  }
   return estimators::mix_bits(estimators::mix_bits(hash ^ author.epoch) + sequence);
 }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -174,8 +174,9 @@
     const bool ask_again = !on_probation && parts_.fills.suspect_source(state, attempt, outcome);
     attempt.never_ran = policy::never_ran(outcome.result);
     record_outcome(state, attempt, outcome, upstream, ask_again);
-    if (outcome.response_delivered || outcome.result == AttemptResult::ok)
+    if (outcome.response_delivered || outcome.result == AttemptResult::ok) {
       return attempts_.finish(state);
+    }
     if (state.is_open && !state.attempt_in_flight()) {
       attempts_.follow_up(state, attempt, outcome, upstream, ask_again);
     }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -42,9 +42,10 @@
   const std::vector<std::string_view> known = {"router", "membership", "signed",
                                                "xds",    "routes",     "cluster"};
   for (const auto& [name, level] : by_subsystem.texts()) {
-    if (std::find(levels.begin(), levels.end(), level) == levels.end())
+    if (std::find(levels.begin(), levels.end(), level) == levels.end()) {
       findings.error("F003", by_subsystem.place(name),
                      name + ": '" + std::string(level).append("' is no level"));
+    }
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       const auto near = diagnostics::nearest(name, known);
       findings.error("F004", by_subsystem.place(name), "no subsystem is called " + name,
@@ -163,8 +164,9 @@
     // All times of the rules keep their proportions.
     const double by = static_cast<double>(*v) / static_cast<double>(m.probe_interval);
     for (auto* x : {&m.probe_timeout, &m.gossip_interval, &m.reconnect_interval,
-                    &m.refresh_interval, &m.min_suspicion_timeout, &m.max_suspicion_timeout})
+                    &m.refresh_interval, &m.min_suspicion_timeout, &m.max_suspicion_timeout}) {
       *x = static_cast<core::Time>(static_cast<double>(*x) * by);
+    }
     m.probe_interval = *v;
   }
   if (const auto v = t.duration("forget", 10 * kSecond, 24 * kHour)) m.forget_after = *v;
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -142,40 +142,51 @@
   return Found{route->cls, rest.substr(0, slash), rest.substr(slash + 1), route->limit, nullptr};
 }
 
-void HttpFront::ask(Client& client, const http::Request& request) {
+// Checked once, when the request comes: whatever expires later, it runs to its one answer. `token`
+// holds a decoded token, to which `claims` may refer.
+Check HttpFront::check_access(const http::Request& request, std::string& token, Claims& claims) {
   const auto path = request.target.substr(0, request.target.find('?'));
   const auto query = request.target.substr(std::min(request.target.size(), path.size() + 1));
-  core::RequestView d;
-  auto found = find(request, path, query);
-  if (!found || found->object.size() != 16 || !core::parse_number(found->object, d.object, 16) ||
-      !core::parse_number(found->part, d.part)) {
-    return respond(client, 404);
-  }
-  d.object_text = found->object;
-  d.class_id = found->cls;
-
-  // Checked once, here: whatever expires later, the request runs to its one answer.
-  std::string token;
   std::string_view text;
-  if (const auto pfx = query.starts_with("pfx=") ? 0 : query.find("&pfx=");
-      pfx != std::string_view::npos) {
-    text = query.substr(pfx ? pfx + 1 : 0);
+  const auto prefix = query.starts_with("pfx=") ? 0 : query.find("&pfx=");
+  if (prefix != std::string_view::npos) {
+    text = query.substr(prefix ? prefix + 1 : 0);
   } else if (query.find("&sig=") != std::string_view::npos) {
     text = request.target;
   }
   Check check = Check::missing;
-  Claims claims;
   if (text.empty()) {
     auto given = request.authorization;
-    const bool bearer =
+    const bool is_bearer =
         given.size() > 7 && (given[0] | 32) == 'b' && given.substr(1, 6) == "earer ";
-    given = bearer ? given.substr(7) : http::cookie_value(request.cookie, settings_.cookie);
+    given = is_bearer ? given.substr(7) : http::cookie_value(request.cookie, settings_.cookie);
     if (!given.empty()) {
       check = Check::malformed;
-      if (auto decoded = from_base64url(given)) token = std::move(*decoded), text = token;
+      if (auto decoded = from_base64url(given)) {
+        token = std::move(*decoded);
+        text = token;
+      }
     }
   }
   if (!text.empty()) check = checker_.check(path, text, clock_() / 1'000'000, claims);
+  return check;
+}
+
+void HttpFront::ask(Client& client, const http::Request& request) {
+  const auto path = request.target.substr(0, request.target.find('?'));
+  const auto query = request.target.substr(std::min(request.target.size(), path.size() + 1));
+  core::RequestView d;
+  auto found = find(request, path, query);
+  if (!found || found->object.size() != 16 || !core::parse_number(found->object, d.object, 16) ||
+      !core::parse_number(found->part, d.part)) {
+    return respond(client, 404);
+  }
+  d.object_text = found->object;
+  d.class_id = found->cls;
+
+  std::string token;  // what `claims` may refer to
+  Claims claims;
+  const Check check = check_access(request, token, claims);
   // A whole link in a header would open its own path only; tokens there name a prefix.
   if (check != Check::good) {
     ++engine_.counters().invalid_tokens;
@@ -256,8 +267,9 @@
 void HttpFront::settle(Client& c) {
   if (c.dead) return;
   c.connection->end_turn();
-  while (!c.dead && !c.ticket && !c.ending && c.connection->reoffer_unread())
+  while (!c.dead && !c.ticket && !c.ending && c.connection->reoffer_unread()) {
     c.connection->end_turn();
+  }
   if (!c.dead && c.ending && c.connection->unwritten() == 0) drop(c, true);
 }
 
--- a/src/signed_url/http_front.h
+++ b/src/signed_url/http_front.h
@@ -37,6 +37,7 @@
   struct Client;
   void accept(net::Fd fd);
   std::ptrdiff_t take(Client& client, std::string_view bytes);
+  Check check_access(const http::Request& request, std::string& token, Claims& claims);
   void ask(Client& client, const http::Request& request);
   std::optional<Found> find(const http::Request& request, std::string_view path,
                             std::string_view query);
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -271,7 +271,7 @@
     return;
   }
   try {
-    tree_->root = ::toml::parse(text, std::string_view(origin_.file));
+    tree_->root = ::toml::parse(text, std::string_view{origin_.file});
     read_ = true;
   } catch (const ::toml::parse_error& e) {
     findings_.error(std::string(code), place_of(e.source(), origin_), std::string(e.description()),
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -232,12 +232,12 @@
     std::string text = text_of(all[below(all.size())]);
     for (std::size_t i = 0, edits = below(4); i < edits && !text.empty(); ++i) {
       const auto at = below(text.size());
-      static const std::string kBits[] = {"\n", "\n\n", " # c\n", "{", "}",   "[",  "]",
-                                          ",",  ";",    "\"",     "=", "20%", "$x", "# d\n"};
+      static const std::string bits[] = {"\n", "\n\n", " # c\n", "{", "}",   "[",  "]",
+                                         ",",  ";",    "\"",     "=", "20%", "$x", "# d\n"};
       if (random() % 3 == 0) {
         text.erase(at, 1 + below(20));
       } else {
-        text.insert(at, kBits[below(std::size(kBits))]);
+        text.insert(at, bits[below(std::size(bits))]);
       }
     }
     diagnostics::Findings f;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -882,7 +882,7 @@
   // go.
   for (int i = 0; i < 40; ++i) {
     bed.advance(20 * kMs);
-    bed.serve(static_cast<std::uint64_t>(100 + i));
+    bed.serve(100 + static_cast<std::uint64_t>(i));
   }
   for (int i = 0; i < 20 && bed.sends[bed.ask(1)][0].server == home; ++i) {
     bed.advance(20 * kMs);
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -424,7 +424,7 @@
 TEST_F(Watched, AFileThatMayNoLongerBeReadLeavesItsListInForce) {
   if (::geteuid() != 0) GTEST_SKIP() << "needs the right to become somebody else";
   rename_in(list(1, {{"a", &box[0]}}));
-  fs::permissions(folder, fs::perms(0755));
+  fs::permissions(folder, fs::perms{0755});
   ::syscall(SYS_setresuid, -1, 65534, -1);
   start();
   ::syscall(SYS_setresuid, -1, 0, -1);
