--- a/src/policy/send_rules.h
+++ b/src/policy/send_rules.h
@@ -1,5 +1,4 @@
-// The rules of every send: when a request may run again, move or be rejected, and the age of
-// copies.
+// The rules of every send: when a request may run again, move or be rejected; the age of copies.
 #pragma once
 
 #include <algorithm>
