--- a/tests/embed/embed.cpp
+++ b/tests/embed/embed.cpp
@@ -8,7 +8,7 @@
 int main() {
   al::Settings settings;
   al::ClassSettings pages;
-  pages.target = 250'000;
+  pages.latency_objective = 250'000;
   settings.classes = {pages};
   settings.max_attempts = 3;
   settings.has_fills = settings.can_join_fills = true;
@@ -16,9 +16,9 @@
 
   al::Time now = 1'000'000;
   std::vector<al::Action> actions;
-  const al::Server cache{{1}, al::Role::cache, {0}, {0}, al::Status::ready, 1, 0};
-  const al::Server origin{{9}, al::Role::origin, {0}, {0}, al::Status::ready, 1, 0};
-  router.handle(now, al::FleetUpdate{true, false, {cache, origin}}, actions);
+  const al::Server cache{{1}, al::Role::cache, {0}, {0}, al::ServerStatus::ready, 1, 0};
+  const al::Server origin{{9}, al::Role::origin, {0}, {0}, al::ServerStatus::ready, 1, 0};
+  router.handle(now, al::EndpointUpdate{true, false, {cache, origin}}, actions);
   router.handle(now, al::Request{{7}, {1234}, {0}, {0}, 0, 80, 2'500'000, false}, actions);
 
   int sent = 0;
@@ -32,11 +32,11 @@
       std::printf("wake at %lld us\n", static_cast<long long>(timer->at));
     }
   }
-  al::Outcome outcome;
+  al::AttemptOutcome outcome;
   outcome.id = {7};
   outcome.server = {1};
-  outcome.note = al::Note::hit;
-  outcome.finished = true;
+  outcome.fill_outcome = al::FillOutcome::hit;
+  outcome.response_delivered = true;
   outcome.elapsed = 12'000;
   router.handle(now + 12'000, outcome, actions);
   return sent == 1 ? 0 : 1;
