--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -78,7 +78,7 @@
   cluster_.on_members(
       [this](const std::vector<std::string>& names) { handle(PeersChanged{names}); });
   node_.on_versions([this](std::string_view what, std::string_view query,
-                           std::string body) { return told(what, query, body); },
+                           const std::string& body) { return told(what, query, body); },
                     kBodyMost);
   node_.set_cluster_share(unleased_, unleased_);
   measure();
