--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -178,6 +178,42 @@
   return started;
 }
 
+al::LoadReport read_load_report(Reader& reader, const config::Names& names) {
+  const std::vector<float> gauges = reader.gauges();
+  al::LoadReport report;
+  for (std::size_t i = 0; i < gauges.size() && i < names.report_fields.size(); ++i) {
+    if (!std::isfinite(gauges[i])) continue;
+    const std::string& field = names.report_fields[i];
+    if (field == "outstanding") report.in_flight = gauges[i];
+    if (field == "utilization") report.utilization = gauges[i];
+    if (field == "x1") report.link_or_fill_utilization = gauges[i];
+  }
+  return report;
+}
+
+al::AttemptOutcome read_outcome(Reader& reader, const config::Names& names) {
+  al::AttemptOutcome outcome;
+  outcome.id = {reader.u64()};
+  outcome.fill_outcome = read_fill_outcome(reader);
+  outcome.result = read_result(reader);
+  outcome.server = reader.server_id();
+  outcome.response_delivered = reader.u8() != 0;
+  outcome.time_to_first_byte = reader.u32();
+  outcome.attempt = {reader.u8()};
+  outcome.elapsed = reader.u32();
+  outcome.report = read_load_report(reader, names);
+  return outcome;
+}
+
+al::HealthCheckResult read_health_check(Reader& reader, const config::Names& names) {
+  al::HealthCheckResult result;
+  result.server = reader.server_id();
+  result.is_healthy = reader.u16() == 0;
+  result.elapsed = reader.u32();
+  result.report = read_load_report(reader, names);
+  return result;
+}
+
 al::Purge read_purge(Reader& reader) {
   al::Purge purge;
   const std::uint64_t object = reader.u64();
@@ -239,39 +275,6 @@
 struct Host::Instance {
   al::Router router;
   config::Names names;
-
-  al::LoadReport load_report(const std::vector<float>& gauges) const {
-    al::LoadReport report;
-    for (std::size_t i = 0; i < gauges.size() && i < names.report_fields.size(); ++i) {
-      if (!std::isfinite(gauges[i])) continue;
-      const std::string& field = names.report_fields[i];
-      if (field == "outstanding") report.in_flight = gauges[i];
-      if (field == "utilization") report.utilization = gauges[i];
-      if (field == "x1") report.link_or_fill_utilization = gauges[i];
-    }
-    return report;
-  }
-  al::AttemptOutcome read_outcome(Reader& reader) const {
-    al::AttemptOutcome outcome;
-    outcome.id = {reader.u64()};
-    outcome.fill_outcome = read_fill_outcome(reader);
-    outcome.result = read_result(reader);
-    outcome.server = reader.server_id();
-    outcome.response_delivered = reader.u8() != 0;
-    outcome.time_to_first_byte = reader.u32();
-    outcome.attempt = {reader.u8()};
-    outcome.elapsed = reader.u32();
-    outcome.report = load_report(reader.gauges());
-    return outcome;
-  }
-  al::HealthCheckResult read_health_check(Reader& reader) const {
-    al::HealthCheckResult result;
-    result.server = reader.server_id();
-    result.is_healthy = reader.u16() == 0;
-    result.elapsed = reader.u32();
-    result.report = load_report(reader.gauges());
-    return result;
-  }
 };
 
 Host::Host() = default;
@@ -337,29 +340,29 @@
     const auto found = host_.instances_.find(id);
     const bool is_known = found != host_.instances_.end();
     // What concerns an unknown instance is read all the same, to find the next record.
-    static const Instance unknown{al::Router({}, 0), {}};
-    const al::Event event = read_event(code, is_known ? found->second : unknown);
+    static const config::Names no_names;
+    const al::Event event = read_event(code, is_known ? found->second.names : no_names);
     if (!is_known) return;
     actions_.clear();
     found->second.router.handle(static_cast<al::Time>(header_.clock), event, actions_);
     for (const auto& action : actions_) write_action(replies_[id], id, action);
   }
-  al::Event read_event(RecordCode code, const Instance& instance) {
+  al::Event read_event(RecordCode code, const config::Names& names) {
     switch (code) {
       case RecordCode::members:
-        return read_endpoint_update(instance.names);
+        return read_endpoint_update(names);
       case RecordCode::request:
         return read_request(reader_);
       case RecordCode::first_byte:
         return read_response_started(reader_);
       case RecordCode::outcome:
-        return instance.read_outcome(reader_);
+        return read_outcome(reader_, names);
       case RecordCode::client_left:
         return al::ClientGone{{reader_.u64()}};
       case RecordCode::timer:
         return al::TimerExpired{{reader_.u32()}};
       case RecordCode::probed:
-        return instance.read_health_check(reader_);
+        return read_health_check(reader_, names);
       case RecordCode::purge:
         return read_purge(reader_);
       default:
