--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -102,15 +102,15 @@
   }
   /// At the object's caches, those asked before last; with none of them, past the caches.
   bool send_attempt(RequestState& state, const Upstream* preferred) {
-    const ObjectId object = state.request.object;
-    auto candidates = parts_.selection.candidates(object);
+    ObjectState& object = parts_.selection.object(state.request.object);
+    auto candidates = parts_.selection.candidates(object, state.request.object);
     std::ranges::stable_sort(candidates, {}, [&](const Upstream* cache) {
       if (cache == preferred) return 0;
       return state.was_sent_to(cache->server.id) ? 2 : 1;
     });
     for (Upstream* cache : candidates) {
       if (!parts_.slow_start.has_quota(*cache)) continue;
-      const auto fill = parts_.fills.plan(state, parts_.selection.object(object), *cache);
+      const auto fill = parts_.fills.plan(state, object, *cache);
       if (!send(state, *cache, fill)) continue;
       parts_.selection.record_sent(object, *cache);
       return true;
--- a/src/policy/cache_selection.h
+++ b/src/policy/cache_selection.h
@@ -18,8 +18,7 @@
   bool has_objects() const { return !objects_.empty(); }
 
   /// The caches for the next attempt, best first.
-  std::vector<Upstream*> candidates(ObjectId id) {
-    ObjectState& object = objects_[id];
+  std::vector<Upstream*> candidates(ObjectState& object, ObjectId id) const {
     const auto is_unusable = [&](const Upstream* cache) { return !health_.is_usable(*cache); };
     auto order = rendezvous_order(context_.upstreams.caches(), id, context_.workload);
     // Caches of a lost location, asked as a last resort, would hold a request past all other ways.
@@ -36,8 +35,8 @@
     move_crowded_back(order);
     return order;
   }
-  void record_sent(ObjectId id, const Upstream& cache) {
-    objects_[id].replica(cache.server.id, context_.now).sent.add(context_.now, 1);
+  void record_sent(ObjectState& object, const Upstream& cache) const {
+    object.replica(cache.server.id, context_.now).sent.add(context_.now, 1);
   }
   /// Counts a response; widens the object's set where its share of the cache's load is too large.
   void record_served(const Request& request, Upstream& upstream) {
