--- a/src/estimators/hash.h
+++ b/src/estimators/hash.h
@@ -6,13 +6,16 @@
 
 namespace alderspur::estimators {
 
-/// Mixes all bits of a 64-bit value (SplitMix64's finalizer, Steele et al. 2014).
-constexpr std::uint64_t mix_bits(std::uint64_t value) {
-  value += 0x9e3779b97f4a7c15ULL;
+/// SplitMix64 (Steele et al. 2014): its increment, and the function that mixes all bits of a value.
+constexpr std::uint64_t kSplitMixIncrement = 0x9e3779b97f4a7c15ULL;
+constexpr std::uint64_t finalize_bits(std::uint64_t value) {
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
   value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
   return value ^ (value >> 31);
 }
+constexpr std::uint64_t mix_bits(std::uint64_t value) {
+  return finalize_bits(value + kSplitMixIncrement);
+}
 
 /// Maps a hash to the open interval (0, 1), so that its logarithm is finite.
 constexpr double unit_interval(std::uint64_t hash) {
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "core/parsing.h"
+#include "estimators/hash.h"
 
 namespace alderspur::routing {
 namespace {
@@ -16,11 +17,6 @@
   }
   return out;
 }
-std::uint64_t mix(std::uint64_t x) {
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
-}
 std::vector<std::string> texts(const config_language::Settings& s, const std::string& key) {
   const auto it = s.find(key);
   return it == s.end() ? std::vector<std::string>{} : it->second.texts;
@@ -318,7 +314,7 @@
   if (r.splits.empty()) return {};
   // Mixed with the route's name: splits of two routes must not take the same users.
   const std::uint64_t seed = core::stable_hash(r.name);
-  const double at = static_cast<double>(mix(hash ^ seed) >> 11) * 0x1.0p-53;
+  const double at = static_cast<double>(estimators::finalize_bits(hash ^ seed) >> 11) * 0x1.0p-53;
   double sum = 0;
   for (std::size_t i = 0; i < r.splits.size(); ++i) {
     if (at < (sum += r.splits[i].first)) return i;
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -4,6 +4,7 @@
 #include <cstdio>
 
 #include "core/parsing.h"
+#include "estimators/hash.h"
 #include "http/message.h"
 #include "net/lingering.h"
 
@@ -16,11 +17,6 @@
 constexpr std::size_t kInputMost =
     64 << 10;  // pipelined requests that wait their turn; more end the client
 
-std::uint64_t mix(std::uint64_t x) {
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
-}
 // Why a token was turned away is told to the client in one word and never with any part of the
 // token.
 int status_of(Check check) {
@@ -208,7 +204,8 @@
   }
   char id[17];
   std::snprintf(id, sizeof id, "%016llx",
-                static_cast<unsigned long long>(mix(random_ += 0x9e3779b97f4a7c15ULL)));
+                static_cast<unsigned long long>(
+                    estimators::finalize_bits(random_ += estimators::kSplitMixIncrement)));
   d.id = std::string_view(id, 16);
   d.client_copy_tag = http::bare_tag(request.if_none_match);
   d.time_limit = found->limit;
