--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -6,7 +6,10 @@
 
 namespace alderspur::app {
 
-constexpr int kYes = 0, kFinding = 1, kUsage = 2;
+/// Exit codes of the subcommands.
+constexpr int kYes = 0;
+constexpr int kFinding = 1;
+constexpr int kUsage = 2;
 
 // The router with everything that the settings file switches on, until SIGTERM.
 int run(const std::string& settings_file);
--- a/src/app/consensus_service.cpp
+++ b/src/app/consensus_service.cpp
@@ -17,9 +17,12 @@
                                        // are handled here
 constexpr const char* kName = "agreement";
 constexpr Time kMeasure = 500'000;
-constexpr std::size_t kLoadedMost = 2 * kMaxStoredContents, kSettledKept = 16, kBodyMost = 4 << 20;
-constexpr double kReserve = 1 - kLeasedFraction;  // for all routers without a lease together
-constexpr std::uint32_t kRoutersLeast = 8;
+constexpr std::size_t kMaxLoadedContents = 2 * kMaxStoredContents;
+constexpr std::size_t kMaxFinishedProposals = 16;
+constexpr std::size_t kMaxRequestBodyBytes = 4 << 20;
+constexpr double kUnleasedFraction =
+    1 - kLeasedFraction;  // for all routers without a lease together
+constexpr std::uint32_t kMinRouters = 8;
 constexpr std::chrono::milliseconds kSettle(200);
 
 std::string content_path(const std::string& folder, const std::string& digest) {
@@ -35,7 +38,7 @@
     out.state = decode_persisted_state(*kept.payload).value_or(PersistedState{});
   }
   const auto take = [&](const std::string& digest) {
-    if (digest.empty() || out.contents.size() >= kLoadedMost) return;
+    if (digest.empty() || out.contents.size() >= kMaxLoadedContents) return;
     if (const auto c = store::load_file(content_path(folder, digest), kMaxContentBytes + 4096);
         c.payload) {
       out.contents[digest] = *c.payload;
@@ -62,7 +65,7 @@
       cluster_(cluster),
       files_(std::move(files)),
       log_(log),
-      unleased_(kReserve / 2 / std::max(kRoutersLeast, node.config().settings.router_count)),
+      unleased_(kUnleasedFraction / 2 / std::max(kMinRouters, node.config().settings.router_count)),
       folder_(s.state),
       disk_(std::make_shared<LogStore>(s.state)),
       random_(std::random_device{}()),
@@ -79,7 +82,7 @@
       [this](const std::vector<std::string>& names) { handle(PeersChanged{names}); });
   node_.on_versions([this](std::string_view what, std::string_view query,
                            const std::string& body) { return told(what, query, body); },
-                    kBodyMost);
+                    kMaxRequestBodyBytes);
   node_.set_cluster_share(unleased_, unleased_);
   measure();
   begin();
@@ -140,7 +143,7 @@
     });
   } else if (auto* y = std::get_if<consensus::ProposalFinished>(&action)) {
     settled_.push_back(y->result);
-    if (settled_.size() > kSettledKept) settled_.pop_front();
+    if (settled_.size() > kMaxFinishedProposals) settled_.pop_front();
   } else if (auto* r = std::get_if<consensus::LogEvent>(&action)) {
     log_.record(kName, log::Level::info, r->event, {{"text", r->text}});
   }
--- a/src/config_language/files.cpp
+++ b/src/config_language/files.cpp
@@ -18,7 +18,7 @@
     return error = "it is no regular file", std::nullopt;
   }
   std::ifstream in(path, std::ios::binary);
-  std::string text(kTextMost + 1, '\0');  // one byte over the bound shows that it is too large
+  std::string text(kMaxTextBytes + 1, '\0');  // one byte over the bound shows that it is too large
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (in.bad() || !in.is_open()) return error = "it may not be read", std::nullopt;
   text.resize(static_cast<std::size_t>(in.gcount()));
--- a/src/config_language/load.cpp
+++ b/src/config_language/load.cpp
@@ -18,7 +18,7 @@
   Reader(Program& program, Loader& loader, diagnostics::Findings& findings)
       : program_(program), loader_(loader), findings_(findings) {
     // Statements point into the trees: those must never move.
-    program_.trees.reserve(kFilesMost);
+    program_.trees.reserve(kMaxFiles);
   }
 
   // False: there is no such file, which the caller tells with its place.
@@ -27,10 +27,10 @@
     auto text = loader_.read(path, error);
     if (!text) return false;
     all_ += text->size();
-    if (program_.trees.size() >= kFilesMost || all_ > kAllMost) {
+    if (program_.trees.size() >= kMaxFiles || all_ > kMaxProgramBytes) {
       if (!std::exchange(full_, true)) {
         findings_.error("A008", {path, 0, 0}, "the program has too many files or bytes",
-                        std::to_string(kFilesMost) + " files and 16 MiB are the bounds");
+                        std::to_string(kMaxFiles) + " files and 16 MiB are the bounds");
       }
       return true;
     }
@@ -90,9 +90,9 @@
                       "remove one of these includes");
       return;
     }
-    if (chain_.size() >= kIncludesMost) {
+    if (chain_.size() >= kMaxIncludeDepth) {
       findings_.error("A007", place, "includes stand too deep in one another",
-                      "at most " + std::to_string(kIncludesMost));
+                      "at most " + std::to_string(kMaxIncludeDepth));
       return;
     }
     std::string error;
--- a/src/config_language/load.h
+++ b/src/config_language/load.h
@@ -2,9 +2,9 @@
 // followed.
 //
 // Files come through a Loader, so that nothing here does I/O. Paths are taken from the including
-// file's own folder and compared in their normal form. Bounds: kFilesMost files, kAllMost bytes,
-// includes kIncludesMost deep. Codes: A010 no such file, A011 an include cycle (told as the chain
-// of files and lines), A008 too large.
+// file's own folder and compared in their normal form. Bounds: kMaxFiles files, kMaxProgramBytes
+// bytes, includes kMaxIncludeDepth deep. Codes: A010 no such file, A011 an include cycle (told as
+// the chain of files and lines), A008 too large.
 #pragma once
 
 #include <optional>
@@ -16,7 +16,9 @@
 
 namespace alderspur::config_language {
 
-constexpr std::size_t kFilesMost = 1000, kAllMost = 16 << 20, kIncludesMost = 32;
+constexpr std::size_t kMaxFiles = 1000;
+constexpr std::size_t kMaxProgramBytes = 16 << 20;
+constexpr std::size_t kMaxIncludeDepth = 32;
 
 class Loader {
  public:
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -309,9 +309,9 @@
 
   bool block(Statement& s, std::size_t depth) {
     const Span open = now().span;
-    if (depth + 1 > kDepthMost) {
+    if (depth + 1 > kMaxNestingDepth) {
       findings_.error("A007", sources_.place(open), "blocks stand too deep in one another",
-                      "at most " + std::to_string(kDepthMost));
+                      "at most " + std::to_string(kMaxNestingDepth));
       return false;
     }
     take();
@@ -352,9 +352,9 @@
 
   bool list(Value& v, std::size_t depth) {
     const Span open = now().span;
-    if (depth + 1 > kDepthMost) {
+    if (depth + 1 > kMaxNestingDepth) {
       findings_.error("A007", sources_.place(open), "lists stand too deep in one another",
-                      "at most " + std::to_string(kDepthMost));
+                      "at most " + std::to_string(kMaxNestingDepth));
       return false;
     }
     take();
@@ -445,7 +445,7 @@
 }
 
 Tree parse(const Sources& sources, std::uint32_t file, diagnostics::Findings& findings) {
-  if (sources.text(file).size() > kTextMost) {
+  if (sources.text(file).size() > kMaxTextBytes) {
     findings.error("A008", {sources.name(file), 0, 0}, "the file is over 1 MiB",
                    "split it and include the parts");
     return {file, {}, {}};
--- a/src/config_language/parser.h
+++ b/src/config_language/parser.h
@@ -1,9 +1,10 @@
 // Reads a text into its syntax tree, by recursive descent with recovery: one run reports all
 // independent faults. A statement with a fault is left out of the tree; those around it stay.
 //
-// Bounds: depth kDepthMost, text kTextMost bytes. Codes: A001 a character that belongs to nothing,
-// A002 a string without end, A003 an unknown escape, A004 no number, A005 an unknown unit, A006
-// something else expected, A007 too deep, A008 too large, A009 no UTF-8 or a control character.
+// Bounds: depth kMaxNestingDepth, text kMaxTextBytes bytes. Codes: A001 a character that belongs to
+// nothing, A002 a string without end, A003 an unknown escape, A004 no number, A005 an unknown unit,
+// A006 something else expected, A007 too deep, A008 too large, A009 no UTF-8 or a control
+// character.
 #pragma once
 
 #include "config_language/syntax.h"
@@ -11,7 +12,8 @@
 
 namespace alderspur::config_language {
 
-constexpr std::size_t kDepthMost = 16, kTextMost = 1 << 20;
+constexpr std::size_t kMaxNestingDepth = 16;
+constexpr std::size_t kMaxTextBytes = 1 << 20;
 
 Tree parse(const Sources& sources, std::uint32_t file, diagnostics::Findings& findings);
 
--- a/src/config_language/schema.cpp
+++ b/src/config_language/schema.cpp
@@ -4,7 +4,9 @@
 namespace {
 
 using Type = Field::Type;
-constexpr double kMs = 1e3, kSecond = 1e6, kHour = 3600e6;
+constexpr double kMillisecond = 1e3;
+constexpr double kSecond = 1e6;
+constexpr double kHour = 3600e6;
 
 Field duration(std::string_view key, double least, double most, bool required = false) {
   return {key, Type::quantity, Measure::duration, least, most, {}, required, false, false, false};
@@ -51,9 +53,10 @@
   static const std::vector<DeclarationKind> kinds = {
       {"class",
        {word_of("repeat", {"safe", "keyed", "unsafe"}, true), count("worth", 0, 1000),
-        duration("target", kMs, 60 * kSecond), duration("deadline", kMs, 600 * kSecond, true),
-        duration("fresh", 0, 720 * kHour), duration("grace", 0, 720 * kHour),
-        duration("dedup-window", kMs, 24 * kHour), flag("uncached")}},
+        duration("target", kMillisecond, 60 * kSecond),
+        duration("deadline", kMillisecond, 600 * kSecond, true), duration("fresh", 0, 720 * kHour),
+        duration("grace", 0, 720 * kHour), duration("dedup-window", kMillisecond, 24 * kHour),
+        flag("uncached")}},
       {"pool",
        with_limits(
            {word_of("role", {"cache", "parent", "origin"}, true), strings("point"), strings("hub"),
@@ -61,16 +64,17 @@
             Field{
                 "weight-least", Type::count, Measure::none, 0, 1e6, {}, false, false, false, false},
             reference("fallback", "pool", false, true)})},
-      {"policy", with_limits({count("attempts", 1, 8), count("parallel", 1, 8),
-                              duration("deadline", kMs, 60 * kSecond),
-                              duration("attempt-deadline", kMs, 60 * kSecond),
-                              percent("retry-budget"), duration("hedge-after", kMs, 30 * kSecond),
-                              percent("hedge-budget"), duration("fresh", 0, 720 * kHour),
-                              duration("grace", 0, 720 * kHour), count("rank", 0, 3), flag("renew"),
-                              flag("join"), word_of("purge", {"strict", "settled"}),
-                              word_of("fill", {"parent", "origin", "point", "none", "other-point"},
-                                      false, true),
-                              duration("retry-after", kMs, 600 * kSecond)})},
+      {"policy",
+       with_limits(
+           {count("attempts", 1, 8), count("parallel", 1, 8),
+            duration("deadline", kMillisecond, 60 * kSecond),
+            duration("attempt-deadline", kMillisecond, 60 * kSecond), percent("retry-budget"),
+            duration("hedge-after", kMillisecond, 30 * kSecond), percent("hedge-budget"),
+            duration("fresh", 0, 720 * kHour), duration("grace", 0, 720 * kHour),
+            count("rank", 0, 3), flag("renew"), flag("join"),
+            word_of("purge", {"strict", "settled"}),
+            word_of("fill", {"parent", "origin", "point", "none", "other-point"}, false, true),
+            duration("retry-after", kMillisecond, 600 * kSecond)})},
       {"route",
        with_limits({strings("host"),
                     Field{"path", Type::string, Measure::none, 0, 0, {}, true, false, false, false},
--- a/src/diagnostics/diagnostics.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -9,7 +9,8 @@
 namespace alderspur::diagnostics {
 namespace {
 
-constexpr std::size_t kMost = 100, kTextMost = 400;
+constexpr std::size_t kMaxFindings = 100;
+constexpr std::size_t kMaxTextLength = 400;
 
 std::size_t distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
@@ -28,7 +29,7 @@
 
 void Findings::add(Finding finding) {
   if (finding.severity == Severity::error) ++errors_;
-  if (list_.size() >= kMost) {
+  if (list_.size() >= kMaxFindings) {
     ++left_out_;
     return;
   }
@@ -36,7 +37,8 @@
   for (char& c : finding.text) {
     if (static_cast<unsigned char>(c) < 32 || c == 127) c = '?';
   }
-  if (finding.text.size() > kTextMost) finding.text.resize(kTextMost), finding.text += "...";
+  if (finding.text.size() > kMaxTextLength)
+    finding.text.resize(kMaxTextLength), finding.text += "...";
   list_.push_back(std::move(finding));
 }
 void Findings::error(std::string code, Place place, std::string text, std::string mend) {
--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -15,7 +15,7 @@
 namespace alderspur::file_watch {
 namespace {
 
-constexpr int kLinksMost = 16;
+constexpr int kMaxLinks = 16;
 constexpr std::int64_t kGrain =
     40'000'000;  // nanoseconds; ctime steps by the kernel's tick, 10 ms at most
 
@@ -43,7 +43,7 @@
     next += name;
     char target[PATH_MAX];
     const ssize_t n = ::readlink(next.c_str(), target, sizeof target);
-    if (n > 0 && depth < kLinksMost) {
+    if (n > 0 && depth < kMaxLinks) {
       const std::string to(target, static_cast<std::size_t>(n));
       identity.push_back(mix(0xcbf29ce484222325ULL, to));
       walk(to.starts_with('/') ? to : std::string(at).append("/").append(to), depth + 1, look,
--- a/src/file_watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -38,7 +38,7 @@
 bool Worker::submit(std::function<void()> job) {
   {
     const std::lock_guard lock(mutex_);
-    if (ending_ || jobs_.size() >= kMost) return false;
+    if (ending_ || jobs_.size() >= kMaxWaitingJobs) return false;
     jobs_.push_back(std::move(job));
   }
   changed_.notify_all();
--- a/src/file_watch/worker.h
+++ b/src/file_watch/worker.h
@@ -1,9 +1,9 @@
 // One thread for what may block: reading, parsing, syncing. Jobs run one after another in the order
 // given.
 //
-// submit() may be called from any thread and never waits; it is refused when kMost jobs wait
-// already. The destructor lets the job under way end and drops the others. Jobs must not throw; one
-// that does is counted as failed and the thread goes on.
+// submit() may be called from any thread and never waits; it is refused when kMaxWaitingJobs jobs
+// wait already. The destructor lets the job under way end and drops the others. Jobs must not
+// throw; one that does is counted as failed and the thread goes on.
 #pragma once
 
 #include <chrono>
@@ -18,7 +18,7 @@
 
 class Worker {
  public:
-  static constexpr std::size_t kMost = 64;
+  static constexpr std::size_t kMaxWaitingJobs = 64;
   Worker();
   ~Worker();
   Worker(const Worker&) = delete;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -30,7 +30,7 @@
 }
 int on_value(http_parser* p, const char* at, std::size_t n) {
   auto& s = *static_cast<Parsing*>(p->data);
-  if (s.request->fields.size() < kFieldsMost) {
+  if (s.request->fields.size() < kMaxHeaderFields) {
     s.request->fields.emplace_back(s.name, std::string_view(at, n));
   }
   std::string_view* field = same(s.name, "host")            ? &s.request->host
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -16,7 +16,7 @@
 
 namespace alderspur::http {
 
-constexpr std::size_t kFieldsMost = 64;
+constexpr std::size_t kMaxHeaderFields = 64;
 
 enum class Method { get, head, post, put, other };
 
@@ -29,7 +29,8 @@
   bool keep_alive = false;
   int error = 0;  // a status to answer at once
   std::string_view target, host, authorization, cookie, if_none_match;
-  std::vector<std::pair<std::string_view, std::string_view>> fields;  // all, kFieldsMost at most
+  std::vector<std::pair<std::string_view, std::string_view>>
+      fields;  // all, kMaxHeaderFields at most
   std::string body;
   // The first field of that name, whatever its case.
   std::optional<std::string_view> field(std::string_view name) const;
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -6,15 +6,19 @@
 namespace alderspur::limits {
 namespace {
 
-constexpr double kSecond = 1e6, kLearn = 0.1, kHeldAtFirst = 100'000;
-constexpr Time kLeast = 1'000, kMost = 60'000'000;  // of what a refusal says
+constexpr double kSecond = 1e6;
+constexpr double kHoldingTimeLearningRate = 0.1;
+constexpr double kInitialHoldingTime = 100'000;  // microseconds
+constexpr Time kMinRetryAfter = 1'000;
+constexpr Time kMaxRetryAfter = 60'000'000;
 
 double burst(const Rule& r) {
   return r.burst ? std::max(1.0, static_cast<double>(*r.burst))
                  : std::max(1.0, r.max_rate.value_or(0) / 10);
 }
 Time bounded(double microseconds) {
-  return std::clamp(static_cast<Time>(std::ceil(std::min(microseconds, 1e12))), kLeast, kMost);
+  return std::clamp(static_cast<Time>(std::ceil(std::min(microseconds, 1e12))), kMinRetryAfter,
+                    kMaxRetryAfter);
 }
 
 }  // namespace
@@ -61,7 +65,7 @@
       ++g.counters.refused_full;
       // Little's law the other way round: of `out` held for `held` each, one leaves every held /
       // out; it has to be as many as stand over the limit.
-      const double held = g.held > 0 ? g.held : kHeldAtFirst;
+      const double held = g.held > 0 ? g.held : kInitialHoldingTime;
       const auto over = static_cast<double>(g.out - *a.rule.max_in_flight + 1);
       const Time after =
           bounded(held * over / static_cast<double>(std::max<std::size_t>(1, g.out)));
@@ -91,7 +95,7 @@
     --g.out;
     if (now <= since) continue;
     const auto held = static_cast<double>(now - since);
-    g.held = g.held > 0 ? g.held + kLearn * (held - g.held) : held;
+    g.held = g.held > 0 ? g.held + kHoldingTimeLearningRate * (held - g.held) : held;
   }
 }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,7 +12,7 @@
 namespace alderspur::log {
 namespace {
 
-constexpr std::size_t kValueMost = 1024;
+constexpr std::size_t kMaxValueBytes = 1024;
 constexpr std::string_view kSecret[] = {
     "sig=", "secret=", "token=", "password=", "bearer ", "key=", "cookie:", "authorization:"};
 
@@ -74,8 +74,8 @@
 }
 
 std::string blotted(std::string_view value) {
-  std::string out(value.substr(0, kValueMost)), lower = out;
-  if (value.size() > kValueMost) out += "...";
+  std::string out(value.substr(0, kMaxValueBytes)), lower = out;
+  if (value.size() > kMaxValueBytes) out += "...";
   for (char& c : lower) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
   for (const auto word : kSecret) {
     for (std::size_t at = 0; (at = lower.find(word, at)) != std::string::npos; at += word.size()) {
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -23,9 +23,9 @@
   /// True: reject the request. Beyond capacity all responses come late and none earns its weight.
   bool should_shed(const Request& request) {
     const double weight = context_.class_settings(request).priority_weight;
-    const double cost = context_.workload.transfer_time(request) / std::max(weight, kLeastValue);
+    const double cost = context_.workload.transfer_time(request) / std::max(weight, kMinValue);
     cost_.learn(cost);
-    const double cheap = std::clamp(cost_.value / std::max(cost, kLeastValue), 1.0, kCheapFactor);
+    const double cheap = std::clamp(cost_.value / std::max(cost, kMinValue), 1.0, kCheapFactor);
     const auto& upstreams = context_.upstreams;
     const bool is_over =
         !upstreams.caches().empty() && upstreams.transfer_time_in_flight() > limit_.value * cheap;
@@ -53,7 +53,8 @@
     } else {
       idle_excess_ += -kIdleForgetRate * idle_excess_;
     }
-    const double objective = std::clamp(idle_excess_ + kAboveIdle, kExcessObjective, kMaxObjective);
+    const double objective =
+        std::clamp(idle_excess_ + kAboveIdle, kExcessObjective, kMaxExcessObjective);
     const double step = kLimitStep * std::sqrt(context_.fleet.evidence_scale(Scope::location));
     limit_.adjust(step, objective - excess, least, context_.upstreams.transfer_time_in_flight());
   }
@@ -64,17 +65,17 @@
     const double excess =
         is_stuck ? kMaxExcess : context_.workload.excess_over_objective(request, waited);
     const double step = kLimitStep * std::sqrt(context_.fleet.evidence_scale(Scope::fleet));
-    const double least = kLeastOriginLimit / context_.fleet.router_count(Scope::fleet);
+    const double least = kMinOriginLimitSeconds / context_.fleet.router_count(Scope::fleet);
     origin_work_.limit.adjust(step, kOriginObjective - excess, least,
                               std::max(origin_work_.in_flight, least_limit()));
   }
 
-  void earn_retries() { retries_.add(kRetriesPerRequest, kMostRetriesSaved); }
+  void earn_retries() { retries_.add(kRetriesPerRequest, kMaxSavedRetries); }
   bool try_take_retry() { return retries_.try_take(); }
   /// Grows with the part of requests that was shed lately, and is spread at random.
   Time retry_after() {
     const double factor = 1 + kShedRetryFactor * shed_fraction_ + context_.draw();
-    return static_cast<Time>(static_cast<double>(kLeastRetryAfter) * factor);
+    return static_cast<Time>(static_cast<double>(kMinRetryAfter) * factor);
   }
 
  private:
@@ -84,23 +85,23 @@
   /// Each response moves a limit by this part of its distance from the objective.
   static constexpr double kLimitStep = 0.03;
   /// The limit's floor: seconds for each cache, and part of this router's share of told sizes.
-  static constexpr double kLeastPerCache = 0.5;
-  static constexpr double kLeastPartOfSize = 0.25;
+  static constexpr double kMinSecondsPerCache = 0.5;
+  static constexpr double kMinFractionOfSize = 0.25;
   /// Floor of the origin's limit, in seconds over all routers: there is one origin.
-  static constexpr double kLeastOriginLimit = 4.5;
+  static constexpr double kMinOriginLimitSeconds = 4.5;
   /// Up to this many times its floor the limit is low enough for responses to show the idle excess.
   static constexpr double kIdleLimitFactor = 2;
   static constexpr double kIdleLearningRate = 0.03;
   static constexpr double kIdleForgetRate = 0.002;
   static constexpr double kAboveIdle = 0.15;
-  static constexpr double kMaxObjective = 0.4;
+  static constexpr double kMaxExcessObjective = 0.4;
   /// How far over the limit requests pass that cost little for their weight.
   static constexpr double kCheapFactor = 2;
-  static constexpr double kLeastValue = 1e-9;
+  static constexpr double kMinValue = 1e-9;
   static constexpr double kShedLearningRate = 0.05;
   static constexpr double kRetriesPerRequest = 0.15;
-  static constexpr double kMostRetriesSaved = 6;
-  static constexpr Time kLeastRetryAfter = 400 * kMillisecond;
+  static constexpr double kMaxSavedRetries = 6;
+  static constexpr Time kMinRetryAfter = 400 * kMillisecond;
   static constexpr double kShedRetryFactor = 8;
 
   /// Seconds in flight below which there is no crowding: a part of what the usable caches can send.
@@ -112,9 +113,9 @@
     }
     const double routers = context_.fleet.router_count(Scope::location);
     const bool told = context_.workload.weights_are_sizes();
-    const double by_size = told ? kLeastPartOfSize * weights / routers : 0;
+    const double by_size = told ? kMinFractionOfSize * weights / routers : 0;
     const double scale = context_.fleet.evidence_scale(Scope::location);
-    return std::max(by_size, kLeastPerCache * static_cast<double>(caches.size()) / scale);
+    return std::max(by_size, kMinSecondsPerCache * static_cast<double>(caches.size()) / scale);
   }
 
   RoutingContext& context_;
@@ -125,7 +126,7 @@
   double idle_excess_ = 0;
   double shed_fraction_ = 0;
   MovingAverage cost_;  // seconds of transfer time for a unit of weight
-  TokenBucket retries_{kMostRetriesSaved / 2};
+  TokenBucket retries_{kMaxSavedRetries / 2};
 };
 
 }  // namespace alderspur::policy
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -29,7 +29,7 @@
     const bool is_free = is_free_retry(state, outcome);
     const Upstream* preferred = upstream;
     if (!ask_again) preferred = next_server(state, attempt, outcome, upstream);
-    const bool in_time = state.deadline - context_.now >= kLeastAttemptTime;
+    const bool in_time = state.deadline - context_.now >= kMinAttemptTime;
     if (!in_time || !(is_free || parts_.admission.try_take_retry()) ||
         !send_attempt(state, preferred)) {
       give_up(state);
@@ -67,7 +67,7 @@
 
  private:
   /// With less time than this left no attempt can finish.
-  static constexpr Time kLeastAttemptTime = 30 * kMillisecond;
+  static constexpr Time kMinAttemptTime = 30 * kMillisecond;
 
   /// Another attempt would end alike: behind every parent stands the same origin.
   bool retry_is_useless(const RequestState& state, const AttemptState& attempt,
--- a/src/policy/cache_selection.h
+++ b/src/policy/cache_selection.h
@@ -49,8 +49,8 @@
     ReplicaState& replica = object.replica(upstream.server.id, context_.now);
     replica.served_load.add(context_.now, load);
     replica.served.add(context_.now, 1);
-    if (replica.served.value(context_.now) < kLeastServed) return;
-    const double cache_load = std::max(upstream.served_load.value(context_.now), kLeastLoad);
+    if (replica.served.value(context_.now) < kMinServedRequests) return;
+    const double cache_load = std::max(upstream.served_load.value(context_.now), kMinLoad);
     const double share = replica.served_load.value(context_.now) / cache_load;
     const double threshold = hot_threshold(upstream);
     if (share >= kShrinkPart * threshold) object.last_busy = context_.now;
@@ -72,17 +72,17 @@
   /// Share of a cache's load at which an object is hot, for a cache of average load.
   static constexpr double kBaseThreshold = 0.25;
   /// Fewer requests in a window say nothing.
-  static constexpr double kLeastServed = 6;
+  static constexpr double kMinServedRequests = 6;
   /// Between two widenings of a set, so that the counts can follow.
   static constexpr Time kWideningPause = kSecond;
   /// Below this part of the threshold at all replicas for a window, a set shrinks.
   static constexpr double kShrinkPart = 0.25;
   /// A new replica's first part of a full share; it rises over a window.
   static constexpr double kFirstShare = 0.25;
-  static constexpr double kLeastLoad = 1e-9;
+  static constexpr double kMinLoad = 1e-9;
   static constexpr Time kForgetObjectAfter = 30 * kSecond;
   /// Attempts in flight for each cache and router of the location: fewer say nothing of crowding.
-  static constexpr double kLeastInFlight = 0.4;
+  static constexpr double kMinInFlightFraction = 0.4;
   /// A cache is crowded with so many times the average work in flight, and more than these seconds.
   static constexpr double kCrowdedFactor = 1.5;
   static constexpr double kNeverCrowded = 1;
@@ -116,7 +116,7 @@
       in_flight += cache->attempts_in_flight;
     }
     const double unseen = context_.fleet.evidence_scale(Scope::location) - 1;
-    if (in_flight < kLeastInFlight * unseen * static_cast<double>(order.size())) return;
+    if (in_flight < kMinInFlightFraction * unseen * static_cast<double>(order.size())) return;
     std::stable_partition(order.begin(), order.end(), [&](const Upstream* cache) {
       const double own_weight = context_.workload.weight(cache->server);
       const double crowded = kCrowdedFactor * transfer_time / weight * own_weight;
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -31,11 +31,12 @@
     return upstream.attempts_in_flight == 0 && !waits;
   }
   void eject(Upstream& upstream) {
-    constexpr int kLongestAfter = 5;  // doublings
-    constexpr int kMostCounted = 10;
-    const Time ejection = kFirstEjection << std::min(upstream.consecutive_ejections, kLongestAfter);
-    upstream.begin_ejection(context_.now + std::min(kLongestEjection, ejection));
-    upstream.consecutive_ejections = std::min(upstream.consecutive_ejections + 1, kMostCounted);
+    constexpr int kMaxDoublings = 5;  // doublings
+    constexpr int kMaxCountedEjections = 10;
+    const Time ejection = kFirstEjection << std::min(upstream.consecutive_ejections, kMaxDoublings);
+    upstream.begin_ejection(context_.now + std::min(kMaxEjectionTime, ejection));
+    upstream.consecutive_ejections =
+        std::min(upstream.consecutive_ejections + 1, kMaxCountedEjections);
   }
   /// Sends a health check.
   void check(Upstream& upstream) {
@@ -63,9 +64,9 @@
   bool is_outlier(Upstream& upstream) const {
     const double errors = upstream.errors.value(context_.now);
     const double responses = upstream.responses.value(context_.now);
-    if (errors < kLeastErrors || errors < kLeastErrorRate * responses) return false;
+    if (errors < kMinErrors || errors < kMinErrorRate * responses) return false;
     const auto peers = count_peer_errors(context_, upstream);
-    if (peers.responses < kLeastErrors) return errors > kErrorRateAlone * responses;
+    if (peers.responses < kMinErrors) return errors > kErrorRateAlone * responses;
     return errors * peers.responses > kOverPeers * peers.errors * responses;
   }
   /// What the end of an attempt says of the server that it was sent to.
@@ -114,7 +115,7 @@
     // To one of many routers each cache is silent for long: what is usual tells, not a fixed time.
     const MovingAverage& usual = response_interval_;
     const auto unusual = static_cast<Time>(usual.value + kLateDeviations * usual.deviation);
-    const Time allowed = std::max(kLeastSilence, unusual);
+    const Time allowed = std::max(kMinUnresponsiveTime, unusual);
     for (Upstream* cache : context_.upstreams.caches()) {
       const Time expected = std::max(cache->first_response_due, cache->last_heard_at);
       if (cache->attempts_in_flight > 0 && !cache->health_check_pending && !cache->on_probation &&
@@ -142,7 +143,7 @@
     const double late =
         slowness.has_samples ? slowness.value + kLateDeviations * slowness.deviation : 1;
     const auto objective = static_cast<double>(workload.latency_objective(request));
-    return std::max(static_cast<Time>(kLeastLate * objective),
+    return std::max(static_cast<Time>(kMinLateFraction * objective),
                     static_cast<Time>(workload.usual_response_time(request) * late));
   }
 
@@ -150,20 +151,20 @@
   /// Refused, reset or silent so many times in a row: ejected.
   static constexpr int kHardFailures = 2;
   /// Errors in a window, their part of all responses, and how far over the peers' part or alone.
-  static constexpr double kLeastErrors = 3;
-  static constexpr double kLeastErrorRate = 0.25;
+  static constexpr double kMinErrors = 3;
+  static constexpr double kMinErrorRate = 0.25;
   static constexpr double kOverPeers = 2;
   static constexpr double kErrorRateAlone = 0.5;
   static constexpr Time kFirstEjection = kSecond;
-  static constexpr Time kLongestEjection = 8 * kSecond;
+  static constexpr Time kMaxEjectionTime = 8 * kSecond;
   /// More for parents: behind a long queue one looks dead to all routers, who would overload the
   /// next.
   static constexpr int kUnansweredByParent = 4;
   /// Between two checks of a late parent: hundreds of routers would load it more than they learn.
   static constexpr Time kParentCheckPause = kSecond;
-  static constexpr Time kLeastSilence = 300 * kMillisecond;
-  static constexpr double kLateDeviations = 3;  // above the average
-  static constexpr double kLeastLate = 0.4;     // of the objective: nothing is late earlier
+  static constexpr Time kMinUnresponsiveTime = 300 * kMillisecond;
+  static constexpr double kLateDeviations = 3;     // above the average
+  static constexpr double kMinLateFraction = 0.4;  // of the objective: nothing is late earlier
 
   bool needs_health_check(const Upstream& upstream) const {
     const bool own_cache =
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -24,7 +24,7 @@
 /// A fill begun before a purge may land after caches have settled; purges are remembered longer.
 constexpr Time kPurgeMemory = 4 * kSecond;
 /// Share of the router, for one of its processes, at the least.
-constexpr double kLeastProcessShare = 0.01;
+constexpr double kMinProcessShare = 0.01;
 /// With at most this many attempts in flight a hit's time tells its own transfer time.
 constexpr int kUndisturbed = 2;
 
@@ -117,7 +117,7 @@
     const bool is_less = budget.process_share < context_.fleet.budget().process_share;
     if (is_less && !parts_.selection.has_objects()) parts_.slow_start.clear_quotas();
     BudgetShare bounded = budget;
-    bounded.process_share = std::max(budget.process_share, kLeastProcessShare);
+    bounded.process_share = std::max(budget.process_share, kMinProcessShare);
     context_.fleet.set_budget(bounded);
   }
   void on(const HealthCheckResult& result) {
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -8,7 +8,7 @@
 namespace alderspur::routing {
 namespace {
 
-constexpr std::size_t kSegmentsMost = 64;
+constexpr std::size_t kMaxSegments = 64;
 
 std::string lower(std::string_view text) {
   std::string out(text);
@@ -253,7 +253,7 @@
     const auto slash = rest.find('/');
     walk.segments.push_back(rest.substr(0, slash));
     if (slash == std::string_view::npos) break;
-    if (walk.segments.size() >= kSegmentsMost) {
+    if (walk.segments.size() >= kMaxSegments) {
       return {};  // no route is so deep; the rest of a * may be
     }
     rest.remove_prefix(slash + 1);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -11,7 +11,9 @@
 namespace alderspur::settings {
 namespace {
 
-constexpr core::Time kMilli = 1000, kSecond = 1'000'000, kHour = 3600 * kSecond;
+constexpr core::Time kMillisecond = 1'000;
+constexpr core::Time kSecond = 1'000'000;
+constexpr core::Time kHour = 3600 * kSecond;
 
 std::string path_in(const std::string& folder, const std::string& path) {
   return std::filesystem::path(path).is_absolute()
@@ -62,8 +64,9 @@
   if (const auto v = t.real("departure", 1, 1e6)) d.departure_penalty = *v;
   if (const auto v = t.real("suppress", 1, 1e6)) d.suppress_threshold = *v;
   if (const auto v = t.real("reuse", 1, 1e6)) d.reuse_threshold = *v;
-  if (const auto v = t.duration("half_life", 100 * kMilli, 24 * kHour)) d.half_life = *v;
-  if (const auto v = t.duration("longest", 100 * kMilli, 24 * kHour)) d.max_suppress_time = *v;
+  if (const auto v = t.duration("half_life", 100 * kMillisecond, 24 * kHour)) d.half_life = *v;
+  if (const auto v = t.duration("longest", 100 * kMillisecond, 24 * kHour))
+    d.max_suppress_time = *v;
   if (d.reuse_threshold >= d.suppress_threshold) {
     findings.error("S002", t.place("reuse"), "reuse must be lower than suppress",
                    "a server held out at " + std::to_string(d.suppress_threshold) +
@@ -89,11 +92,12 @@
   if (const auto v = t.text("list", files)) m.list = path_in(folder, *v);
   if (const auto v = t.text("state")) m.state = path_in(folder, *v);
   if (const auto v = t.duration("oldest", kSecond, std::int64_t{365} * 24 * kHour)) m.oldest = *v;
-  if (const auto v = t.duration("settle", kMilli, 400 * kMilli)) m.settle = *v;
-  if (const auto v = t.duration("poll", 20 * kMilli, 3600 * kSecond)) m.poll = *v;
+  if (const auto v = t.duration("settle", kMillisecond, 400 * kMillisecond)) m.settle = *v;
+  if (const auto v = t.duration("poll", 20 * kMillisecond, 3600 * kSecond)) m.poll = *v;
   if (const auto v = t.real("most_out", 0, 1)) m.bounds.max_lost_fraction = *v;
   if (const auto v = t.real("weight_step", 1.01, 100)) m.fleet.max_weight_factor = *v;
-  if (const auto v = t.duration("weight_every", 10 * kMilli, kHour)) m.fleet.weight_interval = *v;
+  if (const auto v = t.duration("weight_every", 10 * kMillisecond, kHour))
+    m.fleet.weight_interval = *v;
   if (const auto v = t.size("most_bytes", 1024, 16 << 20)) {
     m.limits.max_bytes = static_cast<std::size_t>(*v);
   }
@@ -160,7 +164,7 @@
     }
     c.seeds.push_back(seed);
   }
-  if (const auto v = t.duration("period", 50 * kMilli, 60 * kSecond)) {
+  if (const auto v = t.duration("period", 50 * kMillisecond, 60 * kSecond)) {
     // All times of the rules keep their proportions.
     const double by = static_cast<double>(*v) / static_cast<double>(m.probe_interval);
     for (auto* x : {&m.probe_timeout, &m.gossip_interval, &m.reconnect_interval,
@@ -204,7 +208,7 @@
   for (auto& r : t.tables("route")) {
     SignedRoute route;
     const auto prefix = r.text("prefix", true), cls = r.text("class", true);
-    if (const auto v = r.duration("limit", kMilli, 600 * kSecond)) route.limit = *v;
+    if (const auto v = r.duration("limit", kMillisecond, 600 * kSecond)) route.limit = *v;
     r.finish();
     if (!prefix || !cls) continue;
     route.place = r.place("class");
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -13,8 +13,10 @@
 
 constexpr core::Time kNew =
     150'000;  // what a client that has just come asks may still be on its way
-constexpr core::Time kIdle = 15'000'000, kHeadTime = 10'000'000, kWriteTime = 30'000'000;
-constexpr std::size_t kInputMost =
+constexpr core::Time kIdleTimeout = 15'000'000;
+constexpr core::Time kHeadTimeout = 10'000'000;
+constexpr core::Time kWriteTimeout = 30'000'000;
+constexpr std::size_t kMaxInputBytes =
     64 << 10;  // pipelined requests that wait their turn; more end the client
 
 // Why a token was turned away is told to the client in one word and never with any part of the
@@ -83,7 +85,7 @@
   raw->place = clients_.size();
   raw->since = engine_.now();
   clients_.push_back(std::move(client));
-  wait(*raw, kHeadTime);
+  wait(*raw, kHeadTimeout);
 }
 
 void HttpFront::wait(Client& client, core::Time time) {
@@ -103,7 +105,7 @@
   if (client.ending) return static_cast<std::ptrdiff_t>(bytes.size());
   if (client.dead || client.ticket) {
     // Danger: to stop reading instead would hide that the client has left.
-    if (bytes.size() > kInputMost) drop(client, true);
+    if (bytes.size() > kMaxInputBytes) drop(client, true);
     return 0;
   }
   const auto before = bytes.size();
@@ -241,7 +243,7 @@
   client.connection->write(http::response_head(a), client.head ? std::string_view() : answer.body);
   touch(client);
   client.ending = !a.keep_alive;
-  wait(client, client.connection->unwritten() ? kWriteTime : kIdle);
+  wait(client, client.connection->unwritten() ? kWriteTimeout : kIdleTimeout);
 }
 
 void HttpFront::let_go(Client& client) {
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -102,8 +102,8 @@
   void u32(std::uint32_t value) { number(value); }
   void u64(std::uint64_t value) { number(value); }
   void duration(al::Time value) {
-    constexpr al::Time kLongest = std::numeric_limits<std::int32_t>::max();
-    u32(static_cast<std::uint32_t>(std::clamp<al::Time>(value, 0, kLongest)));
+    constexpr al::Time kMaxEncodedTime = std::numeric_limits<std::int32_t>::max();
+    u32(static_cast<std::uint32_t>(std::clamp<al::Time>(value, 0, kMaxEncodedTime)));
   }
   void server_id(al::ServerId id) {
     u32(static_cast<std::uint32_t>(id.value & 0xffffffff));
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -9,7 +9,8 @@
 namespace alderspur::xds {
 namespace {
 
-constexpr std::size_t kHeadMost = 8 << 10, kBodyMost = 64 << 10;
+constexpr std::size_t kMaxHeadBytes = 8 << 10;
+constexpr std::size_t kMaxBodyBytes = 64 << 10;
 constexpr core::Time kIdle = 60'000'000;  // proxies poll every some seconds
 
 }  // namespace
@@ -52,7 +53,7 @@
   if (client.ending) return static_cast<std::ptrdiff_t>(bytes.size());
   const auto before = bytes.size();
   http::Request request;
-  if (!http::next_request(bytes, request, {kHeadMost, kBodyMost})) return 0;
+  if (!http::next_request(bytes, request, {kMaxHeadBytes, kMaxBodyBytes})) return 0;
   Reply reply{request.error, {}};
   if (!request.error) {
     reply = request.target != "/v3/discovery:endpoints" ? Reply{404, {}}
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -13,7 +13,8 @@
 namespace {
 using namespace alderspur;
 
-constexpr Time kMs = 1000, kSecond = 1000 * kMs;
+constexpr Time kMillisecond = 1'000;
+constexpr Time kSecond = 1'000'000;
 constexpr Time kStart = 100 * kSecond;
 
 Settings site() {
@@ -22,7 +23,7 @@
   s.router_count = 2;
   s.router_count_by_location = {0, 0, 0, 1, 1};
   ClassSettings parts, pages, keyed, once;
-  parts.latency_objective = 500 * kMs;
+  parts.latency_objective = 500 * kMillisecond;
   parts.latency_objective_stretch = 2;
   pages = parts;
   pages.fresh_time = 8 * kSecond;
@@ -39,7 +40,7 @@
   s.max_retry_after = 2 * kSecond;
   s.cache_slow_start_fraction = 0.2;
   s.cache_slow_start_time = 20 * kSecond;
-  s.overload_window = 1500 * kMs;
+  s.overload_window = 1500 * kMillisecond;
   s.parent_slow_start_fraction = 0.1;
   s.parent_slow_start_time = 20 * kSecond;
   s.purge_propagation_time = 6 * kSecond;
@@ -108,7 +109,7 @@
     return id;
   }
   AttemptOutcome outcome(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
-                         std::uint32_t attempt = 0, Time elapsed = 100 * kMs) {
+                         std::uint32_t attempt = 0, Time elapsed = 100 * kMillisecond) {
     AttemptOutcome o;
     o.id = id;
     o.attempt = {attempt};
@@ -120,7 +121,7 @@
     return o;
   }
   std::vector<Action> end(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
-                          std::uint32_t attempt = 0, Time elapsed = 100 * kMs) {
+                          std::uint32_t attempt = 0, Time elapsed = 100 * kMillisecond) {
     return tell(outcome(id, result, note, attempt, elapsed));
   }
   std::uint64_t serve(std::uint64_t object, double size = 100, std::uint32_t part = 0) {
@@ -188,7 +189,7 @@
   for (int i = 0; i < 240; ++i) {
     ++by[bed.serve(777, 400)];
     bed.serve(1000 + static_cast<std::uint64_t>(i % 50), 100);
-    bed.advance(50 * kMs);
+    bed.advance(50 * kMillisecond);
   }
   EXPECT_EQ(by.size(), 2u);
   by.clear();
@@ -196,7 +197,7 @@
   for (auto& [server, n] : by) EXPECT_NEAR(n, 10, 3) << server;
   for (int i = 0; i < 40; ++i) {
     bed.serve(1000 + static_cast<std::uint64_t>(i % 50), 100);
-    bed.advance(500 * kMs);
+    bed.advance(500 * kMillisecond);
   }
   by.clear();
   for (int i = 0; i < 4; ++i) ++by[bed.serve(777, 1)];
@@ -236,7 +237,7 @@
   for (int i = 0; i < 600; ++i) {
     const auto o = 1 + static_cast<std::uint64_t>(i % 60);
     homes[o].insert(bed.serve(o));
-    bed.advance(20 * kMs);
+    bed.advance(20 * kMillisecond);
   }
   for (auto& [o, h] : homes) EXPECT_EQ(h.size(), 1u) << o;
 }
@@ -257,7 +258,7 @@
 TEST(Answers, SilenceIsAnsweredByTheDeadline) {
   Bed bed;
   const auto id = bed.ask(1);
-  bed.advance(5 * kSecond + 2 * kMs);
+  bed.advance(5 * kSecond + 2 * kMillisecond);
   EXPECT_EQ(bed.answers[id], 1);
   EXPECT_EQ(bed.end(id, AttemptResult::timeout).size(), 0u);
 }
@@ -312,7 +313,7 @@
   const auto id = bed.ask(7, 2);
   bed.end(id, AttemptResult::error);
   ASSERT_EQ(bed.sends[id].size(), 2u);
-  EXPECT_TRUE(bed.router.may_send(bed.now + 4900 * kMs, id, {1}));
+  EXPECT_TRUE(bed.router.may_send(bed.now + 4900 * kMillisecond, id, {1}));
   EXPECT_FALSE(bed.router.may_send(bed.now + 5 * kSecond, id, {1}));
   EXPECT_FALSE(bed.router.may_send(bed.now, id, {2})) << "there is none";
   EXPECT_FALSE(bed.router.may_send(bed.now, {12345}, {0}));
@@ -391,7 +392,7 @@
   bed.tell(EndpointUpdate{false, false, {cache(1, ServerStatus::ready, bed.now)}});
   for (int i = 0; i < 150; ++i) {
     for (std::uint64_t o = 1; o <= 8; ++o) bed.ask(o + static_cast<std::uint64_t>(i) * 8);
-    bed.advance(10 * kMs);
+    bed.advance(10 * kMillisecond);
   }
   // 2 x 0.2..0.26 x 4 transfers x 1.5 s = 2.4 at the least.
   EXPECT_LT(sent_to(bed, 1, false), 2.4);
@@ -439,7 +440,7 @@
     Time at = 0;
     double work = 0;
   };
-  static constexpr Time kStep = 5 * kMs;
+  static constexpr Time kStep = 5 * kMillisecond;
   static constexpr Time kRestart = 30 * kSecond;
 
   std::uint64_t victim() const { return parent_ ? 20 : 1; }
@@ -448,7 +449,8 @@
   // request at a time.
   double rate() const { return 0.6 * capacity_ * (parent_ ? 2 : 4) / work(); }
   Time hears(std::size_t router) const {
-    return kRestart + (how_ == How::late ? static_cast<Time>(router * 7919 % 400) * 5 * kMs : 0);
+    return kRestart +
+           (how_ == How::late ? static_cast<Time>(router * 7919 % 400) * 5 * kMillisecond : 0);
   }
   void tell_of_restart(Time t) {
     for (std::size_t i = 0; i < routers_; ++i) {
@@ -579,7 +581,7 @@
   bed.tell(EndpointUpdate{false, false, {upstream(20, Role::parent, bed.now)}});
   for (int i = 0; i < 150; ++i) {
     for (std::uint64_t o = 1; o <= 8; ++o) bed.ask(o + static_cast<std::uint64_t>(i) * 8);
-    bed.advance(10 * kMs);
+    bed.advance(10 * kMillisecond);
   }
   // 2 x 0.1 x 10 x 1.5 s over two routers = 1.5 for this one.
   EXPECT_LT(sent_to(bed, 20, true), 1.5);
@@ -605,17 +607,17 @@
 TEST(Purges, NoOlderCopyNoJoinNoRenewUntilSettled) {
   Bed bed;
   for (int i = 0; i < 3; ++i) bed.ask(9, 1);
-  bed.tell(Purge{ObjectId{9}, {5}, 100 * kMs});
+  bed.tell(Purge{ObjectId{9}, {5}, 100 * kMillisecond});
   auto f = bed.sends[bed.ask(9, 1)].at(0).fill;
   ASSERT_TRUE(f);
   EXPECT_GE(f->max_age, 1);
-  EXPECT_LE(f->max_age, 100 * kMs);
+  EXPECT_LE(f->max_age, 100 * kMillisecond);
   EXPECT_FALSE(f->may_join);
   EXPECT_FALSE(f->refresh_in_background);
   bed.advance(2 * kSecond);
   f = bed.sends[bed.ask(9, 0)].at(0).fill;
   EXPECT_GE(f->max_age, kSecond);
-  EXPECT_LE(f->max_age, 2100 * kMs);
+  EXPECT_LE(f->max_age, 2100 * kMillisecond);
   EXPECT_FALSE(bed.sends[bed.ask(10, 0)].at(0).fill->max_age) << "other objects keep any age";
   bed.advance(30 * kSecond);
   EXPECT_TRUE(bed.sends[bed.ask(9, 0)].at(0).fill->may_join);
@@ -628,7 +630,7 @@
 TEST(Purges, HoldForRetriesOfWhatWasOutBefore) {
   Bed bed;
   const auto id = bed.ask(9);
-  bed.tell(Purge{ObjectId{9}, {5}, 50 * kMs});
+  bed.tell(Purge{ObjectId{9}, {5}, 50 * kMillisecond});
   bed.end(id, AttemptResult::overloaded);
   ASSERT_EQ(bed.sends[id].size(), 2u);
   EXPECT_GE(bed.sends[id][1].fill->max_age, 1);
@@ -648,7 +650,7 @@
       bed.end(id, bed.sends[id][k].server.value == 2 ? AttemptResult::error : AttemptResult::ok,
               FillOutcome::hit, k);
     }
-    bed.advance(10 * kMs);
+    bed.advance(10 * kMillisecond);
   }
   EXPECT_LT(sent[2], 20);
 }
@@ -685,7 +687,7 @@
   for (int i = 0; i < 2; ++i) bed.end(bed.ask(o), AttemptResult::connect_failed);
   bed.advance(5 * kSecond);
   EXPECT_NE(bed.sends[bed.ask(o)][0].server.value, 1u);
-  bed.tell(HealthCheckResult{{1}, true, kMs, {}});
+  bed.tell(HealthCheckResult{{1}, true, kMillisecond, {}});
   bed.advance(2 * kSecond);
   EXPECT_EQ(bed.sends[bed.ask(o)][0].server.value, 1u);
 }
@@ -712,7 +714,7 @@
   while (bed.serve(o) == 0) ++o;
   const auto slow = bed.ask(o);
   EXPECT_EQ(bed.sends[slow][0].timeout, 5 * kSecond);
-  bed.advance(100 * kMs);
+  bed.advance(100 * kMillisecond);
   const auto home = bed.sends[slow][0].server;
   std::uint64_t other = o + 1;
   while (bed.sends[bed.ask(other)][0].server != home) ++other;
@@ -742,7 +744,7 @@
     ASSERT_FALSE(bed.sends[id].empty());
     named += bed.sends[id][0].fill->source == dead;
     bed.end(id, AttemptResult::ok, FillOutcome::filled);
-    bed.advance(10 * kMs);
+    bed.advance(10 * kMillisecond);
   }
   EXPECT_LE(named, 1) << "of 300 routers, each may test it with about as much as a cold one bears";
 }
@@ -765,10 +767,10 @@
     }
     return refused;
   };
-  EXPECT_EQ(run(200 * kMs), 0);
+  EXPECT_EQ(run(200 * kMillisecond), 0);
   EXPECT_GT(run(4 * kSecond), 30);
-  for (int i = 0; i < 3; ++i) run(100 * kMs);
-  EXPECT_LT(run(100 * kMs), 30);
+  for (int i = 0; i < 3; ++i) run(100 * kMillisecond);
+  EXPECT_LT(run(100 * kMillisecond), 30);
 }
 // Guards against blaming caches for a dead source where answers carry no notes: every cache looked
 // sick, the next one was asked to fill from the same source, and the door shut. Guards against a
@@ -779,14 +781,14 @@
   std::multimap<Time, RequestId> due;
   int served = 0;
   for (std::uint64_t o = 1; o <= 2000; ++o) {
-    bed.advance(10 * kMs);
+    bed.advance(10 * kMillisecond);
     while (!due.empty() && due.begin()->first <= bed.now) {
-      bed.end(due.begin()->second, AttemptResult::ok, FillOutcome::none, 0, 310 * kMs);
+      bed.end(due.begin()->second, AttemptResult::ok, FillOutcome::none, 0, 310 * kMillisecond);
       due.erase(due.begin());
     }
     const auto id = bed.ask(o);  // 100 ms to send, wanted within 700: a third of the room is gone
     if (bed.sends[id].empty()) continue;
-    due.emplace(bed.now + 310 * kMs, id);
+    due.emplace(bed.now + 310 * kMillisecond, id);
     served += o > 1000;
   }
   EXPECT_GE(served, 950);
@@ -796,12 +798,12 @@
   int to_dead_late = 0, refused = 0;
   for (std::uint64_t o = 1; o <= 60; ++o) {
     const auto id = bed.ask(o, 0, 400);
-    bed.advance(100 * kMs);
+    bed.advance(100 * kMillisecond);
     if (bed.sends[id].empty()) continue;
     const bool dead = bed.sends[id][0].fill->source == ServerId{20};
     to_dead_late += dead && o > 30;
     bed.end(id, dead ? AttemptResult::overloaded : AttemptResult::ok, FillOutcome::none, 0,
-            50 * kMs);
+            50 * kMillisecond);
     if (dead && bed.sends[id].size() > 1) {
       EXPECT_EQ(bed.sends[id][1].server, bed.sends[id][0].server);
       EXPECT_NE(bed.sends[id][1].fill->source, ServerId{20});
@@ -821,7 +823,7 @@
     int errors = 0, late = 0, refused = 0, others = 0;
     for (std::uint64_t o = 1; o <= 400; ++o) {
       const auto id = bed.ask(o, 0, 50);
-      bed.advance(50 * kMs);
+      bed.advance(50 * kMillisecond);
       for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
         const auto& to = bed.sends[id][k];
         const bool concerned = to.server == failing || to.fill->source == failing;
@@ -829,7 +831,7 @@
         late += concerned && o > 100;
         others += !concerned && o > 100;
         if (bed.end(id, fails ? AttemptResult::error : AttemptResult::ok, FillOutcome::none, k,
-                    20 * kMs);
+                    20 * kMillisecond);
             !fails) {
           break;
         }
@@ -847,9 +849,9 @@
   Bed bed(probing_site());
   const auto id = bed.ask(1);
   const auto silent = bed.sends[id][0].server;
-  bed.advance(550 * kMs);  // 100 of them are its own sending time
+  bed.advance(550 * kMillisecond);  // 100 of them are its own sending time
   ASSERT_EQ(bed.probes[silent], 1);
-  const auto actions = bed.tell(HealthCheckResult{silent, false, 250 * kMs, {}});
+  const auto actions = bed.tell(HealthCheckResult{silent, false, 250 * kMillisecond, {}});
   ASSERT_EQ(std::count_if(actions.begin(), actions.end(),
                           [](auto& a) { return std::holds_alternative<Cancel>(a); }),
             1);
@@ -875,20 +877,20 @@
     EXPECT_GE(bed.probes[home], i + 1);
     ASSERT_EQ(bed.sends[id].size(), 2u);
     EXPECT_EQ(bed.sends[id][1].server, home);
-    bed.tell(HealthCheckResult{home, true, kMs, {}});
+    bed.tell(HealthCheckResult{home, true, kMillisecond, {}});
     bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
   }
   // Where it happens to one cache only, again and again, that one is out however well its probes
   // go.
   for (int i = 0; i < 40; ++i) {
-    bed.advance(20 * kMs);
+    bed.advance(20 * kMillisecond);
     bed.serve(100 + static_cast<std::uint64_t>(i));
   }
   for (int i = 0; i < 20 && bed.sends[bed.ask(1)][0].server == home; ++i) {
-    bed.advance(20 * kMs);
+    bed.advance(20 * kMillisecond);
     const RequestId id{bed.next - 1};
     bed.end(id, AttemptResult::reset);
-    bed.tell(HealthCheckResult{home, true, kMs, {}});
+    bed.tell(HealthCheckResult{home, true, kMillisecond, {}});
     if (bed.sends[id].size() > 1) bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
   }
   EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
@@ -898,7 +900,7 @@
   const auto id = bed.ask(1);
   const auto home = bed.sends[id][0].server;
   bed.end(id, AttemptResult::reset);
-  bed.tell(HealthCheckResult{home, false, 250 * kMs, {}});
+  bed.tell(HealthCheckResult{home, false, 250 * kMillisecond, {}});
   EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
 }
 // A parent is looked at while a fill by it is late, and is out after four probes without a word.
@@ -927,7 +929,7 @@
   EXPECT_GT(fills_by(bed, parent, 100, 140), 0);
   for (int i = 0; i < 4; ++i) {
     ASSERT_EQ(bed.probes[parent], i + 1);
-    bed.tell(HealthCheckResult{parent, false, 250 * kMs, {}});
+    bed.tell(HealthCheckResult{parent, false, 250 * kMillisecond, {}});
   }
   EXPECT_EQ(fills_by(bed, parent, 200, 240), 0);
 }
@@ -938,7 +940,7 @@
   int probes = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Bed bed(s, fleet(), seed);
-    for (std::uint64_t o = 1; o <= 20; ++o) bed.serve(o), bed.advance(500 * kMs);
+    for (std::uint64_t o = 1; o <= 20; ++o) bed.serve(o), bed.advance(500 * kMillisecond);
     for (const std::uint64_t p : {20, 21}) probes += bed.probes[{p}];
   }
   EXPECT_EQ(probes, 0);
@@ -957,14 +959,15 @@
     Bed bed(s, fleet(), seed);
     for (std::uint64_t o = 1; o <= 40; ++o) {
       const auto id = bed.ask(o);
-      bed.advance((350 + 10 * static_cast<Time>(o * seed % 20)) * kMs);
+      bed.advance((350 + 10 * static_cast<Time>(o * seed % 20)) * kMillisecond);
       bed.end(id, AttemptResult::ok);
-      for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, kMs, {}});
+      for (std::uint64_t c = 1; c <= 4; ++c)
+        bed.tell(HealthCheckResult{{c}, true, kMillisecond, {}});
     }
     const int usual = all(bed);
     probes += usual;
     bed.ask(1);
-    bed.advance(1500 * kMs);
+    bed.advance(1500 * kMillisecond);
     found += all(bed) > usual;
   }
   EXPECT_LE(probes, 400) << "4,000 requests; a look at 300 ms would be one for each";
@@ -978,9 +981,9 @@
   Bed bed(probing_site());
   const auto id = bed.ask(1, 0, 3000);  // three seconds at the top pace
   const auto server = bed.sends[id].at(0).server;
-  bed.advance(3200 * kMs);
+  bed.advance(3200 * kMillisecond);
   EXPECT_EQ(bed.probes[server], 0);
-  bed.advance(300 * kMs);
+  bed.advance(300 * kMillisecond);
   EXPECT_EQ(bed.probes[server], 1) << "then its silence counts as any";
 }
 TEST(Fleet, AFewSlowFillsDoNotShutTheDoorOfAnIdleLocation) {
@@ -996,10 +999,10 @@
       const auto id =
           bed.ask(o, 0, o % 10 == 0 ? 1200 : 200);  // of 48 transfers, 6 are this router's
       refused += bed.answers[id];
-      bed.advance(120 * kMs);
+      bed.advance(120 * kMillisecond);
       if (o > 2 && bed.answers[RequestId{id.value - 2}] == 0) {
         bed.end(RequestId{id.value - 2}, AttemptResult::ok, FillOutcome::none, 0,
-                o % 4 == 0 ? 2 * kSecond : 300 * kMs);
+                o % 4 == 0 ? 2 * kSecond : 300 * kMillisecond);
       }
     }
   }
@@ -1031,12 +1034,12 @@
       Bed bed(s, fleet(), 100 + r);
       bed.tell(Purge{{}, {5}, 0});
       for (std::uint64_t o = 1; o <= 30; ++o) {
-        bed.advance(120 * kMs);
+        bed.advance(120 * kMillisecond);
         const auto id = bed.ask(o, 0, 200);
         if (bed.answers[id] || bed.sends[id].empty()) continue;
         const bool held = bed.sends[id][0].fill->cached_only;
         bed.end(id, held ? AttemptResult::miss : AttemptResult::overloaded, FillOutcome::none, 0,
-                60 * kMs);
+                60 * kMillisecond);
         if (held) {
           EXPECT_EQ(bed.sends[id].size(), 1u) << "nobody else holds it either";
         }
@@ -1059,20 +1062,20 @@
   auto bed = with_late_fill(parent);
   const auto held = bed.ask(1);
   const auto actions =
-      bed.tell(HealthCheckResult{parent, false, 250 * kMs, {}, 20 * kSecond, true});
+      bed.tell(HealthCheckResult{parent, false, 250 * kMillisecond, {}, 20 * kSecond, true});
   EXPECT_TRUE(actions.empty()) << "what it has is not called off";
   bed.end(held, AttemptResult::ok);
   EXPECT_EQ(fills_by(bed, parent, 100, 140), 0);
-  bed.advance(2100 * kMs);
+  bed.advance(2100 * kMillisecond);
   ASSERT_GE(bed.probes[parent], 2);
-  bed.tell(HealthCheckResult{parent, true, 50 * kMs, {}, 22 * kSecond, true});
+  bed.tell(HealthCheckResult{parent, true, 50 * kMillisecond, {}, 22 * kSecond, true});
   EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
 }
 TEST(Fleet, AWordByAConnectionFromBeforeProvesThatNothingRestarted) {
   for (const Time up : {Time{0}, kSecond, 30 * kSecond}) {
     ServerId parent;
     auto bed = with_late_fill(parent);
-    for (int i = 0; i < 4; ++i) bed.tell(HealthCheckResult{parent, false, 250 * kMs, {}});
+    for (int i = 0; i < 4; ++i) bed.tell(HealthCheckResult{parent, false, 250 * kMillisecond, {}});
     ASSERT_EQ(fills_by(bed, parent, 100, 140), 0);
     bed.advance(2 * kSecond);
     bed.tell(HealthCheckResult{parent, true, 2 * kSecond, {}, up, true, true});
@@ -1097,7 +1100,7 @@
   EXPECT_TRUE(bed.sends[id].empty());
   EXPECT_EQ(bed.answers[id], 1);
   bed.advance(2 * kSecond);
-  for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, kMs, {}});
+  for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, kMillisecond, {}});
   EXPECT_FALSE(bed.sends[bed.ask(101)].empty());
 }
 // Guards against taking a request's own sending for a crowd: large objects alone closed the door.
@@ -1110,7 +1113,7 @@
     refused += bed.answers[out.back()];
     if (out.size() < 12) continue;
     if (bed.answers[out.front()] == 0) {
-      bed.end(out.front(), AttemptResult::ok, FillOutcome::none, 0, 1550 * kMs);
+      bed.end(out.front(), AttemptResult::ok, FillOutcome::none, 0, 1550 * kMillisecond);
     }
     out.erase(out.begin());
   }
@@ -1127,7 +1130,7 @@
     Bed bed(s, fleet(), 50 + i);
     for (std::uint64_t o = 1; o <= 120; ++o) {
       const auto id = bed.ask(o, 0, 400);
-      bed.advance(100 * kMs);
+      bed.advance(100 * kMillisecond);
       if (bed.answers[id]) continue;
       bed.end(id, AttemptResult::ok, FillOutcome::hit, 0, 4 * kSecond);
     }
@@ -1145,14 +1148,14 @@
   for (std::uint64_t o = 1; o < 60;
        ++o) {  // everything takes twice the aim: that is how it is today
     const auto id = bed.ask(o);
-    bed.advance(1400 * kMs);
+    bed.advance(1400 * kMillisecond);
     if (bed.answers[id] || bed.sends[id].size() > 1) continue;
-    bed.end(id, AttemptResult::ok, FillOutcome::none, 0, 1400 * kMs);
+    bed.end(id, AttemptResult::ok, FillOutcome::none, 0, 1400 * kMillisecond);
   }
   std::size_t copies = 0;
   for (std::uint64_t o = 100; o < 110; ++o) {
     const auto id = bed.ask(o);
-    bed.advance(1200 * kMs);
+    bed.advance(1200 * kMillisecond);
     copies += bed.sends[id].size() > 1;
     bed.end(id, AttemptResult::ok, FillOutcome::hit);
   }
@@ -1184,7 +1187,7 @@
     // What was asked long ago comes at last, from the origin.
     AttemptOutcome o = bed.outcome(waiting.front(), AttemptResult::ok,
                                    FillOutcome::filled_by_origin, 0, 4 * kSecond);
-    o.time_to_first_byte = 3800 * kMs;
+    o.time_to_first_byte = 3800 * kMillisecond;
     bed.tell(o);
     waiting.erase(waiting.begin());
   }
@@ -1199,11 +1202,11 @@
   Bed bed;
   for (std::uint64_t o = 1; o <= 300; ++o) {
     const auto id = bed.ask(o, 0, 50);
-    bed.advance(50 * kMs);
+    bed.advance(50 * kMillisecond);
     if (bed.sends[id].empty()) continue;
     EXPECT_FALSE(bed.sends[id][0].fill->cached_only) << o;
     bed.end(id, o % 3 ? AttemptResult::ok : AttemptResult::timeout, FillOutcome::none, 0,
-            o % 3 ? 50 * kMs : 5 * kSecond);
+            o % 3 ? 50 * kMillisecond : 5 * kSecond);
   }
 }
 TEST(Cold, SuspectedColdnessYieldsWhenNobodyElseCanServe) {
@@ -1227,7 +1230,7 @@
     } else {
       EXPECT_EQ(bed.answers[id], 1) << "given up at once";
     }
-    bed.advance(20 * kMs);
+    bed.advance(20 * kMillisecond);
   }
   const auto silent = bed.ask(99);
   bed.advance(6 * kSecond);
@@ -1260,7 +1263,7 @@
     for (auto& s : bed.sends[id]) EXPECT_GT(s.server.value, 100u);
     answered += !bed.sends[id].empty();
     if (!bed.sends[id].empty()) bed.end(id, AttemptResult::ok, FillOutcome::filled_by_origin);
-    bed.advance(20 * kMs);
+    bed.advance(20 * kMillisecond);
   }
   EXPECT_GT(answered, 100);
   expect_answers(bed);
@@ -1294,7 +1297,7 @@
       const auto id = a.ask(static_cast<std::uint64_t>(i * 7 % 31));
       trace += std::to_string(a.sends[id].at(0).server.value) + ",";
       a.end(id, i % 9 ? AttemptResult::ok : AttemptResult::overloaded);
-      a.advance(7 * kMs);
+      a.advance(7 * kMillisecond);
       for (auto& s : a.sends[id]) trace += std::to_string(s.timeout) + ";";
     }
     return trace;
@@ -1321,7 +1324,7 @@
     for (std::uint64_t o = from; o < from + 60; ++o) {
       const auto id = bed.ask(o);
       bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
-      bed.advance(20 * kMs);
+      bed.advance(20 * kMillisecond);
     }
   };
   ask_many(100);
@@ -1374,7 +1377,7 @@
         if (bed.sends.contains(id)) {
           ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
         }
-        bed.advance(5 * kMs);
+        bed.advance(5 * kMillisecond);
       }
     }
     return static_cast<double>(n);
@@ -1409,7 +1412,7 @@
         if (bed.sends.contains(id)) {
           ++n, bed.tell(bed.outcome(id, AttemptResult::ok, FillOutcome::hit));
         }
-        bed.advance(5 * kMs);
+        bed.advance(5 * kMillisecond);
       }
     }
     return static_cast<double>(n);
@@ -1433,7 +1436,7 @@
     bed.tell(EndpointUpdate{
         true, false, {cache(1, ServerStatus::ready, bed.now), upstream(30, Role::origin)}});
     for (const auto& e : said) bed.tell(e);
-    bed.advance(10 * kMs);
+    bed.advance(10 * kMillisecond);
     return bed.sends.contains(bed.ask(1, 0, 200));
   };
   std::size_t held_back = 0;
