--- a/src/app/check.cpp
+++ b/src/cli/check.cpp
@@ -9,17 +9,18 @@
 #include <memory>
 #include <optional>
 
-#include "app/commands.h"
-#include "app/json.h"
-#include "app/language.h"
-#include "app/routes.h"
+#include "cli/commands.h"
+#include "cli/language.h"
 #include "config/config.h"
+#include "config_language/checked_program.h"
+#include "control/json.h"
+#include "control/routes.h"
 #include "endpoints/list.h"
 #include "file_watch/source.h"
 #include "settings/settings.h"
 #include "store/endpoint_state.h"
 
-namespace alderspur::app {
+namespace alderspur::cli {
 namespace {
 
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
@@ -67,10 +68,10 @@
 bool is_settings(const std::string& text) { return text.find("[router]") != std::string::npos; }
 
 /// Null where the program of routes has errors, which are added as findings of the settings file.
-TablePtr check_routes(const settings::Settings& settings, const std::string& file,
-                      const config::Config& config, diagnostics::Findings& findings) {
+control::TablePtr check_routes(const settings::Settings& settings, const std::string& file,
+                               const config::Config& config, diagnostics::Findings& findings) {
   std::vector<std::string> errors;
-  auto routes = compile(settings.routes_file, config, errors);
+  auto routes = control::compile(settings.routes_file, config, errors);
   if (!routes) {
     for (const auto& error : errors) findings.error("S002", {file, 0, 0}, error);
   }
@@ -92,7 +93,7 @@
                        diagnostics::Findings& findings) {
   const auto config = config::read_file(settings.config);
   settings::resolve(settings, config, findings);
-  TablePtr routes;
+  control::TablePtr routes;
   if (!settings.routes_file.empty()) routes = check_routes(settings, file, config, findings);
   if (!settings.membership || settings.membership->list.empty()) return;
   const auto list = read_list(settings.membership->list, findings);
@@ -115,7 +116,8 @@
 }
 
 void check_program(const std::string& path, CheckResult& result) {
-  const auto checked = std::make_shared<Checked>(check_language(path, result.findings));
+  const auto checked = std::make_shared<config_language::CheckedProgram>(
+      config_language::load_and_check(path, result.findings));
   result.render = [checked](const diagnostics::Finding& finding) {
     return checked->program.sources.render(finding);
   };
@@ -135,7 +137,7 @@
 CheckResult check_one(const std::string& path, const endpoints::Snapshot* against) {
   CheckResult result;
   try {
-    if (is_language(path)) {
+    if (config_language::is_program_path(path)) {
       check_program(path, result);
       return result;
     }
@@ -321,7 +323,8 @@
 
 int diff(const std::string& from, const std::string& to, bool json, bool by_risk) {
   return with_errors_printed([&] {
-    if (is_language(from) && is_language(to)) return diff_language(from, to, json, by_risk);
+    if (config_language::is_program_path(from) && config_language::is_program_path(to))
+      return diff_language(from, to, json, by_risk);
     diagnostics::Findings findings;
     const auto old_list = read_list(from, findings);
     const auto new_list = read_list(to, findings);
@@ -368,4 +371,4 @@
   });
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/cluster_members.cpp
+++ b/src/cli/cluster_members.cpp
@@ -5,11 +5,11 @@
 #include <string>
 #include <string_view>
 
-#include "app/commands.h"
-#include "app/operator_client.h"
+#include "cli/commands.h"
+#include "cli/operator_client.h"
 #include "net/connection.h"
 
-namespace alderspur::app {
+namespace alderspur::cli {
 namespace {
 
 constexpr int kHttpOk = 200;
@@ -57,4 +57,4 @@
   return std::string_view(view["whole"].GetString()) == "whole" ? kYes : kFinding;
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/versions_view.cpp
+++ b/src/cli/cluster_versions.cpp
@@ -1,75 +1,21 @@
-// The view of versions as JSON, and the commands that ask for it.
+// `alderspur cluster propose`, `voters`, `rollout`, `versions` and `diff`: the commands on
+// versions.
 #include <rapidjson/document.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cstdio>
+#include <optional>
 
-#include "app/commands.h"
-#include "app/consensus_service.h"
-#include "app/json.h"
-#include "app/operator_client.h"
+#include "cli/commands.h"
+#include "cli/operator_client.h"
+#include "config/config.h"
+#include "consensus/messages.h"
+#include "consensus/version.h"
 
-namespace alderspur::app {
-namespace {
-
-using namespace alderspur::consensus;  // NOLINT(google-build-using-namespace): all of its messages
-                                       // are handled here
-
-void version(Writer& w, const char* key, const Version& v, const char* state) {
-  if (key) w.Key(key);
-  w.StartObject();
-  w.Key("number"), w.Uint64(v.number), text(w, "digest", v.digest), w.Key("base"),
-      w.Uint64(v.base_number);
-  text(w, "author", v.author), text(w, "note", v.note), w.Key("bytes"), w.Uint64(v.content_size);
-  text(w, "state", state);
-  if (v.is_canary()) {
-    w.Key("first"), w.StartArray();
-    for (const auto& n : v.canary.routers) w.String(n.c_str());
-    w.EndArray();
-  }
-  w.EndObject();
-}
+namespace alderspur::cli {
 
-}  // namespace
-
-std::string versions_view(const NodeStatus& v, const LeaseTable& book, Time now) {
-  rapidjson::StringBuffer out;
-  Writer w(out);
-  w.StartObject();
-  version(w, "acting", v.active.version, v.active.is_conservative ? "careful" : "leased");
-  w.Key("lease_ms"), w.Int64(v.lease_left / 1000);
-  w.Key("heard"), w.Uint64(v.active.newer_contents.size());
-  w.Key("share_all"), w.Double(v.active.total_share), w.Key("share_point"),
-      w.Double(v.active.location_share);
-  if (v.pending) version(w, "pending", *v.pending, v.is_pending_accepted ? "agreed" : "offered");
-  text(w, "part", role_name(v.role)), text(w, "leader", v.leader);
-  w.Key("leads"), w.Bool(v.is_leader), w.Key("term"), w.Uint64(v.term), w.Key("log"),
-      w.Uint64(v.last_log_index);
-  text(w, "trouble", v.fault);
-  w.Key("voters"), w.StartArray();
-  for (const auto& n : v.voters) w.String(n.c_str());
-  w.EndArray();
-  w.Key("behind"), w.StartArray();
-  for (const auto& n : v.routers_behind) w.String(n.c_str());
-  w.EndArray();
-  if (v.is_leader) {
-    w.Key("holders"), w.StartArray();
-    for (const auto& [name, h] : book.holders()) {
-      w.StartObject();
-      text(w, "name", name), w.Key("acting"), w.Uint64(h.active_number), w.Key("holds"),
-          w.Uint64(h.stored_number);
-      w.Key("heard_ms"), w.Int64((now - h.last_request_at) / 1000), w.Key("share"),
-          w.Double(h.total_share);
-      if (h.rejected_number) text(w, "refused", h.rejection_reason);
-      w.EndObject();
-    }
-    w.EndArray();
-  }
-  w.Key("history"), w.StartArray();
-  for (const auto& past : v.history) version(w, nullptr, past.version, past.outcome.c_str());
-  w.EndArray(), w.EndObject();
-  return std::string(out.GetString(), out.GetSize()) + "\n";
-}
+using consensus::Content;
 
 namespace {
 
@@ -114,7 +60,7 @@
     target += "&first=" + trial.first + "&hold=" + trial.hold + "&harm=" + trial.harm +
               (trial.go_on ? "&then=go" : "");
   }
-  return follow(at, ask_operators(at, "PUT", target, encode(content)));
+  return follow(at, ask_operators(at, "PUT", target, consensus::encode(content)));
 }
 
 int cluster_voters(const std::string& at, const std::vector<std::string>& names) {
@@ -160,12 +106,12 @@
   std::optional<Content> contents[2];
   for (int i = 0; i < 2; ++i) {
     const auto asked = ask_operators(at, "GET", "/control/versions/content/" + (i ? b : a));
-    if (asked.status == 200) contents[i] = decode_content(asked.text);
+    if (asked.status == 200) contents[i] = consensus::decode_content(asked.text);
     if (!contents[i]) return say(asked.status ? asked.text : "nobody answers at " + at, kFinding);
   }
-  const auto lines = describe_changes(*contents[0], *contents[1]);
+  const auto lines = consensus::describe_changes(*contents[0], *contents[1]);
   for (const auto& l : lines) std::puts(l.c_str());
   return lines.empty() ? kYes : kFinding;
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/commands.h
+++ b/src/cli/commands.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace alderspur::app {
+namespace alderspur::cli {
 
 /// Exit codes of the subcommands.
 constexpr int kYes = 0;
@@ -46,4 +46,4 @@
 int cluster_versions(const std::string& at, bool json);
 int cluster_diff(const std::string& at, const std::string& a, const std::string& b);
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/language.cpp
+++ b/src/cli/language.cpp
@@ -1,4 +1,4 @@
-#include "app/language.h"
+#include "cli/language.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -10,14 +10,15 @@
 #include <optional>
 #include <string_view>
 
-#include "app/commands.h"
+#include "cli/commands.h"
+#include "config_language/checked_program.h"
 #include "config_language/differ.h"
 #include "config_language/files.h"
 #include "config_language/format.h"
 #include "config_language/parser.h"
 #include "routing/table.h"
 
-namespace alderspur::app {
+namespace alderspur::cli {
 namespace {
 
 void print_findings(const config_language::Sources& sources,
@@ -43,16 +44,6 @@
 
 }  // namespace
 
-bool is_language(const std::string& path) { return path.ends_with(".alder"); }
-
-Checked check_language(const std::string& path, diagnostics::Findings& findings) {
-  config_language::FileLoader loader;
-  Checked checked;
-  checked.program = config_language::load(path, loader, findings);
-  checked.meaning = config_language::check(checked.program, findings);
-  return checked;
-}
-
 int format_files(const FormatOptions& options) {
   int code = kYes;
   config_language::FileLoader loader;
@@ -132,14 +123,15 @@
 }
 
 /// The name of a declaration with its place.
-std::string name_with_place(const Checked& checked, const char* kind, const std::string& name) {
+std::string name_with_place(const config_language::CheckedProgram& checked, const char* kind,
+                            const std::string& name) {
   const auto* declaration = checked.meaning.find(kind, name);
   const auto place = checked.program.sources.place(declaration->span);
   return name + " (" + place.file + ":" + std::to_string(place.line) + ")";
 }
 
-void print_match(const std::string& request, const Checked& checked, const routing::Table& table,
-                 const routing::Match& match) {
+void print_match(const std::string& request, const config_language::CheckedProgram& checked,
+                 const routing::Table& table, const routing::Match& match) {
   std::printf("%s: route %s, class %s", request.c_str(),
               name_with_place(checked, "route", match.route->name).c_str(),
               name_with_place(checked, "class", match.route->cls).c_str());
@@ -163,7 +155,7 @@
 
 int explain(const ExplainOptions& options) {
   diagnostics::Findings findings;
-  const auto checked = check_language(options.file, findings);
+  const auto checked = config_language::load_and_check(options.file, findings);
   print_findings(checked.program.sources, findings);
   if (!findings.good()) return kUsage;
   const routing::Table table(checked.meaning, checked.program.sources);
@@ -191,8 +183,8 @@
 int diff_language(const std::string& from, const std::string& to, bool json, bool by_risk) {
   diagnostics::Findings old_findings;
   diagnostics::Findings new_findings;
-  const auto old_program = check_language(from, old_findings);
-  const auto new_program = check_language(to, new_findings);
+  const auto old_program = config_language::load_and_check(from, old_findings);
+  const auto new_program = config_language::load_and_check(to, new_findings);
   if (!old_findings.good() || !new_findings.good()) {
     print_findings(old_program.program.sources, old_findings);
     print_findings(new_program.program.sources, new_findings);
@@ -230,4 +222,4 @@
   return changes.empty() ? kYes : kFinding;
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/language.h
+++ b/src/cli/language.h
@@ -1,23 +1,10 @@
-// The commands on files of the configuration language. Exit codes as in app/commands.h.
+// The commands on files of the configuration language. Exit codes as in cli/commands.h.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "config_language/check.h"
-
-namespace alderspur::app {
-
-/// Whether the path ends in .alder.
-bool is_language(const std::string& path);
-
-/// The program of a file and its meaning.
-struct Checked {
-  config_language::Program program;
-  config_language::Meaning meaning;
-};
-
-Checked check_language(const std::string& path, diagnostics::Findings& findings);
+namespace alderspur::cli {
 
 struct FormatOptions {
   std::vector<std::string> files;
@@ -39,4 +26,4 @@
 /// Prints the changes between two programs, by meaning.
 int diff_language(const std::string& from, const std::string& to, bool json, bool by_risk);
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/main.cpp
+++ b/src/cli/main.cpp
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "app/commands.h"
-#include "app/language.h"
+#include "cli/commands.h"
+#include "cli/language.h"
 
 namespace {
 
-using namespace alderspur::app;  // NOLINT(google-build-using-namespace): the commands, which this
+using namespace alderspur::cli;  // NOLINT(google-build-using-namespace): the commands, which this
                                  // file only lists
 
 /// What the command line gives to the subcommand that it names, and that command's exit code.
--- a/src/app/operator_client.cpp
+++ b/src/cli/operator_client.cpp
@@ -1,4 +1,4 @@
-#include "app/operator_client.h"
+#include "cli/operator_client.h"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -9,7 +9,7 @@
 
 #include "net/connection.h"
 
-namespace alderspur::app {
+namespace alderspur::cli {
 namespace {
 
 constexpr time_t kTimeoutSeconds = 3;
@@ -62,4 +62,4 @@
           reply.substr(header_end + kHeaderEnd.size())};
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/operator_client.h
+++ b/src/cli/operator_client.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-namespace alderspur::app {
+namespace alderspur::cli {
 
 struct Asked {
   int status = 0;    // the HTTP status; 0: there is no answer
@@ -14,4 +14,4 @@
 Asked ask_operators(const std::string& address, const std::string& method,
                     const std::string& target, const std::string& body = {});
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/run.cpp
+++ b/src/cli/run.cpp
@@ -12,18 +12,18 @@
 #include <utility>
 #include <vector>
 
-#include "app/cluster_service.h"
-#include "app/commands.h"
-#include "app/consensus_service.h"
-#include "app/endpoint_controller.h"
-#include "app/replication_service.h"
-#include "app/routes.h"
-#include "platform/edge_router.h"
+#include "cli/commands.h"
+#include "control/cluster_service.h"
+#include "control/consensus_service.h"
+#include "control/endpoint_controller.h"
+#include "control/replication_service.h"
+#include "control/routes.h"
+#include "edge_router/edge_router.h"
 #include "settings/settings.h"
 #include "signed_url/http_front.h"
 #include "xds/server.h"
 
-namespace alderspur::app {
+namespace alderspur::cli {
 namespace {
 
 /// Proxies that may be connected to the discovery service at the same time.
@@ -50,8 +50,8 @@
   void run();
 
  private:
-  platform::EdgeRouter::LogSink log_sink();
-  platform::EdgeRouter::MakeEndpointSink endpoint_sink_factory();
+  edge_router::EdgeRouter::LogSink log_sink();
+  edge_router::EdgeRouter::MakeEndpointSink endpoint_sink_factory();
   void create_routes();
   void create_signed_url_front();
   void create_discovery_server();
@@ -68,14 +68,15 @@
 
   const settings::Settings& settings_;
   log::Log& log_;
-  EndpointController* endpoint_controller_ = nullptr;  // owned by node_; null without membership
-  platform::EdgeRouter node_;
-  std::unique_ptr<Routes> routes_;
+  control::EndpointController* endpoint_controller_ =
+      nullptr;  // owned by node_; null without membership
+  edge_router::EdgeRouter node_;
+  std::unique_ptr<control::Routes> routes_;
   std::unique_ptr<signed_url::HttpFront> signed_url_front_;
   std::unique_ptr<xds::Server> discovery_server_;
-  std::unique_ptr<ClusterService> cluster_;
-  std::unique_ptr<ReplicationService> replication_;
-  std::unique_ptr<ConsensusService> consensus_;
+  std::unique_ptr<control::ClusterService> cluster_;
+  std::unique_ptr<control::ReplicationService> replication_;
+  std::unique_ptr<control::ConsensusService> consensus_;
 };
 
 RunningRouter::RunningRouter(const settings::Settings& settings, config::Config config,
@@ -95,16 +96,17 @@
   handle_signals();
 }
 
-platform::EdgeRouter::LogSink RunningRouter::log_sink() {
+edge_router::EdgeRouter::LogSink RunningRouter::log_sink() {
   return [&log = log_](const std::string& event, const std::string& text) {
     log.record("router", log::Level::info, event, {{"text", text}});
   };
 }
 
-platform::EdgeRouter::MakeEndpointSink RunningRouter::endpoint_sink_factory() {
+edge_router::EdgeRouter::MakeEndpointSink RunningRouter::endpoint_sink_factory() {
   if (!settings_.membership) return {};
-  return [this](platform::EdgeRouter& node) {
-    auto controller = std::make_unique<EndpointController>(node, *settings_.membership, log_);
+  return [this](edge_router::EdgeRouter& node) {
+    auto controller =
+        std::make_unique<control::EndpointController>(node, *settings_.membership, log_);
     endpoint_controller_ = controller.get();
     return controller;
   };
@@ -112,7 +114,7 @@
 
 void RunningRouter::create_routes() {
   if (settings_.routes_file.empty()) return;
-  routes_ = std::make_unique<Routes>(node_, settings_.routes_file, log_);
+  routes_ = std::make_unique<control::Routes>(node_, settings_.routes_file, log_);
 }
 
 void RunningRouter::create_signed_url_front() {
@@ -140,21 +142,22 @@
 
 void RunningRouter::create_cluster() {
   if (!settings_.cluster) return;
-  cluster_ = std::make_unique<ClusterService>(node_, *settings_.cluster, log_);
+  cluster_ = std::make_unique<control::ClusterService>(node_, *settings_.cluster, log_);
 }
 
 void RunningRouter::create_replication() {
   if (!cluster_ || !settings_.cluster->replicate) return;
-  replication_ = std::make_unique<ReplicationService>(node_, *cluster_, *settings_.cluster, log_);
+  replication_ =
+      std::make_unique<control::ReplicationService>(node_, *cluster_, *settings_.cluster, log_);
 }
 
 void RunningRouter::create_consensus() {
   if (!cluster_ || !settings_.cluster->agreement) return;
-  ConsensusService::Files files{settings_.membership ? settings_.membership->list : std::string(),
-                                settings_.routes_file, [this] { reload_files(); },
-                                [this] { return endpoint_list_generation(); }};
-  consensus_ = std::make_unique<ConsensusService>(node_, *cluster_, *settings_.cluster,
-                                                  std::move(files), log_);
+  control::ConsensusService::Files files{
+      settings_.membership ? settings_.membership->list : std::string(), settings_.routes_file,
+      [this] { reload_files(); }, [this] { return endpoint_list_generation(); }};
+  consensus_ = std::make_unique<control::ConsensusService>(node_, *cluster_, *settings_.cluster,
+                                                           std::move(files), log_);
 }
 
 void RunningRouter::handle_signals() {
@@ -268,4 +271,4 @@
   }
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::cli
--- a/src/app/cluster_service.cpp
+++ b/src/control/cluster_service.cpp
@@ -1,4 +1,4 @@
-#include "app/cluster_service.h"
+#include "control/cluster_service.h"
 
 #include <fstream>
 #include <random>
@@ -7,7 +7,7 @@
 
 #include "cluster/epoch.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 namespace {
 
 constexpr const char* kLogModule = "cluster";
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-ClusterService::ClusterService(platform::EdgeRouter& node, const settings::Cluster& settings,
+ClusterService::ClusterService(edge_router::EdgeRouter& node, const settings::Cluster& settings,
                                log::Log& log)
     : node_(node), log_(log) {
   std::string secret = read_secret(settings.secret);
@@ -153,4 +153,4 @@
   for (const auto& handler : members_handlers_) handler(names);
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/cluster_service.h
+++ b/src/control/cluster_service.h
@@ -9,13 +9,13 @@
 #include <string_view>
 #include <vector>
 
-#include "app/json.h"
 #include "cluster_transport/transport.h"
+#include "control/json.h"
+#include "edge_router/edge_router.h"
 #include "log/log.h"
-#include "platform/edge_router.h"
 #include "settings/settings.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 
 /// Adds members to the JSON object of a view.
 using ViewExtension = std::function<void(Writer&)>;
@@ -31,7 +31,7 @@
   using MembersHandler = std::function<void(const std::vector<std::string>& names)>;
 
   /// Reads the secret and takes a new epoch. Throws config::Error with the reason in one line.
-  ClusterService(platform::EdgeRouter& node, const settings::Cluster& settings, log::Log& log);
+  ClusterService(edge_router::EdgeRouter& node, const settings::Cluster& settings, log::Log& log);
 
   std::string view() const;
   const cluster_transport::ClusterTransport& link() const { return *transport_; }
@@ -55,7 +55,7 @@
   void handle_member_change(const cluster::MemberChanged& change);
   void notify_members();
 
-  platform::EdgeRouter& node_;
+  edge_router::EdgeRouter& node_;
   log::Log& log_;
   FrameHandler consensus_handler_;
   FrameHandler replication_handler_;
@@ -64,4 +64,4 @@
   std::unique_ptr<cluster_transport::ClusterTransport> transport_;
 };
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/cluster_view.cpp
+++ b/src/control/cluster_view.cpp
@@ -1,9 +1,9 @@
 // The view of the cluster as JSON. docs/cluster.md explains its fields, whose order is fixed.
 #include <utility>
 
-#include "app/cluster_service.h"
+#include "control/cluster_service.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 namespace {
 
 constexpr core::Time kMicrosecondsPerMillisecond = 1'000;
@@ -97,4 +97,4 @@
   return std::string(buffer.GetString(), buffer.GetSize()) + "\n";
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/consensus_service.cpp
+++ b/src/control/consensus_service.cpp
@@ -1,16 +1,16 @@
-#include "app/consensus_service.h"
+#include "control/consensus_service.h"
 
 #include <filesystem>
 #include <fstream>
 #include <sstream>
 
-#include "app/routes.h"
 #include "consensus/conservative_merge.h"
 #include "consensus/messages.h"
+#include "control/routes.h"
 #include "endpoints/check.h"
 #include "store/state_file.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 namespace {
 
 using namespace alderspur::consensus;  // NOLINT(google-build-using-namespace): all of its messages
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-ConsensusService::ConsensusService(platform::EdgeRouter& node, ClusterService& cluster,
+ConsensusService::ConsensusService(edge_router::EdgeRouter& node, ClusterService& cluster,
                                    const settings::Cluster& s, Files files, log::Log& log)
     : node_(node),
       cluster_(cluster),
@@ -374,4 +374,4 @@
                        net::steady_now());
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/consensus_service.h
+++ b/src/control/consensus_service.h
@@ -13,13 +13,13 @@
 #include <optional>
 #include <string>
 
-#include "app/cluster_service.h"
 #include "consensus/consensus_node.h"
 #include "consensus/log_store.h"
+#include "control/cluster_service.h"
 #include "file_watch/worker.h"
 #include "net/wakeup.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 
 // As GET /control/versions gives it; docs/versions.md explains its fields.
 std::string versions_view(const consensus::NodeStatus& view, const consensus::LeaseTable& book,
@@ -33,7 +33,7 @@
     std::function<void()> look;                 // they may have changed
     std::function<std::uint64_t()> generation;  // of the list of servers in force
   };
-  ConsensusService(platform::EdgeRouter& node, ClusterService& cluster,
+  ConsensusService(edge_router::EdgeRouter& node, ClusterService& cluster,
                    const settings::Cluster& settings, Files files, log::Log& log);
   ~ConsensusService();
   // False: a disk hangs, and the process can only be ended by _exit().
@@ -55,7 +55,7 @@
   std::string view() const;
   admin::HttpReply propose(std::string_view what, std::string_view query, const std::string& body);
 
-  platform::EdgeRouter& node_;
+  edge_router::EdgeRouter& node_;
   ClusterService& cluster_;
   const Files files_;
   log::Log& log_;
@@ -77,4 +77,4 @@
   file_watch::Worker log_writer_, writer_, checker_;
 };
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/endpoint_controller.cpp
+++ b/src/control/endpoint_controller.cpp
@@ -1,4 +1,4 @@
-#include "app/endpoint_controller.h"
+#include "control/endpoint_controller.h"
 
 #include <algorithm>
 #include <filesystem>
@@ -10,7 +10,7 @@
 #include "endpoints/list.h"
 #include "store/endpoint_state.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 namespace {
 
 /// How long the start waits for the files to settle.
@@ -67,7 +67,7 @@
   core::Time duration = 0;  // microseconds
 };
 
-EndpointController::EndpointController(platform::EdgeRouter& node,
+EndpointController::EndpointController(edge_router::EdgeRouter& node,
                                        const settings::Membership& settings, log::Log& log)
     : node_(node),
       settings_(settings),
@@ -384,4 +384,4 @@
          std::to_string(counters_.longest_apply);
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/endpoint_controller.h
+++ b/src/control/endpoint_controller.h
@@ -14,15 +14,15 @@
 #include <unordered_set>
 #include <vector>
 
+#include "edge_router/edge_router.h"
 #include "endpoints/endpoint_set.h"
 #include "file_watch/watcher.h"
 #include "file_watch/worker.h"
 #include "log/log.h"
 #include "net/wakeup.h"
-#include "platform/edge_router.h"
 #include "settings/settings.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 
 struct EndpointControllerCounters {
   std::uint64_t lists_applied = 0;
@@ -32,11 +32,11 @@
   core::Time longest_apply = 0;  // microseconds for which one change held the loop
 };
 
-class EndpointController : public platform::EndpointSink {
+class EndpointController : public discovery::EndpointSink {
  public:
   /// Loads the list to start from: that of the files, else the last good state. Throws
   /// config::Error where the files are the authority and there is neither.
-  EndpointController(platform::EdgeRouter& node, const settings::Membership& settings,
+  EndpointController(edge_router::EdgeRouter& node, const settings::Membership& settings,
                      log::Log& log);
   ~EndpointController() override;
 
@@ -76,7 +76,7 @@
   void schedule_save();
   void save();
 
-  platform::EdgeRouter& node_;
+  edge_router::EdgeRouter& node_;
   const settings::Membership settings_;
   log::Log& log_;
   endpoints::EndpointSet endpoints_;
@@ -96,4 +96,4 @@
   std::unique_ptr<file_watch::Watcher> watcher_;
 };
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/json.h
+++ b/src/control/json.h
@@ -6,7 +6,7 @@
 
 #include <string_view>
 
-namespace alderspur::app {
+namespace alderspur::control {
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
@@ -14,4 +14,4 @@
   w.Key(key), w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/replication_service.cpp
+++ b/src/control/replication_service.cpp
@@ -1,4 +1,4 @@
-#include "app/replication_service.h"
+#include "control/replication_service.h"
 
 #include <algorithm>
 #include <chrono>
@@ -7,7 +7,7 @@
 
 #include "store/state_file.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 namespace {
 
 constexpr const char* kLogModule = "replica";
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-ReplicationService::ReplicationService(platform::EdgeRouter& node, ClusterService& cluster,
+ReplicationService::ReplicationService(edge_router::EdgeRouter& node, ClusterService& cluster,
                                        const settings::Cluster& settings, log::Log& log)
     : node_(node),
       cluster_(cluster),
@@ -221,4 +221,4 @@
   writer.EndObject();
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/replication_service.h
+++ b/src/control/replication_service.h
@@ -15,16 +15,16 @@
 #include <string>
 #include <vector>
 
-#include "app/cluster_service.h"
+#include "control/cluster_service.h"
 #include "file_watch/worker.h"
 #include "net/wakeup.h"
 #include "replication/replica.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 
 class ReplicationService {
  public:
-  ReplicationService(platform::EdgeRouter& node, ClusterService& cluster,
+  ReplicationService(edge_router::EdgeRouter& node, ClusterService& cluster,
                      const settings::Cluster& settings, log::Log& log);
   ~ReplicationService();
   /// Waits a short time for the worker. False: its disk hangs, and the process can only be ended by
@@ -48,7 +48,7 @@
   void save();
   void write_view(Writer& writer) const;
 
-  platform::EdgeRouter& node_;
+  edge_router::EdgeRouter& node_;
   ClusterService& cluster_;
   log::Log& log_;
   const std::string path_;  // empty: nothing is stored
@@ -65,4 +65,4 @@
   file_watch::Worker writer_;  // last: its jobs use the members above
 };
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/routes.cpp
+++ b/src/control/routes.cpp
@@ -1,12 +1,12 @@
-#include "app/routes.h"
+#include "control/routes.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "app/language.h"
+#include "config_language/checked_program.h"
 #include "core/parsing.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 namespace {
 
 constexpr const char* kLogModule = "routes";
@@ -76,7 +76,7 @@
 TablePtr compile(const std::string& file, const config::Config& config,
                  std::vector<std::string>& findings) {
   diagnostics::Findings found;
-  const auto checked = check_language(file, found);
+  const auto checked = config_language::load_and_check(file, found);
   auto compiled = std::make_shared<TableInForce>();
   if (found.good()) {
     compiled->table = std::make_unique<routing::Table>(checked.meaning, checked.program.sources);
@@ -99,7 +99,7 @@
   limits::Permit permit;
 };
 
-Routes::Routes(platform::EdgeRouter& node, std::string file, log::Log& log)
+Routes::Routes(edge_router::EdgeRouter& node, std::string file, log::Log& log)
     : node_(node), file_(std::move(file)), log_(log), wakeup_(node.loop()) {
   std::vector<std::string> findings;
   table_ = compile(file_, node.config(), findings);
@@ -203,4 +203,4 @@
   return 0;
 }
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/app/routes.h
+++ b/src/control/routes.h
@@ -12,15 +12,15 @@
 #include <string>
 #include <vector>
 
+#include "edge_router/edge_router.h"
 #include "file_watch/worker.h"
 #include "limits/limits.h"
 #include "log/log.h"
 #include "net/wakeup.h"
-#include "platform/edge_router.h"
 #include "routing/table.h"
 #include "signed_url/route_selector.h"
 
-namespace alderspur::app {
+namespace alderspur::control {
 
 /// A table of routes, resolved against the router's configuration.
 struct TableInForce {
@@ -38,7 +38,7 @@
 class Routes : public signed_url::RouteSelector {
  public:
   /// Compiles the file on this thread. Throws config::Error where it has errors.
-  Routes(platform::EdgeRouter& node, std::string file, log::Log& log);
+  Routes(edge_router::EdgeRouter& node, std::string file, log::Log& log);
   ~Routes() override;
 
   /// Compiles the file again on the worker, and once more if called meanwhile.
@@ -58,7 +58,7 @@
   std::optional<routing::Match> match(const http::Request& request, std::string_view path,
                                       std::string_view query) const;
 
-  platform::EdgeRouter& node_;
+  edge_router::EdgeRouter& node_;
   const std::string file_;
   log::Log& log_;
   limits::Limits limits_;
@@ -70,4 +70,4 @@
   file_watch::Worker worker_;
 };
 
-}  // namespace alderspur::app
+}  // namespace alderspur::control
--- a/src/core/parsing.h
+++ b/src/core/parsing.h
@@ -9,6 +9,13 @@
 
 namespace alderspur::core {
 
+/// What taking a message from the front of a read buffer has come to.
+enum class ParseStatus {
+  complete,  // one message was taken
+  partial,   // more bytes are needed
+  invalid,   // the bytes are no message
+};
+
 // The whole text must be the number.
 template <class T>
 bool parse_number(std::string_view text, T& out, [[maybe_unused]] int base = 10) {
--- a/src/platform/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,8 +1,8 @@
-#include "platform/discovery_client.h"
+#include "discovery/discovery_client.h"
 
 #include <utility>
 
-namespace alderspur::platform {
+namespace alderspur::discovery {
 namespace {
 
 constexpr core::Time kMinReconnectDelay = 50'000;
@@ -22,7 +22,7 @@
 }
 
 void DirectEndpointSink::update_endpoints(bool complete,
-                                          const std::vector<config::Member>& members) {
+                                                    const std::vector<config::Member>& members) {
   if (complete) upstream_pool_.remove_unlisted(members);
   alderspur::EndpointUpdate update;
   update.is_complete = complete;
@@ -192,4 +192,4 @@
   if (connection_) connection_->end_turn();
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::discovery
--- a/src/platform/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -14,9 +14,9 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/connection.h"
-#include "platform/upstream_pool.h"
+#include "upstream/upstream_pool.h"
 
-namespace alderspur::platform {
+namespace alderspur::discovery {
 
 /// Takes endpoint updates: straight to pool and engine, or by way of the cluster.
 class EndpointSink {
@@ -28,12 +28,12 @@
 
 class DirectEndpointSink : public EndpointSink {
  public:
-  DirectEndpointSink(UpstreamPool& upstream_pool, core::Engine& engine)
+  DirectEndpointSink(upstream::UpstreamPool& upstream_pool, core::Engine& engine)
       : upstream_pool_(upstream_pool), engine_(engine) {}
   void update_endpoints(bool complete, const std::vector<config::Member>& members) override;
 
  private:
-  UpstreamPool& upstream_pool_;
+  upstream::UpstreamPool& upstream_pool_;
   core::Engine& engine_;
 };
 
@@ -86,4 +86,4 @@
   std::mt19937_64 random_;
 };
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::discovery
--- a/src/platform/edge_router.cpp
+++ b/src/edge_router/edge_router.cpp
@@ -1,9 +1,9 @@
-#include "platform/edge_router.h"
+#include "edge_router/edge_router.h"
 
 #include <algorithm>
 #include <csignal>
 
-namespace alderspur::platform {
+namespace alderspur::edge_router {
 namespace {
 
 /// Bounds the time that any client waits, as far as shutdown is concerned.
@@ -30,7 +30,7 @@
       engine_(config_.settings, config_.seed, deadlines_, net::unix_now),
       upstream_pool_(loop_, deadlines_, engine_, config_),
       sink_(make_sink ? make_sink(*this)
-                      : std::make_unique<DirectEndpointSink>(upstream_pool_, engine_)),
+                      : std::make_unique<discovery::DirectEndpointSink>(upstream_pool_, engine_)),
       discovery_client_(loop_, deadlines_, engine_, *sink_, config_),
       hot_restart_(make_hot_restart()),
       front_(loop_, deadlines_, start_engine(), listen_address(config_.listen), config_) {
@@ -234,4 +234,4 @@
   report_counters();
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::edge_router
--- a/src/platform/edge_router.h
+++ b/src/edge_router/edge_router.h
@@ -15,17 +15,17 @@
 #include "admin/router_admin_handler.h"
 #include "config/config.h"
 #include "core/engine.h"
+#include "discovery/discovery_client.h"
 #include "hot_restart/coordinator.h"
 #include "net/loop.h"
-#include "platform/discovery_client.h"
-#include "platform/rpc_front.h"
-#include "platform/upstream_pool.h"
+#include "rpc_front/rpc_front.h"
+#include "upstream/upstream_pool.h"
 
-namespace alderspur::platform {
+namespace alderspur::edge_router {
 
 class EdgeRouter {
  public:
-  using MakeEndpointSink = std::function<std::unique_ptr<EndpointSink>(EdgeRouter&)>;
+  using MakeEndpointSink = std::function<std::unique_ptr<discovery::EndpointSink>(EdgeRouter&)>;
   using LogSink = std::function<void(const std::string& event, const std::string& text)>;
   /// What else takes part in the turns of this router. Each function may be empty.
   struct Component {
@@ -77,8 +77,8 @@
   core::Deadlines& deadlines() { return deadlines_; }
   net::Loop& loop() { return loop_; }
   core::Engine& engine() { return engine_; }
-  UpstreamPool& upstream_pool() { return upstream_pool_; }
-  const RpcFront& front() const { return front_; }
+  upstream::UpstreamPool& upstream_pool() { return upstream_pool_; }
+  const rpc_front::RpcFront& front() const { return front_; }
 
  private:
   std::unique_ptr<hot_restart::HotRestartCoordinator> make_hot_restart();
@@ -97,9 +97,9 @@
   core::Deadlines deadlines_;
   net::Loop loop_;
   core::Engine engine_;
-  UpstreamPool upstream_pool_;
-  std::unique_ptr<EndpointSink> sink_;
-  DiscoveryClient discovery_client_;
+  upstream::UpstreamPool upstream_pool_;
+  std::unique_ptr<discovery::EndpointSink> sink_;
+  discovery::DiscoveryClient discovery_client_;
   // These stand before hot_restart_, which calls update_peers() and apply_ban() while the members
   // below it are not constructed yet.
   bool is_constructed_ = false;
@@ -108,7 +108,7 @@
   std::function<void(const hot_restart::BanChange&)> ban_callback_;
   // Null where operators cannot call, as are admin_handler_ and admin_server_.
   std::unique_ptr<hot_restart::HotRestartCoordinator> hot_restart_;
-  RpcFront front_;
+  rpc_front::RpcFront front_;
   std::unique_ptr<admin::RouterAdminHandler> admin_handler_;
   std::unique_ptr<admin::AdminServer> admin_server_;
   std::vector<Component> components_;
@@ -119,4 +119,4 @@
   bool is_drain_time_over_ = false;
 };
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::edge_router
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -9,13 +9,12 @@
 #include <string>
 
 #include "config/config.h"
-#include "platform/edge_router.h"
+#include "edge_router/edge_router.h"
 
 namespace {
 
 namespace config = alderspur::config;
 namespace net = alderspur::net;
-namespace platform = alderspur::platform;
 
 std::string variable(const char* name) {
   const char* value = std::getenv(name);
@@ -29,9 +28,10 @@
   if (const auto listen = variable("RELAY_LISTEN"); !listen.empty()) config.listen = listen;
   if (const auto at = variable("RELAY_OPERATOR"); !at.empty()) config.operator_listen = at;
   config.state_folder = variable("TMPDIR");
-  platform::EdgeRouter node(std::move(config), [](const std::string&, const std::string& text) {
-    std::fprintf(stderr, "%s\n", text.c_str());
-  });
+  alderspur::edge_router::EdgeRouter node(std::move(config),
+                                          [](const std::string&, const std::string& text) {
+                                            std::fprintf(stderr, "%s\n", text.c_str());
+                                          });
   node.set_config_path(path);
   node.run();
   // Danger: a disk that hangs would hold the end of the process until somebody kills it.
--- a/src/platform/rpc_client.h
+++ b/src/rpc_front/rpc_client.h
@@ -8,9 +8,9 @@
 
 #include "core/engine.h"
 #include "net/connection.h"
-#include "platform/rpc_front.h"
+#include "rpc_front/rpc_front.h"
 
-namespace alderspur::platform {
+namespace alderspur::rpc_front {
 
 /// Open calls on one connection, as the platform bounds them.
 constexpr std::size_t kMaxOpenCalls = 32;
@@ -40,4 +40,4 @@
   bool is_touched = false;                        // in touched_
 };
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::rpc_front
--- a/src/platform/rpc_codec.cpp
+++ b/src/rpc_front/rpc_codec.cpp
@@ -1,10 +1,10 @@
-#include "platform/rpc_codec.h"
+#include "rpc_front/rpc_codec.h"
 
 #include "core/parsing.h"
 #include "msgpack_codec/document.h"
 #include "msgpack_codec/writer.h"
 
-namespace alderspur::platform {
+namespace alderspur::rpc_front {
 namespace {
 
 using msgpack_codec::Document;
@@ -96,21 +96,21 @@
   call.body = text(body);
 }
 
-Parsed read_call(const msgpack_object& message, Call& call) {
-  if (message.type != MSGPACK_OBJECT_ARRAY) return Parsed::unreadable;
+core::ParseStatus read_call(const msgpack_object& message, Call& call) {
+  if (message.type != MSGPACK_OBJECT_ARRAY) return core::ParseStatus::invalid;
   const std::uint32_t size = message.via.array.size;
   const msgpack_object* items = message.via.array.ptr;
-  if (size < kNotificationItems || !is_number(items[0])) return Parsed::unreadable;
+  if (size < kNotificationItems || !is_number(items[0])) return core::ParseStatus::invalid;
   const std::uint64_t type = items[0].via.u64;
   if (type == kNotificationType && size == kNotificationItems) {
     read_notification(items, call);
-    return Parsed::whole;
+    return core::ParseStatus::complete;
   }
   if (type == kRequestType && size == kRequestItems && is_number(items[1])) {
     read_request(items, call);
-    return Parsed::whole;
+    return core::ParseStatus::complete;
   }
-  return Parsed::unreadable;
+  return core::ParseStatus::invalid;
 }
 
 bool read_time_limit(const Call& call, const RequestRules& rules, core::RequestView& view) {
@@ -148,16 +148,16 @@
 
 }  // namespace
 
-Parsed next_call(std::string_view& bytes, Call& call) {
+core::ParseStatus next_call(std::string_view& bytes, Call& call) {
   call = {};
-  if (bytes.empty()) return Parsed::partial;
+  if (bytes.empty()) return core::ParseStatus::partial;
   const auto first = static_cast<unsigned char>(bytes[0]);
-  if (first != kArrayOfThree && first != kArrayOfFour) return Parsed::unreadable;
+  if (first != kArrayOfThree && first != kArrayOfFour) return core::ParseStatus::invalid;
   const auto measured = msgpack_codec::measure_item(bytes, kMaxMessageBytes);
-  if (measured.status == MeasureStatus::incomplete) return Parsed::partial;
-  if (measured.status == MeasureStatus::invalid) return Parsed::unreadable;
+  if (measured.status == MeasureStatus::incomplete) return core::ParseStatus::partial;
+  if (measured.status == MeasureStatus::invalid) return core::ParseStatus::invalid;
   const auto document = Document::of_measured_item(bytes.substr(0, measured.size));
-  if (!document.is_valid()) return Parsed::unreadable;
+  if (!document.is_valid()) return core::ParseStatus::invalid;
   bytes.remove_prefix(document.size());
   return read_call(document.root(), call);
 }
@@ -203,4 +203,4 @@
   return writer.str();
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::rpc_front
--- a/src/platform/rpc_codec.h
+++ b/src/rpc_front/rpc_codec.h
@@ -8,9 +8,9 @@
 #include <string_view>
 
 #include "core/engine.h"
-#include "platform/cache_protocol.h"
+#include "core/parsing.h"
 
-namespace alderspur::platform {
+namespace alderspur::rpc_front {
 
 /// A notification that cancels the call with the id it carries.
 constexpr std::string_view kCancelMethod = "withdraw";
@@ -35,7 +35,7 @@
   std::string_view body;
 };
 /// Takes one message from the front of `bytes`.
-Parsed next_call(std::string_view& bytes, Call& call);
+core::ParseStatus next_call(std::string_view& bytes, Call& call);
 
 /// What the settings say of the requests of a class.
 struct RequestRules {
@@ -57,4 +57,4 @@
 EncodedResponse encode_response(std::uint64_t call_id, const core::Response& response);
 std::string encode_status(std::uint64_t call_id);
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::rpc_front
--- a/src/platform/rpc_front.cpp
+++ b/src/rpc_front/rpc_front.cpp
@@ -1,13 +1,13 @@
 // Clients' connections, their calls and the responses to them.
-#include "platform/rpc_front.h"
+#include "rpc_front/rpc_front.h"
 
 #include <algorithm>
 
 #include "net/lingering.h"
-#include "platform/rpc_client.h"
-#include "platform/rpc_codec.h"
+#include "rpc_front/rpc_client.h"
+#include "rpc_front/rpc_codec.h"
 
-namespace alderspur::platform {
+namespace alderspur::rpc_front {
 namespace {
 
 /// Advice to clients that ask for more than they may.
@@ -156,8 +156,8 @@
     Call call;
     std::string_view rest = bytes;
     const auto parsed = next_call(rest, call);
-    if (parsed == Parsed::partial) break;
-    if (parsed == Parsed::unreadable || !on_call(client, call)) {
+    if (parsed == core::ParseStatus::partial) break;
+    if (parsed == core::ParseStatus::invalid || !on_call(client, call)) {
       ++engine_.counters().invalid_frames;
       engine_.log_invalid_input(core::InvalidInput::frame);
       return -1;
@@ -262,4 +262,4 @@
   close_slow_readers(client);
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::rpc_front
--- a/src/platform/rpc_front.h
+++ b/src/rpc_front/rpc_front.h
@@ -15,9 +15,9 @@
 #include "core/engine.h"
 #include "net/connection.h"
 #include "net/listener.h"
-#include "platform/rpc_codec.h"
+#include "rpc_front/rpc_codec.h"
 
-namespace alderspur::platform {
+namespace alderspur::rpc_front {
 
 class RpcFront : public core::Front {
  public:
@@ -122,4 +122,4 @@
   std::unique_ptr<net::Listener> listener_;  // null: nobody is accepted any more
 };
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::rpc_front
--- a/src/platform/rpc_front_drain.cpp
+++ b/src/rpc_front/rpc_front_drain.cpp
@@ -3,10 +3,10 @@
 #include <stdexcept>
 
 #include "net/lingering.h"
-#include "platform/rpc_client.h"
-#include "platform/rpc_front.h"
+#include "rpc_front/rpc_client.h"
+#include "rpc_front/rpc_front.h"
 
-namespace alderspur::platform {
+namespace alderspur::rpc_front {
 namespace {
 
 /// Handshakes under way when new connections are steered to the successor end in this time.
@@ -131,4 +131,4 @@
   touch(client);
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::rpc_front
--- a/src/platform/rpc_front_limits.cpp
+++ b/src/rpc_front/rpc_front_limits.cpp
@@ -4,10 +4,10 @@
 #include <tuple>
 
 #include "net/lingering.h"
-#include "platform/rpc_client.h"
-#include "platform/rpc_front.h"
+#include "rpc_front/rpc_client.h"
+#include "rpc_front/rpc_front.h"
 
-namespace alderspur::platform {
+namespace alderspur::rpc_front {
 namespace {
 
 /// Bytes that a client has not taken: beyond the first it is refused new calls, beyond the second
@@ -169,4 +169,4 @@
   close(client, is_slow_reader ? CloseMode::immediate : CloseMode::lingering);
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::rpc_front
--- a/src/platform/cache_protocol.cpp
+++ b/src/upstream/cache_protocol.cpp
@@ -1,8 +1,8 @@
-#include "platform/cache_protocol.h"
+#include "upstream/cache_protocol.h"
 
 #include "core/parsing.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 namespace {
 
 constexpr std::size_t kMaxLineBytes = 4096;
@@ -120,37 +120,37 @@
   return tag;
 }
 
-Parsed next_response(std::string_view& bytes, CacheResponse& response) {
+core::ParseStatus next_response(std::string_view& bytes, CacheResponse& response) {
   // After a length of 0 the closing CR LF reads as an empty line.
   while (bytes.starts_with(kLineEnd)) bytes.remove_prefix(kLineEnd.size());
   const auto line_size = bytes.find(kLineEnd);
   if (line_size == std::string_view::npos) {
-    return bytes.size() > kMaxLineBytes ? Parsed::unreadable : Parsed::partial;
+    return bytes.size() > kMaxLineBytes ? core::ParseStatus::invalid : core::ParseStatus::partial;
   }
-  if (line_size > kMaxLineBytes) return Parsed::unreadable;
+  if (line_size > kMaxLineBytes) return core::ParseStatus::invalid;
   std::string_view line = bytes.substr(0, line_size);
   response = {};
   response.id = take_until(line, ' ');
   const std::string_view word = take_until(line, ' ');
   const std::string_view fields = take_until(line, ' ');
-  if (response.id.empty() || word.empty()) return Parsed::unreadable;
+  if (response.id.empty() || word.empty()) return core::ParseStatus::invalid;
   response.status = parse_status(word);
   // Without its length a line says nothing of where the response ends.
   std::size_t body_size = 0;
   if (fields.empty() || !core::parse_number(line, body_size) || body_size > kMaxBodyBytes) {
-    return Parsed::unreadable;
+    return core::ParseStatus::invalid;
   }
-  if (fields != "-" && !parse_fields(fields, response)) return Parsed::unreadable;
+  if (fields != "-" && !parse_fields(fields, response)) return core::ParseStatus::invalid;
   std::size_t used = line_size + kLineEnd.size();
   if (body_size > 0) {
-    if (bytes.size() < used + body_size + kLineEnd.size()) return Parsed::partial;
+    if (bytes.size() < used + body_size + kLineEnd.size()) return core::ParseStatus::partial;
     response.body = bytes.substr(used, body_size);
     used += body_size;
-    if (bytes.substr(used, kLineEnd.size()) != kLineEnd) return Parsed::unreadable;
+    if (bytes.substr(used, kLineEnd.size()) != kLineEnd) return core::ParseStatus::invalid;
     used += kLineEnd.size();
   }
   bytes.remove_prefix(used);
-  return Parsed::whole;
+  return core::ParseStatus::complete;
 }
 
 std::optional<alderspur::AttemptResult> attempt_result(ResponseStatus status) {
@@ -188,4 +188,4 @@
   return report;
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/platform/cache_protocol.h
+++ b/src/upstream/cache_protocol.h
@@ -7,8 +7,9 @@
 #include <string_view>
 
 #include "core/engine.h"
+#include "core/parsing.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 
 // ---- Commands ----
 
@@ -47,13 +48,12 @@
   core::Time created_at = 0;  // Unix time at which the origin gave out this copy; 0: not told
 };
 
-enum class Parsed { whole, partial, unreadable };
-/// Takes one response from the front of `bytes`. Partial: nothing but empty lines was taken.
-Parsed next_response(std::string_view& bytes, CacheResponse& response);
+/// Takes one response from the front of `bytes`. `partial`: nothing but empty lines was taken.
+core::ParseStatus next_response(std::string_view& bytes, CacheResponse& response);
 
 /// Nothing: not a status that answers an attempt.
 std::optional<alderspur::AttemptResult> attempt_result(ResponseStatus status);
 /// Fields that are unknown or not numbers are passed over.
 alderspur::LoadReport parse_load_report(std::string_view text);
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/platform/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -17,9 +17,9 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/connection.h"
-#include "platform/upstream_pool.h"
+#include "upstream/upstream_pool.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 
 /// A response that is awaited on a connection, of an attempt or of a health check.
 struct UpstreamPool::PendingResponse {
@@ -91,4 +91,4 @@
   }
 };
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/platform/upstream_health_checks.cpp
+++ b/src/upstream/upstream_health_checks.cpp
@@ -1,9 +1,9 @@
 // Health checks that the engine orders: which connection they use, their replies and timeouts.
-#include "platform/cache_protocol.h"
-#include "platform/upstream_connection.h"
-#include "platform/upstream_pool.h"
+#include "upstream/cache_protocol.h"
+#include "upstream/upstream_connection.h"
+#include "upstream/upstream_pool.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 
 using alderspur::ServerId;
 
@@ -118,4 +118,4 @@
   }
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/platform/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -1,12 +1,12 @@
 // Endpoints of the pool and the life of their connections: choice, dialing, closing.
-#include "platform/upstream_pool.h"
+#include "upstream/upstream_pool.h"
 
 #include <tuple>
 
-#include "platform/cache_protocol.h"
-#include "platform/upstream_connection.h"
+#include "upstream/cache_protocol.h"
+#include "upstream/upstream_connection.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 
 using alderspur::AttemptResult;
 using alderspur::ServerId;
@@ -274,4 +274,4 @@
   }
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/platform/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -18,7 +18,7 @@
 #include "estimators/estimators.h"
 #include "net/connection.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 
 struct CacheResponse;
 
@@ -115,4 +115,4 @@
   estimators::MovingAverage response_interval_;
 };
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/platform/upstream_requests.cpp
+++ b/src/upstream/upstream_requests.cpp
@@ -1,9 +1,9 @@
 // Attempts on pooled connections: sending, aborting, and their responses.
-#include "platform/cache_protocol.h"
-#include "platform/upstream_connection.h"
-#include "platform/upstream_pool.h"
+#include "upstream/cache_protocol.h"
+#include "upstream/upstream_connection.h"
+#include "upstream/upstream_pool.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 
 using alderspur::AttemptResult;
 using alderspur::ServerId;
@@ -115,16 +115,16 @@
   const auto size_before = bytes.size();
   CacheResponse response;
   auto parsed = next_response(bytes, response);
-  while (parsed == Parsed::whole) {
+  while (parsed == core::ParseStatus::complete) {
     connection.partial_since = 0;
     if (!on_response(connection, response)) {
-      parsed = Parsed::unreadable;
+      parsed = core::ParseStatus::invalid;
       break;
     }
     if (connection.is_closed) break;
     parsed = next_response(bytes, response);
   }
-  if (parsed == Parsed::unreadable) {
+  if (parsed == core::ParseStatus::invalid) {
     ++engine_.counters().invalid_responses;
     engine_.log_invalid_input(core::InvalidInput::response, connection.endpoint->member.name);
     return -1;
@@ -193,4 +193,4 @@
   connection.last_response_at = now;
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/platform/upstream_watchdog.cpp
+++ b/src/upstream/upstream_watchdog.cpp
@@ -1,11 +1,11 @@
 // The pool's watchdog ends connections that stay open but have stopped responding. After a response
 // that stops short or never comes, a connection is of no further use, also for the other requests
 // on it, while the machine behind it may be well.
-#include "platform/cache_protocol.h"
-#include "platform/upstream_connection.h"
-#include "platform/upstream_pool.h"
+#include "upstream/cache_protocol.h"
+#include "upstream/upstream_connection.h"
+#include "upstream/upstream_pool.h"
 
-namespace alderspur::platform {
+namespace alderspur::upstream {
 namespace {
 
 constexpr core::Time kWatchdogInterval = 50'000;
@@ -93,4 +93,4 @@
   return elapsed > kPartialResponseTimeout + 2 * transfer_time && time_at_min_rate < elapsed;
 }
 
-}  // namespace alderspur::platform
+}  // namespace alderspur::upstream
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -22,7 +22,7 @@
 };
 
 Server::Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-               platform::UpstreamPool& caches, const config::Xds& settings,
+               upstream::UpstreamPool& caches, const config::Xds& settings,
                std::size_t most_clients)
     : loop_(loop),
       deadlines_(deadlines),
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -8,14 +8,14 @@
 #include "core/engine.h"
 #include "net/connection.h"
 #include "net/listener.h"
-#include "platform/upstream_pool.h"
+#include "upstream/upstream_pool.h"
 
 namespace alderspur::xds {
 
 class Server {
  public:
   Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-         platform::UpstreamPool& caches, const config::Xds& settings, std::size_t most_clients);
+         upstream::UpstreamPool& caches, const config::Xds& settings, std::size_t most_clients);
   ~Server();
   void end_turn();
   void stop_listening() { listener_.stop(); }
@@ -30,7 +30,7 @@
   net::Loop& loop_;
   core::Deadlines& deadlines_;
   core::Engine& engine_;
-  platform::UpstreamPool& caches_;
+  upstream::UpstreamPool& caches_;
   const config::Xds& settings_;
   std::vector<std::unique_ptr<Client>> clients_;
   net::Listener listener_;
--- a/tests/hot_restart/coordinator_test.cpp
+++ b/tests/hot_restart/coordinator_test.cpp
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "config/config.h"
+#include "edge_router/edge_router.h"
 #include "hot_restart/shared_directory_fixture.h"
 #include "net/loop.h"
-#include "platform/edge_router.h"
 
 namespace alderspur::hot_restart {
 namespace {
@@ -69,14 +69,14 @@
   auto config = config::read_file(file);
   config.operator_listen = "127.0.0.1:0";
   config.state_folder = directory;
-  std::size_t room = sizeof(platform::EdgeRouter) + alignof(platform::EdgeRouter);
+  std::size_t room = sizeof(edge_router::EdgeRouter) + alignof(edge_router::EdgeRouter);
   std::vector<std::byte> memory(room);
   void* address = memory.data();
   std::memset(address, 0xff, room);
   ASSERT_TRUE(
-      std::align(alignof(platform::EdgeRouter), sizeof(platform::EdgeRouter), address, room));
+      std::align(alignof(edge_router::EdgeRouter), sizeof(edge_router::EdgeRouter), address, room));
   auto* router = new (address)
-      platform::EdgeRouter(std::move(config), [](const std::string&, const std::string&) {});
+      edge_router::EdgeRouter(std::move(config), [](const std::string&, const std::string&) {});
   router->turn();
   router->~EdgeRouter();
 }
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -10,9 +10,9 @@
 #include "config/config.h"
 #include "http/message.h"
 #include "loopback.h"
-#include "platform/cache_protocol.h"
-#include "platform/rpc_codec.h"
+#include "rpc_front/rpc_codec.h"
 #include "signed_url/token.h"
+#include "upstream/cache_protocol.h"
 #include "xds/eds.h"
 
 namespace {
@@ -38,12 +38,12 @@
   const std::string good = loopback::request(1, "pay", {{"unique", std::string(32, 'a')}}, "xyz");
   int whole = 0;
   mangle(good, [&](std::string_view bytes) {
-    platform::Call call;
+    rpc_front::Call call;
     core::RequestView demand;
     for (auto before = bytes.size() + 1; bytes.size() < before;) {
       before = bytes.size();
-      if (platform::next_call(bytes, call) != platform::Parsed::whole) break;
-      if (!platform::to_request_view(call, {true, true, false}, demand)) continue;
+      if (rpc_front::next_call(bytes, call) != core::ParseStatus::complete) break;
+      if (!rpc_front::to_request_view(call, {true, true, false}, demand)) continue;
       ++whole;
       EXPECT_EQ((std::string(demand.id) += demand.object_text).find_first_of(" ,=\r\n"),
                 std::string::npos);
@@ -63,8 +63,8 @@
         "asset"s +
         claim;
     std::string_view bytes = message;
-    platform::Call call;
-    EXPECT_EQ(platform::next_call(bytes, call), platform::Parsed::unreadable) << message;
+    rpc_front::Call call;
+    EXPECT_EQ(rpc_front::next_call(bytes, call), core::ParseStatus::invalid) << message;
   }
 }
 
@@ -73,11 +73,11 @@
       "9b1f served sum=ab,t0=1764576000000,rep=inflight:7;x1:0.5 5\r\nbytes\r\np1 green - "
       "0\r\n\r\n",
       [](std::string_view bytes) {
-        platform::CacheResponse a;
+        upstream::CacheResponse a;
         for (auto before = bytes.size() + 1; bytes.size() < before;) {
           before = bytes.size();
-          if (platform::next_response(bytes, a) != platform::Parsed::whole) break;
-          platform::parse_load_report(a.report);
+          if (upstream::next_response(bytes, a) != core::ParseStatus::complete) break;
+          upstream::parse_load_report(a.report);
           EXPECT_LE(a.body.size(), 240'000u);
         }
       });
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -18,11 +18,11 @@
 
 #include "config/config.h"
 #include "core/engine.h"
+#include "discovery/discovery_client.h"
 #include "net/loop.h"
-#include "platform/discovery_client.h"
-#include "platform/rpc_front.h"
-#include "platform/upstream_pool.h"
+#include "rpc_front/rpc_front.h"
 #include "signed_url/http_front.h"
+#include "upstream/upstream_pool.h"
 
 namespace loopback {
 
@@ -275,13 +275,13 @@
                   {"new", "a new secret of the tests", 0}};
     links.routes = {{"/asset/", 0, link_limit}};
     engine = std::make_unique<core::Engine>(config.settings, config.seed, deadlines, net::unix_now);
-    caches = std::make_unique<platform::UpstreamPool>(loop, deadlines, *engine, config);
+    caches = std::make_unique<upstream::UpstreamPool>(loop, deadlines, *engine, config);
     engine->attach(*caches);
-    pool = std::make_unique<platform::DirectEndpointSink>(*caches, *engine);
-    board = std::make_unique<platform::DiscoveryClient>(loop, deadlines, *engine, *pool, config);
+    pool = std::make_unique<discovery::DirectEndpointSink>(*caches, *engine);
+    board = std::make_unique<discovery::DiscoveryClient>(loop, deadlines, *engine, *pool, config);
     engine->run();
-    front = std::make_unique<platform::RpcFront>(loop, deadlines, *engine,
-                                                 *net::parse_address("127.0.0.1:0"), config);
+    front = std::make_unique<rpc_front::RpcFront>(loop, deadlines, *engine,
+                                                  *net::parse_address("127.0.0.1:0"), config);
     http = std::make_unique<signed_url::HttpFront>(loop, deadlines, *engine, config, links, [this] {
       return net::unix_now() + skew * 1'000'000;
     });
@@ -348,10 +348,10 @@
   core::Deadlines deadlines;
   net::Loop loop{deadlines};
   std::unique_ptr<core::Engine> engine;
-  std::unique_ptr<platform::UpstreamPool> caches;
-  std::unique_ptr<platform::DirectEndpointSink> pool;
-  std::unique_ptr<platform::DiscoveryClient> board;
-  std::unique_ptr<platform::RpcFront> front;
+  std::unique_ptr<upstream::UpstreamPool> caches;
+  std::unique_ptr<discovery::DirectEndpointSink> pool;
+  std::unique_ptr<discovery::DiscoveryClient> board;
+  std::unique_ptr<rpc_front::RpcFront> front;
   std::unique_ptr<signed_url::HttpFront> http;
   std::vector<Socket*> watched;
 };
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -5,8 +5,8 @@
 #include <sstream>
 
 #include "loopback.h"
-#include "platform/cache_protocol.h"
-#include "platform/rpc_codec.h"
+#include "rpc_front/rpc_codec.h"
+#include "upstream/cache_protocol.h"
 
 namespace {
 
@@ -361,7 +361,7 @@
   for (int round = 0; round < 5; ++round) {
     std::map<core::Time, int> in_10_ms;
     for (std::size_t i = 0; i < routers.size(); ++i) {
-      at[i] += alderspur::platform::reconnect_delay(routers[i]);
+      at[i] += alderspur::discovery::reconnect_delay(routers[i]);
       EXPECT_LE(at[i], (round + 1) * 350'000);
       ++in_10_ms[at[i] / 10'000];
     }
@@ -370,8 +370,8 @@
     }
   }
   std::mt19937_64 once(7), again(7);
-  EXPECT_EQ(alderspur::platform::reconnect_delay(once),
-            alderspur::platform::reconnect_delay(again));
+  EXPECT_EQ(alderspur::discovery::reconnect_delay(once),
+            alderspur::discovery::reconnect_delay(again));
 }
 
 TEST_F(Platform, WatchesFromLastEventAndAppliesDrainAtOnceWhenReconnected) {
@@ -736,10 +736,10 @@
   const std::string all =
       "a served sum=f,t0=17 3\r\nxyz\r\nb not_here - 0\r\n\r\np1 green rep=inflight:7;x1:0.5 "
       "0\r\n\r\n";
-  const auto letter = [](platform::ResponseStatus status) {
-    if (status == platform::ResponseStatus::served) return 's';
-    if (status == platform::ResponseStatus::miss) return 'n';
-    return status == platform::ResponseStatus::healthy ? 'g' : '?';
+  const auto letter = [](upstream::ResponseStatus status) {
+    if (status == upstream::ResponseStatus::served) return 's';
+    if (status == upstream::ResponseStatus::miss) return 'n';
+    return status == upstream::ResponseStatus::healthy ? 'g' : '?';
   };
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
     std::string buffer;
@@ -747,18 +747,18 @@
     for (const auto& piece : {all.substr(0, cut), all.substr(cut)}) {
       buffer += piece;
       std::string_view bytes = buffer;
-      platform::CacheResponse a;
-      while (platform::next_response(bytes, a) == platform::Parsed::whole) {
+      upstream::CacheResponse a;
+      while (upstream::next_response(bytes, a) == core::ParseStatus::complete) {
         got.push_back(std::string(a.id) + letter(a.status) + std::string(a.body));
       }
       buffer = std::string(bytes);
     }
     EXPECT_EQ(got, (std::vector<std::string>{"asxyz", "bn", "p1g"})) << cut;
   }
-  EXPECT_EQ(platform::parse_load_report("inflight:7;x1:0.5").in_flight, 7);
+  EXPECT_EQ(upstream::parse_load_report("inflight:7;x1:0.5").in_flight, 7);
   std::string_view bad = "a served - 240001\r\n";
-  platform::CacheResponse a;
-  EXPECT_EQ(platform::next_response(bad, a), platform::Parsed::unreadable);
+  upstream::CacheResponse a;
+  EXPECT_EQ(upstream::next_response(bad, a), core::ParseStatus::invalid);
 }
 
 TEST(Config, ThrowsConfigErrorWhenSettingsAreInvalid) {
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -1,6 +1,6 @@
 // Routes in service over loopback: the signed front goes by a table that is swapped, and by its
 // limits.
-#include "app/routes.h"
+#include "control/routes.h"
 
 #include <gtest/gtest.h>
 
@@ -61,8 +61,8 @@
     config.sockets = 512;
     log = std::make_unique<log::Log>(log::Settings{},
                                      [this](const std::string& l) { lines.push_back(l); });
-    node = std::make_unique<platform::EdgeRouter>(std::move(config), [](auto&, auto&) {});
-    routes = std::make_unique<app::Routes>(*node, file, *log);
+    node = std::make_unique<edge_router::EdgeRouter>(std::move(config), [](auto&, auto&) {});
+    routes = std::make_unique<control::Routes>(*node, file, *log);
     front =
         std::make_unique<signed_url::HttpFront>(node->loop(), node->deadlines(), node->engine(),
                                                 node->config(), links, net::unix_now, routes.get());
@@ -114,8 +114,8 @@
   config::Signed links;
   std::vector<std::string> lines;
   std::unique_ptr<log::Log> log;
-  std::unique_ptr<platform::EdgeRouter> node;
-  std::unique_ptr<app::Routes> routes;
+  std::unique_ptr<edge_router::EdgeRouter> node;
+  std::unique_ptr<control::Routes> routes;
   std::unique_ptr<signed_url::HttpFront> front;
   std::vector<std::unique_ptr<loopback::Socket>> clients;
   std::size_t served = 0;
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <thread>
 
-#include "app/endpoint_controller.h"
+#include "control/endpoint_controller.h"
 #include "endpoints/list.h"
 #include "loopback.h"
 #include "store/endpoint_state.h"
@@ -80,10 +80,10 @@
         "upper-kind":-1,"instances-by-zone":[0,1],"purge-settles":6000000,"stream-kb-per-s":9000}}})");
     log = std::make_unique<log::Log>(log::Settings{},
                                      [this](const std::string& l) { lines.push_back(l); });
-    node = std::make_unique<platform::EdgeRouter>(
+    node = std::make_unique<edge_router::EdgeRouter>(
         std::move(config), [](auto&, auto&) {},
-        [&](platform::EdgeRouter& n) {
-          auto made = std::make_unique<app::EndpointController>(n, settings, *log);
+        [&](edge_router::EdgeRouter& n) {
+          auto made = std::make_unique<control::EndpointController>(n, settings, *log);
           controller = made.get();
           return made;
         });
@@ -165,8 +165,8 @@
   settings::Membership settings;
   Box box[3], origin, stranger;  // the stranger is named by refused files only
   std::unique_ptr<log::Log> log;
-  std::unique_ptr<platform::EdgeRouter> node;
-  app::EndpointController* controller = nullptr;
+  std::unique_ptr<edge_router::EdgeRouter> node;
+  control::EndpointController* controller = nullptr;
   std::unique_ptr<loopback::Socket> client;
   std::vector<std::string> lines;
   std::map<Box*, std::size_t> served;
