--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -10,13 +10,6 @@
 clang-format --dry-run -Werror $(git ls-files '*.cpp' '*.h' ':!journal')
 cmake -B "$build" -DCMAKE_BUILD_TYPE=Debug -DALDERSPUR_BENCH=ON >/dev/null
 cmake --build "$build" --target generated_headers >/dev/null
-# One process a file. The embedding program has a build of its own and is compiled with warnings as errors there.
-findings=$(mktemp)
-trap 'rm -f "$findings"' EXIT
-if ! git ls-files 'src/*.cpp' 'tests/*.cpp' 'bench/*.cpp' ':!tests/embed' |
-  xargs -P "$(nproc)" -n 1 clang-tidy -p "$build" --quiet >"$findings" 2>/dev/null; then
-  grep -E '(error|warning):' "$findings" | sort -u
-  echo "lint: findings of clang-tidy"
-  exit 1
-fi
+# The embedding program has a build of its own and is compiled with warnings as errors there.
+python3 tests/lint.py "$build" $(git ls-files 'src/*.cpp' 'tests/*.cpp' 'bench/*.cpp' ':!tests/embed')
 echo "lint: clean"
