--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -13,10 +13,10 @@
 #include "cli/language.h"
 #include "config/config.h"
 #include "config_language/checked_program.h"
-#include "control/json.h"
 #include "control/routes.h"
 #include "endpoints/list.h"
 #include "file_watch/source.h"
+#include "json/writer.h"
 #include "settings/settings.h"
 #include "store/endpoint_state.h"
 
@@ -91,7 +91,7 @@
 /// Checks what the settings name: the configuration, the routes and the list of servers.
 void check_named_files(settings::Settings& settings, const std::string& file,
                        diagnostics::Findings& findings) {
-  const auto config = config::read_file(settings.config);
+  const auto config = config::read_file(settings.config_file);
   settings::resolve(settings, config, findings);
   control::TablePtr routes;
   if (!settings.routes_file.empty()) routes = check_routes(settings, file, config, findings);
@@ -107,7 +107,7 @@
                     diagnostics::Findings& findings) {
   const auto folder = std::filesystem::path(file).parent_path().string();
   auto settings = settings::read(content, file, folder, findings);
-  if (settings.config.empty()) return;
+  if (settings.config_file.empty()) return;
   try {
     check_named_files(settings, file, findings);
   } catch (const std::exception& error) {
@@ -155,25 +155,25 @@
   return result;
 }
 
-void write_finding(Writer& writer, const diagnostics::Finding& finding) {
+void write_finding(json::Writer& writer, const diagnostics::Finding& finding) {
   const bool is_error = finding.severity == diagnostics::Severity::error;
   writer.StartObject();
-  text(writer, "severity", is_error ? "error" : "warning");
-  text(writer, "code", finding.code);
-  text(writer, "file", finding.place.file);
+  json::write_text(writer, "severity", is_error ? "error" : "warning");
+  json::write_text(writer, "code", finding.code);
+  json::write_text(writer, "file", finding.place.file);
   writer.Key("line");
   writer.Uint(finding.place.line);
   writer.Key("column");
   writer.Uint(finding.place.column);
-  text(writer, "text", finding.text);
-  text(writer, "mend", finding.mend);
+  json::write_text(writer, "text", finding.text);
+  json::write_text(writer, "mend", finding.mend);
   writer.EndObject();
 }
 
-void write_findings(Writer& writer, const std::string& path,
+void write_findings(json::Writer& writer, const std::string& path,
                     const diagnostics::Findings& findings) {
   writer.StartObject();
-  text(writer, "file", path);
+  json::write_text(writer, "file", path);
   writer.Key("good");
   writer.Bool(findings.good());
   writer.Key("findings");
@@ -203,7 +203,7 @@
   return list;
 }
 
-void write_names(Writer& writer, const char* key, const std::vector<ServerId>& ids,
+void write_names(json::Writer& writer, const char* key, const std::vector<ServerId>& ids,
                  const endpoints::Snapshot& from, const endpoints::Snapshot& to) {
   writer.Key(key);
   writer.StartArray();
@@ -217,7 +217,7 @@
 void print_difference(const endpoints::Snapshot& from, const endpoints::Snapshot& to,
                       const endpoints::Difference& changes) {
   rapidjson::StringBuffer buffer;
-  Writer writer(buffer);
+  json::Writer writer(buffer);
   writer.StartObject();
   write_names(writer, "added", changes.added, from, to);
   write_names(writer, "removed", changes.removed, from, to);
@@ -241,11 +241,11 @@
 
 void print_state_as_json(const store::EndpointState& state, core::Time age_seconds) {
   rapidjson::StringBuffer buffer;
-  Writer writer(buffer);
+  json::Writer writer(buffer);
   writer.StartObject();
   writer.Key("generation");
   writer.Uint64(state.list->generation);
-  text(writer, "source", state.list->source);
+  json::write_text(writer, "source", state.list->source);
   writer.Key("servers");
   writer.Uint64(state.list->servers.size());
   writer.Key("age_s");
@@ -306,7 +306,7 @@
   return with_errors_printed([&] {
     const auto against = read_list_in_force(options.against);
     rapidjson::StringBuffer buffer;
-    Writer writer(buffer);
+    json::Writer writer(buffer);
     writer.StartArray();
     bool is_good = true;
     for (const auto& path : options.files) {
--- a/src/cli/cluster_members.cpp
+++ b/src/cli/cluster_members.cpp
@@ -12,7 +12,6 @@
 namespace alderspur::cli {
 namespace {
 
-constexpr int kHttpOk = 200;
 constexpr std::int64_t kMillisecondsPerSecond = 1'000;
 
 void print_member(const rapidjson::Value& member, const char* state, const std::string& duration) {
@@ -38,19 +37,20 @@
     std::fprintf(stderr, "alderspur: '%s' is no address\n", address.c_str());
     return kUsage;
   }
-  const auto [status, text] = ask_operators(address, "GET", "/control/cluster");
-  if (status == 0) {
+  const OperatorReply reply = call_operators(address, "GET", "/control/cluster");
+  if (reply.status == 0) {
     std::fprintf(stderr, "alderspur: nobody answers at %s\n", address.c_str());
     return kFinding;
   }
   rapidjson::Document view;
-  view.Parse<rapidjson::kParseIterativeFlag>(text.c_str());
-  if (status != kHttpOk || view.HasParseError() || !view.IsObject() || !view.HasMember("members")) {
-    std::fprintf(stderr, "alderspur: %s has no cluster: %s", address.c_str(), text.c_str());
+  view.Parse<rapidjson::kParseIterativeFlag>(reply.body.c_str());
+  if (reply.status != kHttpOk || view.HasParseError() || !view.IsObject() ||
+      !view.HasMember("members")) {
+    std::fprintf(stderr, "alderspur: %s has no cluster: %s", address.c_str(), reply.body.c_str());
     return kFinding;
   }
   if (json) {
-    std::fputs(text.c_str(), stdout);
+    std::fputs(reply.body.c_str(), stdout);
     return kYes;
   }
   print_view(view);
--- a/src/cli/cluster_versions.cpp
+++ b/src/cli/cluster_versions.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 #include <cstdio>
 #include <optional>
+#include <string_view>
 
 #include "cli/commands.h"
 #include "cli/operator_client.h"
@@ -14,104 +15,146 @@
 #include "consensus/version.h"
 
 namespace alderspur::cli {
+namespace {
 
-using consensus::Content;
+constexpr const char* kVersionsPath = "/control/versions";
+constexpr std::size_t kMaxAuthorLength = 40;
+constexpr int kMaxResultPolls = 250;
+constexpr useconds_t kPollInterval = 100'000;  // microseconds
 
-namespace {
+int fail(const std::string& message, int exit_code) {
+  std::fprintf(stderr, "alderspur: %s\n", message.c_str());
+  return exit_code;
+}
+
+int fail_without_reply(const std::string& address) {
+  return fail("nobody answers at " + address, kFinding);
+}
 
-int say(const std::string& what, int code) {
-  return std::fprintf(stderr, "alderspur: %s\n", what.c_str()), code;
+/// For a reply without the requested content.
+int fail_with(const OperatorReply& reply, const std::string& address) {
+  return reply.status == 0 ? fail_without_reply(address) : fail(reply.body, kFinding);
 }
 
-// Follows a proposal to its end.
-int follow(const std::string& at, const Asked& asked) {
-  if (asked.status == 0) return say("nobody answers at " + at, kFinding);
-  if (asked.status != 202) return say(asked.text, kFinding);
-  const auto nonce = asked.text.substr(0, asked.text.find('\n'));
-  for (int i = 0; i < 250; ++i) {
-    const auto word = ask_operators(at, "GET", "/control/versions/proposals/" + nonce);
-    if (word.status == 200) {
-      std::fputs(word.text.c_str(), stdout);
-      return word.text.starts_with("yes") ? kYes : kFinding;
+/// Prints the result of a proposal once it is known. `reply`: to the proposal; it begins with the
+/// proposal's nonce.
+int follow_proposal(const std::string& address, const OperatorReply& reply) {
+  if (reply.status != kHttpAccepted) return fail_with(reply, address);
+  const std::string nonce = reply.body.substr(0, reply.body.find('\n'));
+  const std::string target = std::string(kVersionsPath) + "/proposals/" + nonce;
+  for (int poll = 0; poll < kMaxResultPolls; ++poll) {
+    const OperatorReply result = call_operators(address, "GET", target);
+    if (result.status == kHttpOk) {
+      std::fputs(result.body.c_str(), stdout);
+      return result.body.starts_with("yes") ? kYes : kFinding;
     }
-    ::usleep(100'000);
+    ::usleep(kPollInterval);
   }
-  return say("no word on it; ask for the versions", kFinding);
+  return fail("no word on it; ask for the versions", kFinding);
 }
 
-}  // namespace
-
-int cluster_propose(const std::string& at, const std::vector<std::string>& documents,
-                    const std::string& author, const std::string& base, const TrialOptions& trial) {
-  Content content;
-  for (const auto& d : documents) {
-    const auto eq = d.find('=');
+/// Reads the files of "NAME=FILE"; nothing, after an error message, if one of them cannot be read.
+std::optional<consensus::Content> read_documents(const std::vector<std::string>& documents) {
+  consensus::Content content;
+  for (const auto& document : documents) {
+    const auto equals = document.find('=');
     try {
-      if (eq == std::string::npos) throw config::Error("it names no file");
-      content[d.substr(0, eq)] = config::read_text(d.substr(eq + 1));
+      if (equals == std::string::npos) throw config::Error("it names no file");
+      content[document.substr(0, equals)] = config::read_text(document.substr(equals + 1));
     } catch (const config::Error&) {
-      return say("cannot read '" + d + "'; write NAME=FILE, such as servers=servers.toml", kUsage);
+      fail("cannot read '" + document + "'; write NAME=FILE, such as servers=servers.toml", kUsage);
+      return std::nullopt;
     }
   }
-  std::string target = "/control/versions?author=" + consensus::to_printable(author, 40);
+  return content;
+}
+
+std::string proposal_target(const std::string& author, const std::string& base,
+                            const CanaryOptions& canary) {
+  std::string target =
+      std::string(kVersionsPath) + "?author=" + consensus::to_printable(author, kMaxAuthorLength);
   std::replace(target.begin(), target.end(), ' ', '_');
   if (!base.empty()) target += "&base=" + base;
-  if (!trial.first.empty()) {
-    target += "&first=" + trial.first + "&hold=" + trial.hold + "&harm=" + trial.harm +
-              (trial.go_on ? "&then=go" : "");
+  if (canary.routers.empty()) return target;
+  target += "&first=" + canary.routers + "&hold=" + canary.seconds + "&harm=" + canary.max_harm;
+  if (canary.promote_on_expiry) target += "&then=go";
+  return target;
+}
+
+void print_version(const char* label, const rapidjson::Value& version) {
+  std::printf("%-8s %6llu  %-12s by %-16s from %llu  %s\n", label,
+              static_cast<unsigned long long>(version["number"].GetUint64()),
+              version["state"].GetString(), version["author"].GetString(),
+              static_cast<unsigned long long>(version["base"].GetUint64()),
+              version["note"].GetString());
+  if (!version.HasMember("first")) return;
+  for (const auto& name : version["first"].GetArray()) {
+    std::printf("         on trial at %s\n", name.GetString());
   }
-  return follow(at, ask_operators(at, "PUT", target, consensus::encode(content)));
 }
 
-int cluster_voters(const std::string& at, const std::vector<std::string>& names) {
+void print_versions(const rapidjson::Document& view) {
+  print_version("acting", view["acting"]);
+  if (view.HasMember("pending")) print_version("pending", view["pending"]);
+  for (const auto& past : view["history"].GetArray()) print_version("past", past);
+  for (const auto& name : view["behind"].GetArray()) std::printf("behind   %s\n", name.GetString());
+  std::printf("%s, leader %s, lease %lld ms %s\n", view["part"].GetString(),
+              view["leader"].GetString(), static_cast<long long>(view["lease_ms"].GetInt64()),
+              view["trouble"].GetString());
+}
+
+}  // namespace
+
+int cluster_propose(const std::string& address, const std::vector<std::string>& documents,
+                    const std::string& author, const std::string& base,
+                    const CanaryOptions& canary) {
+  const auto content = read_documents(documents);
+  if (!content) return kUsage;
+  const std::string target = proposal_target(author, base, canary);
+  return follow_proposal(address,
+                         call_operators(address, "PUT", target, consensus::encode(*content)));
+}
+
+int cluster_voters(const std::string& address, const std::vector<std::string>& names) {
   std::string body;
-  for (const auto& n : names) body += n + "\n";
-  return follow(at, ask_operators(at, "PUT", "/control/versions/voters", body));
+  for (const auto& name : names) body += name + "\n";
+  const std::string target = std::string(kVersionsPath) + "/voters";
+  return follow_proposal(address, call_operators(address, "PUT", target, body));
 }
 
-int cluster_rollout(const std::string& at, const std::string& word, const std::string& number) {
-  return follow(at, ask_operators(at, "PUT", "/control/versions/rollout", word + " " + number));
+int cluster_rollout(const std::string& address, const std::string& verdict,
+                    const std::string& number) {
+  const std::string target = std::string(kVersionsPath) + "/rollout";
+  return follow_proposal(address, call_operators(address, "PUT", target, verdict + " " + number));
 }
 
-int cluster_versions(const std::string& at, bool json) {
-  const auto asked = ask_operators(at, "GET", "/control/versions");
-  if (asked.status != 200) {
-    return say(asked.status ? asked.text : "nobody answers at " + at, kFinding);
+int cluster_versions(const std::string& address, bool json) {
+  const OperatorReply reply = call_operators(address, "GET", kVersionsPath);
+  if (reply.status != kHttpOk) return fail_with(reply, address);
+  if (json) {
+    std::fputs(reply.body.c_str(), stdout);
+    return kYes;
   }
-  if (json) return std::fputs(asked.text.c_str(), stdout), kYes;
-  rapidjson::Document j;
-  j.Parse<rapidjson::kParseIterativeFlag>(asked.text.c_str());
-  if (j.HasParseError() || !j.IsObject()) return say("an answer that cannot be read", kFinding);
-  const auto line = [](const char* what, const rapidjson::Value& v) {
-    std::printf("%-8s %6llu  %-12s by %-16s from %llu  %s\n", what,
-                static_cast<unsigned long long>(v["number"].GetUint64()), v["state"].GetString(),
-                v["author"].GetString(), static_cast<unsigned long long>(v["base"].GetUint64()),
-                v["note"].GetString());
-    if (v.HasMember("first")) {
-      for (const auto& n : v["first"].GetArray()) {
-        std::printf("         on trial at %s\n", n.GetString());
-      }
-    }
-  };
-  line("acting", j["acting"]);
-  if (j.HasMember("pending")) line("pending", j["pending"]);
-  for (const auto& h : j["history"].GetArray()) line("past", h);
-  for (const auto& n : j["behind"].GetArray()) std::printf("behind   %s\n", n.GetString());
-  std::printf("%s, leader %s, lease %lld ms %s\n", j["part"].GetString(), j["leader"].GetString(),
-              static_cast<long long>(j["lease_ms"].GetInt64()), j["trouble"].GetString());
-  return std::string_view(j["acting"]["state"].GetString()) == "leased" ? kYes : kFinding;
+  rapidjson::Document view;
+  view.Parse<rapidjson::kParseIterativeFlag>(reply.body.c_str());
+  if (view.HasParseError() || !view.IsObject())
+    return fail("an answer that cannot be read", kFinding);
+  print_versions(view);
+  return std::string_view(view["acting"]["state"].GetString()) == "leased" ? kYes : kFinding;
 }
 
-int cluster_diff(const std::string& at, const std::string& a, const std::string& b) {
-  std::optional<Content> contents[2];
-  for (int i = 0; i < 2; ++i) {
-    const auto asked = ask_operators(at, "GET", "/control/versions/content/" + (i ? b : a));
-    if (asked.status == 200) contents[i] = consensus::decode_content(asked.text);
-    if (!contents[i]) return say(asked.status ? asked.text : "nobody answers at " + at, kFinding);
+int cluster_diff(const std::string& address, const std::string& from, const std::string& to) {
+  std::vector<consensus::Content> contents;
+  for (const auto& number : {from, to}) {
+    const std::string target = std::string(kVersionsPath) + "/content/" + number;
+    const OperatorReply reply = call_operators(address, "GET", target);
+    auto content = reply.status == kHttpOk ? consensus::decode_content(reply.body) : std::nullopt;
+    if (!content) return fail_with(reply, address);
+    contents.push_back(std::move(*content));
   }
-  const auto lines = consensus::describe_changes(*contents[0], *contents[1]);
-  for (const auto& l : lines) std::puts(l.c_str());
-  return lines.empty() ? kYes : kFinding;
+  const auto changes = consensus::describe_changes(contents[0], contents[1]);
+  for (const auto& change : changes) std::puts(change.c_str());
+  return changes.empty() ? kYes : kFinding;
 }
 
 }  // namespace alderspur::cli
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -1,4 +1,5 @@
-// The subcommands of `alderspur`, one function each. Exit codes: 0 yes, 1 a finding, 2 usage.
+// The subcommands of `alderspur`, one function each. They print to standard output, errors to
+// standard error, and return the exit code. docs/alderspur.1.md is for their users.
 #pragma once
 
 #include <string>
@@ -8,42 +9,51 @@
 
 /// Exit codes of the subcommands.
 constexpr int kYes = 0;
-constexpr int kFinding = 1;
+constexpr int kFinding = 1;  // findings, a rejected proposal, or a failed start
 constexpr int kUsage = 2;
 
-// The router with everything that the settings file switches on, until SIGTERM.
+/// Runs the router with all subsystems that the settings file switches on, until SIGTERM.
 int run(const std::string& settings_file);
 
 struct CheckOptions {
   std::vector<std::string> files;
-  std::string against;  // a list that counts as in force
+  std::string against;  // the list that counts as active; empty: none
   bool json = false;
 };
-// Says of each file (settings, a list of servers, a directory with a manifest, a program of the
-// language) what is wrong with it.
+/// Reports the errors of each file: settings, an endpoint list, a directory with a manifest, or a
+/// program of the configuration language.
 int check(const CheckOptions& options);
-// What changes between two lists, or two programs of the language, by meaning.
+/// Reports what changes between two lists or two programs of the language, by meaning.
 int diff(const std::string& from, const std::string& to, bool json, bool by_risk);
-// Writes the digest into a list's first line, or those of the pieces into a directory's manifest.
+/// Writes the digest into a list's first line, or those of the pieces into a directory's manifest.
 int seal(const std::string& path);
-// What the state directory holds: generation, age, servers and what is remembered of them.
+/// Prints what the state directory holds: generation, age and servers.
 int state(const std::string& folder, bool json);
 
-// Prints the members that a running router knows of, or its answer as JSON.
+/// Prints the members that a running router knows of, or its reply as JSON.
 int cluster_members(const std::string& address, bool json);
 
-// Proposes a version to a running router (NAME=FILE each), or other voters, and follows it to its
-// end; the versions that it knows; what differs between two of them.
-struct TrialOptions {  // of a version that holds for some routers first; see consensus::Trial
-  std::string first, hold = "60", harm = "0.05";
-  bool go_on = false;
+/// Options of a version that is active at some routers first. The texts are passed on as they are.
+struct CanaryOptions {
+  std::string routers;             // names, separated by commas; empty: no canary rollout
+  std::string seconds = "60";      // duration of the rollout
+  std::string max_harm = "0.05";   // the part of failed requests above that elsewhere
+  bool promote_on_expiry = false;  // otherwise it is rolled back
 };
-int cluster_propose(const std::string& at, const std::vector<std::string>& documents,
-                    const std::string& author, const std::string& base, const TrialOptions& trial);
-// `word`: go or back, for the version of that number on trial.
-int cluster_rollout(const std::string& at, const std::string& word, const std::string& number);
-int cluster_voters(const std::string& at, const std::vector<std::string>& names);
-int cluster_versions(const std::string& at, bool json);
-int cluster_diff(const std::string& at, const std::string& a, const std::string& b);
+/// Proposes a version to the router at `address` and waits for the result. `documents`: "NAME=FILE"
+/// each; `base`: the number of the version that it was made from, empty: the newest.
+int cluster_propose(const std::string& address, const std::vector<std::string>& documents,
+                    const std::string& author, const std::string& base,
+                    const CanaryOptions& canary);
+/// Ends the canary rollout of the version with that number. `verdict`: "go" promotes it, "back"
+/// rolls it back.
+int cluster_rollout(const std::string& address, const std::string& verdict,
+                    const std::string& number);
+/// Proposes other voters, by member names, and waits for the result.
+int cluster_voters(const std::string& address, const std::vector<std::string>& names);
+/// Prints the versions that a running router knows of, or its reply as JSON.
+int cluster_versions(const std::string& address, bool json);
+/// Prints what differs between the contents of two versions, given by their numbers.
+int cluster_diff(const std::string& address, const std::string& from, const std::string& to);
 
 }  // namespace alderspur::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -21,16 +21,16 @@
   CheckOptions check;
   FormatOptions format;
   ExplainOptions explain;
-  TrialOptions rollout;
+  CanaryOptions canary;
   std::string path;
   std::string from;
   std::string to;
-  std::string at;  // an operators' address
+  std::string address;  // an operators' address
   std::string author;
   std::string base;
   std::string verdict;
   std::string number;
-  std::vector<std::string> words;
+  std::vector<std::string> names;
   bool as_json = false;
   bool by_risk = false;
 };
@@ -110,7 +110,7 @@
 }
 
 void add_address(CLI::App& command, Arguments& arguments, const char* text) {
-  command.add_option("--at", arguments.at, text)->required();
+  command.add_option("--at", arguments.address, text)->required();
 }
 
 void add_members(CLI::App& cluster, Arguments& arguments) {
@@ -120,13 +120,13 @@
   command->footer(
       "Exit code 0: it sees all it knows. Example: alderspur cluster members --at 127.0.0.1:8470");
   command->callback(
-      [&] { arguments.exit_code = cluster_members(arguments.at, arguments.as_json); });
+      [&] { arguments.exit_code = cluster_members(arguments.address, arguments.as_json); });
 }
 
 void add_propose(CLI::App& cluster, Arguments& arguments) {
-  TrialOptions& rollout = arguments.rollout;
+  CanaryOptions& canary = arguments.canary;
   auto* command = cluster.add_subcommand("propose", "Propose a version for all routers");
-  command->add_option("DOCUMENT", arguments.words, "NAME=FILE, all that the version is to hold")
+  command->add_option("DOCUMENT", arguments.names, "NAME=FILE, all that the version is to hold")
       ->required();
   add_address(*command, arguments, "a router's operators' address");
   command->add_option("--author", arguments.author, "who proposes it");
@@ -134,19 +134,19 @@
   command->footer(
       "Exit code 0: it is in force. Example: alderspur cluster propose servers=servers.toml --at "
       "127.0.0.1:8470");
-  command->add_option("--first", rollout.first,
+  command->add_option("--first", canary.routers,
                       "members that it holds for first, A,B,...: a trial");
-  command->add_option("--hold", rollout.hold, "seconds that the trial takes")
+  command->add_option("--hold", canary.seconds, "seconds that the trial takes")
       ->check(CLI::Range(1.0, 86400.0));
   command
-      ->add_option("--harm", rollout.harm,
+      ->add_option("--harm", canary.max_harm,
                    "part of requests ended badly, over that elsewhere: taken back")
       ->check(CLI::Range(0.0, 1.0));
-  command->add_flag("--then-go", rollout.go_on,
+  command->add_flag("--then-go", canary.promote_on_expiry,
                     "goes on when the time is over; else it is taken back");
   command->callback([&] {
-    arguments.exit_code =
-        cluster_propose(arguments.at, arguments.words, arguments.author, arguments.base, rollout);
+    arguments.exit_code = cluster_propose(arguments.address, arguments.names, arguments.author,
+                                          arguments.base, canary);
   });
 }
 
@@ -158,7 +158,7 @@
   command->add_option("NUMBER", arguments.number, "the version on trial")->required();
   add_address(*command, arguments, "a router's operators' address");
   command->callback([&] {
-    arguments.exit_code = cluster_rollout(arguments.at, arguments.verdict, arguments.number);
+    arguments.exit_code = cluster_rollout(arguments.address, arguments.verdict, arguments.number);
   });
 }
 
@@ -168,14 +168,15 @@
   command->add_flag("--json", arguments.as_json, "as JSON");
   command->footer("Exit code 0: it acts under a lease.");
   command->callback(
-      [&] { arguments.exit_code = cluster_versions(arguments.at, arguments.as_json); });
+      [&] { arguments.exit_code = cluster_versions(arguments.address, arguments.as_json); });
 }
 
 void add_voters(CLI::App& cluster, Arguments& arguments) {
   auto* command = cluster.add_subcommand("voters", "Have other members vote");
-  command->add_option("MEMBER", arguments.words, "1, 3, 5 or 7")->required();
+  command->add_option("MEMBER", arguments.names, "1, 3, 5 or 7")->required();
   add_address(*command, arguments, "a router's operators' address");
-  command->callback([&] { arguments.exit_code = cluster_voters(arguments.at, arguments.words); });
+  command->callback(
+      [&] { arguments.exit_code = cluster_voters(arguments.address, arguments.names); });
 }
 
 void add_version_diff(CLI::App& cluster, Arguments& arguments) {
@@ -184,7 +185,7 @@
   command->add_option("TO", arguments.to, "a number")->required();
   add_address(*command, arguments, "a router's operators' address");
   command->callback(
-      [&] { arguments.exit_code = cluster_diff(arguments.at, arguments.from, arguments.to); });
+      [&] { arguments.exit_code = cluster_diff(arguments.address, arguments.from, arguments.to); });
 }
 
 void add_cluster(CLI::App& app, Arguments& arguments) {
--- a/src/cli/operator_client.cpp
+++ b/src/cli/operator_client.cpp
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-Asked ask_operators(const std::string& address, const std::string& method,
-                    const std::string& target, const std::string& body) {
+OperatorReply call_operators(const std::string& address, const std::string& method,
+                             const std::string& target, const std::string& body) {
   const auto parsed = net::parse_address(address);
   if (!parsed) return {};
   const net::Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -84,7 +84,7 @@
     : settings_(settings),
       log_(log),
       node_(std::move(config), log_sink(), endpoint_sink_factory()) {
-  node_.set_config_path(settings_.config);
+  node_.set_config_path(settings_.config_file);
   node_.on_counters([this] { log_counters(); });
   create_routes();
   create_signed_url_front();
@@ -118,9 +118,9 @@
 }
 
 void RunningRouter::create_signed_url_front() {
-  if (!settings_.links) return;
+  if (!settings_.signed_url) return;
   signed_url_front_ = std::make_unique<signed_url::HttpFront>(
-      node_.loop(), node_.deadlines(), node_.engine(), node_.config(), *settings_.links,
+      node_.loop(), node_.deadlines(), node_.engine(), node_.config(), *settings_.signed_url,
       net::unix_now, routes_.get());
   node_.add({[this] { signed_url_front_->end_turn(); }, [this] { signed_url_front_->leave(); },
              [this] { return signed_url_front_->idle(); }});
@@ -146,16 +146,16 @@
 }
 
 void RunningRouter::create_replication() {
-  if (!cluster_ || !settings_.cluster->replicate) return;
+  if (!cluster_ || !settings_.cluster->replicates_bans) return;
   replication_ =
       std::make_unique<control::ReplicationService>(node_, *cluster_, *settings_.cluster, log_);
 }
 
 void RunningRouter::create_consensus() {
-  if (!cluster_ || !settings_.cluster->agreement) return;
-  control::ConsensusService::Files files{
-      settings_.membership ? settings_.membership->list : std::string(), settings_.routes_file,
-      [this] { reload_files(); }, [this] { return endpoint_list_generation(); }};
+  if (!cluster_ || !settings_.cluster->agrees_on_versions) return;
+  control::VersionFiles files{settings_.membership ? settings_.membership->list : std::string(),
+                              settings_.routes_file, [this] { reload_files(); },
+                              [this] { return endpoint_list_generation(); }};
   consensus_ = std::make_unique<control::ConsensusService>(node_, *cluster_, *settings_.cluster,
                                                            std::move(files), log_);
 }
@@ -197,9 +197,9 @@
 
 /// False where a worker hangs on its disk: the process can then only be ended by _exit().
 bool RunningRouter::stop_workers() {
-  if (!node_.settle()) return false;
-  if (consensus_ && !consensus_->settle()) return false;
-  return !replication_ || replication_->settle();
+  if (!node_.stop_workers()) return false;
+  if (consensus_ && !consensus_->stop_workers()) return false;
+  return !replication_ || replication_->stop_worker();
 }
 
 void RunningRouter::run() {
@@ -232,11 +232,12 @@
   const auto folder = std::filesystem::path(file).parent_path().string();
   loaded.settings = settings::read(config::read_text(file), file, folder, findings);
   if (!findings.good()) return std::nullopt;
-  loaded.config = config::read_file(loaded.settings.config);
+  loaded.config = config::read_file(loaded.settings.config_file);
   config::Config& config = loaded.config;
   if (!loaded.settings.listen.empty()) config.listen = loaded.settings.listen;
-  if (!loaded.settings.operators.empty()) config.operator_listen = loaded.settings.operators;
-  if (const char* shared = std::getenv("TMPDIR")) config.state_folder = shared;
+  if (!loaded.settings.operators_address.empty())
+    config.operators_address = loaded.settings.operators_address;
+  if (const char* shared = std::getenv("TMPDIR")) config.shared_directory = shared;
   settings::resolve(loaded.settings, config, findings);
   if (!findings.good()) return std::nullopt;
   return loaded;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,89 +1,46 @@
-// The configuration and the board's notices: JSON read once into plain structs.
+// The configuration that the platform gives a router: a JSON file with its addresses and limits,
+// the settings of the routing policy, and the last known events of service discovery. The
+// platform's field names occur in the codecs only (config.cpp, routing_settings.h, watch_event.h).
+// Reading blocks on the disk.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
-#include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "alderspur/router.h"
-#include "endpoints/member.h"
+#include "config/error.h"
+#include "config/routing_settings.h"
+#include "config/watch_event.h"
 
 namespace alderspur::config {
 
-struct Error : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-// What the settings say beside what the decisions need.
-struct Names {
-  std::vector<std::string> zones, kinds, classes;
-  std::vector<std::int64_t> give_up;  // by class, microseconds; 0: not told
-  std::vector<std::string> report_fields;
-  int parent_kind = -1, origin_kind = -1;
-};
-using endpoints::Member;
-struct Notice {
-  struct Flush {
-    std::optional<std::uint64_t> object;
-    std::uint32_t group = 0;
-    std::int64_t at = 0;  // Unix microseconds
-  };
-  std::uint64_t number = 0;
-  bool pool = false, complete = false;
-  std::vector<Member> members;
-  std::optional<Flush> flush;
-};
+/// Times are microseconds.
 struct Config {
-  std::string name, listen, board;
-  std::string operator_listen;  // where operators call; empty: nowhere
-  std::string
-      state_folder;  // shared with the process that we replace, or that replaces us; empty: none
+  std::string name;               // of this router
+  std::string listen;             // address for the platform's clients
+  std::string discovery_address;  // of the service discovery server
+  std::string operators_address;  // for operators' calls; empty: they cannot call
+  std::string shared_directory;   // of all processes of this router; empty: none
   std::uint64_t seed = 0;
   std::size_t memory_mb = 192;
-  int sockets = 1024;
+  int max_descriptors = 1024;
   alderspur::Settings settings;
   Names names;
-  std::int64_t dial_timeout = 400'000, idle_close = 30'000'000;
-  std::size_t streams = 32;
-  std::uint64_t known = 0;  // number of the last notice below
-  std::vector<Notice> notices;
+  std::int64_t connect_timeout = 400'000;
+  std::int64_t idle_timeout = 30'000'000;  // after which a server closes an idle connection
+  std::size_t max_requests_per_connection = 32;
+  std::uint64_t known_event_number = 0;  // the last one that is covered by known_events
+  std::vector<WatchEvent> known_events;
 };
 
-// The signed front, as src/settings reads it.
-struct Signed {
-  struct Key {
-    std::string id, secret;
-    std::int64_t until = 0;  // Unix seconds, 0: no end
-  };
-  struct Route {
-    std::string prefix;  // "/asset/"
-    std::uint32_t cls = 0;
-    std::int64_t limit = 0;  // microseconds
-  };
-  bool enabled = false;
-  std::string listen, cookie = "alderspur";
-  std::int64_t skew_s = 5;
-  std::vector<Key> keys;
-  std::vector<Route> routes;
-};
-
-// The xDS server, likewise.
-struct Xds {
-  bool enabled = false;
-  std::string listen, cluster;
-};
-// The settings alone, as a router is given them, also on the simulator's wire. Throws Error.
-std::pair<alderspur::Settings, Names> read_settings(std::string_view text);
-// These throw Error with one plain line.
+/// The whole file as text. Throws Error if it cannot be read.
 std::string read_text(const std::string& path);
+/// Throws Error if the text is not a configuration.
 Config read(std::string_view text);
+/// Throws Error if the file cannot be read or is not a configuration.
 Config read_file(const std::string& path);
-// Empty if the line is no notice that this version understands.
-std::optional<Notice> read_notice(std::string_view line, const Names& names);
-using endpoints::server_id;
 
 }  // namespace alderspur::config
--- a/src/config_language/files.cpp
+++ b/src/config_language/files.cpp
@@ -13,7 +13,7 @@
   std::error_code code;
   const auto status = std::filesystem::status(path, code);
   if (!std::filesystem::exists(status)) return error = "there is no such file", std::nullopt;
-  // Danger: a FIFO would hold the reader for ever, and a device has no end.
+  // Reading a FIFO could block for ever, and a device may have no end.
   if (!std::filesystem::is_regular_file(status)) {
     return error = "it is no regular file", std::nullopt;
   }
--- a/src/control/cluster_service.cpp
+++ b/src/control/cluster_service.cpp
@@ -32,14 +32,14 @@
 cluster::Identity make_identity(const settings::Cluster& settings, const std::string& router_name,
                                 log::Log& log) {
   cluster::Identity self;
-  self.name = settings.member.empty() ? router_name : settings.member;
-  self.point = settings.point;
+  self.name = settings.member_name.empty() ? router_name : settings.member_name;
+  self.point = settings.location;
   self.share = settings.share;
   self.version = ALDERSPUR_VERSION;
   if (self.name.empty()) {
     throw config::Error("this member of the cluster has no name: set [cluster] member");
   }
-  const auto epoch = cluster::next_epoch(settings.state, net::unix_now());
+  const auto epoch = cluster::next_epoch(settings.state_directory, net::unix_now());
   self.epoch = epoch.epoch;
   if (epoch.error != cluster::EpochError::none) {
     log.record(kLogModule, log::Level::warning, "epoch_unusable", {{"reason", epoch.reason}});
@@ -57,7 +57,7 @@
 ClusterService::ClusterService(edge_router::EdgeRouter& node, const settings::Cluster& settings,
                                log::Log& log)
     : node_(node), log_(log) {
-  std::string secret = read_secret(settings.secret);
+  std::string secret = read_secret(settings.secret_file);
   const cluster::Identity self = make_identity(settings, node.config().name, log);
   create_transport(settings, std::move(secret), self);
   log.record(kLogModule, log::Level::info, "listening",
--- a/src/control/cluster_service.h
+++ b/src/control/cluster_service.h
@@ -10,15 +10,15 @@
 #include <vector>
 
 #include "cluster_transport/transport.h"
-#include "control/json.h"
 #include "edge_router/edge_router.h"
+#include "json/writer.h"
 #include "log/log.h"
 #include "settings/settings.h"
 
 namespace alderspur::control {
 
 /// Adds members to the JSON object of a view.
-using ViewExtension = std::function<void(Writer&)>;
+using ViewExtension = std::function<void(json::Writer&)>;
 
 /// The view as JSON, as GET /control/cluster gives it; docs/cluster.md explains its fields.
 std::string cluster_view(const cluster::Membership& membership,
--- a/src/control/cluster_view.cpp
+++ b/src/control/cluster_view.cpp
@@ -8,25 +8,20 @@
 
 constexpr core::Time kMicrosecondsPerMillisecond = 1'000;
 
-void write_count(Writer& writer, const char* key, std::uint64_t value) {
-  writer.Key(key);
-  writer.Uint64(value);
-}
-
-void write_identity(Writer& writer, const cluster::GossipUpdate& update) {
-  text(writer, "name", update.identity.name);
-  text(writer, "address", update.identity.address);
-  text(writer, "point", update.identity.point);
-  text(writer, "version", update.identity.version);
-  write_count(writer, "epoch", update.identity.epoch);
+void write_identity(json::Writer& writer, const cluster::GossipUpdate& update) {
+  json::write_text(writer, "name", update.identity.name);
+  json::write_text(writer, "address", update.identity.address);
+  json::write_text(writer, "point", update.identity.point);
+  json::write_text(writer, "version", update.identity.version);
+  json::write_count(writer, "epoch", update.identity.epoch);
   writer.Key("incarnation");
   writer.Uint(update.incarnation);
   writer.Key("share");
   writer.Double(update.identity.share);
-  text(writer, "state", cluster::to_string(update.state));
+  json::write_text(writer, "state", cluster::to_string(update.state));
 }
 
-void write_members(Writer& writer, const cluster::Membership& membership, core::Time now) {
+void write_members(json::Writer& writer, const cluster::Membership& membership, core::Time now) {
   writer.Key("members");
   writer.StartArray();
   for (const auto& member : membership.members()) {
@@ -41,14 +36,14 @@
       writer.Null();
     }
     if (member.update.state == cluster::MemberState::suspect) {
-      text(writer, "by", member.update.reported_by);
+      json::write_text(writer, "by", member.update.reported_by);
     }
     writer.EndObject();
   }
   writer.EndArray();
 }
 
-void write_counters(Writer& writer, const cluster::MembershipCounters& membership,
+void write_counters(json::Writer& writer, const cluster::MembershipCounters& membership,
                     const cluster_transport::TransportCounters& transport) {
   const std::pair<const char*, std::uint64_t> counts[] = {
       {"pings", membership.pings},
@@ -68,7 +63,7 @@
       {"dropped", transport.dropped}};
   writer.Key("counts");
   writer.StartObject();
-  for (const auto& [key, value] : counts) write_count(writer, key, value);
+  for (const auto& [key, value] : counts) json::write_count(writer, key, value);
   writer.EndObject();
 }
 
@@ -78,11 +73,11 @@
                          const cluster_transport::TransportCounters& counters, core::Time now,
                          const ViewExtension& extension) {
   rapidjson::StringBuffer buffer;
-  Writer writer(buffer);
+  json::Writer writer(buffer);
   writer.StartObject();
-  text(writer, "whole", cluster::to_string(membership.health()));
-  write_count(writer, "seen", membership.live_count() + 1);
-  write_count(writer, "known", membership.known_count() + 1);
+  json::write_text(writer, "whole", cluster::to_string(membership.health()));
+  json::write_count(writer, "seen", membership.live_count() + 1);
+  json::write_count(writer, "known", membership.known_count() + 1);
   writer.Key("doubt");
   writer.Int(membership.local_health_score());
   writer.Key("self");
--- a/src/control/consensus_service.cpp
+++ b/src/control/consensus_service.cpp
@@ -1,377 +1,233 @@
 #include "control/consensus_service.h"
 
-#include <filesystem>
-#include <fstream>
-#include <sstream>
+#include <algorithm>
+#include <chrono>
+#include <limits>
+#include <utility>
+#include <variant>
+#include <vector>
 
-#include "consensus/conservative_merge.h"
-#include "consensus/messages.h"
-#include "control/routes.h"
-#include "endpoints/check.h"
-#include "store/state_file.h"
+#include "control/version_calls.h"
 
 namespace alderspur::control {
 namespace {
 
-using namespace alderspur::consensus;  // NOLINT(google-build-using-namespace): all of its messages
-                                       // are handled here
-constexpr const char* kName = "agreement";
-constexpr Time kMeasure = 500'000;
-constexpr std::size_t kMaxLoadedContents = 2 * kMaxStoredContents;
+constexpr const char* kLogModule = "agreement";
 constexpr std::size_t kMaxFinishedProposals = 16;
 constexpr std::size_t kMaxRequestBodyBytes = 4 << 20;
-constexpr double kUnleasedFraction =
-    1 - kLeasedFraction;  // for all routers without a lease together
+/// Of each quota, for all routers without a lease together.
+constexpr double kUnleasedFraction = 1 - consensus::kLeasedFraction;
+/// Among how many routers at least the unleased fraction is divided.
 constexpr std::uint32_t kMinRouters = 8;
-constexpr std::chrono::milliseconds kSettle(200);
+constexpr std::chrono::milliseconds kStopTimeout(200);  // for each worker
 
-std::string content_path(const std::string& folder, const std::string& digest) {
-  return folder + "/content." + digest;
+constexpr std::string_view kProposalsPath = "/proposals/";
+constexpr std::string_view kContentPath = "/content/";
+constexpr int kOk = 200;
+constexpr int kAccepted = 202;
+constexpr int kNotFound = 404;
+
+static_assert(settings::kMaxVoters == consensus::kMaxVoters);
+
+/// An equal part of the unleased fraction, over twice the configured number of routers: more may
+/// run than configured.
+double unleased_share(const config::Config& config) {
+  return kUnleasedFraction / 2 / std::max(kMinRouters, config.settings.router_count);
 }
 
-// In one bounded read: what was kept, whatever of it is whole.
-Start load(const std::string& folder, LogStore& disk) {
-  Start out;
-  std::error_code ignored;
-  std::filesystem::create_directories(folder, ignored);
-  if (const auto kept = store::load_file(folder + "/agree.kept", 1 << 20); kept.payload) {
-    out.state = decode_persisted_state(*kept.payload).value_or(PersistedState{});
-  }
-  const auto take = [&](const std::string& digest) {
-    if (digest.empty() || out.contents.size() >= kMaxLoadedContents) return;
-    if (const auto c = store::load_file(content_path(folder, digest), kMaxContentBytes + 4096);
-        c.payload) {
-      out.contents[digest] = *c.payload;
-    }
-  };
-  take(out.state.current.digest);
-  if (out.state.accepted) take(out.state.accepted->digest);
-  // Danger: what was agreed a moment before all lost their power stands nowhere but here.
-  for (const auto& e : std::filesystem::directory_iterator(folder, ignored)) {
-    const auto name = e.path().filename().string();
-    if (name.starts_with("content.") && !name.ends_with(".new")) take(name.substr(8));
-  }
-  auto loaded = disk.load();
-  out.log = std::move(loaded.log), out.is_log_corrupt = loaded.is_corrupt;
-  out.has_no_disk = !loaded.is_corrupt && !loaded.status.is_ok();
-  return out;
+consensus::ConsensusSettings consensus_settings(const cluster::Identity& self,
+                                                const settings::Cluster& cluster) {
+  consensus::ConsensusSettings settings;
+  settings.name = self.name;
+  settings.location = self.point;
+  settings.epoch = self.epoch;
+  settings.voters = cluster.voters;
+  return settings;
 }
 
 }  // namespace
 
-ConsensusService::ConsensusService(edge_router::EdgeRouter& node, ClusterService& cluster,
-                                   const settings::Cluster& s, Files files, log::Log& log)
-    : node_(node),
+ConsensusService::ConsensusService(edge_router::EdgeRouter& router, ClusterService& cluster,
+                                   const settings::Cluster& settings, VersionFiles files,
+                                   log::Log& log)
+    : router_(router),
       cluster_(cluster),
-      files_(std::move(files)),
       log_(log),
-      unleased_(kUnleasedFraction / 2 / std::max(kMinRouters, node.config().settings.router_count)),
-      folder_(s.state),
-      disk_(std::make_shared<LogStore>(s.state)),
+      unleased_share_(unleased_share(router.config())),
       random_(std::random_device{}()),
-      wakeup_(node.loop()) {
-  ConsensusSettings settings;
-  const auto& self = cluster.link().membership().self();
-  settings.name = self.name, settings.location = self.point, settings.epoch = self.epoch;
-  settings.voters = s.voters;
-  agreement_ = std::make_unique<ConsensusNode>(settings, random_());
-  cluster_.on_frame([this](const std::string& from, std::string_view bytes) {
-    handle(MessageReceived{from, std::string(bytes)});
-  });
-  cluster_.on_members(
-      [this](const std::vector<std::string>& names) { handle(PeersChanged{names}); });
-  node_.on_versions([this](std::string_view what, std::string_view query,
-                           const std::string& body) { return told(what, query, body); },
-                    kMaxRequestBodyBytes);
-  node_.set_cluster_share(unleased_, unleased_);
-  measure();
-  begin();
+      node_(consensus_settings(cluster.link().membership().self(), settings), random_()),
+      wakeup_(router.loop()),
+      storage_(
+          settings.state_directory, wakeup_,
+          [this](const consensus::Event& event) { handle(event); }, log),
+      contents_(std::move(files), settings.state_directory, router.config(), wakeup_, log) {
+  subscribe();
+  router_.set_cluster_share(unleased_share_, unleased_share_);
+  report_load();
+  storage_.load();
 }
+
 ConsensusService::~ConsensusService() {
-  if (due_) node_.deadlines().cancel(*due_);
-  if (measure_) node_.deadlines().cancel(*measure_);
+  if (timer_) router_.deadlines().cancel(*timer_);
+  if (load_timer_) router_.deadlines().cancel(*load_timer_);
 }
-bool ConsensusService::settle() {
-  return log_writer_.settle(kSettle) && writer_.settle(kSettle) && checker_.settle(kSettle);
+
+bool ConsensusService::stop_workers() {
+  return storage_.stop_workers(kStopTimeout) && contents_.stop_worker(kStopTimeout);
 }
 
-void ConsensusService::begin() {
-  log_writer_.submit([this, disk = disk_, folder = folder_] {
-    wakeup_.post([this, begin = load(folder, *disk)] {
-      if (begin.is_log_corrupt) {
-        log_.record(kName, log::Level::error, "log_spoilt", {{"folder", folder_}});
-      }
-      if (begin.has_no_disk) {
-        log_.record(kName, log::Level::error, "no_disk", {{"folder", folder_}});
-      }
-      handle(begin);
-    });
+void ConsensusService::subscribe() {
+  cluster_.on_frame([this](const std::string& from, std::string_view bytes) {
+    handle(consensus::MessageReceived{from, std::string(bytes)});
   });
+  cluster_.on_members(
+      [this](const std::vector<std::string>& names) { handle(consensus::PeersChanged{names}); });
+  router_.on_versions([this](std::string_view path, std::string_view query,
+                             const std::string& body) { return on_admin_call(path, query, body); },
+                      kMaxRequestBodyBytes);
 }
 
 // ---- Events and actions
 
 void ConsensusService::handle(const consensus::Event& event) {
   std::vector<consensus::Action> actions;
-  agreement_->handle(net::steady_now(), event, actions);
-  for (auto& a : actions) carry_out(a);
-  arm();
+  node_.handle(net::steady_now(), event, actions);
+  for (auto& action : actions) {
+    std::visit([this](auto& alternative) { perform(std::move(alternative)); }, action);
+  }
+  schedule_timer();
 }
 
-void ConsensusService::arm() {
-  if (due_) node_.deadlines().cancel(*due_), due_.reset();
-  const Time next = agreement_->next_deadline();
-  if (next == std::numeric_limits<Time>::max()) return;
-  const Time in = std::max<Time>(0, next - net::steady_now());
-  due_ = node_.deadlines().set(node_.engine().now() + in, [this] {
-    due_.reset();
-    handle(TimerFired{});
+void ConsensusService::schedule_timer() {
+  if (timer_) {
+    router_.deadlines().cancel(*timer_);
+    timer_.reset();
+  }
+  const core::Time due = node_.next_deadline();
+  if (due == std::numeric_limits<core::Time>::max()) return;
+  const core::Time delay = std::max<core::Time>(0, due - net::steady_now());
+  timer_ = router_.deadlines().set(router_.engine().now() + delay, [this] {
+    timer_.reset();
+    handle(consensus::TimerFired{});
   });
 }
 
-void ConsensusService::carry_out(consensus::Action& action) {
-  if (auto* s = std::get_if<SendMessage>(&action)) return cluster_.send_frame(s->to, s->bytes);
-  if (auto* p = std::get_if<WriteLog>(&action)) return put(std::move(*p));
-  if (auto* w = std::get_if<WriteContent>(&action)) return write(std::move(*w));
-  if (auto* c = std::get_if<CheckContent>(&action)) return check(*c);
-  if (auto* k = std::get_if<PersistState>(&action)) return keep(*k);
-  if (auto* a = std::get_if<Activate>(&action)) return act(a->active);
-  if (auto* d = std::get_if<consensus::DeleteContent>(&action)) {
-    writer_.submit([folder = folder_, digest = d->digest] {
-      std::error_code ignored;
-      std::filesystem::remove(content_path(folder, digest), ignored);
-    });
-  } else if (auto* y = std::get_if<consensus::ProposalFinished>(&action)) {
-    settled_.push_back(y->result);
-    if (settled_.size() > kMaxFinishedProposals) settled_.pop_front();
-  } else if (auto* r = std::get_if<consensus::LogEvent>(&action)) {
-    log_.record(kName, log::Level::info, r->event, {{"text", r->text}});
-  }
+void ConsensusService::perform(const consensus::SendMessage& action) {
+  cluster_.send_frame(action.to, action.bytes);
 }
 
-void ConsensusService::put(WriteLog p) {
-  const auto number = p.number;
-  const bool given = log_writer_.submit([this, disk = disk_, p = std::move(p)] {
-    const auto status = disk->apply(p.write);
-    wakeup_.post([this, number = p.number, status] {
-      if (!status.is_ok()) {
-        log_.record(kName, log::Level::error, "log_not_written", {{"reason", status.message()}});
-      }
-      handle(LogWritten{number, status.is_ok()});
-    });
-  });
-  // A disk that hangs: what it does not take in time has failed.
-  if (!given) wakeup_.post([this, number] { handle(LogWritten{number, false}); });
+void ConsensusService::perform(consensus::WriteLog action) {
+  storage_.write_log(std::move(action));
 }
 
-void ConsensusService::write(WriteContent w) {
-  const auto digest = w.digest;
-  const bool given = writer_.submit([this, folder = folder_, w = std::move(w)] {
-    const auto error = store::replace_file(content_path(folder, w.digest), w.bytes);
-    wakeup_.post([this, digest = w.digest, error] {
-      if (error) {
-        log_.record(kName, log::Level::error, "content_not_written",
-                    {{"reason", to_string(*error)}});
-      }
-      handle(ContentWritten{digest, !error});
-    });
-  });
-  if (!given) wakeup_.post([this, digest] { handle(ContentWritten{digest, false}); });
+void ConsensusService::perform(consensus::WriteContent action) {
+  storage_.write_content(std::move(action));
 }
 
-void ConsensusService::keep(const PersistState& k) {
-  writer_.submit([folder = folder_, text = encode(k.state)] {
-    // Of an older one a later start is careful until it has heard the newest.
-    (void)store::replace_file(folder + "/agree.kept", text);
-  });
+void ConsensusService::perform(const consensus::CheckContent& action) {
+  contents_.check(action, [this](const consensus::ContentChecked& result) { handle(result); });
 }
 
-// By the checkers that the settings' own files pass.
-void ConsensusService::check(const CheckContent& c) {
-  checker_.submit([this, folder = folder_, &config = node_.config(), c] {
-    std::string reason;
-    for (const auto& [name, text] : *c.content) {
-      if (name == "servers") {
-        diagnostics::Findings findings;
-        const auto read = endpoints::read_list(text, name, 0, {}, findings);
-        if (read.list && findings.good()) endpoints::check_alone(*read.list, findings);
-        if (read.list && findings.good()) {
-          (void)endpoints::resolve_zones(*read.list, config.names.zones, findings);
-        }
-        if (!findings.good()) reason = diagnostics::to_string(findings.list()[0]);
-      } else if (name == "routes") {
-        const auto file = folder + "/checked.alder";
-        std::ofstream(file) << text;
-        std::vector<std::string> findings;
-        if (!compile(file, config, findings)) {
-          reason = findings.empty() ? "does not check" : findings[0];
-        }
-      } else {
-        reason = "this program knows no document '" + name + "'";
-      }
-      if (!reason.empty()) break;
-    }
-    wakeup_.post([this, digest = c.digest, reason] {
-      handle(ContentChecked{digest, reason.empty(), reason});
-    });
-  });
+void ConsensusService::perform(const consensus::DeleteContent& action) {
+  storage_.delete_content(action);
 }
 
-// ---- Acting
-
-void ConsensusService::act(const ActiveVersion& a) {
-  const bool version = a.version.number != acting_.version.number ||
-                       a.is_conservative != acting_.is_conservative ||
-                       a.newer_contents != acting_.newer_contents;
-  acting_ = a;
-  const bool share = a.total_share > 0;
-  node_.set_cluster_share(share ? a.total_share : unleased_, share ? a.location_share : unleased_);
-  if (!version) return;
-  if (a.version.number != judged_) {
-    judged_ = a.version.number, bad_part_ = 0;  // what ends from here on is its own
-  }
-  log_.record(kName, log::Level::info, "acts",
-              {{"version", a.version.number},
-               {"careful", a.is_conservative ? 1 : 0},
-               {"heard", a.newer_contents.size()}});
-  write_files();
+void ConsensusService::perform(const consensus::PersistState& action) {
+  storage_.persist_state(action);
 }
 
-void ConsensusService::write_files() {
-  if (!acting_.content || (files_.servers.empty() && files_.routes.empty())) return;
-  if (std::exchange(writing_, true)) {
-    again_ = true;
-    return;
-  }
-  const auto generation = files_.generation ? files_.generation() + 1 : 1;
-  const bool given = checker_.submit([this, files = files_, acting = acting_, generation] {
-    std::string error;
-    if (const auto it = acting.content->find("servers");
-        it != acting.content->end() && !files.servers.empty()) {
-      std::vector<std::string> texts{it->second};
-      for (const auto& h : acting.newer_contents) {
-        if (const auto x = h->find("servers"); x != h->end()) texts.push_back(x->second);
-      }
-      const auto merged = merge_list_texts(texts, generation);
-      if (!merged.is_ok()) {
-        error = merged.error();
-      } else if (const auto failure = store::replace_text_file(files.servers, merged.text())) {
-        error = to_string(*failure);
-      }
-    }
-    if (const auto it = acting.content->find("routes");
-        it != acting.content->end() && !files.routes.empty()) {
-      if (const auto failure = store::replace_text_file(files.routes, it->second)) {
-        error = to_string(*failure);
-      }
-    }
-    wakeup_.post([this, error] {
-      writing_ = false;
-      if (!error.empty()) {
-        log_.record(kName, log::Level::error, "not_acted_on", {{"reason", error}});
-      }
-      if (files_.look) files_.look();
-      if (std::exchange(again_, false)) write_files();
-    });
-  });
-  if (!given) writing_ = false;
+void ConsensusService::perform(const consensus::ProposalFinished& action) {
+  finished_proposals_.push_back(action.result);
+  if (finished_proposals_.size() > kMaxFinishedProposals) finished_proposals_.pop_front();
 }
 
-// What this router takes, for its share.
-void ConsensusService::measure() {
-  const auto& c = node_.engine().counters();
-  const auto taken = c.admitted, ended = c.served + c.rejected + c.failed,
-             bad = c.rejected + c.failed;
-  if (ended > ended_) {
-    const double part = static_cast<double>(bad - bad_) / static_cast<double>(ended - ended_);
-    bad_part_ += 0.3 * (part - bad_part_);
-  }
-  ended_ = ended, bad_ = bad;
-  rate_ +=
-      0.3 * (static_cast<double>(taken - taken_) * 1e6 / static_cast<double>(kMeasure) - rate_);
-  taken_ = taken;
-  if (agreement_) handle(LoadMeasured{1 + rate_, bad_part_});
-  measure_ = node_.deadlines().set(node_.engine().now() + kMeasure, [this] { measure(); });
+void ConsensusService::perform(const consensus::LogEvent& action) {
+  log_.record(kLogModule, log::Level::info, action.event, {{"text", action.text}});
 }
 
-// ---- Operators
-
-admin::HttpReply ConsensusService::told(std::string_view what, std::string_view query,
-                                        const std::string& body) {
-  if (body.empty() && what.empty()) return {200, view()};
-  if (body.empty() && what.starts_with("/proposals/")) {
-    const auto nonce = std::strtoull(std::string(what.substr(11)).c_str(), nullptr, 10);
-    for (const auto& s : settled_) {
-      if (s.nonce == nonce) {
-        return {200, std::string(s.is_accepted ? "yes" : "no") + " " +
-                         std::to_string(s.version_number) + " " + s.reason + "\n"};
-      }
-    }
-    return {202, "under way\n"};
-  }
-  if (body.empty() && what.starts_with("/content/")) {
-    const auto c =
-        agreement_->content(std::strtoull(std::string(what.substr(9)).c_str(), nullptr, 10));
-    if (!c) return {404, "that version is not kept here\n"};
-    return {200, encode(*c)};
+// ---- The active version
+
+void ConsensusService::perform(const consensus::Activate& action) {
+  const bool is_another = is_another_version(action.active);
+  active_ = action.active;
+  apply_shares(active_);
+  if (!is_another) return;
+  if (active_.version.number != measured_version_) {
+    measured_version_ = active_.version.number;
+    load_.reset_failure_ratio();
   }
-  if (!body.empty()) return propose(what, query, body);
-  return {404, "no such call\n"};
+  log_.record(kLogModule, log::Level::info, "acts",
+              {{"version", active_.version.number},
+               {"careful", active_.is_conservative ? 1 : 0},
+               {"heard", active_.newer_contents.size()}});
+  contents_.write_files(active_);
 }
 
-admin::HttpReply ConsensusService::propose(std::string_view what, std::string_view query,
-                                           const std::string& body) {
-  OperatorProposal p;
-  p.nonce = random_() >> 1 | 1;
-  if (const auto nonce =
-          http::parameter(query, "nonce")) {  // asked again by whoever did not hear the answer
-    p.nonce = std::max(1ULL, std::strtoull(std::string(*nonce).c_str(), nullptr, 10));
-  }
-  if (const auto author = http::parameter(query, "author")) p.author = *author;
-  if (const auto base = http::parameter(query, "base"); base && !base->empty()) {
-    p.base_number = std::strtoull(std::string(*base).c_str(), nullptr, 10);
-  }
-  if (const auto first = http::parameter(query, "first")) {
-    std::istringstream names{std::string(*first)};
-    for (std::string n; std::getline(names, n, ',') && p.canary.routers.size() <= kMaxVoters;) {
-      p.canary.routers.push_back(n);
-    }
-    const auto real = [&](const char* key, double otherwise) {
-      const auto text = http::parameter(query, key);
-      return text ? std::strtod(std::string(*text).c_str(), nullptr) : otherwise;
-    };
-    p.canary.duration = static_cast<Time>(std::clamp(real("hold", 60), 0.0, 1e6) * 1e6);
-    p.canary.max_failure_increase =
-        std::clamp(real("harm", p.canary.max_failure_increase), 0.0, 1.0);
-    p.canary.promote_on_expiry = http::parameter(query, "then") == "go";
-  }
-  if (what == "/rollout") {
-    std::istringstream words(body);
-    std::string go;
-    CanaryDecision v;
-    if (!(words >> go >> v.version_number) || (go != "go" && go != "back")) {
-      return {400, "say go or back, and the number of the version on trial\n"};
-    }
-    v.promote = go == "go";
-    p.canary_decision = v;
-  } else if (what == "/voters") {
-    std::istringstream names(body);
-    for (std::string n; names >> n && p.voters.size() <= kMaxVoters;) p.voters.push_back(n);
-    if (p.voters.empty()) return {400, "name the voters\n"};
-  } else if (what.empty()) {
-    auto content = decode_content(body);
-    if (!content) return {400, "not a content: use alderspur cluster propose\n"};
-    p.content = std::move(*content);
+bool ConsensusService::is_another_version(const consensus::ActiveVersion& version) const {
+  return version.version.number != active_.version.number ||
+         version.is_conservative != active_.is_conservative ||
+         version.newer_contents != active_.newer_contents;
+}
+
+void ConsensusService::apply_shares(const consensus::ActiveVersion& version) {
+  if (version.total_share > 0) {
+    router_.set_cluster_share(version.total_share, version.location_share);
   } else {
-    return {404, "no such call\n"};
+    router_.set_cluster_share(unleased_share_, unleased_share_);
   }
-  handle(p);
-  return {202, std::to_string(p.nonce) + "\n"};
+}
+
+void ConsensusService::report_load() {
+  handle(load_.measure(router_.engine().counters()));
+  load_timer_ = router_.deadlines().set(router_.engine().now() + RequestLoad::kInterval,
+                                        [this] { report_load(); });
+}
+
+// ---- Operators' calls
+
+admin::HttpReply ConsensusService::on_admin_call(std::string_view path, std::string_view query,
+                                                 const std::string& body) {
+  return body.empty() ? answer_read(path) : propose(path, query, body);
+}
+
+admin::HttpReply ConsensusService::answer_read(std::string_view path) const {
+  if (path.empty()) return {kOk, view()};
+  if (path.starts_with(kProposalsPath))
+    return proposal_result(read_number(path.substr(kProposalsPath.size())));
+  if (path.starts_with(kContentPath))
+    return version_content(read_number(path.substr(kContentPath.size())));
+  return {kNotFound, "no such call\n"};
+}
+
+admin::HttpReply ConsensusService::proposal_result(std::uint64_t nonce) const {
+  const auto result =
+      std::find_if(finished_proposals_.begin(), finished_proposals_.end(),
+                   [nonce](const auto& finished) { return finished.nonce == nonce; });
+  if (result == finished_proposals_.end()) return {kAccepted, "under way\n"};
+  const std::string verdict = result->is_accepted ? "yes" : "no";
+  return {kOk,
+          verdict + " " + std::to_string(result->version_number) + " " + result->reason + "\n"};
+}
+
+admin::HttpReply ConsensusService::version_content(std::uint64_t number) const {
+  const auto content = node_.content(number);
+  if (!content) return {kNotFound, "that version is not kept here\n"};
+  return {kOk, consensus::encode(*content)};
+}
+
+admin::HttpReply ConsensusService::propose(std::string_view path, std::string_view query,
+                                           const std::string& body) {
+  const std::uint64_t nonce = random_() >> 1 | 1;  // 0 stands for no proposal
+  const auto read = read_proposal(path, query, body, nonce);
+  if (const auto* error = std::get_if<admin::HttpReply>(&read)) return *error;
+  const auto& proposal = std::get<consensus::OperatorProposal>(read);
+  handle(proposal);
+  return {kAccepted, std::to_string(proposal.nonce) + "\n"};
 }
 
 std::string ConsensusService::view() const {
-  return versions_view(agreement_->status(net::steady_now()), agreement_->lease_table(),
-                       net::steady_now());
+  const core::Time now = net::steady_now();
+  return versions_view(node_.status(now), node_.lease_table(), now);
 }
 
 }  // namespace alderspur::control
--- a/src/control/consensus_service.h
+++ b/src/control/consensus_service.h
@@ -1,80 +1,92 @@
-// Versions in service: the agreement with its channels, its disk, its checks, and what comes in
-// force.
+// Runs this router's part in agreeing on versions of the shared configuration: connects the
+// ConsensusNode with the cluster's transport, the disk, the router whose shares and files it sets,
+// and the operators' calls.
 //
-// The loop's thread owns the Agreement. Three workers: one writes the voter's log, one contents and
-// what is kept through a restart, one checks contents and writes the files that this router acts on
-// (the list of servers and the program of routes, where the settings name them; others are kept and
-// passed on). A disk that hangs holds its worker only.
+// Threads: all of it on the loop's thread. ConsensusStorage and VersionContents have workers for
+// what blocks.
 #pragma once
 
+#include <cstdint>
 #include <deque>
-#include <functional>
 #include <memory>
 #include <optional>
+#include <random>
 #include <string>
+#include <string_view>
 
 #include "consensus/consensus_node.h"
-#include "consensus/log_store.h"
 #include "control/cluster_service.h"
-#include "file_watch/worker.h"
+#include "control/consensus_storage.h"
+#include "control/request_load.h"
+#include "control/version_contents.h"
 #include "net/wakeup.h"
 
 namespace alderspur::control {
 
-// As GET /control/versions gives it; docs/versions.md explains its fields.
-std::string versions_view(const consensus::NodeStatus& view, const consensus::LeaseTable& book,
+/// The view of versions as JSON, as GET /control/versions gives it; docs/versions.md explains its
+/// fields. `now`: on the monotonic clock, in microseconds.
+std::string versions_view(const consensus::NodeStatus& status, const consensus::LeaseTable& leases,
                           core::Time now);
 
 class ConsensusService {
  public:
-  struct Files {
-    std::string servers,
-        routes;  // written by this part when a version is in force; empty: not used here
-    std::function<void()> look;                 // they may have changed
-    std::function<std::uint64_t()> generation;  // of the list of servers in force
-  };
-  ConsensusService(edge_router::EdgeRouter& node, ClusterService& cluster,
-                   const settings::Cluster& settings, Files files, log::Log& log);
+  /// Begins to load what the disk holds. The router, the cluster and the log must outlive this
+  /// object.
+  ConsensusService(edge_router::EdgeRouter& router, ClusterService& cluster,
+                   const settings::Cluster& settings, VersionFiles files, log::Log& log);
   ~ConsensusService();
-  // False: a disk hangs, and the process can only be ended by _exit().
-  bool settle();
+  ConsensusService(const ConsensusService&) = delete;
+  ConsensusService& operator=(const ConsensusService&) = delete;
+
+  /// Waits a short time for the workers. False: a disk hangs, and the process can only be ended by
+  /// _exit().
+  bool stop_workers();
 
  private:
-  void begin();
+  void subscribe();
   void handle(const consensus::Event& event);
-  void carry_out(consensus::Action& action);
-  void arm();
-  void put(consensus::WriteLog put);
-  void write(consensus::WriteContent write);
-  void keep(const consensus::PersistState& keep);
-  void check(const consensus::CheckContent& check);
-  void act(const consensus::ActiveVersion& acting);
-  void write_files();
-  void measure();
-  admin::HttpReply told(std::string_view what, std::string_view query, const std::string& body);
+  void schedule_timer();
+
+  void perform(const consensus::SendMessage& action);
+  void perform(consensus::WriteLog action);
+  void perform(consensus::WriteContent action);
+  void perform(const consensus::CheckContent& action);
+  void perform(const consensus::DeleteContent& action);
+  void perform(const consensus::PersistState& action);
+  void perform(const consensus::Activate& action);
+  void perform(const consensus::ProposalFinished& action);
+  void perform(const consensus::LogEvent& action);
+
+  bool is_another_version(const consensus::ActiveVersion& version) const;
+  void apply_shares(const consensus::ActiveVersion& version);
+  void report_load();
+
+  admin::HttpReply on_admin_call(std::string_view path, std::string_view query,
+                                 const std::string& body);
+  admin::HttpReply answer_read(std::string_view path) const;
+  admin::HttpReply proposal_result(std::uint64_t nonce) const;
+  admin::HttpReply version_content(std::uint64_t number) const;
+  admin::HttpReply propose(std::string_view path, std::string_view query, const std::string& body);
   std::string view() const;
-  admin::HttpReply propose(std::string_view what, std::string_view query, const std::string& body);
 
-  edge_router::EdgeRouter& node_;
+  edge_router::EdgeRouter& router_;
   ClusterService& cluster_;
-  const Files files_;
   log::Log& log_;
-  const double unleased_;  // the part of a router without a lease, of 1
-  const std::string folder_;
-  std::shared_ptr<consensus::LogStore> disk_;  // on its worker's thread only
-  std::unique_ptr<consensus::ConsensusNode> agreement_;
-  consensus::ActiveVersion acting_;
-  bool writing_ = false, again_ = false;
-  std::deque<consensus::ProposalResult>
-      settled_;  // what became of this router's proposals, the last few
-  std::optional<core::Deadlines::Key> due_, measure_;
-  std::uint64_t taken_ = 0, ended_ = 0, bad_ = 0;
-  double rate_ = 0, bad_part_ = 0;
-  std::uint64_t judged_ = 0;  // the version that bad_part_ is of
+  const double unleased_share_;  // of each quota, while this router has no lease
   std::mt19937_64 random_;
-  // Last, so that they end first: their jobs use what stands above.
+  consensus::ConsensusNode node_;
+  consensus::ActiveVersion active_;
+  RequestLoad load_;
+  std::uint64_t measured_version_ = 0;  // whose failures load_ counts
+  std::deque<consensus::ProposalResult>
+      finished_proposals_;  // of this router's operators, the last few
+  std::optional<core::Deadlines::Key> timer_;
+  std::optional<core::Deadlines::Key> load_timer_;
+  // Last, so that they are destroyed first: the jobs of the workers use the wakeup and the members
+  // above.
   net::Wakeup wakeup_;
-  file_watch::Worker log_writer_, writer_, checker_;
+  ConsensusStorage storage_;
+  VersionContents contents_;
 };
 
 }  // namespace alderspur::control
--- a/src/control/endpoint_controller.cpp
+++ b/src/control/endpoint_controller.cpp
@@ -72,11 +72,11 @@
     : node_(node),
       settings_(settings),
       log_(log),
-      endpoints_(settings.fleet),
+      endpoints_(settings.endpoint_set),
       context_(std::make_shared<EvaluationContext>()),
       wakeup_(node.loop()) {
   context_->settings = settings;
-  context_->settings.limits.threads = endpoints::spare_threads();
+  context_->settings.list_limits.threads = endpoints::spare_threads();
   context_->zones = node.config().names.zones;
   const core::Time now = node_.engine().now();
   if (settings_.list.empty()) return;
@@ -90,9 +90,9 @@
 }
 
 void EndpointController::create_watcher() {
-  const file_watch::WatchSettings watch{settings_.list, settings_.settle, settings_.poll,
-                                        settings_.limits.max_bytes};
-  const auto list_pieces = [limits = settings_.limits](const std::string& text) {
+  const file_watch::WatchSettings watch{settings_.list, settings_.unchanged_time,
+                                        settings_.poll_interval, settings_.list_limits.max_bytes};
+  const auto list_pieces = [limits = settings_.list_limits](const std::string& text) {
     return piece_names(text, limits);
   };
   const auto evaluate_files =
@@ -107,10 +107,10 @@
 // The list that an earlier process had in force counts as in force: a list of the files with a
 // lower generation is rejected, and servers that are new against it begin with a cold cache.
 std::optional<endpoints::CandidateList> EndpointController::restore_state(core::Time now) {
-  if (settings_.state.empty()) return std::nullopt;
+  if (settings_.state_directory.empty()) return std::nullopt;
   std::error_code ignored;
-  std::filesystem::create_directories(settings_.state, ignored);
-  const auto restored = store::load_endpoint_state(state_path(settings_.state));
+  std::filesystem::create_directories(settings_.state_directory, ignored);
+  const auto restored = store::load_endpoint_state(state_path(settings_.state_directory));
   if (!restored.state) {
     if (!restored.is_absent) {
       log_.record(kLogModule, log::Level::warning, "state_unusable",
@@ -143,7 +143,7 @@
     evaluation.rejection = settings_.list + " has not settled";
   }
   const bool has_list = evaluation.candidate || evaluation.is_unchanged;
-  if (!has_list && !restored && settings_.fleet.authority == endpoints::Authority::files) {
+  if (!has_list && !restored && settings_.endpoint_set.authority == endpoints::Authority::files) {
     throw config::Error("no usable list of servers: " + evaluation.rejection);
   }
   apply_evaluation(evaluation);  // logs the rejection, if it is one
@@ -155,10 +155,10 @@
                                              const std::string& rejection, core::Time now) {
   const core::Time age = now - list.read_at;
   const core::Time age_seconds = age / kMicrosecondsPerSecond;
-  if (age > settings_.oldest) {
+  if (age > settings_.max_state_age) {
     throw config::Error("no usable list of servers: " + rejection + "; the last good one is " +
                         std::to_string(age_seconds) + " s old, over the bound of " +
-                        std::to_string(settings_.oldest / kMicrosecondsPerSecond) + " s");
+                        std::to_string(settings_.max_state_age / kMicrosecondsPerSecond) + " s");
   }
   log_.record(kLogModule, log::Level::warning, "started_from_state",
               {{"generation", list.generation}, {"age_s", age_seconds}});
@@ -175,11 +175,11 @@
   }
   diagnostics::Findings findings;
   const auto& settings = context.settings;
-  const auto read =
-      endpoints::read_list(look.texts.text, look.texts.file, began_at, settings.limits, findings);
+  const auto read = endpoints::read_list(look.texts.text, look.texts.file, began_at,
+                                         settings.list_limits, findings);
   endpoints::SnapshotPtr list = read.list;
   if (list && look.texts.directory) {
-    list = endpoints::read_pieces(read, look.texts.pieces, settings.limits, findings);
+    list = endpoints::read_pieces(read, look.texts.pieces, settings.list_limits, findings);
   } else if (list && !read.pieces.empty()) {
     findings.error("L004", {look.texts.file, 0, 0}, "a manifest is given by its directory",
                    "name the directory");
@@ -187,7 +187,7 @@
   const auto in_force = context.in_force();
   if (list && findings.good()) {
     check_alone(*list, findings);
-    check_change(in_force.get(), *list, settings.bounds, findings);
+    check_change(in_force.get(), *list, settings.change_limits, findings);
   }
   if (list && findings.good()) {
     endpoints::CandidateList candidate{list, in_force, difference(in_force.get(), *list), {}};
@@ -251,7 +251,7 @@
 
 void EndpointController::update_endpoints(bool complete,
                                           const std::vector<config::Member>& members) {
-  if (settings_.fleet.authority == endpoints::Authority::files) return;
+  if (settings_.endpoint_set.authority == endpoints::Authority::files) return;
   endpoints_.apply_board_update(complete, members, node_.engine().now());
   publish_changes();
 }
@@ -336,7 +336,7 @@
 }
 
 void EndpointController::schedule_save() {
-  if (settings_.state.empty() || save_timer_ || is_saving_) return;
+  if (settings_.state_directory.empty() || save_timer_ || is_saving_) return;
   save_timer_ = node_.deadlines().set(net::unix_now() + kSaveDelay, [this] {
     save_timer_.reset();
     save();
@@ -347,23 +347,24 @@
   if (is_saving_ || !endpoints_.current_list()) return;
   const core::Time now = net::unix_now();
   store::EndpointState state{endpoints_.current_list(), endpoints_.remembered(now), now};
-  is_saving_ = writer_.submit([this, state = std::move(state), path = state_path(settings_.state)] {
-    const auto error = store::save_endpoint_state(path, state);
-    wakeup_.post([this, error] {
-      is_saving_ = false;
-      if (!error) {
-        ++counters_.saves;
-        return;
-      }
-      ++counters_.failed_saves;
-      log_.record(kLogModule, log::Level::error, "state_not_saved",
-                  {{"reason", to_string(*error)}});
-    });
-  });
+  is_saving_ = writer_.submit(
+      [this, state = std::move(state), path = state_path(settings_.state_directory)] {
+        const auto error = store::save_endpoint_state(path, state);
+        wakeup_.post([this, error] {
+          is_saving_ = false;
+          if (!error) {
+            ++counters_.saves;
+            return;
+          }
+          ++counters_.failed_saves;
+          log_.record(kLogModule, log::Level::error, "state_not_saved",
+                      {{"reason", to_string(*error)}});
+        });
+      });
 }
 
 void EndpointController::finish() {
-  if (settings_.state.empty()) return;
+  if (settings_.state_directory.empty()) return;
   writer_.drain();
   is_saving_ = false;
   save();
--- a/src/control/replication_service.cpp
+++ b/src/control/replication_service.cpp
@@ -18,7 +18,7 @@
 /// The shortest time to the next tick, so that a replica that is late does not spin the loop.
 constexpr core::Time kMinTickDelay = 1'000;
 constexpr core::Time kMicrosecondsPerMillisecond = 1'000;
-constexpr std::chrono::milliseconds kSettleTimeout(200);
+constexpr std::chrono::milliseconds kStopTimeout(200);
 
 std::string file_path(const std::string& state_folder) {
   return state_folder.empty() ? std::string() : state_folder + "/replica.bans";
@@ -29,11 +29,6 @@
   return (static_cast<std::uint64_t>(random()) << 32) ^ random();
 }
 
-void write_count(Writer& writer, const char* key, std::uint64_t value) {
-  writer.Key(key);
-  writer.Uint64(value);
-}
-
 }  // namespace
 
 ReplicationService::ReplicationService(edge_router::EdgeRouter& node, ClusterService& cluster,
@@ -41,7 +36,7 @@
     : node_(node),
       cluster_(cluster),
       log_(log),
-      path_(file_path(settings.state)),
+      path_(file_path(settings.state_directory)),
       purge_propagation_time_(node.config().settings.purge_propagation_time),
       wakeup_(node.loop()) {
   replication::ReplicaSettings replica_settings;
@@ -61,7 +56,7 @@
   if (tick_timer_) node_.deadlines().cancel(*tick_timer_);
 }
 
-bool ReplicationService::settle() { return writer_.settle(kSettleTimeout); }
+bool ReplicationService::stop_worker() { return writer_.stop(kStopTimeout); }
 
 void ReplicationService::subscribe_to_router() {
   node_.on_ban([this](const hot_restart::BanChange& change) { handle_local_ban(change); });
@@ -80,7 +75,7 @@
     peers_ = names;
     if (has_started_) handle(replication::PeersChanged{names});
   });
-  cluster_.on_view([this](Writer& writer) { write_view(writer); });
+  cluster_.on_view([this](json::Writer& writer) { write_view(writer); });
 }
 
 void ReplicationService::load_stored_bans() {
@@ -196,7 +191,7 @@
   });
 }
 
-void ReplicationService::write_view(Writer& writer) const {
+void ReplicationService::write_view(json::Writer& writer) const {
   const auto& counters = replica_->counters();
   writer.Key("replica");
   writer.StartObject();
@@ -206,18 +201,18 @@
   writer.StartArray();
   for (const auto& [dot, ban] : replica_->bans().bans()) {
     writer.StartObject();
-    text(writer, "server", ban.server);
-    text(writer, "by", dot.author.name);
-    text(writer, "cause", ban.cause);
+    json::write_text(writer, "server", ban.server);
+    json::write_text(writer, "by", dot.author.name);
+    json::write_text(writer, "cause", ban.cause);
     writer.Key("at_ms");
     writer.Int64(ban.at / kMicrosecondsPerMillisecond);
     writer.EndObject();
   }
   writer.EndArray();
-  write_count(writer, "floors", replica_->floors().size());
-  write_count(writer, "compared", counters.comparisons);
-  write_count(writer, "same", counters.identical);
-  write_count(writer, "refused", counters.rejected);
+  json::write_count(writer, "floors", replica_->floors().size());
+  json::write_count(writer, "compared", counters.comparisons);
+  json::write_count(writer, "same", counters.identical);
+  json::write_count(writer, "refused", counters.rejected);
   writer.EndObject();
 }
 
--- a/src/control/replication_service.h
+++ b/src/control/replication_service.h
@@ -29,7 +29,7 @@
   ~ReplicationService();
   /// Waits a short time for the worker. False: its disk hangs, and the process can only be ended by
   /// _exit().
-  bool settle();
+  bool stop_worker();
 
  private:
   void subscribe_to_router();
@@ -46,7 +46,7 @@
   void apply_purge(const replication::PurgeFloor& floor);
   void schedule_tick();
   void save();
-  void write_view(Writer& writer) const;
+  void write_view(json::Writer& writer) const;
 
   edge_router::EdgeRouter& node_;
   ClusterService& cluster_;
--- a/src/control/routes.cpp
+++ b/src/control/routes.cpp
@@ -80,7 +80,7 @@
   auto compiled = std::make_shared<TableInForce>();
   if (found.good()) {
     compiled->table = std::make_unique<routing::Table>(checked.meaning, checked.program.sources);
-    compiled->deadlines = config.names.give_up;
+    compiled->deadlines = config.names.request_timeouts;
     for (const auto& route : compiled->table->routes()) {
       compiled->classes.push_back(resolve_class(route, config, found));
     }
--- /dev/null
+++ b/src/control/version_calls.cpp
@@ -0,0 +1,116 @@
+#include "control/version_calls.h"
+
+#include <algorithm>
+#include <cstdlib>
+#include <optional>
+#include <sstream>
+#include <utility>
+
+#include "consensus/applied_state.h"
+#include "http/message.h"
+
+namespace alderspur::control {
+namespace {
+
+constexpr std::string_view kRolloutPath = "/rollout";
+constexpr std::string_view kVotersPath = "/voters";
+constexpr std::string_view kPromoteVerdict = "go";
+constexpr std::string_view kRollBackVerdict = "back";
+constexpr double kDefaultCanarySeconds = 60;
+constexpr double kMaxCanarySeconds = 1e6;
+constexpr double kMicrosecondsPerSecond = 1e6;
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+
+/// The parameter as a number, or `otherwise` where the query lacks it.
+double number_parameter(std::string_view query, std::string_view name, double otherwise) {
+  const auto text = http::parameter(query, name);
+  return text ? std::strtod(std::string(*text).c_str(), nullptr) : otherwise;
+}
+
+/// Reads one name more than may be given, so that the consensus rejects what is too long.
+std::vector<std::string> split_names(std::string_view text, char separator) {
+  std::vector<std::string> names;
+  std::istringstream stream{std::string(text)};
+  std::string name;
+  while (names.size() <= consensus::kMaxVoters && std::getline(stream, name, separator))
+    names.push_back(name);
+  return names;
+}
+
+std::vector<std::string> read_voters(const std::string& body) {
+  std::vector<std::string> names;
+  std::istringstream stream(body);
+  std::string name;
+  while (names.size() <= consensus::kMaxVoters && stream >> name) names.push_back(name);
+  return names;
+}
+
+consensus::CanaryRollout read_canary(std::string_view query) {
+  consensus::CanaryRollout canary;
+  const auto routers = http::parameter(query, "first");
+  if (!routers) return canary;
+  canary.routers = split_names(*routers, ',');
+  const double seconds =
+      std::clamp(number_parameter(query, "hold", kDefaultCanarySeconds), 0.0, kMaxCanarySeconds);
+  canary.duration = static_cast<consensus::Time>(seconds * kMicrosecondsPerSecond);
+  canary.max_failure_increase =
+      std::clamp(number_parameter(query, "harm", canary.max_failure_increase), 0.0, 1.0);
+  canary.promote_on_expiry = http::parameter(query, "then") == kPromoteVerdict;
+  return canary;
+}
+
+std::optional<consensus::CanaryDecision> read_decision(const std::string& body) {
+  std::istringstream words(body);
+  std::string verdict;
+  consensus::CanaryDecision decision;
+  if (!(words >> verdict >> decision.version_number)) return std::nullopt;
+  if (verdict != kPromoteVerdict && verdict != kRollBackVerdict) return std::nullopt;
+  decision.promote = verdict == kPromoteVerdict;
+  return decision;
+}
+
+consensus::OperatorProposal read_parameters(std::string_view query, std::uint64_t nonce) {
+  consensus::OperatorProposal proposal;
+  proposal.nonce = nonce;
+  if (const auto given = http::parameter(query, "nonce")) {
+    proposal.nonce = std::max<std::uint64_t>(1, read_number(*given));
+  }
+  if (const auto author = http::parameter(query, "author")) proposal.author = *author;
+  if (const auto base = http::parameter(query, "base"); base && !base->empty()) {
+    proposal.base_number = read_number(*base);
+  }
+  proposal.canary = read_canary(query);
+  return proposal;
+}
+
+}  // namespace
+
+ProposalOrReply read_proposal(std::string_view path, std::string_view query,
+                              const std::string& body, std::uint64_t nonce) {
+  consensus::OperatorProposal proposal = read_parameters(query, nonce);
+  if (path == kRolloutPath) {
+    proposal.canary_decision = read_decision(body);
+    if (!proposal.canary_decision) {
+      return admin::HttpReply{kBadRequest,
+                              "say go or back, and the number of the version on trial\n"};
+    }
+  } else if (path == kVotersPath) {
+    proposal.voters = read_voters(body);
+    if (proposal.voters.empty()) return admin::HttpReply{kBadRequest, "name the voters\n"};
+  } else if (path.empty()) {
+    auto content = consensus::decode_content(body);
+    if (!content)
+      return admin::HttpReply{kBadRequest, "not a content: use alderspur cluster propose\n"};
+    proposal.content = std::move(*content);
+  } else {
+    return admin::HttpReply{kNotFound, "no such call\n"};
+  }
+  return proposal;
+}
+
+std::uint64_t read_number(std::string_view text) {
+  return std::strtoull(std::string(text).c_str(), nullptr, 10);
+}
+
+}  // namespace alderspur::control
--- /dev/null
+++ b/src/control/version_contents.cpp
@@ -0,0 +1,142 @@
+#include "control/version_contents.h"
+
+#include <fstream>
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "consensus/conservative_merge.h"
+#include "control/routes.h"
+#include "diagnostics/diagnostics.h"
+#include "endpoints/check.h"
+#include "store/state_file.h"
+
+namespace alderspur::control {
+namespace {
+
+constexpr const char* kLogModule = "agreement";
+constexpr const char* kServersDocument = "servers";
+constexpr const char* kRoutesDocument = "routes";
+constexpr const char* kCheckedRoutesFile = "/checked.alder";
+
+/// Why a document is not valid, or why a file cannot be written.
+struct ContentError {
+  std::string message;
+};
+using ContentResult = std::optional<ContentError>;  // empty: no error
+
+ContentResult check_servers(const std::string& text, const config::Config& config) {
+  diagnostics::Findings findings;
+  const auto read = endpoints::read_list(text, kServersDocument, 0, {}, findings);
+  if (read.list && findings.good()) endpoints::check_alone(*read.list, findings);
+  if (read.list && findings.good()) {
+    (void)endpoints::resolve_zones(*read.list, config.names.zones, findings);
+  }
+  if (findings.good()) return std::nullopt;
+  return ContentError{diagnostics::to_string(findings.list()[0])};
+}
+
+ContentResult check_routes(const std::string& text, const std::string& folder,
+                           const config::Config& config) {
+  const std::string file = folder + kCheckedRoutesFile;
+  std::ofstream(file) << text;
+  std::vector<std::string> findings;
+  if (compile(file, config, findings)) return std::nullopt;
+  return ContentError{findings.empty() ? "does not check" : findings[0]};
+}
+
+/// The first error of the documents, in the order of their names.
+ContentResult check_documents(const consensus::Content& content, const std::string& folder,
+                              const config::Config& config) {
+  for (const auto& [name, text] : content) {
+    ContentResult error;
+    if (name == kServersDocument) {
+      error = check_servers(text, config);
+    } else if (name == kRoutesDocument) {
+      error = check_routes(text, folder, config);
+    } else {
+      error = ContentError{"this program knows no document '" + name + "'"};
+    }
+    if (error) return error;
+  }
+  return std::nullopt;
+}
+
+ContentResult write_servers(const consensus::ActiveVersion& active, const std::string& path,
+                            std::uint64_t generation) {
+  const auto own = active.content->find(kServersDocument);
+  if (own == active.content->end() || path.empty()) return std::nullopt;
+  std::vector<std::string> texts{own->second};
+  for (const auto& newer : active.newer_contents) {
+    if (const auto document = newer->find(kServersDocument); document != newer->end()) {
+      texts.push_back(document->second);
+    }
+  }
+  const auto merged = consensus::merge_list_texts(texts, generation);
+  if (!merged.is_ok()) return ContentError{merged.error()};
+  if (const auto error = store::replace_text_file(path, merged.text()))
+    return ContentError{to_string(*error)};
+  return std::nullopt;
+}
+
+ContentResult write_routes(const consensus::ActiveVersion& active, const std::string& path) {
+  const auto document = active.content->find(kRoutesDocument);
+  if (document == active.content->end() || path.empty()) return std::nullopt;
+  if (const auto error = store::replace_text_file(path, document->second))
+    return ContentError{to_string(*error)};
+  return std::nullopt;
+}
+
+/// Writes both files; the last error, if there is one.
+ContentResult write_all(const consensus::ActiveVersion& active, const VersionFiles& files,
+                        std::uint64_t generation) {
+  const ContentResult servers_error = write_servers(active, files.servers, generation);
+  const ContentResult routes_error = write_routes(active, files.routes);
+  return routes_error ? routes_error : servers_error;
+}
+
+}  // namespace
+
+VersionContents::VersionContents(VersionFiles files, std::string folder,
+                                 const config::Config& config, net::Wakeup& wakeup, log::Log& log)
+    : files_(std::move(files)),
+      folder_(std::move(folder)),
+      config_(config),
+      wakeup_(wakeup),
+      log_(log) {}
+
+void VersionContents::check(const consensus::CheckContent& action, CheckHandler done) {
+  worker_.submit([this, action, done = std::move(done)] {
+    const ContentResult error = check_documents(*action.content, folder_, config_);
+    const consensus::ContentChecked result{action.digest, !error,
+                                           error ? error->message : std::string()};
+    wakeup_.post([done, result] { done(result); });
+  });
+}
+
+void VersionContents::write_files(const consensus::ActiveVersion& active) {
+  active_ = active;
+  write_active_files();
+}
+
+void VersionContents::write_active_files() {
+  if (!active_.content || (files_.servers.empty() && files_.routes.empty())) return;
+  if (std::exchange(is_writing_, true)) {
+    must_write_again_ = true;
+    return;
+  }
+  const std::uint64_t generation = files_.list_generation ? files_.list_generation() + 1 : 1;
+  const bool is_submitted = worker_.submit([this, active = active_, generation] {
+    const ContentResult error = write_all(active, files_, generation);
+    wakeup_.post([this, error] {
+      is_writing_ = false;
+      if (error)
+        log_.record(kLogModule, log::Level::error, "not_acted_on", {{"reason", error->message}});
+      if (files_.on_written) files_.on_written();
+      if (std::exchange(must_write_again_, false)) write_active_files();
+    });
+  });
+  if (!is_submitted) is_writing_ = false;
+}
+
+}  // namespace alderspur::control
--- a/src/control/versions_view.cpp
+++ b/src/control/versions_view.cpp
@@ -1,67 +1,118 @@
-// The view of versions as JSON. docs/versions.md explains its fields, whose order is fixed.
+// The view of versions as JSON. docs/versions.md explains its fields, whose names and order are
+// fixed.
+#include <string>
+#include <vector>
+
 #include "control/consensus_service.h"
-#include "control/json.h"
+#include "json/writer.h"
 
 namespace alderspur::control {
 namespace {
 
-using namespace alderspur::consensus;  // NOLINT(google-build-using-namespace): all of its messages
-                                       // are handled here
-
-void version(Writer& w, const char* key, const Version& v, const char* state) {
-  if (key) w.Key(key);
-  w.StartObject();
-  w.Key("number"), w.Uint64(v.number), text(w, "digest", v.digest), w.Key("base"),
-      w.Uint64(v.base_number);
-  text(w, "author", v.author), text(w, "note", v.note), w.Key("bytes"), w.Uint64(v.content_size);
-  text(w, "state", state);
-  if (v.is_canary()) {
-    w.Key("first"), w.StartArray();
-    for (const auto& n : v.canary.routers) w.String(n.c_str());
-    w.EndArray();
+using json::write_count;
+using json::write_text;
+
+constexpr core::Time kMicrosecondsPerMillisecond = 1'000;
+
+void write_names(json::Writer& writer, const char* key, const std::vector<std::string>& names) {
+  writer.Key(key);
+  writer.StartArray();
+  for (const auto& name : names) writer.String(name.c_str());
+  writer.EndArray();
+}
+
+void write_milliseconds(json::Writer& writer, const char* key, core::Time microseconds) {
+  writer.Key(key);
+  writer.Int64(microseconds / kMicrosecondsPerMillisecond);
+}
+
+void write_share(json::Writer& writer, const char* key, double share) {
+  writer.Key(key);
+  writer.Double(share);
+}
+
+/// An object; its key, if it has one, is written already.
+void write_version(json::Writer& writer, const consensus::Version& version, const char* state) {
+  writer.StartObject();
+  write_count(writer, "number", version.number);
+  write_text(writer, "digest", version.digest);
+  write_count(writer, "base", version.base_number);
+  write_text(writer, "author", version.author);
+  write_text(writer, "note", version.note);
+  write_count(writer, "bytes", version.content_size);
+  write_text(writer, "state", state);
+  if (version.is_canary()) write_names(writer, "first", version.canary.routers);
+  writer.EndObject();
+}
+
+void write_active(json::Writer& writer, const consensus::NodeStatus& status) {
+  const consensus::ActiveVersion& active = status.active;
+  writer.Key("acting");
+  write_version(writer, active.version, active.is_conservative ? "careful" : "leased");
+  write_milliseconds(writer, "lease_ms", status.lease_left);
+  write_count(writer, "heard", active.newer_contents.size());
+  write_share(writer, "share_all", active.total_share);
+  write_share(writer, "share_point", active.location_share);
+}
+
+void write_pending(json::Writer& writer, const consensus::NodeStatus& status) {
+  if (!status.pending) return;
+  writer.Key("pending");
+  write_version(writer, *status.pending, status.is_pending_accepted ? "agreed" : "offered");
+}
+
+void write_node(json::Writer& writer, const consensus::NodeStatus& status) {
+  write_text(writer, "part", consensus::role_name(status.role));
+  write_text(writer, "leader", status.leader);
+  writer.Key("leads");
+  writer.Bool(status.is_leader);
+  write_count(writer, "term", status.term);
+  write_count(writer, "log", status.last_log_index);
+  write_text(writer, "trouble", status.fault);
+  write_names(writer, "voters", status.voters);
+  write_names(writer, "behind", status.routers_behind);
+}
+
+/// The routers to which this leader has granted leases.
+void write_lease_holders(json::Writer& writer, const consensus::LeaseTable& leases,
+                         core::Time now) {
+  writer.Key("holders");
+  writer.StartArray();
+  for (const auto& [name, holder] : leases.holders()) {
+    writer.StartObject();
+    write_text(writer, "name", name);
+    write_count(writer, "acting", holder.active_number);
+    write_count(writer, "holds", holder.stored_number);
+    write_milliseconds(writer, "heard_ms", now - holder.last_request_at);
+    write_share(writer, "share", holder.total_share);
+    if (holder.rejected_number) write_text(writer, "refused", holder.rejection_reason);
+    writer.EndObject();
   }
-  w.EndObject();
+  writer.EndArray();
+}
+
+void write_history(json::Writer& writer, const consensus::NodeStatus& status) {
+  writer.Key("history");
+  writer.StartArray();
+  for (const auto& entry : status.history)
+    write_version(writer, entry.version, entry.outcome.c_str());
+  writer.EndArray();
 }
 
 }  // namespace
 
-std::string versions_view(const NodeStatus& v, const LeaseTable& book, Time now) {
-  rapidjson::StringBuffer out;
-  Writer w(out);
-  w.StartObject();
-  version(w, "acting", v.active.version, v.active.is_conservative ? "careful" : "leased");
-  w.Key("lease_ms"), w.Int64(v.lease_left / 1000);
-  w.Key("heard"), w.Uint64(v.active.newer_contents.size());
-  w.Key("share_all"), w.Double(v.active.total_share), w.Key("share_point"),
-      w.Double(v.active.location_share);
-  if (v.pending) version(w, "pending", *v.pending, v.is_pending_accepted ? "agreed" : "offered");
-  text(w, "part", role_name(v.role)), text(w, "leader", v.leader);
-  w.Key("leads"), w.Bool(v.is_leader), w.Key("term"), w.Uint64(v.term), w.Key("log"),
-      w.Uint64(v.last_log_index);
-  text(w, "trouble", v.fault);
-  w.Key("voters"), w.StartArray();
-  for (const auto& n : v.voters) w.String(n.c_str());
-  w.EndArray();
-  w.Key("behind"), w.StartArray();
-  for (const auto& n : v.routers_behind) w.String(n.c_str());
-  w.EndArray();
-  if (v.is_leader) {
-    w.Key("holders"), w.StartArray();
-    for (const auto& [name, h] : book.holders()) {
-      w.StartObject();
-      text(w, "name", name), w.Key("acting"), w.Uint64(h.active_number), w.Key("holds"),
-          w.Uint64(h.stored_number);
-      w.Key("heard_ms"), w.Int64((now - h.last_request_at) / 1000), w.Key("share"),
-          w.Double(h.total_share);
-      if (h.rejected_number) text(w, "refused", h.rejection_reason);
-      w.EndObject();
-    }
-    w.EndArray();
-  }
-  w.Key("history"), w.StartArray();
-  for (const auto& past : v.history) version(w, nullptr, past.version, past.outcome.c_str());
-  w.EndArray(), w.EndObject();
-  return std::string(out.GetString(), out.GetSize()) + "\n";
+std::string versions_view(const consensus::NodeStatus& status, const consensus::LeaseTable& leases,
+                          core::Time now) {
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  write_active(writer, status);
+  write_pending(writer, status);
+  write_node(writer, status);
+  if (status.is_leader) write_lease_holders(writer, leases, now);
+  write_history(writer, status);
+  writer.EndObject();
+  return std::string(buffer.GetString(), buffer.GetSize()) + "\n";
 }
 
 }  // namespace alderspur::control
--- a/src/core/parsing.h
+++ b/src/core/parsing.h
@@ -38,8 +38,8 @@
   return text.size() == digits;
 }
 
-// Danger: such words pass into lines of words; a space or a comma in one would make another command
-// of it.
+/// Letters, digits, "-" and "_", at most 64. Such words become part of commands: a space or a comma
+/// in one would alter the command.
 inline bool is_plain_word(std::string_view text) {
   for (const char c : text) {
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
--- a/src/diagnostics/diagnostics.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -33,7 +33,7 @@
     ++left_out_;
     return;
   }
-  // Danger: what a file holds comes back in messages; a terminal or a log must not obey it.
+  // Messages quote files: control characters must not reach a terminal or a log.
   for (char& c : finding.text) {
     if (static_cast<unsigned char>(c) < 32 || c == 127) c = '?';
   }
--- a/src/diagnostics/diagnostics.h
+++ b/src/diagnostics/diagnostics.h
@@ -28,7 +28,7 @@
   std::string mend;  // what to do about it; may be empty
 };
 
-// A bounded list. Danger: a file of 16 MB of mistakes must not become a report of gigabytes.
+// A list of bounded length: the report on a file of 16 MB with an error on every line stays small.
 class Findings {
  public:
   void add(Finding finding);
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -22,7 +22,7 @@
 }
 
 void DirectEndpointSink::update_endpoints(bool complete,
-                                                    const std::vector<config::Member>& members) {
+                                          const std::vector<config::Member>& members) {
   if (complete) upstream_pool_.remove_unlisted(members);
   alderspur::EndpointUpdate update;
   update.is_complete = complete;
@@ -42,10 +42,10 @@
       sink_(sink),
       config_(config),
       random_(config.seed) {
-  for (const auto& event : config.notices) apply(event);
-  applied_up_to_ = std::max(applied_up_to_, config.known);
+  for (const auto& event : config.known_events) apply(event);
+  applied_up_to_ = std::max(applied_up_to_, config.known_event_number);
   applied_beyond_gap_.clear();
-  if (const auto address = net::parse_address(config.board)) {
+  if (const auto address = net::parse_address(config.discovery_address)) {
     address_ = *address;
     connect();
     check_liveness();
@@ -54,11 +54,11 @@
 
 // ---- Events ----
 
-void DiscoveryClient::apply(const config::Notice& event) {
+void DiscoveryClient::apply(const config::WatchEvent& event) {
   if (event.number <= applied_up_to_ || applied_beyond_gap_.contains(event.number)) return;
   advance_applied(event.number);
-  if (event.pool) apply_endpoints(event);
-  if (event.flush) engine_.purge({event.flush->object, event.flush->group, event.flush->at});
+  if (event.has_endpoints) apply_endpoints(event);
+  if (event.purge) engine_.purge({event.purge->object, event.purge->group, event.purge->at});
   if (applied_beyond_gap_.empty()) applied_members_.clear();
 }
 
@@ -77,9 +77,9 @@
 
 // An event that fills a gap comes after later ones. It must not undo what these said, for instance
 // put a draining server back into service.
-void DiscoveryClient::apply_endpoints(const config::Notice& event) {
+void DiscoveryClient::apply_endpoints(const config::WatchEvent& event) {
   if (event.number < last_complete_list_) return;
-  if (event.complete) last_complete_list_ = event.number;
+  if (event.is_complete) last_complete_list_ = event.number;
   std::vector<config::Member> members;
   for (const auto& member : event.members) {
     const auto applied = applied_members_.find(member.server.id);
@@ -89,12 +89,12 @@
     members.push_back(member);
     if (!applied_beyond_gap_.empty()) applied_members_[member.server.id] = {event.number, member};
   }
-  if (event.complete) {
+  if (event.is_complete) {
     for (const auto& [id, applied] : applied_members_) {
       if (applied.event_number > event.number) members.push_back(applied.member);
     }
   }
-  sink_.update_endpoints(event.complete, members);
+  sink_.update_endpoints(event.is_complete, members);
 }
 
 // ---- The watch's connection ----
@@ -128,9 +128,9 @@
 // nothing more, but may still be open for seconds. A gap it left is filled by the new one, since
 // the numbers go on.
 bool DiscoveryClient::reconfigure(const config::Config& renewed) {
-  const auto address = net::parse_address(renewed.board);
+  const auto address = net::parse_address(renewed.discovery_address);
   if (!address) return false;
-  for (const auto& event : renewed.notices) apply(event);
+  for (const auto& event : renewed.known_events) apply(event);
   const bool is_first = !address_.sin_port;
   address_ = *address;
   if (reconnect_timer_) deadlines_.cancel(*reconnect_timer_);
@@ -170,13 +170,13 @@
 }
 
 void DiscoveryClient::on_line(std::string_view line) {
-  const auto event = config::read_notice(line, config_.names);
+  const auto event = config::read_watch_event(line, config_.names);
   if (!event) {
     ++engine_.counters().invalid_responses;
     engine_.log_invalid_input(core::InvalidInput::watch_event, line);
     return;
   }
-  if (event->pool || event->flush) apply(*event);
+  if (event->has_endpoints || event->purge) apply(*event);
   const std::uint64_t last_known = applied_beyond_gap_.empty()
                                        ? event->number
                                        : std::max(event->number, *applied_beyond_gap_.rbegin());
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -52,9 +52,9 @@
   void end_turn();
 
  private:
-  void apply(const config::Notice& event);
+  void apply(const config::WatchEvent& event);
   void advance_applied(std::uint64_t number);
-  void apply_endpoints(const config::Notice& event);
+  void apply_endpoints(const config::WatchEvent& event);
   void connect();
   void reconnect_later();
   void close_connection();
--- a/src/edge_router/edge_router.cpp
+++ b/src/edge_router/edge_router.cpp
@@ -41,7 +41,7 @@
 
 std::unique_ptr<hot_restart::HotRestartCoordinator> EdgeRouter::make_hot_restart() {
   using hot_restart::HotRestartCoordinator;
-  if (config_.operator_listen.empty()) return nullptr;
+  if (config_.operators_address.empty()) return nullptr;
   HotRestartCoordinator::Callbacks hooks{
       [this] {
         return HotRestartCoordinator::Load{engine_.counters().admitted,
@@ -50,7 +50,7 @@
       [this](const hot_restart::BanChange& change) { apply_ban(change); },
       [this](const hot_restart::PeerSummary& peers, double share) { update_peers(peers, share); }};
   return std::make_unique<HotRestartCoordinator>(
-      loop_, deadlines_, [this] { return engine_.now(); }, config_.state_folder, config_.listen,
+      loop_, deadlines_, [this] { return engine_.now(); }, config_.shared_directory, config_.listen,
       log_, std::move(hooks));
 }
 
@@ -71,7 +71,7 @@
   admin_handler_ = std::make_unique<admin::RouterAdminHandler>(
       deadlines_, engine_, *hot_restart_, config_.names.classes, std::move(state));
   admin_server_ = std::make_unique<admin::AdminServer>(
-      loop_, deadlines_, listen_address(config_.operator_listen), *admin_handler_,
+      loop_, deadlines_, listen_address(config_.operators_address), *admin_handler_,
       [this] { return engine_.now(); });
   is_constructed_ = true;
   log_("operator_front", "operators on " + net::to_string(admin_server_->address()));
@@ -134,7 +134,7 @@
 // at most) after its shutdown began.
 core::Time EdgeRouter::drain_time() const {
   core::Time longest = 0;
-  for (const core::Time limit : config_.names.give_up) {
+  for (const core::Time limit : config_.names.request_timeouts) {
     longest = std::max(longest, limit > 0 ? limit : kMaxClientWait);
   }
   return std::min(longest, kMaxClientWait) + kLameDuckTime - kFinalResponseMargin;
@@ -189,10 +189,10 @@
   try {
     const auto renewed = config::read_file(config_path_);
     if (!discovery_client_.reconfigure(renewed)) {
-      throw config::Error("no usable board address: '" + renewed.board + "'");
+      throw config::Error("no usable board address: '" + renewed.discovery_address + "'");
     }
-    log_("reload", "settings read anew, board at " + renewed.board);
-    if (renewed.memory_mb != config_.memory_mb || renewed.sockets != config_.sockets ||
+    log_("reload", "settings read anew, board at " + renewed.discovery_address);
+    if (renewed.memory_mb != config_.memory_mb || renewed.max_descriptors != config_.max_descriptors ||
         renewed.names.classes != config_.names.classes) {
       log_("reload", "limits and classes have changed too: they hold from the next start");
     }
--- a/src/edge_router/edge_router.h
+++ b/src/edge_router/edge_router.h
@@ -69,7 +69,7 @@
 
   void run();
   /// After run(): false if the shared folder hangs, and the process can only be ended by _exit().
-  bool settle() { return !hot_restart_ || hot_restart_->stop_worker(); }
+  bool stop_workers() { return !hot_restart_ || hot_restart_->stop_worker(); }
   /// One turn of the loop, for tests that drive it by hand.
   void turn();
 
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -26,17 +26,18 @@
   if (path.empty()) throw config::Error("RELAY_CONFIG names no configuration");
   auto config = config::read_file(path);
   if (const auto listen = variable("RELAY_LISTEN"); !listen.empty()) config.listen = listen;
-  if (const auto at = variable("RELAY_OPERATOR"); !at.empty()) config.operator_listen = at;
-  config.state_folder = variable("TMPDIR");
+  if (const auto at = variable("RELAY_OPERATOR"); !at.empty()) config.operators_address = at;
+  config.shared_directory = variable("TMPDIR");
   alderspur::edge_router::EdgeRouter node(std::move(config),
                                           [](const std::string&, const std::string& text) {
                                             std::fprintf(stderr, "%s\n", text.c_str());
                                           });
   node.set_config_path(path);
   node.run();
-  // Danger: a disk that hangs would hold the end of the process until somebody kills it.
-  if (!node.settle()) {
-    std::fputs("the shared folder hangs, ending without it\n", stderr), ::_exit(0);
+  // Ends without destructors, which would wait for the worker and so for the disk.
+  if (!node.stop_workers()) {
+    std::fputs("the shared folder hangs, ending without it\n", stderr);
+    ::_exit(0);
   }
   return 0;
 }
--- a/src/file_watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -17,8 +17,8 @@
 }  // namespace
 
 Worker::Worker() {
-  // Danger: a signal taken by this thread would interrupt its reads; all of them belong to the
-  // loop.
+  // Blocks all signals in the new thread: they are the loop's to handle, and would interrupt reads
+  // here.
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_SETMASK, &all, &before);
@@ -50,12 +50,12 @@
   changed_.wait(lock, [this] { return ending_ || (jobs_.empty() && !busy_); });
 }
 
-bool Worker::settle(std::chrono::milliseconds most) {
+bool Worker::stop(std::chrono::milliseconds timeout) {
   std::unique_lock lock(mutex_);
   ending_ = true;
   jobs_.clear();
   changed_.notify_all();
-  return changed_.wait_for(lock, most, [this] { return !busy_; });
+  return changed_.wait_for(lock, timeout, [this] { return !busy_; });
 }
 
 void Worker::run() {
--- a/src/file_watch/worker.h
+++ b/src/file_watch/worker.h
@@ -27,7 +27,7 @@
   void drain();  // waits until all that was submitted has run
   // Takes nothing more and drops what waits. False: the job under way has not ended within `most`;
   // then the destructor would wait for it, as long as the disk pleases.
-  bool settle(std::chrono::milliseconds most);
+  bool stop(std::chrono::milliseconds timeout);
 
  private:
   void run();
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -194,7 +194,7 @@
   if (directory_) start_poll();
 }
 
-bool HotRestartCoordinator::stop_worker() { return !worker_ || worker_->settle(kStopTimeout); }
+bool HotRestartCoordinator::stop_worker() { return !worker_ || worker_->stop(kStopTimeout); }
 
 void HotRestartCoordinator::change_ban(const BanChange& change, const SaveCallback& done) {
   bans_.begin_change(change);
--- /dev/null
+++ b/src/json/writer.h
@@ -0,0 +1,26 @@
+// JSON as the program's views and commands write it: an object's members, one a call.
+#pragma once
+
+#include <rapidjson/stringbuffer.h>
+#include <rapidjson/writer.h>
+
+#include <cstdint>
+#include <string_view>
+
+namespace alderspur::json {
+
+using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
+
+/// Writes the member `key` with a string.
+inline void write_text(Writer& writer, const char* key, std::string_view value) {
+  writer.Key(key);
+  writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+}
+
+/// Writes the member `key` with a number.
+inline void write_count(Writer& writer, const char* key, std::uint64_t value) {
+  writer.Key(key);
+  writer.Uint64(value);
+}
+
+}  // namespace alderspur::json
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -25,7 +25,7 @@
   const auto seconds = static_cast<std::time_t>(at / 1'000'000);
   return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:06}Z", fmt::gmtime(seconds), at % 1'000'000);
 }
-// Danger: a name from a file with a line end in it would write a record of its own.
+// Escapes control characters: a line feed in a value would otherwise begin a forged record.
 std::string escaped(std::string_view text, bool json) {
   std::string out;
   for (const char c : text) {
--- a/src/rpc_front/rpc_front.cpp
+++ b/src/rpc_front/rpc_front.cpp
@@ -25,7 +25,7 @@
       deadlines_(deadlines),
       engine_(engine),
       config_(config),
-      max_clients_(static_cast<std::size_t>(config.sockets) / 2),
+      max_clients_(static_cast<std::size_t>(config.max_descriptors) / 2),
       memory_limit_(config.memory_mb << 20),
       message_timeout_(kSilenceTimeout) {
   for (std::size_t i = 0; i < config.names.classes.size(); ++i) {
@@ -35,7 +35,7 @@
         settings.idempotency == alderspur::Idempotency::idempotent_with_key;
     rules.is_write = settings.never_cached;
     rules.may_repeat_anywhere = settings.may_repeat_anywhere();
-    rules.max_time_limit = config.names.give_up[i];
+    rules.max_time_limit = config.names.request_timeouts[i];
     const core::Time timeout =
         rules.max_time_limit > 0 ? rules.max_time_limit : kDefaultMessageTimeout;
     message_timeout_ = std::max(message_timeout_, timeout);
--- a/src/rpc_front/rpc_front_limits.cpp
+++ b/src/rpc_front/rpc_front_limits.cpp
@@ -75,7 +75,7 @@
 }
 
 void RpcFront::set_process_count(std::uint32_t processes) {
-  const auto descriptors = static_cast<std::size_t>(config_.sockets);
+  const auto descriptors = static_cast<std::size_t>(config_.max_descriptors);
   const std::size_t share = descriptors / processes;
   const std::size_t usable = std::max(kMinDescriptors, share - std::min(share, kOwnDescriptors));
   max_clients_ = processes > 1 ? usable / 2 : descriptors / 2;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,11 +1,14 @@
-// The operator's settings of `alderspur`: one TOML file, a section a subsystem, checked as a whole.
+// The operator's settings of `alderspur`: one TOML file with a section for each subsystem, checked
+// as a whole.
 //
-// What the platform gives (RELAY_CONFIG) stays JSON and is named by [router]. Paths are taken from
-// the settings file's own folder. A section that is absent leaves its subsystem off. Reading does
-// no I/O and reports every mistake of a file in one go: S001 no TOML, S002 a section that does not
-// fit the others, and F002 to F004 of form/document.h. docs/settings.md lists the keys.
+// What the platform gives (RELAY_CONFIG) stays JSON and is named by [router]. Paths are relative to
+// the settings file's own directory. A section that is absent leaves its subsystem off. Reading
+// does no I/O and reports all errors of a file: S001 not TOML, S002 a section that does not fit the
+// others, and F002 to F004 of toml/document.h. docs/settings.md lists the keys. Times are
+// microseconds.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -18,53 +21,70 @@
 #include "endpoints/endpoint_set.h"
 #include "endpoints/list.h"
 #include "log/log.h"
+#include "signed_url/settings.h"
+#include "xds/settings.h"
 
 namespace alderspur::settings {
 
+/// Voters of [cluster.agreement]; the consensus takes as many.
+constexpr std::size_t kMaxVoters = 7;
+
+/// [membership]: endpoint lists from watched files.
 struct Membership {
-  endpoints::EndpointSetSettings fleet;
-  endpoints::ChangeLimits bounds;
-  endpoints::ListLimits limits;
-  std::string list;                    // a file, or a directory with a manifest
-  std::string state;                   // a directory; empty: nothing is kept through a restart
-  core::Time oldest = 86'400'000'000;  // a kept list older than this is not started from
-  core::Time settle = 30'000, poll = 500'000;
+  endpoints::EndpointSetSettings endpoint_set;
+  endpoints::ChangeLimits change_limits;
+  endpoints::ListLimits list_limits;
+  std::string list;             // a file, or a directory with a manifest
+  std::string state_directory;  // empty: nothing is kept through a restart
+  core::Time max_state_age = 86'400'000'000;
+  core::Time unchanged_time = 30'000;  // for which a file must be the same before it is read
+  core::Time poll_interval = 500'000;
 };
+
+/// [cluster]: membership of routers, and what builds on it.
 struct Cluster {
-  std::string name, member, point;  // member: as the platform's JSON is named, where empty
-  std::string listen, advertise;    // advertise: where others find us, if not there
-  std::string secret;               // a file
-  std::string state;                // a folder for the epoch; empty: the clock's alone
+  std::string name;
+  std::string member_name;  // of this router; empty: the name in the platform's JSON
+  std::string location;
+  std::string listen;
+  std::string advertise;  // where others find this router; empty: where it listens
+  std::string secret_file;
+  std::string state_directory;  // empty: the epoch is the time of the start
   std::vector<std::string> seeds;
-  double share = 0;
+  double share = 0;  // the configured part of the traffic
   cluster::MembershipSettings membership;
-  bool replicate = true;  // bans by hand and purges are kept alike
-  // [cluster.agreement]: versions that routers agree on; its state stands in `state`.
-  bool agreement = false;
-  std::vector<std::string> voters;  // the first ones, by member's name
+  bool replicates_bans = true;      // manual bans and purges hold at all members
+  bool agrees_on_versions = false;  // [cluster.agreement]; its state is in state_directory
+  std::vector<std::string> voters;  // the first ones, by member name
 };
+
+/// [[signed.route]], with the class by its name.
 struct SignedRoute {
-  std::string prefix, cls;
-  core::Time limit = 0;  // 0: as the class has it
+  std::string prefix;
+  std::string class_name;
+  core::Time time_limit = 0;  // 0: the class's
   diagnostics::Place place;
 };
+
 struct Settings {
-  std::string config, listen;  // the platform's JSON; an address in place of its `listen`
-  std::string operators;       // one in place of its `operator`
+  std::string config_file;        // the platform's JSON
+  std::string listen;             // in place of the JSON's; empty: the JSON's
+  std::string operators_address;  // likewise
   log::Settings log;
   std::optional<Membership> membership;
-  std::optional<config::Signed> links;  // without its routes, which need the classes
-  std::vector<SignedRoute> routes;
-  std::optional<config::Xds> xds;
+  std::optional<signed_url::Settings> signed_url;  // without routes until resolve()
+  std::vector<SignedRoute> signed_routes;
+  std::optional<xds::Settings> xds;
   std::optional<Cluster> cluster;
-  std::string routes_file;  // a program of the configuration language; the signed front then has no
-                            // routes here
+  std::string routes_file;  // a program of the configuration language in place of signed_routes;
+                            // empty: none
 };
 
-// `folder` is that of the file, for the paths in it.
+/// `file` is named in findings; `folder` is its directory. With errors among the findings the
+/// result must not be used.
 Settings read(std::string_view text, const std::string& file, const std::string& folder,
               diagnostics::Findings& findings);
-// The signed front's routes by the classes that the platform's JSON has.
+/// Fills the routes of the signed-URL front by the classes of the platform's JSON.
 void resolve(Settings& settings, const config::Config& config, diagnostics::Findings& findings);
 
 }  // namespace alderspur::settings
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -42,7 +42,7 @@
 };
 
 HttpFront::HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-                     const config::Config& config, const config::Signed& settings,
+                     const config::Config& config, const Settings& settings,
                      std::function<core::Time()> clock, RouteSelector* guide)
     : loop_(loop),
       deadlines_(deadlines),
@@ -50,15 +50,9 @@
       settings_(settings),
       clock_(std::move(clock)),
       guide_(guide),
-      checker_(
-          [&] {
-            std::vector<Key> keys;
-            for (const auto& k : settings.keys) keys.push_back({k.id, k.secret, k.until});
-            return keys;
-          }(),
-          settings.skew_s),
+      checker_(settings.keys, settings.clock_skew_seconds),
       random_(config.seed ^ 0x7369676e6564ULL),
-      most_clients_(static_cast<std::size_t>(config.sockets) / 8),
+      most_clients_(static_cast<std::size_t>(config.max_descriptors) / 8),
       listener_(
           loop, deadlines, net::parse_address(settings.listen).value_or(sockaddr_in{}),
           [this] {
@@ -104,7 +98,7 @@
   touch(client);
   if (client.ending) return static_cast<std::ptrdiff_t>(bytes.size());
   if (client.dead || client.ticket) {
-    // Danger: to stop reading instead would hide that the client has left.
+    // Reading does not pause: a client that leaves would go unnoticed.
     if (bytes.size() > kMaxInputBytes) drop(client, true);
     return 0;
   }
@@ -130,14 +124,15 @@
 std::optional<Found> HttpFront::find(const http::Request& request, std::string_view path,
                                      std::string_view query) {
   if (guide_) return guide_->find(request, path, query);
-  const config::Signed::Route* route = nullptr;
+  const Route* route = nullptr;
   for (const auto& r : settings_.routes) {
     if (path.starts_with(r.prefix)) route = &r;
   }
   const auto rest = route ? path.substr(route->prefix.size()) : std::string_view();
   const auto slash = rest.find('/');
   if (!route || slash == std::string_view::npos) return {};
-  return Found{route->cls, rest.substr(0, slash), rest.substr(slash + 1), route->limit, nullptr};
+  return Found{route->class_id, rest.substr(0, slash), rest.substr(slash + 1), route->time_limit,
+               nullptr};
 }
 
 // Checked once, when the request comes: whatever expires later, it runs to its one answer. `token`
--- a/src/signed_url/http_front.h
+++ b/src/signed_url/http_front.h
@@ -12,6 +12,7 @@
 #include "net/connection.h"
 #include "net/listener.h"
 #include "signed_url/route_selector.h"
+#include "signed_url/settings.h"
 #include "signed_url/token.h"
 
 namespace alderspur::signed_url {
@@ -21,7 +22,7 @@
   // `clock` is the wall clock that links and tokens are checked against. With a guide the settings'
   // routes are not looked at.
   HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-            const config::Config& config, const config::Signed& settings,
+            const config::Config& config, const Settings& settings,
             std::function<core::Time()> clock, RouteSelector* guide = nullptr);
   ~HttpFront() override;
 
@@ -52,7 +53,7 @@
   net::Loop& loop_;
   core::Deadlines& deadlines_;
   core::Engine& engine_;
-  const config::Signed& settings_;
+  const Settings& settings_;
   std::function<core::Time()> clock_;
   RouteSelector* guide_;
   Checker checker_;
--- /dev/null
+++ b/src/signed_url/settings.h
@@ -0,0 +1,33 @@
+// Settings of the signed-URL front. Plain values; who reads them from a file is src/settings.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+namespace alderspur::signed_url {
+
+/// A key that signs links and tokens.
+struct Key {
+  std::string id;
+  std::string secret;
+  std::int64_t until = 0;  // Unix time in seconds after which it is not accepted; 0: none
+};
+
+/// The class and the time limit of all paths with a prefix.
+struct Route {
+  std::string prefix;  // such as "/asset/"
+  std::uint32_t class_id = 0;
+  std::int64_t time_limit = 0;  // microseconds
+};
+
+struct Settings {
+  bool enabled = false;
+  std::string listen;
+  std::string cookie = "alderspur";
+  std::int64_t clock_skew_seconds = 5;  // accepted either way
+  std::vector<Key> keys;
+  std::vector<Route> routes;
+};
+
+}  // namespace alderspur::signed_url
--- a/src/signed_url/token.cpp
+++ b/src/signed_url/token.cpp
@@ -17,7 +17,7 @@
 
 struct Fields {
   std::string_view pfx, set, ram, kid, nbf, exp;
-  // Danger: of a name given twice, one program may read the first and another the last.
+  // A repeated name is an error, since programs differ in which of the values they use.
   bool read(std::string_view query) {
     while (!query.empty()) {
       auto part = query.substr(0, query.find('&'));
--- a/src/signed_url/token.h
+++ b/src/signed_url/token.h
@@ -15,12 +15,10 @@
 #include <string_view>
 #include <vector>
 
+#include "signed_url/settings.h"
+
 namespace alderspur::signed_url {
 
-struct Key {
-  std::string id, secret;
-  std::int64_t until = 0;  // Unix seconds; not accepted later, 0: no end
-};
 enum class Check {
   good,
   missing,
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -293,9 +293,9 @@
   return header;
 }
 
-std::pair<al::Settings, config::Names> read_settings(std::string_view text) {
+config::RoutingSettings read_settings(std::string_view text) {
   try {
-    return config::read_settings(text);
+    return config::read_routing_settings(text);
   } catch (const config::Error& e) {
     throw WireError(e.what());
   }
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -32,7 +32,7 @@
 
 /// Settings as the wire states them. Throws WireError if they are not a JSON object or lack a class
 /// list.
-std::pair<alderspur::Settings, config::Names> read_settings(std::string_view json);
+config::RoutingSettings read_settings(std::string_view json);
 
 /// Hosts the router instances that the frames speak of. They share nothing but the numbered lists.
 class Host {
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -2,9 +2,9 @@
 
 #include <stdexcept>
 
-// Danger: toml++ 3.3 meets some malformed keys with an assertion, which ends the program, and with
-// NDEBUG takes the same condition for granted, which is undefined. Both become an exception here.
-// Guarded by the properties of tests/membership_test.cpp, which found it.
+// toml++ 3.3 answers some malformed keys with an assertion, which would end the program, and with
+// NDEBUG with undefined behaviour. Here the assertion throws instead. tests/endpoints/list_test.cpp
+// covers such keys.
 #undef NDEBUG
 namespace alderspur::toml {
 [[noreturn]] void malformed() { throw std::logic_error("malformed key or value"); }
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -140,7 +140,7 @@
   UpstreamConnection* best = nullptr;
   for (auto& connection : endpoint.connections) {
     if (connection->is_closed || connection->is_retired) continue;
-    if (connection->load() >= config_.streams) continue;
+    if (connection->load() >= config_.max_requests_per_connection) continue;
     if (connection->unusable_ids.contains(id) || connection->pending.contains(id)) continue;
     if (connection->liveness_asked_at || !connection->is_responsive()) continue;
     if (is_expired(*connection)) {
@@ -172,7 +172,7 @@
   if (!connection->socket) return nullptr;
   ++connection_count_;
   connection->dial_timeout =
-      deadlines_.set(engine_.now() + config_.dial_timeout, [this, connection] {
+      deadlines_.set(engine_.now() + config_.connect_timeout, [this, connection] {
         if (connection->socket->connecting()) on_closed(*connection, net::Closed::refused);
       });
   endpoint.connections.push_back(std::move(owned));
@@ -228,7 +228,7 @@
 // that crosses its close might have run.
 bool UpstreamPool::is_expired(const UpstreamConnection& connection) const {
   return connection.load() == 0 &&
-         engine_.now() > connection.last_used_at + config_.idle_close * 4 / 5;
+         engine_.now() > connection.last_used_at + config_.idle_timeout * 4 / 5;
 }
 
 void UpstreamPool::close_expired() {
@@ -243,7 +243,7 @@
 // Each connection may hold half a response of 240,000 bytes in a buffer twice that size, hence the
 // bound by memory.
 std::size_t UpstreamPool::connection_limit(std::uint32_t processes) const {
-  const auto sockets = static_cast<std::size_t>(config_.sockets) / processes;
+  const auto sockets = static_cast<std::size_t>(config_.max_descriptors) / processes;
   const auto by_sockets = processes > 1 ? sockets / 4 : sockets * 2 / 5;
   const auto by_memory = std::max<std::size_t>(kMinConnectionLimit, config_.memory_mb) / processes;
   return std::min(by_sockets, by_memory);
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -22,8 +22,7 @@
 };
 
 Server::Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-               upstream::UpstreamPool& caches, const config::Xds& settings,
-               std::size_t most_clients)
+               upstream::UpstreamPool& caches, const Settings& settings, std::size_t most_clients)
     : loop_(loop),
       deadlines_(deadlines),
       engine_(engine),
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -4,18 +4,18 @@
 #include <memory>
 #include <vector>
 
-#include "config/config.h"
 #include "core/engine.h"
 #include "net/connection.h"
 #include "net/listener.h"
 #include "upstream/upstream_pool.h"
+#include "xds/settings.h"
 
 namespace alderspur::xds {
 
 class Server {
  public:
   Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
-         upstream::UpstreamPool& caches, const config::Xds& settings, std::size_t most_clients);
+         upstream::UpstreamPool& caches, const Settings& settings, std::size_t most_clients);
   ~Server();
   void end_turn();
   void stop_listening() { listener_.stop(); }
@@ -31,7 +31,7 @@
   core::Deadlines& deadlines_;
   core::Engine& engine_;
   upstream::UpstreamPool& caches_;
-  const config::Xds& settings_;
+  const Settings& settings_;
   std::vector<std::unique_ptr<Client>> clients_;
   net::Listener listener_;
 };
--- a/tests/cluster/rig.h
+++ b/tests/cluster/rig.h
@@ -28,6 +28,7 @@
 
 #include "cluster/faulty_links.h"
 #include "net/connection.h"
+#include "support/build_paths.h"
 
 namespace rig {
 
@@ -124,14 +125,14 @@
     const int log = ::open(file(i, "log").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
     ::dup2(log, STDERR_FILENO);
     ::unsetenv("TMPDIR");
-#ifdef ALDERSPUR_FAULTY_DISK
-    ::setenv("LD_PRELOAD", ALDERSPUR_FAULTY_DISK, 1);
+#ifdef ALDERSPUR_WITH_FAULTY_DISK
+    ::setenv("LD_PRELOAD", test_paths::kFaultyDisk, 1);
     ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
     ::setenv("LIAR_FOLDER", file(i, "state").c_str(), 1);
     ::setenv("LIAR_SHADOW", file(i, "shadow").c_str(), 1);
     ::setenv("LIAR_CONTROL", file(i, "control").c_str(), 1);
 #endif
-    ::execl(ALDERSPUR_PROGRAM, ALDERSPUR_PROGRAM, "run", "--settings",
+    ::execl(test_paths::kProgram, test_paths::kProgram, "run", "--settings",
             file(i, "settings.toml").c_str(), nullptr);
     ::_exit(99);
   }
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -17,13 +17,14 @@
 #include "config_language/files.h"
 #include "config_language/format.h"
 #include "config_language/parser.h"
+#include "support/build_paths.h"
 
 namespace {
 
 using namespace alderspur;
 namespace fs = std::filesystem;
 
-const fs::path kCorpus = ALDERSPUR_CORPUS;
+const fs::path kCorpus = test_paths::kLanguageCorpus;
 
 std::string text_of(const fs::path& path) {
   std::ifstream in(path, std::ios::binary);
--- a/tests/consensus/stored_data_test.cpp
+++ b/tests/consensus/stored_data_test.cpp
@@ -14,6 +14,7 @@
 #include "consensus/temporary_folder.h"
 #include "consensus/version.h"
 #include "store/state_file.h"
+#include "support/build_paths.h"
 
 namespace alderspur::consensus {
 namespace {
@@ -24,7 +25,7 @@
     "22dd70ae0ed7c5faa1592aba9d8b23256761701c6a2605b54582ccf49cc313a5";
 
 std::string data_path(const std::string& name) {
-  return std::string(ALDERSPUR_TEST_DATA) + "/consensus/" + name;
+  return std::string(test_paths::kTestData) + "/consensus/" + name;
 }
 
 std::string read_data(const std::string& name) {
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -79,7 +79,7 @@
   void SetUp() override {
     Crossing::SetUp();
     watch_ = watcher();
-    auto member = config.notices[0].members[0];
+    auto member = config.known_events[0].members[0];
     member.address = late.address();
     caches->update_endpoint(member);
     // s-b is out, so that all goes to the one that hangs.
--- a/tests/hot_restart/coordinator_test.cpp
+++ b/tests/hot_restart/coordinator_test.cpp
@@ -67,8 +67,8 @@
   std::ofstream(file) << R"({"listen":"127.0.0.1:0","settings":{"azs":["edge"],"zone":0,
       "classes":[{"name":"asset","target":5000000,"points":1,"repeat":"safe"}]}})";
   auto config = config::read_file(file);
-  config.operator_listen = "127.0.0.1:0";
-  config.state_folder = directory;
+  config.operators_address = "127.0.0.1:0";
+  config.shared_directory = directory;
   std::size_t room = sizeof(edge_router::EdgeRouter) + alignof(edge_router::EdgeRouter);
   std::vector<std::byte> memory(room);
   void* address = memory.data();
--- a/tests/hot_restart/shared_directory_test.cpp
+++ b/tests/hot_restart/shared_directory_test.cpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "hot_restart/shared_directory_fixture.h"
+#include "support/build_paths.h"
 
 namespace alderspur::hot_restart {
 namespace {
@@ -120,7 +121,7 @@
     }
   }
   static std::string stored_path(const std::string& suffix) {
-    return std::string(ALDERSPUR_TEST_DATA) + "/hot_restart/alderspur-127.0.0.1-4100" + suffix;
+    return std::string(test_paths::kTestData) + "/hot_restart/alderspur-127.0.0.1-4100" + suffix;
   }
 };
 
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -114,7 +114,7 @@
   mangle(
       R"({"rev":41,"pool":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:1","size":4}]},
          "flush":{"asset":"7f3a","ms":1764576000123}})",
-      [&](std::string_view bytes) { config::read_notice(bytes, names); });
+      [&](std::string_view bytes) { config::read_watch_event(bytes, names); });
   mangle(
       R"({"limits":{"sockets":64},"settings":{"classes":[{"name":"a","target":1e6}],"ceilings":{"max-attempts":3}}})",
       [](std::string_view bytes) {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -266,11 +266,11 @@
         member("s-a", box[0], "edge", "small") + "," + member("s-b", box[1], "edge", "small") +
         "," + member("s-o", origin, "hub", "origin") + "]}}]}," + settings + "}");
     config.settings.health_checks_allowed = probing;
-    config.sockets = 128;  // 64 clients
-    config.board = net::to_string(board_at_);
+    config.max_descriptors = 128;  // 64 clients
+    config.discovery_address = net::to_string(board_at_);
     links.enabled = true;
     links.listen = "127.0.0.1:0";
-    links.skew_s = 60;  // wide: a slow machine changes nothing
+    links.clock_skew_seconds = 60;  // wide: a slow machine changes nothing
     links.keys = {{"old", "an old secret of the tests", 0},
                   {"new", "a new secret of the tests", 0}};
     links.routes = {{"/asset/", 0, link_limit}};
@@ -344,7 +344,7 @@
   std::int64_t skew = 0, link_limit = 20'000'000;
   Box box[2], origin;
   config::Config config;
-  config::Signed links;
+  signed_url::Settings links;
   core::Deadlines deadlines;
   net::Loop loop{deadlines};
   std::unique_ptr<core::Engine> engine;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -202,7 +202,7 @@
 // attempt.
 TEST_F(Platform, IgnoresSecondCopyOfResponseWhenNextAttemptIsPending) {
   alderspur::EndpointUpdate gone;
-  gone.servers = {config.notices[0].members[1].server};
+  gone.servers = {config.known_events[0].members[1].server};
   gone.servers[0].status = alderspur::ServerStatus::gone;
   engine->update_endpoints(gone);
   auto c = client(front->address());
@@ -266,7 +266,7 @@
   for (int i = 0; i < 20 && !again;
        ++i) {  // a probe has a quarter of a second, which a slow machine may miss
     const auto before = box[0].count("stats");
-    caches->send_health_check(config.notices[0].members[0].server.id);
+    caches->send_health_check(config.known_events[0].members[0].server.id);
     ASSERT_TRUE(until([&] { return box[0].count("stats") > before; }));
     box[0].commands.back().from->reset();
     settle();
@@ -277,7 +277,7 @@
 
 // Guards against a full box passing for a dead one, and against a dial for each probe of it.
 TEST_F(Watched, AcceptsLateHealthCheckReplyAndDialsOnceWhenCacheIsSlow) {
-  const auto id = config.notices[0].members[0].server.id;
+  const auto id = config.known_events[0].members[0].server.id;
   caches->send_health_check(id);
   ASSERT_TRUE(until([&] { return box[0].count("stats") == 1; }));
   for (std::size_t i = 1; i <= 5; ++i) {
@@ -550,8 +550,8 @@
     fillers.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
     (void)::connect(fillers.back(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
   }
-  config.dial_timeout = dial_timeout;
-  auto member = config.notices[0].members[0];
+  config.connect_timeout = dial_timeout;
+  auto member = config.known_events[0].members[0];
   member.address = net::to_string(at);
   caches->update_endpoint(member);
   auto c = client(front->address());
--- a/tests/process.h
+++ b/tests/process.h
@@ -11,6 +11,7 @@
 #include <sstream>
 
 #include "loopback.h"
+#include "support/build_paths.h"
 
 namespace loopback {
 
@@ -38,7 +39,7 @@
       ::unsetenv("RELAY_OPERATOR");
       if (!shared.empty()) ::setenv("TMPDIR", shared.c_str(), 1);
       if (!operators.empty()) ::setenv("RELAY_OPERATOR", operators.c_str(), 1);
-      ::execl(ALDERSPUR_EDGE_ROUTER, ALDERSPUR_EDGE_ROUTER, nullptr);
+      ::execl(test_paths::kEdgeRouter, test_paths::kEdgeRouter, nullptr);
       ::_exit(99);
     }
     ::close(ends[1]);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -8,6 +8,8 @@
 #include <fstream>
 #include <sstream>
 
+#include "support/build_paths.h"
+
 namespace {
 
 namespace fs = std::filesystem;
@@ -47,7 +49,8 @@
   }
   // Runs it in the test's folder; what it printed on both streams is in `said`.
   int run(const std::string& arguments) {
-    const std::string command = "cd " + folder + " && " ALDERSPUR_PROGRAM " " + arguments + " 2>&1";
+    const std::string command =
+        "cd " + folder + " && " + test_paths::kProgram + " " + arguments + " 2>&1";
     FILE* out = ::popen(command.c_str(), "r");
     said.clear();
     char buffer[4096];
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -58,7 +58,7 @@
       "classes":[{"name":"asset","target":5000000,"give-up":30000000,"points":1,"repeat":"safe"},
         {"name":"video","target":5000000,"give-up":30000000,"points":1,"repeat":"safe"}],
       "domain":{"lifetime-by-class":[60000000,0],"stale-for":[0,0],"uncached":[false,false]}}})");
-    config.sockets = 512;
+    config.max_descriptors = 512;
     log = std::make_unique<log::Log>(log::Settings{},
                                      [this](const std::string& l) { lines.push_back(l); });
     node = std::make_unique<edge_router::EdgeRouter>(std::move(config), [](auto&, auto&) {});
@@ -111,7 +111,7 @@
 
   std::string folder, file;
   Box box;
-  config::Signed links;
+  signed_url::Settings links;
   std::vector<std::string> lines;
   std::unique_ptr<log::Log> log;
   std::unique_ptr<edge_router::EdgeRouter> node;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -42,7 +42,7 @@
 config::Config with_classes() {
   config::Config c;
   c.names.classes = {"asset", "plan-accept"};
-  c.names.give_up = {2'500'000, 3'000'000};
+  c.names.request_timeouts = {2'500'000, 3'000'000};
   c.settings.classes.resize(2);
   c.settings.classes[1].never_cached = true;
   return c;
@@ -53,20 +53,20 @@
   auto s = settings::read(kGood, "a.toml", "/etc/a", f);
   settings::resolve(s, with_classes(), f);
   for (const auto& x : f.list()) ADD_FAILURE() << diagnostics::to_string(x);
-  EXPECT_EQ(s.config, "/etc/a/config.json");
+  EXPECT_EQ(s.config_file, "/etc/a/config.json");
   EXPECT_EQ(s.membership->list, "/etc/a/servers.toml");
-  EXPECT_EQ(s.membership->state, "/var/lib/x") << "absolute";
-  EXPECT_EQ(s.membership->settle, 50'000);
-  EXPECT_EQ(s.membership->fleet.damping.half_life, 20'000'000);
-  EXPECT_EQ(s.membership->fleet.authority, endpoints::Authority::both);
-  EXPECT_EQ(s.links->skew_s, 2);
-  EXPECT_EQ(s.links->routes.at(0).limit, 1'500'000);
+  EXPECT_EQ(s.membership->state_directory, "/var/lib/x") << "absolute";
+  EXPECT_EQ(s.membership->unchanged_time, 50'000);
+  EXPECT_EQ(s.membership->endpoint_set.damping.half_life, 20'000'000);
+  EXPECT_EQ(s.membership->endpoint_set.authority, endpoints::Authority::both);
+  EXPECT_EQ(s.signed_url->clock_skew_seconds, 2);
+  EXPECT_EQ(s.signed_url->routes.at(0).time_limit, 1'500'000);
   EXPECT_EQ(s.xds->cluster, "boxes");
   EXPECT_EQ(s.log.form, log::Form::json);
   diagnostics::Findings g;
   const auto least = settings::read("[router]\nconfig = \"c.json\"\n", "a.toml", "", g);
   EXPECT_TRUE(g.good());
-  EXPECT_FALSE(least.membership || least.links || least.xds) << "absent sections are off";
+  EXPECT_FALSE(least.membership || least.signed_url || least.xds) << "absent sections are off";
 }
 
 TEST(Settings, WhatIsWrongIsSaidWithItsLineAndTheNearestKey) {
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -72,7 +72,7 @@
   EXPECT_EQ(reply.size(), 8u);
 }
 TEST(Codec, SettingsAreReadAndDefaulted) {
-  const auto s = simulator_adapter::read_settings(kSettings).first;
+  const auto s = simulator_adapter::read_settings(kSettings).settings;
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].latency_objective, 500000);
   EXPECT_EQ(s.location.value, 1u);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -10,6 +10,7 @@
 #include <iterator>
 
 #include "store/endpoint_state.h"
+#include "support/build_paths.h"
 
 namespace alderspur::store {
 namespace {
@@ -129,7 +130,7 @@
 
 // tests/data/store holds a state written by the version before the renaming of the sources.
 std::string stored_state_path() {
-  return std::string(ALDERSPUR_TEST_DATA) + "/store/membership.state";
+  return std::string(test_paths::kTestData) + "/store/membership.state";
 }
 
 void expect_server(const endpoints::Snapshot& list, const endpoints::ListedServer& expected) {
--- a/tests/support/test_data.h
+++ b/tests/support/test_data.h
@@ -7,11 +7,13 @@
 #include <string>
 #include <string_view>
 
+#include "support/build_paths.h"
+
 namespace test_data {
 
 /// `name` is relative to tests/data.
 inline std::string path(const std::string& name) {
-  return std::string(ALDERSPUR_TEST_DATA) + "/" + name;
+  return std::string(test_paths::kTestData) + "/" + name;
 }
 
 inline std::string to_hex(std::string_view bytes) {
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -34,8 +34,8 @@
     folder = ::mkdtemp(name);
     path = folder + "/servers.toml";
     settings.list = path;
-    settings.fleet.damping.is_enabled = false;
-    settings.bounds.max_lost_fraction = 0.7;
+    settings.endpoint_set.damping.is_enabled = false;
+    settings.change_limits.max_lost_fraction = 0.7;
   }
   void TearDown() override {
     stop();
@@ -315,7 +315,7 @@
 }
 
 TEST_F(Watched, ADrainedBoxGetsNothingNewAndARemovedOneNeither) {
-  settings.bounds.max_lost_fraction = 1;
+  settings.change_limits.max_lost_fraction = 1;
   rename_in(list(1, {{"a", &box[0]}, {"b", &box[1]}, {"c", &box[2]}}));
   start();
   ASSERT_TRUE(until([&] {
@@ -387,7 +387,7 @@
 }
 
 TEST_F(Watched, TheLastGoodListIsKeptThroughARestart) {
-  settings.state = folder + "/state";
+  settings.state_directory = folder + "/state";
   rename_in(list(5, {{"a", &box[0]}, {"b", &box[1]}}));
   start();
   stop();
@@ -406,15 +406,15 @@
                 6),
             kWithin);
   stop();
-  const auto kept = store::load_endpoint_state(settings.state + "/membership.state");
+  const auto kept = store::load_endpoint_state(settings.state_directory + "/membership.state");
   ASSERT_TRUE(kept.state) << to_string(*kept.error);
   EXPECT_EQ(kept.state->list->generation, 6u);
   ASSERT_EQ(kept.state->remembered.size(), 1u) << "c is new, so cold";
   fs::remove(path);
-  settings.oldest = 1;
+  settings.max_state_age = 1;
   EXPECT_THROW(start(), config::Error) << "too old to start from";
   controller = nullptr;
-  fs::remove_all(settings.state);
+  fs::remove_all(settings.state_directory);
   EXPECT_THROW(start(), config::Error) << "nothing at all to start from";
   controller = nullptr;
 }
@@ -444,7 +444,7 @@
   notices = R"({"rev":1,"pool":{"complete":true,"members":[)" +
             member("a", box[0], "edge", "small") + "," + member("b", box[1], "edge", "small") +
             "," + member("o", origin, "hub", "origin") + "]}}";
-  settings.fleet.authority = endpoints::Authority::both;
+  settings.endpoint_set.authority = endpoints::Authority::both;
   rename_in(list(1, {{"a", &box[0]}, {"b", &box[1]}, {"x", &stranger}}));
   start();
   ASSERT_TRUE(until([&] { return box[0].count("fetch") > 3 && box[1].count("fetch") > 3; }));
@@ -465,7 +465,7 @@
 }
 
 TEST_F(Watched, APathWithoutWatchesIsPolled) {
-  settings.poll = 100'000;
+  settings.poll_interval = 100'000;
   rename_in(list(1, {{"a", &box[0]}}));
   // No inotify instance is to be had for this process: all its descriptors of that kind are taken.
   std::vector<net::Fd> taken;
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -54,7 +54,7 @@
   static constexpr const char* kAsk =
       R"({"type_url":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
           "resource_names":["edge-boxes"],"node":{"id":"proxy-1"}})";
-  config::Xds settings{true, "127.0.0.1:0", "edge-boxes"};
+  xds::Settings settings{true, "127.0.0.1:0", "edge-boxes"};
   std::unique_ptr<xds::Server> server;
   std::unique_ptr<loopback::Socket> proxy;
   rapidjson::Document body;
@@ -88,7 +88,7 @@
   EXPECT_EQ(health(box[0].address()), "UNHEALTHY");
   EXPECT_EQ(health(box[1].address()), "HEALTHY");
 
-  auto member = config.notices[0].members[1];
+  auto member = config.known_events[0].members[1];
   member.server.status = alderspur::ServerStatus::draining;
   caches->update_endpoint(member);
   engine->update_endpoints({false, false, {member.server}});
