--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -231,7 +231,8 @@
   rig.put();
   rig.start();
   HttpClient client(rig.http_at, 1);
-  std::vector<Time> in_force, first;
+  std::vector<Time> in_force;
+  std::vector<Time> first;
   for (int i = 0; i < n; ++i) {
     // A new id at the third box's address, another each time: its first request proves the new
     // list.
@@ -280,7 +281,8 @@
       clients.push_back(std::make_unique<HttpClient>(rig.http_at, i << 40));
     }
     std::vector<Time> took;
-    Time next_list = 0, next_ask = 0;
+    Time next_list = 0;
+    Time next_ask = 0;
     std::thread writer;
     const auto taken_before = generation;
     for (const Time end = net::unix_now() + Time{seconds} * 1'000'000; net::unix_now() < end;) {
--- a/src/config_language/check.cpp
+++ b/src/config_language/check.cpp
@@ -275,7 +275,8 @@
   }
 
   bool quantity(const Field& f, const Value& v, Setting& out) {
-    const std::string key(f.key), wants = word(f.measure);
+    const std::string key(f.key);
+    const std::string wants = word(f.measure);
     if (v.kind != Kind::number) return error("A013", v.span, key + " takes " + wants), false;
     const Unit* u = v.unit.empty() ? nullptr : unit(v.unit);
     if (f.measure != Measure::none && !u) {
@@ -368,7 +369,8 @@
 
   void siblings(const Declaration& d) {
     const auto over = [&](const char* a, const char* b) {
-      const auto *x = d.find(a), *y = d.find(b);
+      const auto* x = d.find(a);
+      const auto* y = d.find(b);
       return x && y && x->number && y->number && *x->number > *y->number ? x : nullptr;
     };
     const auto told = [&](const char* key) { return d.find(key)->shown; };
--- a/src/config_language/differ.cpp
+++ b/src/config_language/differ.cpp
@@ -34,7 +34,8 @@
 class Differ {
  public:
   std::vector<Change> run(const Meaning& from, const Meaning& to) {
-    const auto a = by_key(from), b = by_key(to);
+    const auto a = by_key(from);
+    const auto b = by_key(to);
     for (const auto& [key, d] : a) {
       if (!b.contains(key)) add(Risk::high, key, "", "is gone" + routed(*d));
     }
@@ -92,7 +93,8 @@
       return add(risk_of(name, falls), key, field,
                  field + (falls ? " falls from " : " rises from ") + was.shown + " to " + is.shown);
     }
-    auto a = was.texts, b = is.texts;
+    auto a = was.texts;
+    auto b = is.texts;
     if (!ordered(name)) std::sort(a.begin(), a.end()), std::sort(b.begin(), b.end());
     if (a == b) return;
     if (name == "path") {
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -38,7 +38,10 @@
   const auto byte = [&](std::size_t i) {
     return i < t.size() ? static_cast<unsigned char>(t[i]) : 0U;
   };
-  const unsigned a = byte(at), b = byte(at + 1), c = byte(at + 2), d = byte(at + 3);
+  const unsigned a = byte(at);
+  const unsigned b = byte(at + 1);
+  const unsigned c = byte(at + 2);
+  const unsigned d = byte(at + 3);
   const auto more = [](unsigned x) { return (x & 0xc0) == 0x80; };
   if (a < 0x80) return 1;
   if (a >= 0xc2 && a <= 0xdf && more(b)) return 2;
@@ -147,7 +150,8 @@
       }
       if (peek() == '\\') {
         const char e = peek(1);
-        const std::string_view from = "\"\\nt", to = "\"\\\n\t";
+        const std::string_view from = "\"\\nt";
+        const std::string_view to = "\"\\\n\t";
         const auto i = from.find(e);
         if (i == std::string_view::npos || e == '\0') {
           const std::size_t bad = at_++;
--- a/src/config_language/source.cpp
+++ b/src/config_language/source.cpp
@@ -34,7 +34,8 @@
                                [&](const File& f) { return f.name == finding.place.file; });
   if (it == files_.end() || !finding.place.line) return out;
   const auto text = line(static_cast<std::uint32_t>(it - files_.begin()), finding.place.line);
-  std::string shown, caret;
+  std::string shown;
+  std::string caret;
   for (std::size_t i = 0; i < text.size() && i < 200; ++i) {
     const bool plain = static_cast<unsigned char>(text[i]) >= 32 || text[i] == '\t';
     shown += plain ? text[i] : '?';
--- a/src/edge_router/edge_router.cpp
+++ b/src/edge_router/edge_router.cpp
@@ -192,7 +192,8 @@
       throw config::Error("no usable board address: '" + renewed.discovery_address + "'");
     }
     log_("reload", "settings read anew, board at " + renewed.discovery_address);
-    if (renewed.memory_mb != config_.memory_mb || renewed.max_descriptors != config_.max_descriptors ||
+    if (renewed.memory_mb != config_.memory_mb ||
+        renewed.max_descriptors != config_.max_descriptors ||
         renewed.names.classes != config_.names.classes) {
       log_("reload", "limits and classes have changed too: they hold from the next start");
     }
--- a/src/file_watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -19,7 +19,8 @@
 Worker::Worker() {
   // Blocks all signals in the new thread: they are the loop's to handle, and would interrupt reads
   // here.
-  sigset_t all, before;
+  sigset_t all;
+  sigset_t before;
   sigfillset(&all);
   pthread_sigmask(SIG_SETMASK, &all, &before);
   thread_ = std::thread([this] { run(); });
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -74,7 +74,8 @@
 }
 
 std::string blotted(std::string_view value) {
-  std::string out(value.substr(0, kMaxValueBytes)), lower = out;
+  std::string out(value.substr(0, kMaxValueBytes));
+  std::string lower = out;
   if (value.size() > kMaxValueBytes) out += "...";
   for (char& c : lower) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
   for (const auto word : kSecret) {
--- a/src/signed_url/token.cpp
+++ b/src/signed_url/token.cpp
@@ -93,13 +93,15 @@
                      Claims& claims) const {
   const auto at = signed_text.rfind("&sig=");
   if (at == std::string_view::npos) return Check::malformed;
-  const auto text = signed_text.substr(0, at), given = signed_text.substr(at + 5);
+  const auto text = signed_text.substr(0, at);
+  const auto given = signed_text.substr(at + 5);
   const auto query = text.find('?');
   Fields f;
   if (!f.read(query == std::string_view::npos ? text : text.substr(query + 1))) {
     return Check::malformed;
   }
-  std::int64_t exp = 0, nbf = 0;
+  std::int64_t exp = 0;
+  std::int64_t nbf = 0;
   if (!seconds(f.exp, exp) || (f.nbf.data() && !seconds(f.nbf, nbf))) return Check::malformed;
   const auto key = std::find_if(keys_.begin(), keys_.end(), [&](auto& k) { return k.id == f.kid; });
   if (key == keys_.end() || (key->until && now >= key->until + skew_)) return Check::unknown_key;
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -112,7 +112,9 @@
     for (const auto& x : f.list()) {
       if (x.severity == diagnostics::Severity::error) ADD_FAILURE() << diagnostics::to_string(x);
     }
-    const auto text = text_of(path), once = formatted(text, f), twice = formatted(once, f);
+    const auto text = text_of(path);
+    const auto once = formatted(text, f);
+    const auto twice = formatted(once, f);
     const auto beside = path.string() + ".formatted";
     EXPECT_EQ(once, fs::exists(beside) ? text_of(beside) : text) << path;
     EXPECT_EQ(twice, once) << path;
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -125,7 +125,8 @@
     ++sent;
   }
   ASSERT_TRUE(until([&] { return engine->counters().served == sent; }));
-  const Command cancelled = *fetch(31), left_open = *fetch(32);
+  const Command cancelled = *fetch(31);
+  const Command left_open = *fetch(32);
   const unsigned id = static_cast<unsigned>(std::stoul(cancelled.fields.at("name"), nullptr, 16));
   c->write(loopback::withdraw(id));
   ASSERT_TRUE(until([&] { return aborts() == 1; })) << "the cancel";
@@ -149,7 +150,8 @@
 }
 
 TEST_F(Crossing, AClientThatLeavesInTheMiddleOfAMessageLeavesNothing) {
-  auto ends = client(front->address()), resets = client(front->address());
+  auto ends = client(front->address());
+  auto resets = client(front->address());
   for (auto* c : {ends.get(), resets.get()}) c->write(request(1, "asset", {}).substr(0, 30));
   settle();
   ends->half_close();
@@ -167,7 +169,8 @@
     clients.back()->write(request(i, "asset", {{"item", object(i)}}));
   }
   ASSERT_TRUE(until([&] { return fetches() == 64; }));
-  auto left = loopback::dial(front->address()), stays = client(front->address());
+  auto left = loopback::dial(front->address());
+  auto stays = client(front->address());
   left->write(request(100, "asset", {{"item", object(100)}}));
   stays->write(request(101, "asset", {{"item", object(101)}}));
   left->close();
@@ -236,7 +239,8 @@
 };
 INSTANTIATE_TEST_SUITE_P(Harmless, Again, ::testing::Bool());
 TEST_P(Again, ATransactionIsTurnedAwayWhileItIsOpen) {
-  auto first = client(front->address()), again = client(front->address());
+  auto first = client(front->address());
+  auto again = client(front->address());
   first->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
   again->write(request(1, "asset", {}));
@@ -252,7 +256,8 @@
 // Guards against the largest requests being cut off where the way is slow; who says nothing more
 // is.
 TEST_F(Crossing, ALargeRequestThatComesSlowlyIsTaken) {
-  auto slow = client(front->address()), stops = client(front->address());
+  auto slow = client(front->address());
+  auto stops = client(front->address());
   const std::string all = request(1, "plan-accept", {{"unique", kKey}}, std::string(40'000, 'w'));
   stops->write(all.substr(0, 20'000));
   for (std::size_t at = 0; at < all.size();
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -20,7 +20,8 @@
 
 TEST(Limits, ARefusalSaysWhenRoomReturns) {
   Limits l;
-  auto a = l.ask({full("route r", 2)}, 0), b = l.ask({full("route r", 2)}, 0);
+  auto a = l.ask({full("route r", 2)}, 0);
+  auto b = l.ask({full("route r", 2)}, 0);
   auto c = l.ask({full("route r", 2)}, 0);
   EXPECT_TRUE(a.admitted && b.admitted);
   ASSERT_FALSE(c.admitted);
@@ -57,7 +58,8 @@
 TEST(Limits, AFloodOfOneRouteLeavesTheOtherItsRoom) {
   Limits l;
   std::vector<Permit> held;
-  int flood = 0, other = 0;
+  int flood = 0;
+  int other = 0;
   for (Time now = 0; now < kSecond; now += 100) {
     auto v = l.ask({full("route flood", 20), full("pool p", 40)}, now);
     if (v.admitted) held.push_back(std::move(v.permit)), ++flood;
@@ -99,7 +101,8 @@
 // burst give, and in the end nothing is out.
 RC_GTEST_PROP(Limits, HoldOverAnyTrafficAndConserveWhatTheyGive, ()) {
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
-  const std::uint32_t most = 1 + random() % 8, burst = 1 + random() % 5;
+  const std::uint32_t most = 1 + random() % 8;
+  const std::uint32_t burst = 1 + random() % 5;
   const auto a_second = static_cast<double>(1 + random() % 200);
   Limits l;
   std::vector<Permit> held;
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -65,7 +65,8 @@
 };
 
 inline int bound(sockaddr_in& at) {
-  const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
+  const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  const int on = 1;
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on,
                sizeof on);  // so that its address can be taken up again
   at = {};
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -98,7 +98,8 @@
 // Guards against caches being sent what they can't read or use: they would close, on others'
 // requests too.
 TEST_F(Platform, ClosesOnlyItsConnectionWhenFrameIsUnreadableAndRejectsInvalidFields) {
-  auto bad = client(front->address()), good = client(front->address());
+  auto bad = client(front->address());
+  auto good = client(front->address());
   bad->write("\xc1garbage");
   ASSERT_TRUE(until([&] { return bad->ended; }));
   good->write(request(1, "no-such-class", {}) + request(2, "asset", {}, "a body") +
@@ -124,7 +125,8 @@
 }
 
 TEST_F(Platform, RejectsSecondRequestWhenOpenIdNamesAnotherObject) {
-  auto usual = client(front->address()), bad = client(front->address());
+  auto usual = client(front->address());
+  auto bad = client(front->address());
   usual->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
   bad->write(request(1, "asset", {{"item", "0000000000000001"}}));
@@ -148,8 +150,9 @@
 // and stay.
 TEST_F(Platform, ClosesSilentClientsAfterTimeoutAndIdleOnesWhenPlacesRunOut) {
   const auto started = net::unix_now();
-  auto silent = client(front->address()), half = client(front->address()),
-       idle = client(front->address());
+  auto silent = client(front->address());
+  auto half = client(front->address());
+  auto idle = client(front->address());
   half->write(request(1, "asset", {}).substr(0, 30));
   idle->write(request(1, "no-such-class", {}));
   ASSERT_TRUE(until([&] { return silent->ended && half->ended; }));
@@ -244,7 +247,8 @@
     auto c = client(front->address());
     for (unsigned i = 1; i <= 2; ++i) c->write(request(i, "asset", {{"ram", "90"}}));
     ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == 2; }));
-    const Command first = *fetch(1), second = *fetch(2);
+    const Command first = *fetch(1);
+    const Command second = *fetch(2);
     ASSERT_EQ(first.from, second.from);
     if (half) {
       first.from->write(first.id + " served " + loopback::dated("t") + " 100\r\nhalf of it");
@@ -369,7 +373,8 @@
       EXPECT_LE(n, 15) << "of 100 in one 10 ms, round " << round;
     }
   }
-  std::mt19937_64 once(7), again(7);
+  std::mt19937_64 once(7);
+  std::mt19937_64 again(7);
   EXPECT_EQ(alderspur::discovery::reconnect_delay(once),
             alderspur::discovery::reconnect_delay(again));
 }
@@ -508,7 +513,8 @@
 
 // Guards against one slow reader holding up the others or losing bytes of its own.
 TEST_F(Platform, DeliversEverythingWithoutDelayingOthersWhenReaderIsSlow) {
-  auto slow = client(front->address()), quick = client(front->address());
+  auto slow = client(front->address());
+  auto quick = client(front->address());
   watched.assign(1, quick.get());
   const std::string body(240'000, 'y');
   for (unsigned i = 1; i <= 24; ++i) slow->write(request(i, "asset", {}));
--- a/tests/process.h
+++ b/tests/process.h
@@ -85,7 +85,8 @@
   }
   std::size_t resident() const {  // bytes
     std::ifstream in("/proc/" + std::to_string(pid_) + "/statm");
-    std::size_t size = 0, pages = 0;
+    std::size_t size = 0;
+    std::size_t pages = 0;
     in >> size >> pages;
     return pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -22,7 +22,10 @@
   s.location = {3};
   s.router_count = 2;
   s.router_count_by_location = {0, 0, 0, 1, 1};
-  ClassSettings parts, pages, keyed, once;
+  ClassSettings parts;
+  ClassSettings pages;
+  ClassSettings keyed;
+  ClassSettings once;
   parts.latency_objective = 500 * kMillisecond;
   parts.latency_objective_stretch = 2;
   pages = parts;
@@ -225,7 +228,8 @@
     if (given[1] + given[2] + given[3] + given[4] == 40) break;
   }
   ASSERT_EQ(given[1] + given[2] + given[3] + given[4], 40);
-  const std::uint64_t hot = 99999, home = bed.serve(hot);
+  const std::uint64_t hot = 99999;
+  const std::uint64_t home = bed.serve(hot);
   for (int i = 2; i <= 8; ++i) {
     EXPECT_EQ(bed.serve(hot), home) << "x is at most 700 before request " << i;
   }
@@ -548,8 +552,8 @@
 }
 TEST(Cold, UnevenRoutersOfWhichMostStartAnewDoNotPushOverAColdServer) {
   for (const bool told : {true, false}) {
-    const double parent = most_sent(300, told, true, 40, How::stirred).part,
-                 box = most_sent(12, told, false, 12, How::stirred).part;
+    const double parent = most_sent(300, told, true, 40, How::stirred).part;
+    const double box = most_sent(12, told, false, 12, How::stirred).part;
     EXPECT_LT(parent, 1) << told;
     EXPECT_LT(box, 1) << told;
     EXPECT_GT(std::min(parent, box), 0.1) << told;
@@ -795,7 +799,8 @@
 }
 TEST(Health, WithoutNotesADeadSourceIsFoundByAskingTheSameCacheOnceMore) {
   Bed bed;
-  int to_dead_late = 0, refused = 0;
+  int to_dead_late = 0;
+  int refused = 0;
   for (std::uint64_t o = 1; o <= 60; ++o) {
     const auto id = bed.ask(o, 0, 400);
     bed.advance(100 * kMillisecond);
@@ -820,7 +825,10 @@
 TEST(Health, WhoFailsHalfStandsOutAmongItsPeersWhicheverEndItIs) {
   for (const ServerId failing : {ServerId{2}, ServerId{20}}) {
     Bed bed;
-    int errors = 0, late = 0, refused = 0, others = 0;
+    int errors = 0;
+    int late = 0;
+    int refused = 0;
+    int others = 0;
     for (std::uint64_t o = 1; o <= 400; ++o) {
       const auto id = bed.ask(o, 0, 50);
       bed.advance(50 * kMillisecond);
@@ -949,7 +957,8 @@
 // a cache that says nothing for longer than is usual is still found.
 TEST(Fleet, CachesAreLookedAtAfterAnUnusualSilenceOnly) {
   auto s = probing_site();
-  int probes = 0, found = 0;
+  int probes = 0;
+  int found = 0;
   const auto all = [](Bed& bed) {
     int n = 0;
     for (const auto& [id, count] : bed.probes) n += id.value <= 4 ? count : 0;
@@ -1029,7 +1038,8 @@
     auto s = site();
     s.router_count = routers;
     s.router_count_by_location = {0, 0, 0, std::max(1u, routers / 12)};
-    int fetching = 0, held_only = 0;
+    int fetching = 0;
+    int held_only = 0;
     for (std::uint32_t r = 0; r < routers; ++r) {
       Bed bed(s, fleet(), 100 + r);
       bed.tell(Purge{{}, {5}, 0});
@@ -1163,7 +1173,8 @@
 }
 TEST(Origin, WhereItFailedBehindAParentOnlyAnOlderCopyIsWorthAnotherAttempt) {
   Bed bed;
-  const auto parts = bed.ask(1, 0), pages = bed.ask(2, 1);
+  const auto parts = bed.ask(1, 0);
+  const auto pages = bed.ask(2, 1);
   bed.end(parts, AttemptResult::overloaded, FillOutcome::origin_failed);
   EXPECT_EQ(bed.sends[parts].size(), 1u);
   EXPECT_EQ(bed.answers[parts], 1);
@@ -1290,7 +1301,8 @@
 }
 TEST(Determinism, SameEventsSameActions) {
   const auto run = [] {
-    Bed a, beside(site(), fleet(), 3);
+    Bed a;
+    Bed beside(site(), fleet(), 3);
     std::string trace;
     for (int i = 0; i < 200; ++i) {
       beside.serve(static_cast<std::uint64_t>(i));
@@ -1382,7 +1394,9 @@
     }
     return static_cast<double>(n);
   };
-  const double one = sent({1}), two = sent({0.5, 0.5}), uneven = sent({0.9, 0.1});
+  const double one = sent({1});
+  const double two = sent({0.5, 0.5});
+  const double uneven = sent({0.9, 0.1});
   EXPECT_GT(one, 20);
   EXPECT_LT(
       two,
@@ -1417,9 +1431,11 @@
     }
     return static_cast<double>(n);
   };
-  const double all = sent(10, {}), half = sent(5, {}),
-               leased = sent(5, {0.17, 0.17, 0.17, 0.17, 0.17});
-  const double uneven = sent(4, {0.5, 0.2, 0.1, 0.05}), twice = sent(20, {});
+  const double all = sent(10, {});
+  const double half = sent(5, {});
+  const double leased = sent(5, {0.17, 0.17, 0.17, 0.17, 0.17});
+  const double uneven = sent(4, {0.5, 0.2, 0.1, 0.05});
+  const double twice = sent(20, {});
   const double whole = sent(1, {1});  // what one that is alone may send
   EXPECT_LT(half, 0.7 * all);
   EXPECT_GT(leased, 0.8 * all);
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -232,8 +232,10 @@
       config_language::check(program, f);  // routes that hide others are part of it
   const routing::Table t(meaning, program.sources);
   for (int i = 0; i < 60; ++i) {
-    const auto host = pick({"h.x", "z.y", "g.h.x", "other"}), p = path(false),
-               method = pick({"GET", "POST", "HEAD"}), point = pick({"p", "q"});
+    const auto host = pick({"h.x", "z.y", "g.h.x", "other"});
+    const auto p = path(false);
+    const auto method = pick({"GET", "POST", "HEAD"});
+    const auto point = pick({"p", "q"});
     const auto q = ask(host, p, method, point);
     const auto m = t.match(q);
     RC_ASSERT((m ? m->route : nullptr) == linear(t, q));
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -39,7 +39,9 @@
 // end; and against requests that are read after the end has begun and sent on.
 TEST_F(Ending, RestingClientsAreEndedInOrderAndLateRequestsRefusedAtOnce) {
   start(config_with(box));
-  const auto busy = client(), rests = client(), half = client();
+  const auto busy = client();
+  const auto rests = client();
+  const auto half = client();
   rests->write(request(1, "no-such-class", {}));
   busy->write(asks(1));
   half->write(asks(1).substr(0, 20));
@@ -71,7 +73,9 @@
   ::listen(listener, 4);
   start(config_with(box, net::to_string(board)));
   loopback::Socket watch(::accept(listener, nullptr, nullptr));
-  const auto first = client(), second = client(), half = client();
+  const auto first = client();
+  const auto second = client();
+  const auto half = client();
   first->write(asks(1) + asks(2));
   second->write(asks(11));
   half->write(asks(21).substr(0, 20));
@@ -130,7 +134,8 @@
 // Connections that the kernel has completed and the program has not taken, as the listener closes.
 TEST_F(Ending, ConnectionsThatNobodyHasTakenAreAnsweredBeforeTheListenerCloses) {
   start(config_with(box, {}, 0, 32));  // 16 places
-  std::vector<std::unique_ptr<loopback::Socket>> busy, queued;
+  std::vector<std::unique_ptr<loopback::Socket>> busy;
+  std::vector<std::unique_ptr<loopback::Socket>> queued;
   for (unsigned i = 1; i <= 16; ++i) {
     busy.push_back(client());
     busy.back()->write(asks(i));
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -8,7 +8,8 @@
 using namespace alderspur;
 
 std::string bytes(const std::string& hex) {
-  std::string out, digits;
+  std::string out;
+  std::string digits;
   for (const char c : hex) {
     if (c != ' ' && c != '\n') digits += c;
   }
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -123,7 +123,8 @@
     if (asking && asked - answered < 8 && net::unix_now() > next_ask) {
       ++asked;
       next_ask = net::unix_now() + 1'000;
-      char txn[17], item[17];
+      char txn[17];
+      char item[17];
       std::snprintf(txn, sizeof txn, "%016zx", asked);
       std::snprintf(item, sizeof item, "%016zx", asked * 7919);
       client->write(
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -27,7 +27,8 @@
   }
   // The next whole response; its status, with the JSON in `body`.
   int next() {
-    std::size_t head = 0, length = 0;
+    std::size_t head = 0;
+    std::size_t length = 0;
     EXPECT_TRUE(until([&] {
       server->end_turn();
       head = proxy->in.find("\r\n\r\n");
