--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -323,8 +323,9 @@
 
 int diff(const std::string& from, const std::string& to, bool json, bool by_risk) {
   return with_errors_printed([&] {
-    if (config_language::is_program_path(from) && config_language::is_program_path(to))
+    if (config_language::is_program_path(from) && config_language::is_program_path(to)) {
       return diff_language(from, to, json, by_risk);
+    }
     diagnostics::Findings findings;
     const auto old_list = read_list(from, findings);
     const auto new_list = read_list(to, findings);
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -235,8 +235,9 @@
   loaded.config = config::read_file(loaded.settings.config_file);
   config::Config& config = loaded.config;
   if (!loaded.settings.listen.empty()) config.listen = loaded.settings.listen;
-  if (!loaded.settings.operators_address.empty())
+  if (!loaded.settings.operators_address.empty()) {
     config.operators_address = loaded.settings.operators_address;
+  }
   if (const char* shared = std::getenv("TMPDIR")) config.shared_directory = shared;
   settings::resolve(loaded.settings, config, findings);
   if (!findings.good()) return std::nullopt;
--- a/src/config/json_value.cpp
+++ b/src/config/json_value.cpp
@@ -69,8 +69,9 @@
 
 std::vector<std::string> to_texts(const JsonValue& value) {
   std::vector<std::string> texts;
-  for (std::size_t i = 0; i < element_count(value); ++i)
+  for (std::size_t i = 0; i < element_count(value); ++i) {
     texts.push_back(to_text(element(value, i)));
+  }
   return texts;
 }
 
--- a/src/config/watch_event.cpp
+++ b/src/config/watch_event.cpp
@@ -74,8 +74,9 @@
       event.members.push_back(read_member(element(members, i), names));
     }
   }
-  if (const JsonValue& purge = member(value, "flush"); purge.IsObject())
+  if (const JsonValue& purge = member(value, "flush"); purge.IsObject()) {
     event.purge = read_purge(purge);
+  }
   return event;
 }
 
--- a/src/control/version_contents.cpp
+++ b/src/control/version_contents.cpp
@@ -74,16 +74,18 @@
   }
   const auto merged = consensus::merge_list_texts(texts, generation);
   if (!merged.is_ok()) return ContentError{merged.error()};
-  if (const auto error = store::replace_text_file(path, merged.text()))
+  if (const auto error = store::replace_text_file(path, merged.text())) {
     return ContentError{to_string(*error)};
+  }
   return std::nullopt;
 }
 
 ContentResult write_routes(const consensus::ActiveVersion& active, const std::string& path) {
   const auto document = active.content->find(kRoutesDocument);
   if (document == active.content->end() || path.empty()) return std::nullopt;
-  if (const auto error = store::replace_text_file(path, document->second))
+  if (const auto error = store::replace_text_file(path, document->second)) {
     return ContentError{to_string(*error)};
+  }
   return std::nullopt;
 }
 
@@ -130,8 +132,9 @@
     const ContentResult error = write_all(active, files_, generation);
     wakeup_.post([this, error] {
       is_writing_ = false;
-      if (error)
+      if (error) {
         log_.record(kLogModule, log::Level::error, "not_acted_on", {{"reason", error->message}});
+      }
       if (files_.on_written) files_.on_written();
       if (std::exchange(must_write_again_, false)) write_active_files();
     });
--- a/src/diagnostics/diagnostics.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -37,8 +37,9 @@
   for (char& c : finding.text) {
     if (static_cast<unsigned char>(c) < 32 || c == 127) c = '?';
   }
-  if (finding.text.size() > kMaxTextLength)
+  if (finding.text.size() > kMaxTextLength) {
     finding.text.resize(kMaxTextLength), finding.text += "...";
+  }
   list_.push_back(std::move(finding));
 }
 void Findings::error(std::string code, Place place, std::string text, std::string mend) {
--- a/src/settings/cluster_section.cpp
+++ b/src/settings/cluster_section.cpp
@@ -88,8 +88,9 @@
   cluster.member_name = read_name(table, "member", false, findings);
   cluster.location = read_name(table, "point", false, findings);
   read_addresses(table, cluster, findings);
-  if (const auto path = table.text("secret", true))
+  if (const auto path = table.text("secret", true)) {
     cluster.secret_file = resolve_path(folder, *path);
+  }
   if (const auto path = table.text("state")) cluster.state_directory = resolve_path(folder, *path);
   if (const auto share = table.real("share", 0, 1)) cluster.share = *share;
   cluster.replicates_bans = table.flag("replicate").value_or(true);
@@ -98,8 +99,9 @@
   if (const auto interval = table.duration("period", 50 * kMillisecond, 60 * kSecond)) {
     scale_times(membership, *interval);
   }
-  if (const auto time = table.duration("forget", 10 * kSecond, 24 * kHour))
+  if (const auto time = table.duration("forget", 10 * kSecond, 24 * kHour)) {
     membership.forget_after = *time;
+  }
   if (table.has("agreement")) read_agreement(table.table("agreement"), cluster, findings);
   if (membership.forget_after < kMinForgetSuspicions * membership.max_suspicion_timeout) {
     findings.error("S002", table.place("forget"), "forget is shorter than five suspicions",
--- a/src/settings/membership_section.cpp
+++ b/src/settings/membership_section.cpp
@@ -28,23 +28,29 @@
 
 void read_files(toml::Table& table, const std::string& folder, Membership& membership) {
   const bool needs_list = membership.endpoint_set.authority != endpoints::Authority::board;
-  if (const auto path = table.text("list", needs_list))
+  if (const auto path = table.text("list", needs_list)) {
     membership.list = resolve_path(folder, *path);
-  if (const auto path = table.text("state"))
+  }
+  if (const auto path = table.text("state")) {
     membership.state_directory = resolve_path(folder, *path);
+  }
   constexpr core::Time kYear = core::Time{365} * 24 * kHour;
   if (const auto age = table.duration("oldest", kSecond, kYear)) membership.max_state_age = *age;
-  if (const auto time = table.duration("settle", kMillisecond, 400 * kMillisecond))
+  if (const auto time = table.duration("settle", kMillisecond, 400 * kMillisecond)) {
     membership.unchanged_time = *time;
-  if (const auto interval = table.duration("poll", 20 * kMillisecond, kHour))
+  }
+  if (const auto interval = table.duration("poll", 20 * kMillisecond, kHour)) {
     membership.poll_interval = *interval;
+  }
 }
 
 void read_change_limits(toml::Table& table, Membership& membership) {
-  if (const auto fraction = table.real("most_out", 0, 1))
+  if (const auto fraction = table.real("most_out", 0, 1)) {
     membership.change_limits.max_lost_fraction = *fraction;
-  if (const auto factor = table.real("weight_step", 1.01, 100))
+  }
+  if (const auto factor = table.real("weight_step", 1.01, 100)) {
     membership.endpoint_set.max_weight_factor = *factor;
+  }
   if (const auto interval = table.duration("weight_every", 10 * kMillisecond, kHour)) {
     membership.endpoint_set.weight_interval = *interval;
   }
@@ -65,13 +71,16 @@
                   diagnostics::Findings& findings) {
   if (const auto is_enabled = table.flag("on")) damping.is_enabled = *is_enabled;
   if (const auto penalty = table.real("departure", 1, 1e6)) damping.departure_penalty = *penalty;
-  if (const auto threshold = table.real("suppress", 1, 1e6))
+  if (const auto threshold = table.real("suppress", 1, 1e6)) {
     damping.suppress_threshold = *threshold;
+  }
   if (const auto threshold = table.real("reuse", 1, 1e6)) damping.reuse_threshold = *threshold;
-  if (const auto time = table.duration("half_life", 100 * kMillisecond, 24 * kHour))
+  if (const auto time = table.duration("half_life", 100 * kMillisecond, 24 * kHour)) {
     damping.half_life = *time;
-  if (const auto time = table.duration("longest", 100 * kMillisecond, 24 * kHour))
+  }
+  if (const auto time = table.duration("longest", 100 * kMillisecond, 24 * kHour)) {
     damping.max_suppress_time = *time;
+  }
   if (damping.reuse_threshold >= damping.suppress_threshold) {
     findings.error("S002", table.place("reuse"), "reuse must be lower than suppress",
                    "a server held out at " + std::to_string(damping.suppress_threshold) +
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -15,8 +15,9 @@
 
 void read_router(toml::Table table, bool is_present, const std::string& file,
                  const std::string& folder, Settings& settings, diagnostics::Findings& findings) {
-  if (const auto path = table.text("config", is_present))
+  if (const auto path = table.text("config", is_present)) {
     settings.config_file = resolve_path(folder, *path);
+  }
   if (const auto address = table.text("listen")) {
     settings.listen = *address;
     check_listen_address(table, "listen", *address, "127.0.0.1:8480", findings);
@@ -35,8 +36,9 @@
 void read_routes(toml::Table table, bool is_present, const std::string& folder,
                  Settings& settings) {
   if (is_present) {
-    if (const auto path = table.text("file", true))
+    if (const auto path = table.text("file", true)) {
       settings.routes_file = resolve_path(folder, *path);
+    }
   }
   table.finish();
 }
@@ -95,8 +97,9 @@
   auto membership = root.table("membership");
   auto signed_url = root.table("signed");
   auto xds = root.table("xds");
-  if (root.has("membership"))
+  if (root.has("membership")) {
     settings.membership = read_membership(std::move(membership), folder, findings);
+  }
   if (root.has("signed")) read_signed_url(std::move(signed_url), settings, findings);
   if (root.has("xds")) settings.xds = read_xds(std::move(xds), findings);
   auto cluster = root.table("cluster");
--- a/src/settings/signed_url_section.cpp
+++ b/src/settings/signed_url_section.cpp
@@ -22,8 +22,9 @@
                    "the secret of key " + *id + " has under 16 characters", "use 32 random ones");
   }
   for (const auto& other : keys) {
-    if (other.id == *id)
+    if (other.id == *id) {
       findings.error("S002", table.place("id"), "two keys are called " + *id, "rename one");
+    }
   }
   keys.push_back({*id, *secret, until.value_or(0)});
 }
@@ -52,8 +53,9 @@
     check_listen_address(table, "listen", *address, kExampleAddress, findings);
   }
   if (const auto cookie = table.text("cookie")) front.cookie = *cookie;
-  if (const auto skew = table.duration("skew", 0, 300 * kSecond))
+  if (const auto skew = table.duration("skew", 0, 300 * kSecond)) {
     front.clock_skew_seconds = *skew / kSecond;
+  }
   for (auto& key : table.tables("key")) read_key(key, front.keys, findings);
   for (auto& route : table.tables("route")) read_route(route, settings.signed_routes, findings);
   table.finish();
