--- a/bench/cluster/membership_sim.cpp
+++ b/bench/cluster/membership_sim.cpp
@@ -8,17 +8,18 @@
 #include <array>
 #include <cstdio>
 #include <cstdlib>
-#include <exception>
 #include <vector>
 
 #include "cluster/codec.h"
 #include "cluster/frame_authenticator.h"
 #include "cluster/simulated_network.h"
+#include "support/figures.h"
 
 namespace {
 
 namespace cluster = alderspur::cluster;
 using cluster::MembershipCounters;
+using figures::in_seconds;
 using simulation::address_of;
 using simulation::kSecond;
 using simulation::Network;
@@ -32,13 +33,10 @@
 constexpr std::size_t kLargeCluster = 300;   // members; more are measured less often
 constexpr std::size_t kMediumCluster = 100;  // members
 
-double in_seconds(Time duration) { return static_cast<double>(duration) / 1e6; }
+constexpr double kNoFigure = 0;  // where nothing was measured
 
-double quantile(std::vector<double> values, double fraction) {
-  if (values.empty()) return 0;
-  std::sort(values.begin(), values.end());
-  const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
-  return values[std::min(values.size() - 1, index)];
+double quantile(const std::vector<double>& values, double fraction) {
+  return figures::quantile(values, fraction, kNoFigure);
 }
 
 double cpu_seconds() {
@@ -189,11 +187,4 @@
 
 }  // namespace
 
-int main(int argc, char** argv) {
-  try {
-    return run(argc, argv);
-  } catch (const std::exception& error) {
-    std::fprintf(stderr, "membership_sim: %s\n", error.what());
-    return 1;
-  }
-}
+int main(int argc, char** argv) { return figures::run_main("membership_sim", argc, argv, run); }
--- a/bench/cluster/processes.cpp
+++ b/bench/cluster/processes.cpp
@@ -4,13 +4,14 @@
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
-#include <exception>
 
 #include "cluster/rig.h"
+#include "support/figures.h"
 
 namespace {
 
 namespace net = alderspur::net;
+using figures::in_seconds;
 using rig::kSecond;
 using rig::Rig;
 using rig::Time;
@@ -21,13 +22,10 @@
 constexpr std::size_t kMaxVictims = 5;     // different processes that are killed
 constexpr int kFieldsBeforeUserTime = 13;  // of /proc/PID/stat; the program's name has no space
 
-double in_seconds(Time duration) { return static_cast<double>(duration) / 1e6; }
+constexpr double kNoFigure = -1;  // where nothing was measured
 
-double quantile(std::vector<double> values, double fraction) {
-  if (values.empty()) return -1;
-  std::sort(values.begin(), values.end());
-  const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
-  return values[std::min(values.size() - 1, index)];
+double quantile(const std::vector<double>& values, double fraction) {
+  return figures::quantile(values, fraction, kNoFigure);
 }
 
 double cpu_seconds(pid_t pid) {
@@ -160,11 +158,4 @@
 
 }  // namespace
 
-int main(int argc, char** argv) {
-  try {
-    return run(argc, argv);
-  } catch (const std::exception& error) {
-    std::fprintf(stderr, "cluster_processes: %s\n", error.what());
-    return 1;
-  }
-}
+int main(int argc, char** argv) { return figures::run_main("cluster_processes", argc, argv, run); }
