--- a/example/try.sh
+++ b/example/try.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts the toy boxes and `alderspur run` on free ports with a watched list of servers, fetches a signed link,
-# a forged one and one by token, drains a box by a new list, has a broken list refused, then ends the router by
+# Starts the stand-in servers and `alderspur run` on free ports with a watched list of servers, fetches a signed link,
+# a forged one and one by token, drains a cache by a new list, has an invalid list rejected, then ends the router by
 # SIGTERM. Usage: example/try.sh [PROGRAM]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -10,7 +10,7 @@
 trap 'kill "${started[@]}" 2>/dev/null || true; rm -rf "$work"' EXIT
 await() { for _ in $(seq 200); do if eval "$1"; then return; fi; sleep 0.1; done; echo "gave up: $1"; cat "$work/router.log"; exit 1; }
 
-python3 example/toy_box.py --free "$work" >"$work/boxes.log" &
+python3 example/stand_in_servers.py --free "$work" >"$work/servers.log" &
 started+=($!)
 await '[ -s "$work/config.json" ]'
 sed 's/127.0.0.1:8480/127.0.0.1:0/' example/alderspur.toml >"$work/alderspur.toml"
@@ -33,32 +33,32 @@
 token=$(python3 example/sign.py "$work/alderspur.toml" --token /asset/7f3a9c21e0b4d655)
 [ "$(get -H "Authorization: Bearer $token" "$at/asset/7f3a9c21e0b4d655/3")" = 200 ] && cat "$work/body"
 
-# A table of routes that does not check changes nothing; one that does is swapped in by SIGHUP.
+# A program of routes with errors changes nothing; a valid one replaces the table on SIGHUP.
 sed -i 's/{object}/{objct}/' "$work/main.alder"
 kill -HUP "$router"
 await 'grep -q "event=table_refused" "$work/router.log"'
-[ "$(get "$at$link")" = 200 ] && echo "routes that do not check were refused, those in force serve on"
+[ "$(get "$at$link")" = 200 ] && echo "invalid routes were rejected, the active ones still serve"
 cp example/main.alder "$work"
 kill -HUP "$router"
 await '[ "$(grep -c "event=table_taken" "$work/router.log")" = 2 ]'
 
-# A new list: the box that answered is drained and the other answers. Then one cut off, which is refused.
-box=$(sed -n 's/.* from //p' "$work/body")
-python3 - "$work/servers.toml" "$box" <<'PY'
+# A new list: the cache that answered is drained and the other one answers. Then a truncated list, which is rejected.
+cache=$(sed -n 's/.* from //p' "$work/body")
+python3 - "$work/servers.toml" "$cache" <<'PY'
 import os, sys
-path, box = sys.argv[1:]
+path, cache = sys.argv[1:]
 text = open(path, encoding="utf-8").read().replace("generation = 1", "generation = 2")
-head, tail = text.split(f'id = "{box}"')
+head, tail = text.split(f'id = "{cache}"')
 with open(path + ".next", "w", encoding="utf-8") as f:
-    f.write(head + f'id = "{box}"' + tail.replace('"in_service"', '"draining"', 1))
+    f.write(head + f'id = "{cache}"' + tail.replace('"in_service"', '"draining"', 1))
 os.rename(path + ".next", path)
 PY
 await 'grep -q "event=list_taken generation=2" "$work/router.log"'
 [ "$(get "$at$link")" = 200 ] && cat "$work/body"
-grep -q "from $box" "$work/body" && { echo "a drained box was asked"; exit 1; }
+grep -q "from $cache" "$work/body" && { echo "a draining cache was asked"; exit 1; }
 head -n 20 "$work/servers.toml" >"$work/cut" && mv "$work/cut" "$work/servers.toml"
 await 'grep -q "event=list_refused" "$work/router.log"'
-[ "$(get "$at$link")" = 200 ] && echo "a list cut off was refused, the one in force serves on"
+[ "$(get "$at$link")" = 200 ] && echo "a truncated list was rejected, the active one still serves"
 
 kill -USR1 "$router"
 await 'grep -q "event=standing" "$work/router.log"'
