--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -5,99 +5,138 @@
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <cctype>
 #include <chrono>
 #include <cmath>
+#include <utility>
 
 namespace alderspur::log {
 namespace {
 
 constexpr std::size_t kMaxValueBytes = 1024;
-constexpr std::string_view kSecret[] = {
+constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
+constexpr std::string_view kSecretPrefixes[] = {
     "sig=", "secret=", "token=", "password=", "bearer ", "key=", "cookie:", "authorization:"};
+constexpr std::string_view kSecretEnds = "& ;,\"\n";
+constexpr std::string_view kReplacement = "***";
 
-core::Time wall() {
+core::Time system_time() {
   using std::chrono::microseconds;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<microseconds>(now).count();
 }
-std::string time_text(core::Time at) {
-  const auto seconds = static_cast<std::time_t>(at / 1'000'000);
-  return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:06}Z", fmt::gmtime(seconds), at % 1'000'000);
+
+std::string format_time(core::Time time) {
+  const auto seconds = static_cast<std::time_t>(time / kMicrosecondsPerSecond);
+  return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:06}Z", fmt::gmtime(seconds),
+                     time % kMicrosecondsPerSecond);
 }
-// Escapes control characters: a line feed in a value would otherwise begin a forged record.
-std::string escaped(std::string_view text, bool json) {
-  std::string out;
+
+bool is_control(unsigned char byte) { return byte < ' ' || byte == 127; }
+
+/// Escapes control characters: a line feed in a value would otherwise begin a forged record.
+std::string escaped(std::string_view text, Form form) {
+  std::string result;
   for (const char c : text) {
-    const auto u = static_cast<unsigned char>(c);
+    const auto byte = static_cast<unsigned char>(c);
     if (c == '"' || c == '\\') {
-      (out += '\\') += c;
+      result += '\\';
+      result += c;
     } else if (c == '\n') {
-      out += "\\n";
-    } else if (u < 32 || u == 127) {
-      out += json ? fmt::format("\\u{:04x}", u) : "?";
+      result += "\\n";
+    } else if (is_control(byte)) {
+      result += form == Form::json ? fmt::format("\\u{:04x}", byte) : "?";
     } else {
-      out += c;
+      result += c;
     }
   }
-  return out;
-}
-std::string quoted(const std::string& text) {
-  const bool plain =
-      !text.empty() && text.find_first_of(" =\"\\") == std::string::npos &&
-      std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > 32 && c != 127; });
-  return plain ? text : '"' + escaped(text, false) + '"';
-}
-std::string value_text(const Value& value, bool json) {
-  if (const auto* i = std::get_if<std::int64_t>(&value)) return fmt::format("{}", *i);
-  if (const auto* b = std::get_if<bool>(&value)) return *b ? "true" : "false";
-  if (const auto* d = std::get_if<double>(&value)) {
-    return std::isfinite(*d) ? fmt::format("{:g}", *d) : json ? "null" : "nan";
-  }
-  const auto text = blotted(std::get<std::string>(value));
-  return json ? '"' + escaped(text, true) + '"' : quoted(text);
+  return result;
+}
+
+/// Whether a value of logfmt needs no quotes.
+bool is_plain(const std::string& text) {
+  if (text.empty() || text.find_first_of(" =\"\\") != std::string::npos) return false;
+  return std::none_of(text.begin(), text.end(), is_control);
+}
+
+std::string format_text(const std::string& text, Form form) {
+  std::string safe = redacted(text);
+  if (form == Form::logfmt && is_plain(safe)) return safe;
+  return '"' + escaped(safe, form) + '"';
+}
+
+std::string format_number(double number, Form form) {
+  if (std::isfinite(number)) return fmt::format("{:g}", number);
+  return form == Form::json ? "null" : "nan";
 }
-spdlog::level::level_enum level_of(Level l) {
-  return l == Level::debug     ? spdlog::level::debug
-         : l == Level::info    ? spdlog::level::info
-         : l == Level::warning ? spdlog::level::warn
-                               : spdlog::level::err;
+
+std::string format_value(const Value& value, Form form) {
+  if (const auto* integer = std::get_if<std::int64_t>(&value)) return fmt::format("{}", *integer);
+  if (const auto* flag = std::get_if<bool>(&value)) return *flag ? "true" : "false";
+  if (const auto* number = std::get_if<double>(&value)) return format_number(*number, form);
+  return format_text(std::get<std::string>(value), form);
+}
+
+spdlog::level::level_enum spdlog_level(Level level) {
+  switch (level) {
+    case Level::debug:
+      return spdlog::level::debug;
+    case Level::info:
+      return spdlog::level::info;
+    case Level::warning:
+      return spdlog::level::warn;
+    case Level::error:
+      break;
+  }
+  return spdlog::level::err;
 }
 
 }  // namespace
 
-const char* word(Level l) {
-  return l == Level::debug     ? "debug"
-         : l == Level::info    ? "info"
-         : l == Level::warning ? "warning"
-                               : "error";
-}
-
-std::string blotted(std::string_view value) {
-  std::string out(value.substr(0, kMaxValueBytes));
-  std::string lower = out;
-  if (value.size() > kMaxValueBytes) out += "...";
-  for (char& c : lower) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
-  for (const auto word : kSecret) {
-    for (std::size_t at = 0; (at = lower.find(word, at)) != std::string::npos; at += word.size()) {
-      const auto from = at + word.size();
-      auto to = out.find_first_of("& ;,\"\n", from + (out[from] == ' ' ? 1 : 0));
-      if (to == std::string::npos) to = out.size();
-      out.replace(from, to - from, "***");
-      lower.replace(from, std::min(to, lower.size()) - from, "***");
+const char* to_string(Level level) {
+  switch (level) {
+    case Level::debug:
+      return "debug";
+    case Level::info:
+      return "info";
+    case Level::warning:
+      return "warning";
+    case Level::error:
+      break;
+  }
+  return "error";
+}
+
+std::string redacted(std::string_view value) {
+  std::string result(value.substr(0, kMaxValueBytes));
+  std::string lower_case = result;
+  if (value.size() > kMaxValueBytes) result += "...";
+  for (char& c : lower_case) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
+  for (const auto prefix : kSecretPrefixes) {
+    std::size_t at = lower_case.find(prefix);
+    while (at != std::string::npos) {
+      const std::size_t begin = at + prefix.size();
+      const std::size_t first = begin + (result[begin] == ' ' ? 1 : 0);
+      const std::size_t end = std::min(result.find_first_of(kSecretEnds, first), result.size());
+      result.replace(begin, end - begin, kReplacement);
+      lower_case.replace(begin, std::min(end, lower_case.size()) - begin, kReplacement);
+      at = lower_case.find(prefix, begin);
     }
   }
-  return out;
+  return result;
 }
 
-class Log::Out {
+/// Standard error, written through spdlog and flushed with each record.
+class Log::StandardError {
  public:
-  Out() : logger_("alderspur", std::make_shared<spdlog::sinks::stderr_sink_mt>()) {
+  StandardError() : logger_("alderspur", std::make_shared<spdlog::sinks::stderr_sink_mt>()) {
     logger_.set_pattern("%v");
     logger_.set_level(spdlog::level::trace);
     logger_.flush_on(spdlog::level::trace);
   }
-  void write(Level level, const std::string& line) { logger_.log(level_of(level), line); }
+
+  void write(Level level, const std::string& line) { logger_.log(spdlog_level(level), line); }
 
  private:
   spdlog::logger logger_;
@@ -106,9 +145,10 @@
 Log::Log(Settings settings, Sink sink, std::function<core::Time()> clock)
     : settings_(std::move(settings)),
       sink_(std::move(sink)),
-      clock_(clock ? std::move(clock) : wall) {
-  if (!sink_) out_ = std::make_unique<Out>();
+      clock_(clock ? std::move(clock) : system_time) {
+  if (!sink_) standard_error_ = std::make_unique<StandardError>();
 }
+
 Log::~Log() { flush(); }
 
 bool Log::enabled(std::string_view subsystem, Level level) const {
@@ -116,11 +156,11 @@
   return level >= (it == settings_.levels.end() ? settings_.level : it->second);
 }
 
-void Log::write(Level level, const std::string& text) {
+void Log::write(Level level, const std::string& line) {
   if (sink_) {
-    sink_(text);
+    sink_(line);
   } else {
-    out_->write(level, text);
+    standard_error_->write(level, line);
   }
 }
 
@@ -129,45 +169,50 @@
   if (!enabled(subsystem, level)) return;
   const core::Time now = clock_();
   const std::lock_guard lock(mutex_);
-  const auto name = fmt::format("{} {}", subsystem, event);
-  Kind& kind = kinds_[name];
-  if (now / 1'000'000 != kind.second) kind.second = now / 1'000'000, kind.written = 0;
-  if (kind.written >= settings_.per_second) {
-    ++kind.held_back;
+  RateLimit& limit = rate_limits_[fmt::format("{} {}", subsystem, event)];
+  const core::Time second = now / kMicrosecondsPerSecond;
+  if (second != limit.second) {
+    limit.second = second;
+    limit.written = 0;
+  }
+  if (limit.written >= settings_.per_second) {
+    ++limit.suppressed;
     return;
   }
-  ++kind.written;
-  write(level, line(now, subsystem, level, event, fields, std::exchange(kind.held_back, 0)));
+  ++limit.written;
+  const std::uint64_t suppressed = std::exchange(limit.suppressed, 0);
+  write(level, format_record(now, subsystem, level, event, fields, suppressed));
 }
 
 void Log::flush() {
   const std::lock_guard lock(mutex_);
-  for (auto& [name, kind] : kinds_) {
-    if (!kind.held_back) continue;
-    const auto space = name.find(' ');
-    write(Level::info,
-          line(clock_(), std::string_view{name}.substr(0, space), Level::info,
-               std::string_view{name}.substr(space + 1), {}, std::exchange(kind.held_back, 0)));
+  for (auto& [name, limit] : rate_limits_) {
+    if (limit.suppressed == 0) continue;
+    const std::size_t space = name.find(' ');
+    const auto subsystem = std::string_view{name}.substr(0, space);
+    const auto event = std::string_view{name}.substr(space + 1);
+    const std::uint64_t suppressed = std::exchange(limit.suppressed, 0);
+    write(Level::info, format_record(clock_(), subsystem, Level::info, event, {}, suppressed));
   }
 }
 
-std::string Log::line(core::Time now, std::string_view subsystem, Level level,
-                      std::string_view event, const std::vector<Field>& fields,
-                      std::uint64_t held_back) const {
-  const bool json = settings_.form == Form::json;
-  std::string out = json
-                        ? fmt::format(R"({{"time":"{}","level":"{}","subsystem":"{}","event":"{}")",
-                                      time_text(now), word(level), subsystem, event)
-                        : fmt::format("time={} level={} subsystem={} event={}", time_text(now),
-                                      word(level), subsystem, event);
-  const auto add = [&](std::string_view name, const Value& value) {
-    out += json ? fmt::format(R"(,"{}":{})", name, value_text(value, true))
-                : fmt::format(" {}={}", name, value_text(value, false));
+std::string Log::format_record(core::Time now, std::string_view subsystem, Level level,
+                               std::string_view event, const std::vector<Field>& fields,
+                               std::uint64_t suppressed) const {
+  const bool is_json = settings_.form == Form::json;
+  std::string line =
+      is_json ? fmt::format(R"({{"time":"{}","level":"{}","subsystem":"{}","event":"{}")",
+                            format_time(now), to_string(level), subsystem, event)
+              : fmt::format("time={} level={} subsystem={} event={}", format_time(now),
+                            to_string(level), subsystem, event);
+  const auto append = [&](std::string_view name, const Value& value) {
+    const std::string text = format_value(value, settings_.form);
+    line += is_json ? fmt::format(R"(,"{}":{})", name, text) : fmt::format(" {}={}", name, text);
   };
-  for (const auto& f : fields) add(f.name, f.value);
-  if (held_back) add("held_back", static_cast<std::int64_t>(held_back));
-  if (json) out += '}';
-  return out;
+  for (const auto& field : fields) append(field.name, field.value);
+  if (suppressed > 0) append("held_back", static_cast<std::int64_t>(suppressed));
+  if (is_json) line += '}';
+  return line;
 }
 
 }  // namespace alderspur::log
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -163,11 +163,11 @@
   for (const std::string secret :
        {"/asset/1/0?exp=1&kid=k&sig=SeCrEt", "Authorization: Bearer SeCrEt", "secret=SeCrEt; x",
         "a token=SeCrEt", "SIG=SeCrEt&SIG=SeCrEt"}) {
-    const auto out = log::blotted(secret);
+    const auto out = log::redacted(secret);
     EXPECT_EQ(out.find("SeCrEt"), std::string::npos) << out;
   }
-  EXPECT_EQ(log::blotted("/asset/1/0?exp=1&sig=abc&x=1"), "/asset/1/0?exp=1&sig=***&x=1");
-  EXPECT_EQ(log::blotted("nothing to hide"), "nothing to hide");
+  EXPECT_EQ(log::redacted("/asset/1/0?exp=1&sig=abc&x=1"), "/asset/1/0?exp=1&sig=***&x=1");
+  EXPECT_EQ(log::redacted("nothing to hide"), "nothing to hide");
 }
 
 }  // namespace
