--- a/src/control/endpoint_controller.cpp
+++ b/src/control/endpoint_controller.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// How long the start waits for the files to settle.
-constexpr core::Time kFirstLookTimeout = 2'000'000;
+constexpr core::Time kFirstPollTimeout = 2'000'000;
 /// Changes within this time are saved together.
 constexpr core::Time kSaveDelay = 1'000'000;
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
@@ -96,8 +96,8 @@
     return piece_names(text, limits);
   };
   const auto evaluate_files =
-      [this, context = context_](file_watch::LookResult&& look) -> file_watch::Apply {
-    auto evaluation = std::make_shared<Evaluation>(evaluate(*context, std::move(look)));
+      [this, context = context_](file_watch::PollResult&& poll) -> file_watch::Apply {
+    auto evaluation = std::make_shared<Evaluation>(evaluate(*context, std::move(poll)));
     return [this, evaluation = std::move(evaluation)] { apply_evaluation(*evaluation); };
   };
   watcher_ = std::make_unique<file_watch::Watcher>(node_.loop(), node_.deadlines(), wakeup_,
@@ -137,8 +137,8 @@
   const auto restored = restore_state(now);
   context_->set_in_force(endpoints_.current_list());
   Evaluation evaluation;
-  if (const auto look = watcher_->first(kFirstLookTimeout)) {
-    evaluation = evaluate(*context_, file_watch::LookResult(*look));
+  if (const auto poll = watcher_->poll_until_settled(kFirstPollTimeout)) {
+    evaluation = evaluate(*context_, file_watch::PollResult(*poll));
   } else {
     evaluation.rejection = settings_.list + " has not settled";
   }
@@ -166,22 +166,22 @@
 }
 
 EndpointController::Evaluation EndpointController::evaluate(const EvaluationContext& context,
-                                                            file_watch::LookResult&& look) {
+                                                            file_watch::PollResult&& poll) {
   Evaluation evaluation;
   const core::Time began_at = net::unix_now();
-  if (look.sight == file_watch::Observation::unreadable) {
-    evaluation.rejection = look.error;
+  if (poll.observation == file_watch::Observation::unreadable) {
+    evaluation.rejection = to_string(poll.error);
     return evaluation;
   }
   diagnostics::Findings findings;
   const auto& settings = context.settings;
-  const auto read = endpoints::read_list(look.texts.text, look.texts.file, began_at,
+  const auto read = endpoints::read_list(poll.contents.text, poll.contents.file, began_at,
                                          settings.list_limits, findings);
   endpoints::SnapshotPtr list = read.list;
-  if (list && look.texts.directory) {
-    list = endpoints::read_pieces(read, look.texts.pieces, settings.list_limits, findings);
+  if (list && poll.contents.is_directory) {
+    list = endpoints::read_pieces(read, poll.contents.pieces, settings.list_limits, findings);
   } else if (list && !read.pieces.empty()) {
-    findings.error("L004", {look.texts.file, 0, 0}, "a manifest is given by its directory",
+    findings.error("L004", {poll.contents.file, 0, 0}, "a manifest is given by its directory",
                    "name the directory");
   }
   const auto in_force = context.in_force();
@@ -230,7 +230,7 @@
   const core::Time began_at = net::unix_now();
   const auto before = endpoints_.current_list();
   if (!endpoints_.apply_list(candidate, node_.engine().now())) {
-    watcher_->look_now();  // another list came into force meanwhile: evaluate against that one
+    watcher_->poll_now();  // another list came into force meanwhile: evaluate against that one
     return;
   }
   context_->set_in_force(endpoints_.current_list());
@@ -332,7 +332,7 @@
 }
 
 void EndpointController::reload() {
-  if (watcher_) watcher_->look_now();
+  if (watcher_) watcher_->poll_now();
 }
 
 void EndpointController::schedule_save() {
--- a/src/control/endpoint_controller.h
+++ b/src/control/endpoint_controller.h
@@ -64,7 +64,7 @@
   void continue_from_state(const endpoints::Snapshot& list, const std::string& rejection,
                            core::Time now);
   /// Runs on the reading worker's thread.
-  static Evaluation evaluate(const EvaluationContext& context, file_watch::LookResult&& look);
+  static Evaluation evaluate(const EvaluationContext& context, file_watch::PollResult&& poll);
   void apply_evaluation(const Evaluation& evaluation);
   void reject_list(const Evaluation& evaluation);
   void apply_list(const Evaluation& evaluation);
--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -10,163 +10,206 @@
 #include <climits>
 #include <cstring>
 #include <ctime>
+#include <optional>
+#include <string_view>
 #include <utility>
 
+#include "net/address.h"
+
 namespace alderspur::file_watch {
 namespace {
 
-constexpr int kMaxLinks = 16;
-constexpr std::int64_t kGrain =
-    40'000'000;  // nanoseconds; ctime steps by the kernel's tick, 10 ms at most
+constexpr int kMaxSymlinkDepth = 16;
+constexpr std::size_t kReadBufferBytes = 65536;
+/// In nanoseconds; a ctime advances with the kernel's tick, which is 10 ms at most.
+constexpr std::int64_t kClockResolution = 40'000'000;
+constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
+constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
+
+std::uint64_t fnv_hash(std::string_view bytes) {
+  std::uint64_t hash = kFnvOffsetBasis;
+  for (const char c : bytes) hash = (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
+  return (hash ^ bytes.size()) * kFnvPrime;
+}
+
+std::int64_t to_nanoseconds(const timespec& time) {
+  return time.tv_sec * 1'000'000'000LL + time.tv_nsec;
+}
+
+std::string join_path(const std::string& directory, const std::string& name) {
+  return directory.ends_with('/') ? directory + name : directory + '/' + name;
+}
 
-std::uint64_t mix(std::uint64_t hash, std::string_view bytes) {
-  for (const char c : bytes) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-  return (hash ^ bytes.size()) * 0x100000001b3ULL;
+/// The target of a symlink; nothing for anything else.
+std::optional<std::string> read_symlink(const std::string& path) {
+  char target[PATH_MAX];
+  const ssize_t size = ::readlink(path.c_str(), target, sizeof target);
+  if (size <= 0) return std::nullopt;
+  return std::string(target, static_cast<std::size_t>(size));
 }
-std::int64_t nanos(const timespec& t) { return t.tv_sec * 1'000'000'000LL + t.tv_nsec; }
 
-// Every directory and name that the path leads through, symlinks included.
-void walk(const std::string& path, int depth, LookResult& look,
-          std::vector<std::uint64_t>& identity) {
-  std::string at = path.starts_with('/') ? "/" : ".";
+/// Adds every directory entry that the path leads through, symlinks included, and the targets of
+/// these symlinks to the identity.
+void trace_path(const std::string& path, int depth, std::vector<WatchedEntry>& entries,
+                std::vector<std::uint64_t>& identity) {
+  std::string directory = path.starts_with('/') ? "/" : ".";
   std::size_t begin = 0;
   while (begin < path.size()) {
-    auto end = path.find('/', begin);
-    if (end == std::string::npos) end = path.size();
+    const std::size_t end = std::min(path.find('/', begin), path.size());
     const std::string name = path.substr(begin, end - begin);
     begin = end + 1;
     if (name.empty() || name == ".") continue;
-    look.directories.push_back(at);
-    look.names.push_back(name);
-    std::string next = at;
-    if (!next.ends_with('/')) next += '/';
-    next += name;
-    char target[PATH_MAX];
-    const ssize_t n = ::readlink(next.c_str(), target, sizeof target);
-    if (n > 0 && depth < kMaxLinks) {
-      const std::string to(target, static_cast<std::size_t>(n));
-      identity.push_back(mix(0xcbf29ce484222325ULL, to));
-      walk(to.starts_with('/') ? to : std::string(at).append("/").append(to), depth + 1, look,
-           identity);
+    entries.push_back({directory, name});
+    const std::string entry = join_path(directory, name);
+    const auto target = depth < kMaxSymlinkDepth ? read_symlink(entry) : std::nullopt;
+    if (target) {
+      identity.push_back(fnv_hash(*target));
+      const bool is_absolute = target->starts_with('/');
+      trace_path(is_absolute ? *target : directory + '/' + *target, depth + 1, entries, identity);
     }
-    at = next;
+    directory = entry;
   }
 }
 
-}  // namespace
+ReadError system_error(const std::string& path) {
+  const int code = errno;
+  return {path, std::strerror(code)};
+}
 
-Source::Source(std::string path, std::size_t most_bytes, Pieces pieces)
-    : path_(std::move(path)), most_(most_bytes), pieces_(std::move(pieces)) {}
-
-// Never waits on a FIFO or a device that somebody has put in the file's place.
-bool Source::read(const std::string& path, std::size_t& budget, std::string& out,
-                  std::string& error) const {
-  const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK | O_NOCTTY);
-  const auto fail = [&](const std::string& why) {
-    error = "cannot read " + path + ": " + why;
-    if (fd >= 0) ::close(fd);
-    return false;
-  };
-  if (fd < 0) return fail(std::strerror(errno));
-  struct stat is {};
-  if (::fstat(fd, &is) < 0) return fail(std::strerror(errno));
-  if (!S_ISREG(is.st_mode)) return fail("it is no regular file");
-  out.clear();
-  char buffer[65536];
+/// Reads a regular file, `budget` bytes at most, and takes what it has read off the budget. A
+/// longer file is cut.
+std::variant<std::string, ReadError> read_file(const std::string& path, std::size_t& budget) {
+  // Not blocking: a FIFO or a device may stand in the file's place.
+  const net::Fd file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK | O_NOCTTY));
+  if (file.get() < 0) return system_error(path);
+  struct stat status {};
+  if (::fstat(file.get(), &status) < 0) return system_error(path);
+  if (!S_ISREG(status.st_mode)) return ReadError{path, "it is no regular file"};
+  std::string text;
+  char buffer[kReadBufferBytes];
   for (;;) {
-    const ssize_t n = ::read(fd, buffer, sizeof buffer);
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0) return fail(std::strerror(errno));
-    if (n == 0) break;
-    // One byte over the bound is kept, so that the checker sees that it is too large.
-    const auto take = std::min(static_cast<std::size_t>(n), budget);
-    out.append(buffer, take);
-    budget -= take;
-    if (take < static_cast<std::size_t>(n)) break;
+    const ssize_t result = ::read(file.get(), buffer, sizeof buffer);
+    if (result < 0 && errno == EINTR) continue;
+    if (result < 0) return system_error(path);
+    if (result == 0) return text;
+    const auto size = static_cast<std::size_t>(result);
+    const std::size_t accepted = std::min(size, budget);
+    text.append(buffer, accepted);
+    budget -= accepted;
+    if (accepted < size) return text;
+  }
+}
+
+std::uint64_t digest(const Contents& contents) {
+  std::uint64_t hash = XXH3_64bits(contents.text.data(), contents.text.size());
+  for (const auto& piece : contents.pieces) {
+    hash = XXH3_64bits_withSeed(piece.data(), piece.size(), hash);
+  }
+  return hash;
+}
+
+}  // namespace
+
+/// The files as they stand, without their content.
+struct Source::Inspection {
+  Identity identity;
+  bool is_directory = false;
+  bool is_young = false;  // a file may be written again without a difference in its ctime
+  std::string file;       // the file, or the directory's manifest
+  std::vector<WatchedEntry> entries;
+
+  void add_file(const std::string& path, std::int64_t now_nanoseconds);
+};
+
+void Source::Inspection::add_file(const std::string& path, std::int64_t now_nanoseconds) {
+  struct stat status {};
+  if (::stat(path.c_str(), &status) < 0) {
+    identity.push_back(static_cast<std::uint64_t>(errno));
+    return;
   }
-  ::close(fd);
-  return true;
+  identity.push_back(static_cast<std::uint64_t>(status.st_dev));
+  identity.push_back(static_cast<std::uint64_t>(status.st_ino));
+  identity.push_back(static_cast<std::uint64_t>(status.st_mode));
+  identity.push_back(static_cast<std::uint64_t>(status.st_size));
+  identity.push_back(static_cast<std::uint64_t>(to_nanoseconds(status.st_mtim)));
+  identity.push_back(static_cast<std::uint64_t>(to_nanoseconds(status.st_ctim)));
+  is_young |= to_nanoseconds(status.st_ctim) > now_nanoseconds - kClockResolution;
+}
+
+std::string to_string(const ReadError& error) {
+  return "cannot read " + error.path + ": " + error.reason;
 }
 
-void Source::identify(Identity& identity, LookResult& look, bool& young) {
-  identity.clear();
-  look.directories.clear();
-  look.names.clear();
-  walk(path_, 0, look, identity);
+Source::Source(std::string path, std::size_t max_bytes, PieceNames piece_names)
+    : path_(std::move(path)), max_bytes_(max_bytes), list_pieces_(std::move(piece_names)) {}
+
+Source::Inspection Source::inspect() const {
+  Inspection inspection;
+  trace_path(path_, 0, inspection.entries, inspection.identity);
   timespec now{};
   ::clock_gettime(CLOCK_REALTIME, &now);
-  const auto add = [&](const std::string& path) {
-    struct stat is {};
-    if (::stat(path.c_str(), &is) < 0) {
-      identity.push_back(static_cast<std::uint64_t>(errno));
-      return;
-    }
-    for (const auto v :
-         {static_cast<std::uint64_t>(is.st_dev), static_cast<std::uint64_t>(is.st_ino),
-          static_cast<std::uint64_t>(is.st_mode), static_cast<std::uint64_t>(is.st_size),
-          static_cast<std::uint64_t>(nanos(is.st_mtim)),
-          static_cast<std::uint64_t>(nanos(is.st_ctim))}) {
-      identity.push_back(v);
-    }
-    young |= nanos(is.st_ctim) > nanos(now) - kGrain;
-  };
-  struct stat is {};
-  const bool directory = ::stat(path_.c_str(), &is) == 0 && S_ISDIR(is.st_mode);
-  look.texts.directory = directory;
-  look.texts.file = directory ? path_ + "/manifest.toml" : path_;
-  add(look.texts.file);
-  if (!directory) return;
-  look.directories.push_back(path_);
-  look.names.emplace_back();
-  for (const auto& name : piece_names_) add(path_ + "/" + name);
+  const std::int64_t now_nanoseconds = to_nanoseconds(now);
+  struct stat status {};
+  inspection.is_directory = ::stat(path_.c_str(), &status) == 0 && S_ISDIR(status.st_mode);
+  inspection.file = inspection.is_directory ? path_ + "/manifest.toml" : path_;
+  inspection.add_file(inspection.file, now_nanoseconds);
+  if (!inspection.is_directory) return inspection;
+  inspection.entries.push_back({path_, ""});
+  for (const auto& name : piece_names_) inspection.add_file(path_ + "/" + name, now_nanoseconds);
+  return inspection;
 }
 
-LookResult Source::look() {
-  LookResult out;
-  Identity identity;
-  bool young = false;
-  identify(identity, out, young);
-  if (identity == taken_ && !again_) return out;
-  if (identity != std::exchange(seen_, identity)) {
-    out.sight = Observation::unsettled;
-    return out;
+std::variant<std::monostate, Contents, ReadError> Source::read_contents(
+    const Inspection& inspection) {
+  Contents contents;
+  contents.is_directory = inspection.is_directory;
+  contents.file = inspection.file;
+  std::size_t budget = max_bytes_ + 1;
+  auto text = read_file(inspection.file, budget);
+  if (const auto* error = std::get_if<ReadError>(&text)) return *error;
+  contents.text = std::move(std::get<std::string>(text));
+  if (!inspection.is_directory) return contents;
+  auto names = list_pieces_(contents.text);
+  if (names != piece_names_) {
+    piece_names_ = std::move(names);
+    return std::monostate{};
   }
-  std::size_t budget = most_ + 1;
-  bool read_all = read(out.texts.file, budget, out.texts.text, out.error);
-  if (read_all && out.texts.directory) {
-    auto names = pieces_(out.texts.text);
-    if (names != piece_names_) {  // another manifest: its pieces belong to what must settle
-      piece_names_ = std::move(names);
-      out.sight = Observation::unsettled;
-      return out;
-    }
-    out.texts.pieces.resize(piece_names_.size());
-    for (std::size_t i = 0; i < piece_names_.size() && read_all; ++i) {
-      read_all = read(path_ + "/" + piece_names_[i], budget, out.texts.pieces[i], out.error);
-    }
+  for (const auto& name : piece_names_) {
+    auto piece = read_file(path_ + "/" + name, budget);
+    if (const auto* error = std::get_if<ReadError>(&piece)) return *error;
+    contents.pieces.push_back(std::move(std::get<std::string>(piece)));
   }
-  // What changed while it was read is read again.
-  Identity after;
-  LookResult ignored;
-  identify(after, ignored, young);
-  if (after != identity) {
-    seen_ = after;
-    out.sight = Observation::unsettled;
-    return out;
+  return contents;
+}
+
+PollResult Source::poll() {
+  PollResult result;
+  Inspection before = inspect();
+  result.entries = std::move(before.entries);
+  if (before.identity == last_read_ && !must_read_again_) return result;
+  result.observation = Observation::unsettled;
+  if (before.identity != std::exchange(last_seen_, before.identity)) return result;
+  auto read = read_contents(before);
+  // Pieces that the manifest lists anew have to settle as well.
+  if (std::holds_alternative<std::monostate>(read)) return result;
+  const Inspection after = inspect();
+  if (after.identity != before.identity) {  // changed while it was read
+    last_seen_ = after.identity;
+    return result;
   }
-  taken_ = identity;
-  const bool before = std::exchange(again_, young);
-  if (!read_all) {
-    out.sight = Observation::unreadable;
-    return out;
+  last_read_ = before.identity;
+  const bool was_read_again = std::exchange(must_read_again_, before.is_young || after.is_young);
+  if (auto* error = std::get_if<ReadError>(&read)) {
+    result.observation = Observation::unreadable;
+    result.error = std::move(*error);
+    return result;
   }
-  std::uint64_t digest = XXH3_64bits(out.texts.text.data(), out.texts.text.size());
-  for (const auto& p : out.texts.pieces) digest = XXH3_64bits_withSeed(p.data(), p.size(), digest);
-  const bool same = before && digest == taken_digest_;
-  taken_digest_ = digest;
-  out.sight = same ? Observation::unchanged : Observation::content;
-  if (same) out.texts = {};
-  return out;
+  auto& contents = std::get<Contents>(read);
+  const std::uint64_t previous_digest = std::exchange(last_digest_, digest(contents));
+  const bool is_same = was_read_again && last_digest_ == previous_digest;
+  result.observation = is_same ? Observation::unchanged : Observation::changed;
+  if (!is_same) result.contents = std::move(contents);
+  return result;
 }
 
 }  // namespace alderspur::file_watch
--- a/src/file_watch/source.h
+++ b/src/file_watch/source.h
@@ -1,61 +1,90 @@
-// What stands at a watched path: one file, or a directory with a manifest and its pieces. Reads it
-// only once it has settled, and never hands out half of it.
+// The files at a watched path: one file, or a directory with a manifest and its pieces. They are
+// read only once they have settled, so that no half-written content is returned.
 //
-// look() blocks on the file system: call it off the loop's thread, always from the same one. A
-// content counts as settled when two looks in a row see the same files: device, inode, size, mtime
-// and ctime of each file, and where each symlink on the way leads. The ctime tells of a writer who
-// sets the mtime back. A file whose ctime is younger than the clock's grain is looked at again,
-// since a later write in the same grain would show no difference (the problem is git's "racily
-// clean" entry).
+// Content counts as settled when two polls in a row see the same files: device, inode, size, mtime
+// and ctime of each file, and the target of each symlink on the way. The ctime also shows a writer
+// that sets the mtime back. A file whose ctime is younger than the file system's clock resolution
+// is read again by the next poll, since a later write within the same tick would show no difference
+// (git calls this problem a "racily clean" entry).
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <string>
+#include <variant>
 #include <vector>
 
-#include "core/deadlines.h"
-
 namespace alderspur::file_watch {
 
-struct Texts {
-  bool directory = false;
-  std::string file;  // the file, or the manifest
+/// What was read.
+struct Contents {
+  bool is_directory = false;
+  std::string file;  // path of the file, or of the directory's manifest
   std::string text;
-  std::vector<std::string> pieces;  // of a manifest, in its order
+  std::vector<std::string> pieces;  // texts of the manifest's pieces, in its order
+};
+
+/// A file that could not be read, and the operating system's reason.
+struct ReadError {
+  std::string path;
+  std::string reason;
 };
-enum class Observation { unchanged, unsettled, content, unreadable };
-struct LookResult {
-  Observation sight = Observation::unchanged;
-  Texts texts;
-  std::string error;                     // unreadable: why
-  std::vector<std::string> directories;  // whose entries the path depends on
-  std::vector<std::string> names;        // of those entries; empty strings match all
+
+/// "cannot read PATH: REASON"
+std::string to_string(const ReadError& error);
+
+/// What a poll has found.
+enum class Observation {
+  unchanged,   // the content that the last poll returned
+  unsettled,   // it has changed and may still be changing
+  changed,     // new content, returned with the result
+  unreadable,  // settled, but at least one file cannot be read
 };
 
+/// A directory entry that the path depends on.
+struct WatchedEntry {
+  std::string directory;
+  std::string name;  // empty: every entry of the directory
+};
+
+/// The result of one poll.
+struct PollResult {
+  Observation observation = Observation::unchanged;
+  Contents contents;  // if changed
+  ReadError error;    // if unreadable
+  std::vector<WatchedEntry> entries;
+};
+
+/// Reads one watched path. Not thread-safe.
 class Source {
  public:
-  // Names the pieces of a manifest's text, so that this part need not read TOML.
-  using Pieces = std::function<std::vector<std::string>(const std::string& text)>;
-  Source(std::string path, std::size_t most_bytes, Pieces pieces);
+  /// Returns the names of the pieces that a manifest's text lists; this module knows no TOML.
+  using PieceNames = std::function<std::vector<std::string>(const std::string& text)>;
 
-  LookResult look();
-  // The next look reads again whatever it sees.
-  void forget() { taken_.clear(), seen_.clear(); }
+  /// `max_bytes` bounds all files together. One byte more may be returned, so that the reader of
+  /// the content can reject it as too large.
+  Source(std::string path, std::size_t max_bytes, PieceNames piece_names);
+
+  /// Blocks on the file system, but never on a FIFO or a device that stands in a file's place.
+  PollResult poll();
 
  private:
+  /// Numbers that differ if any of the files may have changed.
   using Identity = std::vector<std::uint64_t>;
-  void identify(Identity& identity, LookResult& look, bool& young);
-  bool read(const std::string& path, std::size_t& budget, std::string& out,
-            std::string& error) const;
+  struct Inspection;
+
+  Inspection inspect() const;
+  /// Reads all files. Nothing if the manifest lists other pieces than before.
+  std::variant<std::monostate, Contents, ReadError> read_contents(const Inspection& inspection);
 
   const std::string path_;
-  const std::size_t most_;
-  const Pieces pieces_;
-  std::vector<std::string> piece_names_;
-  Identity seen_, taken_;
-  bool again_ = false;  // taken while it was young
-  std::uint64_t taken_digest_ = 0;
+  const std::size_t max_bytes_;
+  const PieceNames list_pieces_;
+  std::vector<std::string> piece_names_;  // by the manifest that was read last
+  Identity last_seen_;
+  Identity last_read_;
+  std::uint64_t last_digest_ = 0;
+  bool must_read_again_ = false;  // what was read last was too young to show a later write
 };
 
 }  // namespace alderspur::file_watch
--- a/src/file_watch/watcher.cpp
+++ b/src/file_watch/watcher.cpp
@@ -12,152 +12,174 @@
 namespace alderspur::file_watch {
 namespace {
 
-constexpr std::uint32_t kMask = IN_CREATE | IN_MOVED_TO | IN_MOVED_FROM | IN_DELETE | IN_MODIFY |
-                                IN_CLOSE_WRITE | IN_ATTRIB | IN_DELETE_SELF | IN_MOVE_SELF |
-                                IN_ONLYDIR;
-constexpr std::uint32_t kAlways =
+constexpr std::uint32_t kWatchedEvents = IN_CREATE | IN_MOVED_TO | IN_MOVED_FROM | IN_DELETE |
+                                         IN_MODIFY | IN_CLOSE_WRITE | IN_ATTRIB | IN_DELETE_SELF |
+                                         IN_MOVE_SELF | IN_ONLYDIR;
+/// Events that concern the path whatever name they carry.
+constexpr std::uint32_t kDirectoryEvents =
     IN_Q_OVERFLOW | IN_IGNORED | IN_DELETE_SELF | IN_MOVE_SELF | IN_UNMOUNT;
-constexpr int kReadsAtOnce = 16;
+constexpr int kMaxReadsPerTurn = 16;
+constexpr std::size_t kEventBufferBytes = 16384;
 
 }  // namespace
 
-// Outlives the watcher while a job of it runs.
+/// Outlives the watcher while one of its jobs runs.
 struct Watcher::Shared {
-  Shared(const WatchSettings& s, Source::Pieces pieces)
-      : source(s.path, s.most_bytes, std::move(pieces)),
+  Shared(const WatchSettings& settings, Source::PieceNames piece_names)
+      : source(settings.path, settings.max_bytes, std::move(piece_names)),
         inotify(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)) {}
-  Source source;  // of the worker, once started
+
+  Source source;  // used by the worker's thread only, once started
   net::Fd inotify;
-  Watcher* owner = nullptr;  // of the loop's thread; null: gone
+  Watcher* owner = nullptr;  // used by the loop's thread only; null once the watcher is destroyed
 };
 
 Watcher::Watcher(net::Loop& loop, core::Deadlines& deadlines, net::Wakeup& wakeup, Worker& worker,
-                 const WatchSettings& settings, Source::Pieces pieces, Judge judge)
+                 const WatchSettings& settings, Source::PieceNames piece_names, Evaluate evaluate)
     : deadlines_(deadlines),
       wakeup_(wakeup),
       worker_(worker),
       settings_(settings),
-      judge_(std::move(judge)),
-      shared_(std::make_shared<Shared>(settings, std::move(pieces))) {
+      evaluate_(std::move(evaluate)),
+      shared_(std::make_shared<Shared>(settings, std::move(piece_names))) {
   shared_->owner = this;
-  if (shared_->inotify.get() >= 0) {
-    ready_ = std::make_unique<net::IoWatcher>(loop.raw(), shared_->inotify.get(),
-                                              [this](int) { events(); });
-  }
+  if (shared_->inotify.get() < 0) return;
+  inotify_watcher_ = std::make_unique<net::IoWatcher>(loop.raw(), shared_->inotify.get(),
+                                                      [this](int) { on_inotify_ready(); });
 }
+
 Watcher::~Watcher() {
   shared_->owner = nullptr;
-  if (next_) deadlines_.cancel(*next_);
+  if (next_poll_) deadlines_.cancel(*next_poll_);
 }
 
-std::optional<LookResult> Watcher::first(core::Time longest) {
-  const core::Time end = net::unix_now() + longest;
+std::optional<PollResult> Watcher::poll_until_settled(core::Time timeout) {
+  const core::Time deadline = net::unix_now() + timeout;
   for (;;) {
-    LookResult look = shared_->source.look();
-    if (look.sight == Observation::content || look.sight == Observation::unreadable) return look;
-    if (net::unix_now() >= end) return {};
-    std::this_thread::sleep_for(std::chrono::microseconds(settings_.settle));
+    PollResult result = shared_->source.poll();
+    const bool is_settled =
+        result.observation == Observation::changed || result.observation == Observation::unreadable;
+    if (is_settled) return result;
+    if (net::unix_now() >= deadline) return std::nullopt;
+    std::this_thread::sleep_for(std::chrono::microseconds(settings_.settle_time));
   }
 }
 
 void Watcher::start() {
-  if (ready_) ready_->want(EV_READ);
-  submit();
+  if (inotify_watcher_) inotify_watcher_->want(EV_READ);
+  start_poll();
 }
-void Watcher::look_now() {
-  if (out_) {
-    again_ = true;
+
+void Watcher::poll_now() {
+  if (is_polling_) {
+    must_poll_again_ = true;
   } else {
-    schedule(0);
+    schedule_poll(0);
   }
 }
 
-void Watcher::schedule(core::Time at) {
-  if (next_ && next_at_ <= at) return;
-  if (next_) deadlines_.cancel(*next_);
-  next_at_ = at;
-  next_ = deadlines_.set(at, [this] {
-    next_.reset();
-    submit();
+void Watcher::schedule_poll(core::Time at) {
+  if (next_poll_ && next_poll_at_ <= at) return;
+  if (next_poll_) deadlines_.cancel(*next_poll_);
+  next_poll_at_ = at;
+  next_poll_ = deadlines_.set(at, [this] {
+    next_poll_.reset();
+    start_poll();
   });
 }
 
-// One look at a time: what is seen next is judged against what this one brought into force.
-void Watcher::submit() {
-  if (std::exchange(out_, true)) {
-    again_ = true;
-    return;
-  }
-  ++counters_.looks;
-  const bool given = worker_.submit([shared = shared_, judge = judge_, &wakeup = wakeup_] {
-    LookResult look = shared->source.look();
-    Watched watched;
-    for (std::size_t i = 0; i < look.directories.size(); ++i) {
-      const int fd = shared->inotify.get();
-      const int wd = fd < 0 ? -1 : ::inotify_add_watch(fd, look.directories[i].c_str(), kMask);
-      if (wd >= 0) {
-        watched.names[wd].insert(look.names[i]);
-      } else if (fd < 0 || (errno != ENOENT && errno != ENOTDIR)) {
-        watched.complete = false;
-      }
+Watcher::WatchedNames Watcher::add_watches(int inotify, const std::vector<WatchedEntry>& entries) {
+  WatchedNames watched;
+  for (const auto& entry : entries) {
+    if (inotify < 0) {
+      watched.is_complete = false;
+      continue;
     }
-    const Observation sight = look.sight;
-    Apply apply;
-    if (sight == Observation::content || sight == Observation::unreadable) {
-      apply = judge(std::move(look));
+    const int descriptor = ::inotify_add_watch(inotify, entry.directory.c_str(), kWatchedEvents);
+    if (descriptor >= 0) {
+      watched.by_descriptor[descriptor].insert(entry.name);
+    } else if (errno != ENOENT && errno != ENOTDIR) {
+      watched.is_complete = false;
     }
-    wakeup.post([shared, sight, watched = std::move(watched), apply = std::move(apply)] {
-      if (shared->owner) shared->owner->took(watched, sight, apply);
-    });
-  });
-  if (given) return;
-  out_ = false;
-  schedule(net::unix_now() + settings_.poll);
+  }
+  return watched;
 }
 
-void Watcher::took(Watched watched, Observation sight, const Apply& apply) {
-  out_ = false;
-  // Watches on directories that the path no longer leads through only make noise.
-  for (const auto& [wd, names] : watched_.names) {
-    if (!watched.names.contains(wd)) ::inotify_rm_watch(shared_->inotify.get(), wd);
+// One poll at a time: the next content is evaluated against what this one has put into effect.
+void Watcher::start_poll() {
+  if (std::exchange(is_polling_, true)) {
+    must_poll_again_ = true;
+    return;
+  }
+  ++counters_.polls;
+  const bool is_accepted =
+      worker_.submit([shared = shared_, evaluate = evaluate_, &wakeup = wakeup_] {
+        PollResult result = shared->source.poll();
+        WatchedNames watched = add_watches(shared->inotify.get(), result.entries);
+        const Observation observation = result.observation;
+        Apply apply;
+        if (observation == Observation::changed || observation == Observation::unreadable) {
+          apply = evaluate(std::move(result));
+        }
+        wakeup.post([shared, observation, watched = std::move(watched), apply = std::move(apply)] {
+          if (shared->owner) shared->owner->on_poll_done(watched, observation, apply);
+        });
+      });
+  if (is_accepted) return;
+  is_polling_ = false;
+  schedule_poll(net::unix_now() + settings_.poll_interval);
+}
+
+void Watcher::replace_watches(WatchedNames watched) {
+  for (const auto& [descriptor, names] : watched_.by_descriptor) {
+    const bool is_watched = watched.by_descriptor.contains(descriptor);
+    if (!is_watched) ::inotify_rm_watch(shared_->inotify.get(), descriptor);
   }
   watched_ = std::move(watched);
-  if (!watched_.complete) ++counters_.no_watch;
-  if (sight == Observation::content) ++counters_.contents;
-  if (sight == Observation::unreadable) ++counters_.unreadable;
-  if (sight == Observation::unsettled) ++counters_.unsettled;
+}
+
+void Watcher::on_poll_done(WatchedNames watched, Observation observation, const Apply& apply) {
+  is_polling_ = false;
+  replace_watches(std::move(watched));
+  if (!watched_.is_complete) ++counters_.watch_failures;
+  if (observation == Observation::changed) ++counters_.changed;
+  if (observation == Observation::unreadable) ++counters_.unreadable;
+  if (observation == Observation::unsettled) ++counters_.unsettled;
   if (apply) apply();
   const core::Time now = net::unix_now();
-  if (std::exchange(again_, false)) {
-    schedule(now);
+  if (std::exchange(must_poll_again_, false)) {
+    schedule_poll(now);
+  } else if (observation == Observation::unsettled) {
+    schedule_poll(now + settings_.settle_time);
   } else {
-    schedule(now + (sight == Observation::unsettled ? settings_.settle : settings_.poll));
+    schedule_poll(now + settings_.poll_interval);
   }
 }
 
-bool Watcher::concerns(int descriptor, std::uint32_t mask, const char* name) const {
-  const auto it = watched_.names.find(descriptor);
-  if (it == watched_.names.end()) return (mask & IN_Q_OVERFLOW) != 0;
-  if (mask & kAlways) return true;
-  return it->second.contains("") || it->second.contains(name);
+bool Watcher::concerns_path(int descriptor, std::uint32_t mask, const char* name) const {
+  const auto it = watched_.by_descriptor.find(descriptor);
+  if (it == watched_.by_descriptor.end()) return (mask & IN_Q_OVERFLOW) != 0;
+  if (mask & kDirectoryEvents) return true;
+  const auto& names = it->second;
+  return names.contains("") || names.contains(name);
 }
 
-void Watcher::events() {
-  alignas(inotify_event) char buffer[16384];
-  bool ours = false;
-  for (int i = 0; i < kReadsAtOnce; ++i) {
-    const ssize_t n = ::read(shared_->inotify.get(), buffer, sizeof buffer);
-    if (n <= 0) break;
-    for (ssize_t at = 0; at < n;) {
+void Watcher::on_inotify_ready() {
+  alignas(inotify_event) char buffer[kEventBufferBytes];
+  bool is_concerned = false;
+  for (int i = 0; i < kMaxReadsPerTurn; ++i) {
+    const ssize_t size = ::read(shared_->inotify.get(), buffer, sizeof buffer);
+    if (size <= 0) break;
+    for (ssize_t at = 0; at < size;) {
       inotify_event event;
       std::memcpy(&event, buffer + at, sizeof event);
       const char* name = event.len ? buffer + at + sizeof event : "";
       ++counters_.events;
-      ours |= concerns(event.wd, event.mask, name);
+      is_concerned |= concerns_path(event.wd, event.mask, name);
       at += static_cast<ssize_t>(sizeof event + event.len);
     }
   }
-  if (ours) look_now();
+  if (is_concerned) poll_now();
 }
 
 }  // namespace alderspur::file_watch
--- a/src/file_watch/watcher.h
+++ b/src/file_watch/watcher.h
@@ -1,15 +1,16 @@
-// Watches one path on the loop and has it read and judged on a worker when it has changed.
+// Watches a path and evaluates its content whenever that has changed.
 //
-// inotify tells of changes through the loop: entries of every directory that the path leads
-// through, symlinks included, so that a swap of a parent directory shows as well. A slow poll runs
-// beside it, for file systems that tell nothing and for watches that ran out. The loop's thread
-// only takes events, sets deadlines and applies results; every call on the watched files is made by
-// the worker.
+// inotify reports changes to the event loop: of the entries of every directory that the path leads
+// through, symlinks included, so that a replaced parent directory is noticed as well. A slow poll
+// runs beside it, for file systems without events and for when watches have run out. The loop's
+// thread takes events, sets deadlines and applies results; every call on the watched files is made
+// by the worker.
 //
-// A change is looked at when it is told and again after `settle`; two equal looks make it settled.
-// `judge` runs on the worker with what was read, and what it returns runs on the loop.
+// The path is polled at once after an event, and again after `settle_time`: content that is the
+// same in both polls has settled.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
@@ -26,53 +27,77 @@
 
 namespace alderspur::file_watch {
 
+/// What to watch and how often. Times in microseconds.
 struct WatchSettings {
   std::string path;
-  core::Time settle = 30'000, poll = 500'000;
-  std::size_t most_bytes = 16 << 20;
+  core::Time settle_time = 30'000;
+  core::Time poll_interval = 500'000;
+  std::size_t max_bytes = 16 << 20;  // of all files together
 };
+
+/// Puts the result of an evaluation into effect, on the loop's thread. May be empty.
 using Apply = std::function<void()>;
-using Judge = std::function<Apply(LookResult&&)>;
+/// Evaluates content that has changed or cannot be read, on the worker's thread.
+using Evaluate = std::function<Apply(PollResult&&)>;
 
+/// Totals since the start.
 struct WatchCounters {
-  std::uint64_t events = 0, looks = 0, contents = 0, unreadable = 0, unsettled = 0, no_watch = 0;
+  std::uint64_t events = 0;  // of inotify
+  std::uint64_t polls = 0;
+  std::uint64_t changed = 0;         // polls that returned new content
+  std::uint64_t unreadable = 0;      // polls that could not read a file
+  std::uint64_t unsettled = 0;       // polls that found a change under way
+  std::uint64_t watch_failures = 0;  // polls after which inotify does not cover all directories
 };
 
+/// Belongs to the loop's thread. The worker may outlive it.
 class Watcher {
  public:
   Watcher(net::Loop& loop, core::Deadlines& deadlines, net::Wakeup& wakeup, Worker& worker,
-          const WatchSettings& settings, Source::Pieces pieces, Judge judge);
+          const WatchSettings& settings, Source::PieceNames piece_names, Evaluate evaluate);
   ~Watcher();
-  // Looks until the path has settled, on this thread, before start(). Blocks for `longest` at most;
-  // nothing if it has not settled by then.
-  std::optional<LookResult> first(core::Time longest);
+
+  /// Polls on the calling thread until the path has settled. Nothing if it has not settled within
+  /// the timeout, in microseconds. To be called before start().
+  std::optional<PollResult> poll_until_settled(core::Time timeout);
+
+  /// Begins to watch.
   void start();
-  void look_now();  // as if an event had come
+
+  /// Polls as if an event had come.
+  void poll_now();
+
   const WatchCounters& counters() const { return counters_; }
 
  private:
   struct Shared;
-  struct Watched {
-    std::map<int, std::set<std::string>> names;  // by watch descriptor; "" matches all
-    bool complete = true;
+  /// Which names concern the path, by inotify's watch descriptor; "" stands for every name.
+  struct WatchedNames {
+    std::map<int, std::set<std::string>> by_descriptor;
+    bool is_complete = true;  // false: inotify does not cover all directories
   };
-  void schedule(core::Time at);
-  void submit();
-  void took(Watched watched, Observation sight, const Apply& apply);
-  void events();
-  bool concerns(int descriptor, std::uint32_t mask, const char* name) const;
+
+  static WatchedNames add_watches(int inotify, const std::vector<WatchedEntry>& entries);
+
+  void schedule_poll(core::Time at);
+  void start_poll();
+  void on_poll_done(WatchedNames watched, Observation observation, const Apply& apply);
+  void on_inotify_ready();
+  bool concerns_path(int descriptor, std::uint32_t mask, const char* name) const;
+  void replace_watches(WatchedNames watched);
 
   core::Deadlines& deadlines_;
   net::Wakeup& wakeup_;
   Worker& worker_;
   const WatchSettings settings_;
-  Judge judge_;
-  std::shared_ptr<Shared> shared_;  // with jobs under way
-  std::unique_ptr<net::IoWatcher> ready_;
-  Watched watched_;
-  std::optional<core::Deadlines::Key> next_;
-  core::Time next_at_ = 0;
-  bool out_ = false, again_ = false;
+  const Evaluate evaluate_;
+  std::shared_ptr<Shared> shared_;  // with the job that is running
+  std::unique_ptr<net::IoWatcher> inotify_watcher_;
+  WatchedNames watched_;
+  std::optional<core::Deadlines::Key> next_poll_;
+  core::Time next_poll_at_ = 0;
+  bool is_polling_ = false;       // the worker has a poll to do
+  bool must_poll_again_ = false;  // an event came meanwhile
   WatchCounters counters_;
 };
 
--- a/src/file_watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -12,24 +12,25 @@
 namespace alderspur::file_watch {
 namespace {
 
-constexpr int kNice = 5;
+constexpr int kThreadNiceness = 5;
 
 }  // namespace
 
 Worker::Worker() {
-  // Blocks all signals in the new thread: they are the loop's to handle, and would interrupt reads
-  // here.
-  sigset_t all;
-  sigset_t before;
-  sigfillset(&all);
-  pthread_sigmask(SIG_SETMASK, &all, &before);
+  // The thread inherits a mask that blocks all signals: the event loop handles them, and here they
+  // would interrupt reads.
+  sigset_t all_signals;
+  sigset_t previous_mask;
+  sigfillset(&all_signals);
+  pthread_sigmask(SIG_SETMASK, &all_signals, &previous_mask);
   thread_ = std::thread([this] { run(); });
-  pthread_sigmask(SIG_SETMASK, &before, nullptr);
+  pthread_sigmask(SIG_SETMASK, &previous_mask, nullptr);
 }
+
 Worker::~Worker() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    is_stopping_ = true;
     jobs_.clear();
   }
   changed_.notify_all();
@@ -39,7 +40,7 @@
 bool Worker::submit(std::function<void()> job) {
   {
     const std::lock_guard lock(mutex_);
-    if (ending_ || jobs_.size() >= kMaxWaitingJobs) return false;
+    if (is_stopping_ || jobs_.size() >= kMaxWaitingJobs) return false;
     jobs_.push_back(std::move(job));
   }
   changed_.notify_all();
@@ -48,37 +49,37 @@
 
 void Worker::drain() {
   std::unique_lock lock(mutex_);
-  changed_.wait(lock, [this] { return ending_ || (jobs_.empty() && !busy_); });
+  changed_.wait(lock, [this] { return is_stopping_ || (jobs_.empty() && !is_busy_); });
 }
 
 bool Worker::stop(std::chrono::milliseconds timeout) {
   std::unique_lock lock(mutex_);
-  ending_ = true;
+  is_stopping_ = true;
   jobs_.clear();
   changed_.notify_all();
-  return changed_.wait_for(lock, timeout, [this] { return !busy_; });
+  return changed_.wait_for(lock, timeout, [this] { return !is_busy_; });
 }
 
 void Worker::run() {
-  // Where cores are few, what runs here must not take the loop's turn; a nice value is a thread's
-  // own on Linux.
-  ::setpriority(PRIO_PROCESS, static_cast<id_t>(::syscall(SYS_gettid)), kNice);
+  // The event loop's thread goes first where cores are few. On Linux each thread has a niceness of
+  // its own.
+  ::setpriority(PRIO_PROCESS, static_cast<id_t>(::syscall(SYS_gettid)), kThreadNiceness);
   std::unique_lock lock(mutex_);
   for (;;) {
-    changed_.wait(lock, [this] { return ending_ || !jobs_.empty(); });
-    if (ending_) return;
+    changed_.wait(lock, [this] { return is_stopping_ || !jobs_.empty(); });
+    if (is_stopping_) return;
     auto job = std::move(jobs_.front());
     jobs_.pop_front();
-    busy_ = true;
+    is_busy_ = true;
     lock.unlock();
     try {
       job();
     } catch (const std::exception&) {
-      // A job owes its result to nobody if there is no memory for it; the next look tries again.
+      // Out of memory, as a rule. The owner of the job tries again with its next poll.
     }
-    job = nullptr;
+    job = nullptr;  // destroys what the job holds before the worker counts as idle
     lock.lock();
-    busy_ = false;
+    is_busy_ = false;
     changed_.notify_all();
   }
 }
--- a/src/file_watch/worker.h
+++ b/src/file_watch/worker.h
@@ -1,9 +1,4 @@
-// One thread for what may block: reading, parsing, syncing. Jobs run one after another in the order
-// given.
-//
-// submit() may be called from any thread and never waits; it is refused when kMaxWaitingJobs jobs
-// wait already. The destructor lets the job under way end and drops the others. Jobs must not
-// throw; one that does is counted as failed and the thread goes on.
+// A thread for work that may block: reading, parsing and syncing files.
 #pragma once
 
 #include <chrono>
@@ -16,25 +11,39 @@
 
 namespace alderspur::file_watch {
 
+/// Runs jobs one after another, in the order in which they were submitted. All methods may be
+/// called from any thread but the worker's own.
 class Worker {
  public:
   static constexpr std::size_t kMaxWaitingJobs = 64;
+
   Worker();
+
+  /// Waits for the running job and drops those that have not begun.
   ~Worker();
+
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
+
+  /// Never blocks. False if the worker is stopping or kMaxWaitingJobs jobs are waiting already.
+  /// Jobs should not throw: an exception ends the job and is otherwise ignored.
   bool submit(std::function<void()> job);
-  void drain();  // waits until all that was submitted has run
-  // Takes nothing more and drops what waits. False: the job under way has not ended within `most`;
-  // then the destructor would wait for it, as long as the disk pleases.
+
+  /// Blocks until every submitted job has run.
+  void drain();
+
+  /// Accepts no more jobs and drops those that have not begun. False if the running job has not
+  /// ended within the timeout; the destructor then still waits for it.
   bool stop(std::chrono::milliseconds timeout);
 
  private:
   void run();
+
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::deque<std::function<void()>> jobs_;  // guarded by mutex_, as are the two below
-  bool busy_ = false, ending_ = false;
+  std::deque<std::function<void()>> jobs_;  // guarded by mutex_
+  bool is_busy_ = false;                    // guarded by mutex_
+  bool is_stopping_ = false;                // guarded by mutex_
   std::thread thread_;
 };
 
