--- a/bench/config_language_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -52,7 +52,7 @@
     diagnostics::Findings f;
     const auto p = config_language::load("main.alder", m, f);
     benchmark::DoNotOptimize(config_language::check(p, f));
-    if (!f.good()) state.SkipWithError(diagnostics::to_string(f.list()[0]).c_str());
+    if (!f.is_ok()) state.SkipWithError(diagnostics::to_string(f.list()[0]).c_str());
   }
 }
 void format_benchmark(benchmark::State& state) {
--- a/bench/endpoints_bench.cpp
+++ b/bench/endpoints_bench.cpp
@@ -120,7 +120,7 @@
     diagnostics::Findings findings;
     check_alone(*lists.after, findings);
     check_change(lists.before.get(), *lists.after, {}, findings);
-    if (!findings.good()) state.SkipWithError("refused");
+    if (!findings.is_ok()) state.SkipWithError("refused");
   }
   state.SetComplexityN(state.range(0));
 }
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -82,7 +82,7 @@
                  diagnostics::Findings& findings) {
   for (const auto& pool : table.pools()) {
     if (!table.servers(pool, list).empty()) continue;
-    findings.error("A043", pool.place,
+    findings.error("A043", pool.location,
                    "pool " + pool.name + " selects no server in service of " + list.source,
                    "change what it selects, or list a server for it");
   }
@@ -160,13 +160,13 @@
   writer.StartObject();
   json::write_text(writer, "severity", is_error ? "error" : "warning");
   json::write_text(writer, "code", finding.code);
-  json::write_text(writer, "file", finding.place.file);
+  json::write_text(writer, "file", finding.location.file);
   writer.Key("line");
-  writer.Uint(finding.place.line);
+  writer.Uint(finding.location.line);
   writer.Key("column");
-  writer.Uint(finding.place.column);
+  writer.Uint(finding.location.column);
   json::write_text(writer, "text", finding.text);
-  json::write_text(writer, "mend", finding.mend);
+  json::write_text(writer, "mend", finding.suggestion);
   writer.EndObject();
 }
 
@@ -175,21 +175,21 @@
   writer.StartObject();
   json::write_text(writer, "file", path);
   writer.Key("good");
-  writer.Bool(findings.good());
+  writer.Bool(findings.is_ok());
   writer.Key("findings");
   writer.StartArray();
   for (const auto& finding : findings.list()) write_finding(writer, finding);
   writer.EndArray();
   writer.Key("left_out");
-  writer.Uint64(findings.left_out());
+  writer.Uint64(findings.omitted());
   writer.EndObject();
 }
 
 void print_result(const std::string& path, const CheckResult& result) {
   const auto& findings = result.findings;
   for (const auto& finding : findings.list()) std::printf("%s\n", result.render(finding).c_str());
-  if (findings.left_out()) std::printf("%s: and %zu more\n", path.c_str(), findings.left_out());
-  if (findings.good()) std::printf("%s: good: %s\n", path.c_str(), result.summary.c_str());
+  if (findings.omitted()) std::printf("%s: and %zu more\n", path.c_str(), findings.omitted());
+  if (findings.is_ok()) std::printf("%s: good: %s\n", path.c_str(), result.summary.c_str());
 }
 
 /// The list that counts as in force; null where none is given.
@@ -311,7 +311,7 @@
     bool is_good = true;
     for (const auto& path : options.files) {
       const auto result = check_one(path, against.get());
-      is_good &= result.findings.good();
+      is_good &= result.findings.is_ok();
       write_findings(writer, path, result.findings);
       if (!options.json) print_result(path, result);
     }
--- a/src/cli/language.cpp
+++ b/src/cli/language.cpp
@@ -26,7 +26,7 @@
   for (const auto& finding : findings.list()) {
     std::fprintf(stderr, "%s\n", sources.render(finding).c_str());
   }
-  if (findings.left_out()) std::fprintf(stderr, "and %zu more\n", findings.left_out());
+  if (findings.omitted()) std::fprintf(stderr, "and %zu more\n", findings.omitted());
 }
 
 bool replace(const std::string& path, const std::string& text) {
@@ -59,7 +59,7 @@
     diagnostics::Findings findings;
     const auto tree = config_language::parse(sources, sources.add(path, *text), findings);
     // What did not parse is not in the tree: writing the tree would remove it from the file.
-    if (!findings.good()) {
+    if (!findings.is_ok()) {
       print_findings(sources, findings);
       code = kFinding;
       continue;
@@ -126,7 +126,7 @@
 std::string name_with_place(const config_language::CheckedProgram& checked, const char* kind,
                             const std::string& name) {
   const auto* declaration = checked.meaning.find(kind, name);
-  const auto place = checked.program.sources.place(declaration->span);
+  const auto place = checked.program.sources.location(declaration->span);
   return name + " (" + place.file + ":" + std::to_string(place.line) + ")";
 }
 
@@ -157,7 +157,7 @@
   diagnostics::Findings findings;
   const auto checked = config_language::load_and_check(options.file, findings);
   print_findings(checked.program.sources, findings);
-  if (!findings.good()) return kUsage;
+  if (!findings.is_ok()) return kUsage;
   const routing::Table table(checked.meaning, checked.program.sources);
   int exit_code = kYes;
   for (const auto& text : options.requests) {
@@ -185,7 +185,7 @@
   diagnostics::Findings new_findings;
   const auto old_program = config_language::load_and_check(from, old_findings);
   const auto new_program = config_language::load_and_check(to, new_findings);
-  if (!old_findings.good() || !new_findings.good()) {
+  if (!old_findings.is_ok() || !new_findings.is_ok()) {
     print_findings(old_program.program.sources, old_findings);
     print_findings(new_program.program.sources, new_findings);
     return kUsage;
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -231,7 +231,7 @@
   LoadedSettings loaded;
   const auto folder = std::filesystem::path(file).parent_path().string();
   loaded.settings = settings::read(config::read_text(file), file, folder, findings);
-  if (!findings.good()) return std::nullopt;
+  if (!findings.is_ok()) return std::nullopt;
   loaded.config = config::read_file(loaded.settings.config_file);
   config::Config& config = loaded.config;
   if (!loaded.settings.listen.empty()) config.listen = loaded.settings.listen;
@@ -239,7 +239,7 @@
     config.operators_address = loaded.settings.operators_address;
   if (const char* shared = std::getenv("TMPDIR")) config.shared_directory = shared;
   settings::resolve(loaded.settings, config, findings);
-  if (!findings.good()) return std::nullopt;
+  if (!findings.is_ok()) return std::nullopt;
   return loaded;
 }
 
--- a/src/config_language/check.cpp
+++ b/src/config_language/check.cpp
@@ -54,15 +54,15 @@
   }
 
  private:
-  diagnostics::Place at(const Span& span) const { return program_.sources.place(span); }
-  void error(const char* code, const Span& span, std::string text, std::string mend = {}) {
-    findings_.error(code, at(span), std::move(text), std::move(mend));
+  diagnostics::Location at(const Span& span) const { return program_.sources.location(span); }
+  void error(const char* code, const Span& span, std::string text, std::string suggestion = {}) {
+    findings_.error(code, at(span), std::move(text), std::move(suggestion));
   }
-  void warn(const char* code, const Span& span, std::string text, std::string mend = {}) {
-    findings_.warn(code, at(span), std::move(text), std::move(mend));
+  void warn(const char* code, const Span& span, std::string text, std::string suggestion = {}) {
+    findings_.warn(code, at(span), std::move(text), std::move(suggestion));
   }
   static std::string near(std::string_view word, const std::vector<std::string_view>& all) {
-    const auto n = diagnostics::nearest(word, all);
+    const auto n = diagnostics::closest_match(word, all);
     return n.empty() ? "" : "did you mean " + n + "?";
   }
 
@@ -505,7 +505,7 @@
   }
 
   void unused() {
-    if (!findings_.good()) return;  // what is at fault may be what uses it
+    if (!findings_.is_ok()) return;  // what is at fault may be what uses it
     for (const auto& d : out_.declarations) {
       if (d.kind->name != "route" && !used_.contains({d.kind->name, d.name})) {
         warn("A022", d.span, std::string(d.kind->name) + " " + d.name + " is used by nothing",
--- a/src/config_language/load.cpp
+++ b/src/config_language/load.cpp
@@ -55,7 +55,7 @@
       program_.statements.push_back(&s);
       return;
     }
-    const auto place = program_.sources.place(s.span);
+    const auto place = program_.sources.location(s.span);
     if (s.arguments.size() != 1 || s.arguments[0].kind != Value::Kind::string || s.value ||
         s.block) {
       findings_.error("A006", place, "include takes one path in quotes",
@@ -68,21 +68,21 @@
     const bool pattern = wanted.find_first_of("*?") != std::string::npos;
     const auto paths = pattern ? loader_.match(target) : std::vector<std::string>{target};
     if (paths.empty()) {
-      findings_.warn("A010", program_.sources.place(s.arguments[0].span),
+      findings_.warn("A010", program_.sources.location(s.arguments[0].span),
                      "no file is named by " + wanted);
     }
     for (const auto& p : paths) include(normal(p), s);
   }
 
   void include(const std::string& path, const Statement& s) {
-    const auto place = program_.sources.place(s.arguments[0].span);
+    const auto place = program_.sources.location(s.arguments[0].span);
     std::string told;
     bool cycle = false;
     for (const auto& step : chain_) {
       cycle |= step.path == path;
       if (cycle) {
         told +=
-            step.path + ":" + std::to_string(program_.sources.place(step.include).line) + " -> ";
+            step.path + ":" + std::to_string(program_.sources.location(step.include).line) + " -> ";
       }
     }
     if (cycle) {
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -78,10 +78,10 @@
     t.text = std::string(text_.substr(begin, at_ - begin));
     return t;
   }
-  Token fault(const char* code, std::size_t begin, std::string what, std::string mend = {}) {
+  Token fault(const char* code, std::size_t begin, std::string what, std::string suggestion = {}) {
     if (at_ == begin) ++at_;
     Token t = make(Kind::bad, begin);
-    findings_.error(code, sources_.place(t.span), std::move(what), std::move(mend));
+    findings_.error(code, sources_.location(t.span), std::move(what), std::move(suggestion));
     return t;
   }
 
@@ -201,7 +201,7 @@
       if (!u) {
         std::vector<std::string_view> all;
         for (const auto& k : kUnits) all.push_back(k.name);
-        const auto near = diagnostics::nearest(name, all);
+        const auto near = diagnostics::closest_match(name, all);
         return fault("A005", begin, "'" + std::string(name) + "' is no unit",
                      near.empty() ? "one entry stands on a line; units are ms, s, MB, /s, %"
                                   : "did you mean " + near + "?");
@@ -314,7 +314,7 @@
   bool block(Statement& s, std::size_t depth) {
     const Span open = now().span;
     if (depth + 1 > kMaxNestingDepth) {
-      findings_.error("A007", sources_.place(open), "blocks stand too deep in one another",
+      findings_.error("A007", sources_.location(open), "blocks stand too deep in one another",
                       "at most " + std::to_string(kMaxNestingDepth));
       return false;
     }
@@ -323,7 +323,7 @@
     if (is(Kind::comment)) s.opened = take().text;
     statements(s.body, s.tail, s.faulty, depth + 1);
     if (is('}')) return take(), true;
-    findings_.error("A006", sources_.place(open), "this block has no end", "close it with }");
+    findings_.error("A006", sources_.location(open), "this block has no end", "close it with }");
     return true;  // what was read of it stands, so that its own faults show too
   }
 
@@ -357,7 +357,7 @@
   bool list(Value& v, std::size_t depth) {
     const Span open = now().span;
     if (depth + 1 > kMaxNestingDepth) {
-      findings_.error("A007", sources_.place(open), "lists stand too deep in one another",
+      findings_.error("A007", sources_.location(open), "lists stand too deep in one another",
                       "at most " + std::to_string(kMaxNestingDepth));
       return false;
     }
@@ -375,7 +375,7 @@
         return true;
       }
       if (is(Kind::end) || is('}')) {
-        findings_.error("A006", sources_.place(open), "this list has no end", "close it with ]");
+        findings_.error("A006", sources_.location(open), "this list has no end", "close it with ]");
         return false;
       }
       Value item;
@@ -401,7 +401,7 @@
                               : t.kind == Kind::line_end ? "the end of the line"
                               : t.kind == Kind::comment  ? "a comment"
                                                          : "'" + t.text + "'";
-    findings_.error("A006", sources_.place(t.span), "expected " + what + ", not " + found);
+    findings_.error("A006", sources_.location(t.span), "expected " + what + ", not " + found);
     return false;
   }
 
--- a/src/config_language/source.cpp
+++ b/src/config_language/source.cpp
@@ -13,7 +13,7 @@
   return static_cast<std::uint32_t>(files_.size() - 1);
 }
 
-diagnostics::Place Sources::place(const Span& span) const {
+diagnostics::Location Sources::location(const Span& span) const {
   const File& f = files_[span.file];
   const auto next = std::upper_bound(f.lines.begin(), f.lines.end(), span.begin);
   const auto line = static_cast<std::uint32_t>(next - f.lines.begin());
@@ -31,15 +31,15 @@
 std::string Sources::render(const diagnostics::Finding& finding) const {
   std::string out = diagnostics::to_string(finding);
   const auto it = std::find_if(files_.begin(), files_.end(),
-                               [&](const File& f) { return f.name == finding.place.file; });
-  if (it == files_.end() || !finding.place.line) return out;
-  const auto text = line(static_cast<std::uint32_t>(it - files_.begin()), finding.place.line);
+                               [&](const File& f) { return f.name == finding.location.file; });
+  if (it == files_.end() || !finding.location.line) return out;
+  const auto text = line(static_cast<std::uint32_t>(it - files_.begin()), finding.location.line);
   std::string shown;
   std::string caret;
   for (std::size_t i = 0; i < text.size() && i < 200; ++i) {
     const bool plain = static_cast<unsigned char>(text[i]) >= 32 || text[i] == '\t';
     shown += plain ? text[i] : '?';
-    if (i + 1 < finding.place.column) caret += text[i] == '\t' ? '\t' : ' ';
+    if (i + 1 < finding.location.column) caret += text[i] == '\t' ? '\t' : ' ';
   }
   return out + "\n    " + shown + "\n    " + caret + "^";
 }
--- a/src/config_language/source.h
+++ b/src/config_language/source.h
@@ -23,7 +23,7 @@
   const std::string& name(std::uint32_t file) const { return files_[file].name; }
   const std::string& text(std::uint32_t file) const { return files_[file].text; }
   std::size_t size() const { return files_.size(); }
-  diagnostics::Place place(const Span& span) const;
+  diagnostics::Location location(const Span& span) const;
   std::string_view line(std::uint32_t file, std::uint32_t line) const;
   // "a.alder:3:9: error A012: ..." with the line itself and a caret under the place.
   std::string render(const diagnostics::Finding& finding) const;
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -113,7 +113,7 @@
   for (const auto& text : texts) {
     diagnostics::Findings findings;
     const auto read = endpoints::read_list(text, "servers", 0, {}, findings);
-    if (!findings.good() || !read.list) {
+    if (!findings.is_ok() || !read.list) {
       const bool has_finding = !findings.list().empty();
       return MergedListText::failure(has_finding ? diagnostics::to_string(findings.list()[0])
                                                  : "no list of servers");
--- a/src/control/endpoint_controller.cpp
+++ b/src/control/endpoint_controller.cpp
@@ -123,7 +123,7 @@
   diagnostics::Findings findings;
   candidate.zones = resolve_zones(*list, context_->zones, findings);
   check_alone(*list, findings);
-  if (!findings.good()) {
+  if (!findings.is_ok()) {
     log_.record(kLogModule, log::Level::warning, "state_unusable",
                 {{"reason", diagnostics::to_string(findings.list()[0])}});
     return std::nullopt;
@@ -185,17 +185,17 @@
                    "name the directory");
   }
   const auto in_force = context.in_force();
-  if (list && findings.good()) {
+  if (list && findings.is_ok()) {
     check_alone(*list, findings);
     check_change(in_force.get(), *list, settings.change_limits, findings);
   }
-  if (list && findings.good()) {
+  if (list && findings.is_ok()) {
     endpoints::CandidateList candidate{list, in_force, difference(in_force.get(), *list), {}};
     candidate.zones = resolve_zones(*list, context.zones, findings);
     evaluation.is_unchanged = in_force && in_force->generation == list->generation;
-    if (findings.good() && !evaluation.is_unchanged) evaluation.candidate = std::move(candidate);
+    if (findings.is_ok() && !evaluation.is_unchanged) evaluation.candidate = std::move(candidate);
   }
-  if (!findings.good()) {
+  if (!findings.is_ok()) {
     evaluation.is_unchanged = false;
     evaluation.rejection = diagnostics::to_string(findings.list()[0]);
     evaluation.finding_count = findings.errors();
--- a/src/control/routes.cpp
+++ b/src/control/routes.cpp
@@ -33,13 +33,13 @@
   const auto found = std::find(names.begin(), names.end(), route.cls);
   const auto number = static_cast<std::uint32_t>(found - names.begin());
   if (found == names.end()) {
-    findings.error("S002", route.place, "the router's configuration has no class " + route.cls);
+    findings.error("S002", route.location, "the router's configuration has no class " + route.cls);
   } else if (config.settings.classes[number].never_cached) {
-    findings.error("S002", route.place,
+    findings.error("S002", route.location,
                    "class " + route.cls + " runs at the origin and cannot be fetched by links");
   }
   if (!has_capture(route, "object")) {
-    findings.error("S002", route.place, "the path of route " + route.name + " has no {object}",
+    findings.error("S002", route.location, "the path of route " + route.name + " has no {object}",
                    "the signed front takes object and part from {object} and {part}");
   }
   return number;
@@ -78,7 +78,7 @@
   diagnostics::Findings found;
   const auto checked = config_language::load_and_check(file, found);
   auto compiled = std::make_shared<TableInForce>();
-  if (found.good()) {
+  if (found.is_ok()) {
     compiled->table = std::make_unique<routing::Table>(checked.meaning, checked.program.sources);
     compiled->deadlines = config.names.request_timeouts;
     for (const auto& route : compiled->table->routes()) {
@@ -86,7 +86,7 @@
     }
   }
   report_errors(found, findings);
-  return found.good() ? compiled : nullptr;
+  return found.is_ok() ? compiled : nullptr;
 }
 
 /// What a request keeps until its end: the table under which it began, its match, and its permit.
--- a/src/control/version_contents.cpp
+++ b/src/control/version_contents.cpp
@@ -28,11 +28,11 @@
 ContentResult check_servers(const std::string& text, const config::Config& config) {
   diagnostics::Findings findings;
   const auto read = endpoints::read_list(text, kServersDocument, 0, {}, findings);
-  if (read.list && findings.good()) endpoints::check_alone(*read.list, findings);
-  if (read.list && findings.good()) {
+  if (read.list && findings.is_ok()) endpoints::check_alone(*read.list, findings);
+  if (read.list && findings.is_ok()) {
     (void)endpoints::resolve_zones(*read.list, config.names.zones, findings);
   }
-  if (findings.good()) return std::nullopt;
+  if (findings.is_ok()) return std::nullopt;
   return ContentError{diagnostics::to_string(findings.list()[0])};
 }
 
--- a/src/diagnostics/diagnostics.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -10,71 +10,92 @@
 namespace {
 
 constexpr std::size_t kMaxFindings = 100;
-constexpr std::size_t kMaxTextLength = 400;
+constexpr std::size_t kMaxTextBytes = 400;
+constexpr std::size_t kMaxMatchedBytes = 64;  // longer words get no suggestion
+constexpr std::size_t kMinAcceptedDistance = 2;
+constexpr std::size_t kBytesPerEdit = 3;  // in longer words, one edit for so many bytes
 
-std::size_t distance(std::string_view a, std::string_view b) {
-  std::vector<std::size_t> row(b.size() + 1);
+bool is_control(unsigned char byte) { return byte < ' ' || byte == 127; }
+
+/// The Levenshtein distance, by one row of the usual table.
+std::size_t edit_distance(std::string_view from, std::string_view to) {
+  std::vector<std::size_t> row(to.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
-  for (std::size_t i = 0; i < a.size(); ++i) {
-    std::size_t corner = std::exchange(row[0], i + 1);
-    for (std::size_t j = 0; j < b.size(); ++j) {
-      const std::size_t change = corner + (a[i] == b[j] ? 0 : 1);
-      corner = std::exchange(row[j + 1], std::min({row[j] + 1, row[j + 1] + 1, change}));
+  for (std::size_t i = 0; i < from.size(); ++i) {
+    std::size_t diagonal = std::exchange(row[0], i + 1);
+    for (std::size_t j = 0; j < to.size(); ++j) {
+      const std::size_t substitution = diagonal + (from[i] == to[j] ? 0 : 1);
+      const std::size_t insertion = row[j] + 1;
+      const std::size_t deletion = row[j + 1] + 1;
+      diagonal = std::exchange(row[j + 1], std::min({insertion, deletion, substitution}));
     }
   }
   return row.back();
 }
 
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
+  return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
+}
+
 }  // namespace
 
 void Findings::add(Finding finding) {
-  if (finding.severity == Severity::error) ++errors_;
+  if (finding.severity == Severity::error) ++error_count_;
   if (list_.size() >= kMaxFindings) {
-    ++left_out_;
+    ++omitted_count_;
     return;
   }
   // Messages quote files: control characters must not reach a terminal or a log.
-  for (char& c : finding.text) {
-    if (static_cast<unsigned char>(c) < 32 || c == 127) c = '?';
+  std::replace_if(finding.text.begin(), finding.text.end(), is_control, '?');
+  if (finding.text.size() > kMaxTextBytes) {
+    finding.text.resize(kMaxTextBytes);
+    finding.text += "...";
   }
-  if (finding.text.size() > kMaxTextLength)
-    finding.text.resize(kMaxTextLength), finding.text += "...";
   list_.push_back(std::move(finding));
 }
-void Findings::error(std::string code, Place place, std::string text, std::string mend) {
-  add({Severity::error, std::move(code), std::move(place), std::move(text), std::move(mend)});
+
+void Findings::error(std::string code, Location location, std::string text,
+                     std::string suggestion) {
+  add({Severity::error, std::move(code), std::move(location), std::move(text),
+       std::move(suggestion)});
 }
-void Findings::warn(std::string code, Place place, std::string text, std::string mend) {
-  add({Severity::warning, std::move(code), std::move(place), std::move(text), std::move(mend)});
+
+void Findings::warn(std::string code, Location location, std::string text, std::string suggestion) {
+  add({Severity::warning, std::move(code), std::move(location), std::move(text),
+       std::move(suggestion)});
 }
+
 void Findings::append(const Findings& other) {
-  const std::size_t errors = errors_ + other.errors_;
-  for (const auto& f : other.list_) add(f);
-  left_out_ += other.left_out_;
-  errors_ = errors;
+  // Counts the errors that the other list has omitted, too.
+  const std::size_t errors = error_count_ + other.error_count_;
+  for (const auto& finding : other.list_) add(finding);
+  omitted_count_ += other.omitted_count_;
+  error_count_ = errors;
 }
 
-std::string to_string(const Finding& f) {
-  std::string out = f.place.file;
-  if (f.place.line) out += ':' + std::to_string(f.place.line);
-  if (f.place.line && f.place.column) out += ':' + std::to_string(f.place.column);
-  out += f.severity == Severity::error ? ": error " : ": warning ";
-  out += f.code + ": " + f.text;
-  if (!f.mend.empty()) out += " (" + f.mend + ")";
-  return out;
+std::string to_string(const Finding& finding) {
+  const Location& location = finding.location;
+  std::string text = location.file;
+  if (location.line) text += ':' + std::to_string(location.line);
+  if (location.line && location.column) text += ':' + std::to_string(location.column);
+  text += finding.severity == Severity::error ? ": error " : ": warning ";
+  text += finding.code + ": " + finding.text;
+  if (!finding.suggestion.empty()) text += " (" + finding.suggestion + ")";
+  return text;
 }
 
-std::string nearest(std::string_view word, const std::vector<std::string_view>& candidates) {
-  std::string_view best;
-  std::size_t least = std::max<std::size_t>(2, word.size() / 3) + 1;
-  if (word.size() > 64) return {};
-  for (const auto c : candidates) {
-    if (c.size() == word.size() && strncasecmp(c.data(), word.data(), c.size()) == 0) {
-      return std::string(c);
-    }
+std::string closest_match(std::string_view word, const std::vector<std::string_view>& candidates) {
+  if (word.size() > kMaxMatchedBytes) return {};
+  for (const auto candidate : candidates) {
+    if (equals_ignoring_case(candidate, word)) return std::string(candidate);
   }
-  for (const auto c : candidates) {
-    if (const auto d = distance(word, c); d < least) least = d, best = c;
+  std::string_view best;
+  std::size_t best_distance = std::max(kMinAcceptedDistance, word.size() / kBytesPerEdit) + 1;
+  for (const auto candidate : candidates) {
+    const std::size_t distance = edit_distance(word, candidate);
+    if (distance >= best_distance) continue;
+    best_distance = distance;
+    best = candidate;
   }
   return std::string(best);
 }
--- a/src/endpoints/check.cpp
+++ b/src/endpoints/check.cpp
@@ -26,7 +26,7 @@
   return server && server->state == ServerState::in_service;
 }
 
-diagnostics::Place place_of(const Snapshot& list) { return {list.source, 0, 0}; }
+diagnostics::Location place_of(const Snapshot& list) { return {list.source, 0, 0}; }
 
 void check_loss(const Snapshot& next, const std::string& what, const ServiceChange& change,
                 const ChangeLimits& limits, diagnostics::Findings& findings) {
@@ -95,7 +95,7 @@
                      diagnostics::Findings& findings) const {
     const auto it = indexes_.find(name);
     if (it != indexes_.end()) return it->second;
-    const auto near = diagnostics::nearest(name, names_);
+    const auto near = diagnostics::closest_match(name, names_);
     findings.error(
         "L024", place_of(list),
         std::string(kind) + " " + name + " is not in this router's settings",
@@ -183,7 +183,7 @@
 std::vector<Member> to_members(const Snapshot& list, const std::vector<std::string>& zones,
                                diagnostics::Findings& findings) {
   const auto location_zones = resolve_zones(list, zones, findings);
-  if (!findings.good()) return {};
+  if (!findings.is_ok()) return {};
   std::vector<Member> members;
   members.reserve(list.servers.size());
   for (const auto& server : list.servers) members.push_back(to_member(server, location_zones));
--- a/src/endpoints/list.cpp
+++ b/src/endpoints/list.cpp
@@ -19,7 +19,7 @@
 constexpr unsigned kMaxThreads = 4;
 
 void check_count(const Snapshot& list, std::uint64_t announced, diagnostics::Findings& findings) {
-  if (!findings.good() || list.servers.size() == announced) return;
+  if (!findings.is_ok() || list.servers.size() == announced) return;
   findings.error("L005", {list.source, 0, 0},
                  "servers = " + std::to_string(announced) + " but " +
                      std::to_string(list.servers.size()) + " are listed",
@@ -39,18 +39,18 @@
   table.finish();
   if (!file || !digest_text) return {};
   if (!is_valid_piece_name(*file)) {
-    findings.error("L012", table.place("file"), "'" + *file + "' cannot be the name of a piece",
+    findings.error("L012", table.location("file"), "'" + *file + "' cannot be the name of a piece",
                    "name a file beside the manifest");
     return {};
   }
   const auto digest = parse_digest(*digest_text);
   if (!digest) {
-    findings.error("L006", table.place("digest"),
+    findings.error("L006", table.location("digest"),
                    "the digest is not of the form xxh3: and 16 hex digits",
                    "run `alderspur seal` on the directory");
     return {};
   }
-  return ManifestPiece{*file, *digest, table.place().line};
+  return ManifestPiece{*file, *digest, table.location().line};
 }
 
 std::vector<ManifestPiece> read_manifest_pieces(toml::Table& root,
@@ -61,14 +61,14 @@
     auto piece = read_manifest_piece(table, findings);
     if (!piece) continue;
     if (!files.insert(piece->file).second) {
-      findings.error("L007", table.place("file"), "piece " + piece->file + " is named twice",
+      findings.error("L007", table.location("file"), "piece " + piece->file + " is named twice",
                      "keep one");
       continue;
     }
     pieces.push_back(std::move(*piece));
   }
   if (pieces.size() > kMaxPieces) {
-    findings.error("L013", root.place(), "over 4096 pieces", "use fewer, larger ones");
+    findings.error("L013", root.location(), "over 4096 pieces", "use fewer, larger ones");
   }
   return pieces;
 }
@@ -107,7 +107,7 @@
                        format_digest(piece.digest),
                    "the set is half written: write the pieces first and the manifest last");
   }
-  return findings.good();
+  return findings.is_ok();
 }
 
 }  // namespace
@@ -123,7 +123,7 @@
   const std::size_t errors_before = findings.errors();
   const auto split = split_list(text, file, limits);
   toml::Document document(split ? split->head : text, file, findings, "L001");
-  if (!document.read()) return {};
+  if (!document.is_valid()) return {};
   auto root = document.root();
   ListReadResult result;
   auto list = std::make_shared<Snapshot>();
@@ -141,7 +141,7 @@
     builder.add(builder.read_servers(root, 0, findings), findings);
   }
   if (is_manifest && root.has("server")) {
-    findings.error("L004", root.place("server"), "a manifest lists pieces, not servers",
+    findings.error("L004", root.location("server"), "a manifest lists pieces, not servers",
                    "move the servers into a piece");
   }
   root.finish();
@@ -170,7 +170,7 @@
   const unsigned threads = limits.is_read_in_parts(total_bytes) ? limits.threads : 1;
   read_parts(parts, builder, threads, findings);
   check_count(*list, manifest.announced_servers, findings);
-  if (!findings.good()) return nullptr;
+  if (!findings.is_ok()) return nullptr;
   list->seal();
   return list;
 }
--- a/src/endpoints/list_builder.cpp
+++ b/src/endpoints/list_builder.cpp
@@ -25,7 +25,7 @@
 bool check_name(const toml::Table& table, const std::string& name,
                 diagnostics::Findings& findings) {
   if (is_valid_name(name)) return true;
-  findings.error("L012", table.place(), "'" + name + "' cannot be a name",
+  findings.error("L012", table.location(), "'" + name + "' cannot be a name",
                  "use 1 to 64 letters, digits, '-' and '_'");
   return false;
 }
@@ -42,7 +42,7 @@
 
 void report_duplicate(const toml::Table& table, const char* kind, const std::string& name,
                       diagnostics::Findings& findings) {
-  findings.error("L007", table.place(), std::string(kind) + " " + name + " is declared twice",
+  findings.error("L007", table.location(), std::string(kind) + " " + name + " is declared twice",
                  "keep one");
 }
 
@@ -94,7 +94,7 @@
   std::vector<ServerEntry> entries;
   auto tables = root.tables("server");
   if (tables.size() > limits_.max_servers) {
-    report_too_many(tables.size(), root.place(), findings);
+    report_too_many(tables.size(), root.location(), findings);
     return entries;
   }
   entries.reserve(tables.size());
@@ -109,10 +109,10 @@
 std::optional<ServerEntry> ListBuilder::read_server(toml::Table& table, std::uint32_t piece_index,
                                                     diagnostics::Findings& findings) const {
   const auto id = table.text("id", true);
-  const auto role = table.word("role", {"cache", "parent", "origin"}, true);
+  const auto role = table.keyword("role", {"cache", "parent", "origin"}, true);
   const auto address = table.text("address", true);
   const auto weight = table.real("weight", limits_.min_weight, limits_.max_weight, true);
-  const auto state = table.word("state", {"in_service", "draining"}, true);
+  const auto state = table.keyword("state", {"in_service", "draining"}, true);
   const auto cell = table.integer("cell", 0, kMaxCell, true);
   const bool is_cache = !role || *role == "cache";
   const char* location_key = is_cache ? "point" : "hub";
@@ -124,13 +124,14 @@
       find_location(table, location_key, is_cache ? points_ : hubs_, *location, findings);
   if (!location_index) return {};
   if (!is_valid_address(*address)) {
-    findings.error("L011", table.place("address"), "'" + *address + "' is no address of a server",
+    findings.error("L011", table.location("address"),
+                   "'" + *address + "' is no address of a server",
                    "write numbers and a port, such as 127.0.0.1:4201");
     return {};
   }
   ServerEntry entry;
-  entry.id_place = table.place("id");
-  entry.address_place = table.place("address");
+  entry.id_location = table.location("id");
+  entry.address_location = table.location("address");
   ListedServer& server = entry.server;
   server.id = server_id(*id);
   server.name = *id;
@@ -140,7 +141,7 @@
   server.state = *state == "draining" ? ServerState::draining : ServerState::in_service;
   server.cell = static_cast<std::uint32_t>(*cell);
   server.weight = *weight;
-  server.line = table.place().line;
+  server.line = table.location().line;
   server.piece_index = piece_index;
   return entry;
 }
@@ -159,7 +160,7 @@
   ListedServer& server = entry.server;
   const auto [same_id, is_new_id] = lines_by_id_.emplace(server.id.value, server.line);
   if (!is_new_id) {
-    findings.error("L008", entry.id_place,
+    findings.error("L008", entry.id_location,
                    "server " + server.name + " is listed twice, first at line " +
                        std::to_string(same_id->second),
                    "keep one of the two");
@@ -169,7 +170,7 @@
     const auto [same_address, is_new_address] =
         names_by_address_.emplace(server.address, server.name);
     if (!is_new_address) {
-      findings.error("L009", entry.address_place,
+      findings.error("L009", entry.address_location,
                      server.address + " is the address of " + same_address->second + " as well",
                      "two servers in service cannot share one: drain or remove the one that has "
                      "gone");
@@ -178,9 +179,9 @@
   list_.servers.push_back(std::move(server));
 }
 
-void ListBuilder::report_too_many(std::size_t count, const diagnostics::Place& place,
+void ListBuilder::report_too_many(std::size_t count, const diagnostics::Location& location,
                                   diagnostics::Findings& findings) const {
-  findings.error("L013", place, std::to_string(count) + " servers are too many",
+  findings.error("L013", location, std::to_string(count) + " servers are too many",
                  "a list may have " + std::to_string(limits_.max_servers));
 }
 
@@ -197,8 +198,9 @@
     for (const auto& [known_name, index] : names) candidates.push_back(known_name);
   }
   std::sort(candidates.begin(), candidates.end());
-  const auto nearest = diagnostics::nearest(name, candidates);
-  findings.error("L010", table.place(key), "no " + std::string(key) + " is called '" + name + "'",
+  const auto nearest = diagnostics::closest_match(name, candidates);
+  findings.error("L010", table.location(key),
+                 "no " + std::string(key) + " is called '" + name + "'",
                  nearest.empty() ? "declare it with [[" + std::string(key) + "]]"
                                  : "did you mean '" + nearest + "'?");
   return {};
@@ -214,7 +216,7 @@
       const ListPart& part = parts[i];
       if (part.text.empty()) continue;
       toml::Document document(part.text, part.file, part_findings[i], "L001", part.lines_before);
-      if (!document.read()) continue;
+      if (!document.is_valid()) continue;
       auto root = document.root();
       entries[i] = builder.read_servers(root, part.piece_index, part_findings[i]);
       root.finish();
--- a/src/endpoints/list_builder.h
+++ b/src/endpoints/list_builder.h
@@ -20,8 +20,8 @@
 /// A server as it was read, with the places that a later finding may have to name.
 struct ServerEntry {
   ListedServer server;
-  diagnostics::Place id_place;
-  diagnostics::Place address_place;
+  diagnostics::Location id_location;
+  diagnostics::Location address_location;
 };
 
 class ListBuilder {
@@ -45,7 +45,7 @@
   std::optional<ServerEntry> read_server(toml::Table& table, std::uint32_t piece_index,
                                          diagnostics::Findings& findings) const;
   void add(ServerEntry&& entry, diagnostics::Findings& findings);
-  void report_too_many(std::size_t count, const diagnostics::Place& place,
+  void report_too_many(std::size_t count, const diagnostics::Location& location,
                        diagnostics::Findings& findings) const;
   static std::optional<std::uint32_t> find_location(const toml::Table& table, std::string_view key,
                                                     const NameIndex& names, const std::string& name,
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -113,7 +113,7 @@
     const auto next_policy = static_cast<std::uint32_t>(table.policies_.size());
     if (declaration.kind->name == "pool" && pools.emplace(name, next_pool).second) {
       table.pools_.push_back(pool_of(declaration));
-      table.pools_.back().place = sources.place(declaration.span);
+      table.pools_.back().location = sources.location(declaration.span);
     }
     if (declaration.kind->name == "policy" && policies.emplace(name, next_policy).second) {
       table.policies_.push_back(policy_of(declaration));
@@ -149,7 +149,7 @@
       route.splits.emplace_back(split.part, target);
     }
     route.limits = limits_of(settings);
-    route.place = sources.place(declaration.span);
+    route.location = sources.location(declaration.span);
     table.routes_.push_back(std::move(route));
   }
   static std::vector<Condition> conditions_of(const config_language::Settings& settings) {
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -41,7 +41,7 @@
   double weight_least = 0;
   std::vector<std::uint32_t> fallback;  // places in Table::pools
   Limits limits;
-  diagnostics::Place place;
+  diagnostics::Location location;
 };
 struct Policy {
   std::string name;
@@ -68,7 +68,7 @@
   Target target;
   std::vector<std::pair<double, Target>> splits;  // parts of one, in order; the rest goes to target
   Limits limits;
-  diagnostics::Place place;
+  diagnostics::Location location;
 };
 
 struct Question {
--- a/src/settings/cluster_section.cpp
+++ b/src/settings/cluster_section.cpp
@@ -22,7 +22,7 @@
   const auto name = table.text(key, is_required);
   if (!name) return {};
   if (!is_printable_word(*name)) {
-    findings.error("S002", table.place(key),
+    findings.error("S002", table.location(key),
                    std::string(key) + " is not a word of 1 to 64 printing characters");
   }
   return *name;
@@ -36,16 +36,16 @@
   if (const auto address = table.text("advertise")) {
     cluster.advertise = *address;
     if (!net::parse_address(*address)) {
-      findings.error("S002", table.place("advertise"), "'" + *address + "' is no address");
+      findings.error("S002", table.location("advertise"), "'" + *address + "' is no address");
     }
   }
 }
 
 void read_seeds(toml::Table& table, Cluster& cluster, diagnostics::Findings& findings) {
-  cluster.seeds = table.words("seeds");
+  cluster.seeds = table.text_list("seeds");
   for (const auto& seed : cluster.seeds) {
     if (net::parse_address(seed)) continue;
-    findings.error("S002", table.place("seeds"), "'" + seed + "' is no address of a seed",
+    findings.error("S002", table.location("seeds"), "'" + seed + "' is no address of a seed",
                    std::string("write numbers and a port, such as ") + kExampleAddress);
   }
 }
@@ -64,16 +64,16 @@
 
 void read_agreement(toml::Table table, Cluster& cluster, diagnostics::Findings& findings) {
   cluster.agrees_on_versions = table.flag("enabled").value_or(true);
-  cluster.voters = table.words("voters");
+  cluster.voters = table.text_list("voters");
   const std::size_t count = cluster.voters.size();
   const std::set<std::string> names(cluster.voters.begin(), cluster.voters.end());
   if (count % 2 == 0 || count > kMaxVoters || names.size() != count) {
-    findings.error("S002", table.place("voters"), "voters are 1, 3, 5 or 7 different members",
+    findings.error("S002", table.location("voters"), "voters are 1, 3, 5 or 7 different members",
                    "name the same ones in the settings of every router");
   }
   if (cluster.agrees_on_versions && cluster.state_directory.empty()) {
-    findings.error("S002", table.place("voters"), "agreement needs a folder of its own on a disk",
-                   "set `state` in [cluster]");
+    findings.error("S002", table.location("voters"),
+                   "agreement needs a folder of its own on a disk", "set `state` in [cluster]");
   }
   table.finish();
 }
@@ -102,7 +102,7 @@
     membership.forget_after = *time;
   if (table.has("agreement")) read_agreement(table.table("agreement"), cluster, findings);
   if (membership.forget_after < kMinForgetSuspicions * membership.max_suspicion_timeout) {
-    findings.error("S002", table.place("forget"), "forget is shorter than five suspicions",
+    findings.error("S002", table.location("forget"), "forget is shorter than five suspicions",
                    "old news could outlive it");
   }
   table.finish();
--- a/src/settings/log_section.cpp
+++ b/src/settings/log_section.cpp
@@ -43,13 +43,13 @@
                    log::Settings& settings, diagnostics::Findings& findings) {
   const auto level = parse_level(word);
   if (!level) {
-    findings.error("F003", table.place(subsystem),
+    findings.error("F003", table.location(subsystem),
                    subsystem + ": '" + std::string(word).append("' is no level"));
   }
   const auto& known = subsystems();
   if (std::find(known.begin(), known.end(), subsystem) == known.end()) {
-    const std::string nearest = diagnostics::nearest(subsystem, known);
-    findings.error("F004", table.place(subsystem), "no subsystem is called " + subsystem,
+    const std::string nearest = diagnostics::closest_match(subsystem, known);
+    findings.error("F004", table.location(subsystem), "no subsystem is called " + subsystem,
                    nearest.empty() ? "router, membership, signed, xds, routes, cluster"
                                    : "did you mean " + nearest + "?");
   }
@@ -60,17 +60,17 @@
 
 log::Settings read_log(toml::Table table, diagnostics::Findings& findings) {
   log::Settings settings;
-  if (const auto form = table.word("form", {"logfmt", "json"})) {
+  if (const auto form = table.keyword("form", {"logfmt", "json"})) {
     settings.form = *form == "json" ? log::Form::json : log::Form::logfmt;
   }
-  if (const auto level = table.word("level", level_words())) {
+  if (const auto level = table.keyword("level", level_words())) {
     settings.level = parse_level(*level).value_or(kDefaultLevel);
   }
   if (const auto count = table.integer("per_second", 1, kMaxRecordsPerSecond)) {
     settings.per_second = static_cast<int>(*count);
   }
   auto by_subsystem = table.table("levels");
-  for (const auto& [subsystem, level] : by_subsystem.texts()) {
+  for (const auto& [subsystem, level] : by_subsystem.text_entries()) {
     read_level_of(by_subsystem, subsystem, level, settings, findings);
   }
   table.finish();
--- a/src/settings/membership_section.cpp
+++ b/src/settings/membership_section.cpp
@@ -19,7 +19,7 @@
 };
 
 void read_authority(toml::Table& table, endpoints::EndpointSetSettings& settings) {
-  const auto word = table.word("authority", {"board", "files", "both"}, true);
+  const auto word = table.keyword("authority", {"board", "files", "both"}, true);
   if (!word) return;
   for (const auto& entry : kAuthorities) {
     if (entry.word == *word) settings.authority = entry.authority;
@@ -73,12 +73,12 @@
   if (const auto time = table.duration("longest", 100 * kMillisecond, 24 * kHour))
     damping.max_suppress_time = *time;
   if (damping.reuse_threshold >= damping.suppress_threshold) {
-    findings.error("S002", table.place("reuse"), "reuse must be lower than suppress",
+    findings.error("S002", table.location("reuse"), "reuse must be lower than suppress",
                    "a server held out at " + std::to_string(damping.suppress_threshold) +
                        " would be let back at once");
   }
   if (damping.max_suppress_time < damping.half_life) {
-    findings.error("S002", table.place("longest"), "longest is shorter than half_life",
+    findings.error("S002", table.location("longest"), "longest is shorter than half_life",
                    "no penalty could reach suppress");
   }
   table.finish();
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -47,8 +47,8 @@
   const auto found = std::find(classes.begin(), classes.end(), route.class_name);
   if (found == classes.end()) {
     const std::string nearest =
-        diagnostics::nearest(route.class_name, {classes.begin(), classes.end()});
-    findings.error("S002", route.place, "no class is called " + route.class_name,
+        diagnostics::closest_match(route.class_name, {classes.begin(), classes.end()});
+    findings.error("S002", route.location, "no class is called " + route.class_name,
                    nearest.empty() ? "the platform's JSON names the classes"
                                    : "did you mean " + nearest + "?");
     return;
@@ -56,7 +56,7 @@
   const auto class_id = static_cast<std::uint32_t>(found - classes.begin());
   if (config.settings.classes[class_id].never_cached) {
     findings.error(
-        "S002", route.place,
+        "S002", route.location,
         "class " + route.class_name + " runs at the origin and cannot be fetched by links",
         "name a class of kept objects");
     return;
@@ -77,7 +77,7 @@
 void check_listen_address(const toml::Table& table, const char* key, const std::string& address,
                           const std::string& example, diagnostics::Findings& findings) {
   if (net::parse_address(address)) return;
-  findings.error("S002", table.place(key), "'" + address + "' is no address to listen on",
+  findings.error("S002", table.location(key), "'" + address + "' is no address to listen on",
                  "write numbers and a port, such as " + example);
 }
 
@@ -85,7 +85,7 @@
               diagnostics::Findings& findings) {
   Settings settings;
   toml::Document document(text, file, findings, "S001");
-  if (!document.read()) return settings;
+  if (!document.is_valid()) return settings;
   auto root = document.root();
   read_router(root.table("router"), root.has("router"), file, folder, settings, findings);
   settings.log = read_log(root.table("log"), findings);
@@ -102,7 +102,7 @@
   auto cluster = root.table("cluster");
   if (root.has("cluster")) settings.cluster = read_cluster(std::move(cluster), folder, findings);
   if (!settings.routes_file.empty() && !settings.signed_routes.empty()) {
-    findings.error("S002", settings.signed_routes[0].place,
+    findings.error("S002", settings.signed_routes[0].location,
                    "routes stand here and in [routes] file", "keep those of the file");
   }
   root.finish();
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -63,7 +63,7 @@
   std::string prefix;
   std::string class_name;
   core::Time time_limit = 0;  // 0: the class's
-  diagnostics::Place place;
+  diagnostics::Location location;
 };
 
 struct Settings {
--- a/src/settings/signed_url_section.cpp
+++ b/src/settings/signed_url_section.cpp
@@ -18,12 +18,12 @@
   table.finish();
   if (!id || !secret) return;
   if (secret->size() < kMinSecretLength) {
-    findings.error("S002", table.place("secret"),
+    findings.error("S002", table.location("secret"),
                    "the secret of key " + *id + " has under 16 characters", "use 32 random ones");
   }
   for (const auto& other : keys) {
     if (other.id == *id)
-      findings.error("S002", table.place("id"), "two keys are called " + *id, "rename one");
+      findings.error("S002", table.location("id"), "two keys are called " + *id, "rename one");
   }
   keys.push_back({*id, *secret, until.value_or(0)});
 }
@@ -36,10 +36,10 @@
   table.finish();
   if (!prefix || !class_name) return;
   if (!prefix->starts_with('/') || !prefix->ends_with('/')) {
-    findings.error("S002", table.place("prefix"), "a prefix begins and ends with a slash",
+    findings.error("S002", table.location("prefix"), "a prefix begins and ends with a slash",
                    "'/" + *prefix + "/'");
   }
-  routes.push_back({*prefix, *class_name, time_limit.value_or(0), table.place("class")});
+  routes.push_back({*prefix, *class_name, time_limit.value_or(0), table.location("class")});
 }
 
 }  // namespace
@@ -59,10 +59,10 @@
   table.finish();
   if (!front.enabled) return;
   if (front.keys.empty()) {
-    findings.error("S002", table.place(), "the signed front is on but has no [[signed.key]]");
+    findings.error("S002", table.location(), "the signed front is on but has no [[signed.key]]");
   }
   if (settings.signed_routes.empty() && settings.routes_file.empty()) {
-    findings.error("S002", table.place(), "the signed front is on but has no [[signed.route]]");
+    findings.error("S002", table.location(), "the signed front is on but has no [[signed.route]]");
   }
   settings.signed_url = std::move(front);
 }
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -7,9 +7,9 @@
 // covers such keys.
 #undef NDEBUG
 namespace alderspur::toml {
-[[noreturn]] void malformed() { throw std::logic_error("malformed key or value"); }
+[[noreturn]] void throw_malformed() { throw std::logic_error("malformed key or value"); }
 }  // namespace alderspur::toml
-#define TOML_ASSERT(expr) (static_cast<bool>(expr) ? void() : ::alderspur::toml::malformed())
+#define TOML_ASSERT(expr) (static_cast<bool>(expr) ? void() : ::alderspur::toml::throw_malformed())
 #define TOML_IMPLEMENTATION
 #define TOML_HEADER_ONLY 0
 #define TOML_ENABLE_FORMATTERS 0
@@ -17,241 +17,232 @@
 
 #include <algorithm>
 #include <cmath>
-#include <cstdio>
-
-#include "core/parsing.h"
+#include <utility>
 
 namespace alderspur::toml {
 namespace {
 
-const ::toml::table& tree(const void* node) { return *static_cast<const ::toml::table*>(node); }
-Place place_of(const ::toml::source_region& at, const Place& origin) {
-  return {origin.file, at.begin.line + origin.line, at.begin.column};
-}
-std::string number_text(double v) {
-  char out[32];
-  std::snprintf(out, sizeof out, "%g", v);
-  return out;
+constexpr const char* kRewriteFile =
+    "the file is not whole TOML: write it anew and rename it into place";
+
+const ::toml::table& as_table(const void* node) { return *static_cast<const ::toml::table*>(node); }
+
+const ::toml::node* as_node(const void* node) { return static_cast<const ::toml::node*>(node); }
+
+Location locate(const ::toml::source_region& region, const Location& origin) {
+  return {origin.file, region.begin.line + origin.line, region.begin.column};
 }
 
-struct Unit {
-  std::string_view name;
-  double factor;
-};
-constexpr Unit kDurations[] = {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}, {"h", 3600e6}};
-constexpr Unit kSizes[] = {{"B", 1},         {"KB", 1e3},      {"MB", 1e6},     {"GB", 1e9},
-                           {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}};
-
-template <std::size_t N>
-std::optional<double> quantity(std::string_view text, const Unit (&units)[N]) {
-  const auto end = text.find_first_not_of("0123456789.");
-  if (end == std::string_view::npos || end == 0) return {};
-  double value = 0;
-  if (!core::parse_number(text.substr(0, end), value)) return {};
-  auto unit = text.substr(end);
-  while (unit.starts_with(' ')) unit.remove_prefix(1);
-  for (const auto& u : units) {
-    if (u.name == unit) return value * u.factor;
-  }
-  return {};
+std::string bounds_text(const std::string& min, const std::string& max) {
+  return "it may be " + min + " to " + max;
 }
 
+std::string format_bytes(std::int64_t bytes) { return std::to_string(bytes) + " B"; }
+
 }  // namespace
 
-std::optional<double> parse_duration(std::string_view text) { return quantity(text, kDurations); }
-std::optional<double> parse_size(std::string_view text) { return quantity(text, kSizes); }
+Table::Table(const void* node, const Location* origin, Findings* findings)
+    : node_(node), origin_(origin), findings_(findings) {}
 
-std::string duration_text(std::int64_t us) {
-  const auto v = static_cast<double>(us);
-  if (us >= 3'600'000'000 && us % 3'600'000'000 == 0) return number_text(v / 3600e6) + " h";
-  if (us >= 1'000'000) return number_text(v / 1e6) + " s";
-  if (us >= 1000) return number_text(v / 1e3) + " ms";
-  return number_text(v) + " us";
+Location Table::location() const {
+  return node_ ? locate(as_table(node_).source(), *origin_) : Location{};
 }
 
-Place Table::place() const { return node_ ? place_of(tree(node_).source(), *origin_) : Place{}; }
-Place Table::place(std::string_view key) const {
-  const auto* n = node_ ? tree(node_).get(key) : nullptr;
-  return n ? place_of(n->source(), *origin_) : place();
+Location Table::location(std::string_view key) const {
+  const auto* value = node_ ? as_table(node_).get(key) : nullptr;
+  return value ? locate(value->source(), *origin_) : location();
 }
-bool Table::has(std::string_view key) const { return node_ && tree(node_).contains(key); }
+
+bool Table::has(std::string_view key) const { return node_ && as_table(node_).contains(key); }
 
 const void* Table::find(std::string_view key) {
-  asked_.push_back(key);
-  return node_ ? tree(node_).get(key) : nullptr;
+  known_keys_.push_back(key);
+  return node_ ? as_table(node_).get(key) : nullptr;
 }
-void Table::wrong(std::string_view key, const std::string& text, std::string mend) {
-  if (findings_) {
-    findings_->error("F003", place(key), std::string(key) + ": " + text, std::move(mend));
+
+const void* Table::find_required(std::string_view key, bool is_required) {
+  const void* value = find(key);
+  if (!value && is_required && findings_) {
+    findings_->error("F002", location(), "the key " + std::string(key) + " is missing", "add it");
   }
+  return value;
 }
 
-std::optional<std::string> Table::text(std::string_view key, bool required) {
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) {
-    if (required && findings_) {
-      findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
-    }
-    return {};
-  }
-  if (const auto* s = n->as_string()) return s->get();
-  wrong(key, "a text in quotes is wanted here");
-  return {};
+void Table::report(std::string_view key, const std::string& text, std::string suggestion) {
+  if (!findings_) return;
+  findings_->error("F003", location(key), std::string(key) + ": " + text, std::move(suggestion));
 }
-std::vector<std::string> Table::words(std::string_view key) {
-  std::vector<std::string> out;
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) return out;
-  const auto* list = n->as_array();
-  if (!list) return wrong(key, "a list of texts in quotes is wanted here"), out;
-  for (const auto& item : *list) {
-    if (const auto* s = item.as_string()) {
-      out.push_back(s->get());
-    } else {
-      return wrong(key, "a list of texts in quotes is wanted here"), std::vector<std::string>();
-    }
-  }
-  return out;
+
+std::optional<std::string> Table::text(std::string_view key, bool is_required) {
+  const auto* value = as_node(find_required(key, is_required));
+  if (!value) return std::nullopt;
+  if (const auto* text = value->as_string()) return text->get();
+  report(key, "a text in quotes is wanted here");
+  return std::nullopt;
 }
-std::optional<std::int64_t> Table::integer(std::string_view key, std::int64_t least,
-                                           std::int64_t most, bool required) {
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) {
-    if (required && findings_) {
-      findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
-    }
+
+std::vector<std::string> Table::text_list(std::string_view key) {
+  const auto* value = as_node(find(key));
+  if (!value) return {};
+  const auto* array = value->as_array();
+  const bool is_valid = array && std::all_of(array->begin(), array->end(),
+                                             [](const auto& item) { return item.is_string(); });
+  if (!is_valid) {
+    report(key, "a list of texts in quotes is wanted here");
     return {};
   }
-  const auto* i = n->as_integer();
-  if (!i) return wrong(key, "a whole number is wanted here"), std::nullopt;
-  if (i->get() < least || i->get() > most) {
-    wrong(key, std::to_string(i->get()) + " is out of bounds",
-          "it may be " + std::to_string(least) + " to " + std::to_string(most));
-    return {};
+  std::vector<std::string> texts;
+  for (const auto& item : *array) texts.push_back(item.as_string()->get());
+  return texts;
+}
+
+std::optional<std::int64_t> Table::integer(std::string_view key, std::int64_t min, std::int64_t max,
+                                           bool is_required) {
+  const auto* value = as_node(find_required(key, is_required));
+  if (!value) return std::nullopt;
+  const auto* integer = value->as_integer();
+  if (!integer) {
+    report(key, "a whole number is wanted here");
+    return std::nullopt;
   }
-  return i->get();
+  if (integer->get() < min || integer->get() > max) {
+    report(key, std::to_string(integer->get()) + " is out of bounds",
+           bounds_text(std::to_string(min), std::to_string(max)));
+    return std::nullopt;
+  }
+  return integer->get();
 }
-std::optional<double> Table::real(std::string_view key, double least, double most, bool required) {
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) {
-    if (required && findings_) {
-      findings_->error("F002", place(), "the key " + std::string(key) + " is missing", "add it");
-    }
-    return {};
+
+std::optional<double> Table::real(std::string_view key, double min, double max, bool is_required) {
+  const auto* value = as_node(find_required(key, is_required));
+  if (!value) return std::nullopt;
+  const auto number = value->is_number() ? value->value<double>() : std::nullopt;
+  if (!number) {
+    report(key, "a number is wanted here");
+    return std::nullopt;
   }
-  const auto v = n->is_number() ? n->value<double>() : std::nullopt;
-  if (!v) return wrong(key, "a number is wanted here"), std::nullopt;
-  if (!std::isfinite(*v)) return wrong(key, "the number is not finite"), std::nullopt;
-  if (*v < least || *v > most) {
-    wrong(key, number_text(*v) + " is out of bounds",
-          "it may be " + number_text(least) + " to " + number_text(most));
-    return {};
+  if (!std::isfinite(*number)) {
+    report(key, "the number is not finite");
+    return std::nullopt;
+  }
+  if (*number < min || *number > max) {
+    report(key, format_number(*number) + " is out of bounds",
+           bounds_text(format_number(min), format_number(max)));
+    return std::nullopt;
   }
-  return v;
+  return number;
 }
+
 std::optional<bool> Table::flag(std::string_view key) {
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) return {};
-  if (const auto* b = n->as_boolean()) return b->get();
-  wrong(key, "true or false is wanted here");
-  return {};
+  const auto* value = as_node(find(key));
+  if (!value) return std::nullopt;
+  if (const auto* flag = value->as_boolean()) return flag->get();
+  report(key, "true or false is wanted here");
+  return std::nullopt;
 }
-std::optional<std::int64_t> Table::measured(std::string_view key, std::int64_t least,
-                                            std::int64_t most, const Measure& measure) {
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) return {};
-  const auto* s = n->as_string();
-  const auto v = s ? measure.parse(s->get()) : std::nullopt;
-  if (!v) return wrong(key, measure.wanted, measure.example), std::nullopt;
-  if (*v < static_cast<double>(least) || *v > static_cast<double>(most)) {
-    wrong(key, s->get() + " is out of bounds",
-          "it may be " + measure.shown(least) + " to " + measure.shown(most));
-    return {};
+
+std::optional<std::int64_t> Table::quantity(std::string_view key, std::int64_t min,
+                                            std::int64_t max, const QuantityFormat& format) {
+  const auto* value = as_node(find(key));
+  if (!value) return std::nullopt;
+  const auto* text = value->as_string();
+  const auto number = text ? format.parse(text->get()) : std::nullopt;
+  if (!number) {
+    report(key, format.expected, format.example);
+    return std::nullopt;
   }
-  return static_cast<std::int64_t>(*v);
+  if (*number < static_cast<double>(min) || *number > static_cast<double>(max)) {
+    report(key, text->get() + " is out of bounds",
+           bounds_text(format.format(min), format.format(max)));
+    return std::nullopt;
+  }
+  return static_cast<std::int64_t>(*number);
 }
-std::optional<std::int64_t> Table::duration(std::string_view key, std::int64_t least,
-                                            std::int64_t most) {
-  return measured(key, least, most,
-                  {parse_duration, duration_text, "a duration with its unit is wanted here",
+
+std::optional<std::int64_t> Table::duration(std::string_view key, std::int64_t min,
+                                            std::int64_t max) {
+  return quantity(key, min, max,
+                  {parse_duration, format_duration, "a duration with its unit is wanted here",
                    R"(such as "250 ms" or "2 s")"});
 }
-std::optional<std::int64_t> Table::size(std::string_view key, std::int64_t least,
-                                        std::int64_t most) {
-  const auto bytes = [](std::int64_t n) { return std::to_string(n) + " B"; };
-  return measured(key, least, most,
-                  {parse_size, bytes, "a size with its unit is wanted here",
+
+std::optional<std::int64_t> Table::size(std::string_view key, std::int64_t min, std::int64_t max) {
+  return quantity(key, min, max,
+                  {parse_size, format_bytes, "a size with its unit is wanted here",
                    R"(such as "64 MB" or "512 KiB")"});
 }
-std::optional<std::string> Table::word(std::string_view key,
-                                       const std::vector<std::string_view>& allowed,
-                                       bool required) {
-  auto given = text(key, required);
-  if (!given || std::find(allowed.begin(), allowed.end(), *given) != allowed.end()) return given;
-  std::string all;
-  for (const auto a : allowed) ((all += all.empty() ? "" : ", ") += a);
-  const auto near = diagnostics::nearest(*given, allowed);
-  wrong(key, "'" + *given + "' is none of " + all,
-        near.empty() ? "" : "did you mean '" + near + "'?");
-  return {};
+
+std::optional<std::string> Table::keyword(std::string_view key,
+                                          const std::vector<std::string_view>& allowed,
+                                          bool is_required) {
+  auto word = text(key, is_required);
+  if (!word) return std::nullopt;
+  if (std::find(allowed.begin(), allowed.end(), *word) != allowed.end()) return word;
+  std::string all_allowed;
+  for (const auto candidate : allowed) {
+    if (!all_allowed.empty()) all_allowed += ", ";
+    all_allowed += candidate;
+  }
+  const std::string match = diagnostics::closest_match(*word, allowed);
+  report(key, "'" + *word + "' is none of " + all_allowed,
+         match.empty() ? "" : "did you mean '" + match + "'?");
+  return std::nullopt;
 }
 
 Table Table::table(std::string_view key) {
-  Table out;
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) return out;
-  if (!n->is_table()) {
-    return wrong(key, "a table is wanted here", "[" + std::string(key) + "]"), out;
+  const auto* value = as_node(find(key));
+  if (!value) return {};
+  if (!value->is_table()) {
+    report(key, "a table is wanted here", "[" + std::string(key) + "]");
+    return {};
   }
-  out.node_ = n->as_table();
-  out.origin_ = origin_;
-  out.findings_ = findings_;
-  return out;
+  return {value->as_table(), origin_, findings_};
 }
+
 std::vector<Table> Table::tables(std::string_view key) {
-  std::vector<Table> out;
-  const auto* n = static_cast<const ::toml::node*>(find(key));
-  if (!n) return out;
-  const auto* a = n->as_array();
-  if (!a) return wrong(key, "a list of tables is wanted here", "[[" + std::string(key) + "]]"), out;
-  out.reserve(a->size());
-  for (const auto& e : *a) {
-    if (!e.is_table()) {
-      if (findings_) {
-        findings_->error("F003", place_of(e.source(), *origin_),
-                         std::string(key) + ": not a table");
-      }
-      continue;
+  const auto* value = as_node(find(key));
+  if (!value) return {};
+  const auto* array = value->as_array();
+  if (!array) {
+    report(key, "a list of tables is wanted here", "[[" + std::string(key) + "]]");
+    return {};
+  }
+  std::vector<Table> tables;
+  tables.reserve(array->size());
+  for (const auto& element : *array) {
+    if (element.is_table()) {
+      tables.push_back(Table(element.as_table(), origin_, findings_));
+    } else if (findings_) {
+      findings_->error("F003", locate(element.source(), *origin_),
+                       std::string(key) + ": not a table");
     }
-    Table t;
-    t.node_ = e.as_table();
-    t.origin_ = origin_;
-    t.findings_ = findings_;
-    out.push_back(std::move(t));
   }
-  return out;
+  return tables;
 }
-std::vector<std::pair<std::string, std::string>> Table::texts() {
-  std::vector<std::pair<std::string, std::string>> out;
-  if (!node_) return out;
-  for (const auto& [k, v] : tree(node_)) {
-    if (const auto* s = v.as_string()) {
-      out.emplace_back(k.str(), s->get());
+
+std::vector<TextEntry> Table::text_entries() {
+  if (!node_) return {};
+  std::vector<TextEntry> entries;
+  for (const auto& [key, value] : as_table(node_)) {
+    if (const auto* text = value.as_string()) {
+      entries.push_back({std::string(key.str()), text->get()});
     } else if (findings_) {
-      findings_->error("F003", place_of(v.source(), *origin_), "a text in quotes is wanted here");
+      findings_->error("F003", locate(value.source(), *origin_), "a text in quotes is wanted here");
     }
   }
-  return out;
+  return entries;
 }
 
 void Table::finish() {
   if (!node_ || !findings_) return;
-  for (const auto& [k, v] : tree(node_)) {
-    if (std::find(asked_.begin(), asked_.end(), k.str()) != asked_.end()) continue;
-    const auto near = diagnostics::nearest(k.str(), asked_);
-    findings_->error("F004", place_of(k.source(), *origin_),
-                     "the key " + std::string(k.str()) + " is not known",
-                     near.empty() ? "remove it" : "did you mean " + near + "?");
+  for (const auto& [key, value] : as_table(node_)) {
+    const bool is_known =
+        std::find(known_keys_.begin(), known_keys_.end(), key.str()) != known_keys_.end();
+    if (is_known) continue;
+    const std::string match = diagnostics::closest_match(key.str(), known_keys_);
+    findings_->error("F004", locate(key.source(), *origin_),
+                     "the key " + std::string(key.str()) + " is not known",
+                     match.empty() ? "remove it" : "did you mean " + match + "?");
   }
 }
 
@@ -260,36 +251,36 @@
 };
 
 Document::Document(std::string_view text, std::string file, Findings& findings,
-                   std::string_view code, std::uint32_t before)
-    : tree_(std::make_unique<Tree>()), origin_{std::move(file), before, 0}, findings_(findings) {
-  if (const auto nul = text.find('\0'); nul != std::string_view::npos) {
-    const auto line =
-        1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(nul), '\n');
-    findings_.error(std::string(code),
-                    {origin_.file, static_cast<std::uint32_t>(line) + origin_.line, 0},
+                   std::string_view code, std::uint32_t preceding_lines)
+    : tree_(std::make_unique<Tree>()),
+      origin_{std::move(file), preceding_lines, 0},
+      findings_(findings) {
+  parse(text, std::string(code));
+  if (!is_valid_) tree_->root.clear();
+}
+
+Document::~Document() = default;
+
+void Document::parse(std::string_view text, const std::string& code) {
+  if (const std::size_t nul = text.find('\0'); nul != std::string_view::npos) {
+    const std::string_view preceding = text.substr(0, nul);
+    const auto line = 1 + std::count(preceding.begin(), preceding.end(), '\n');
+    findings_.error(code, {origin_.file, static_cast<std::uint32_t>(line) + origin_.line, 0},
                     "a NUL byte stands in the file", "it is binary, or was half written");
     return;
   }
   try {
     tree_->root = ::toml::parse(text, std::string_view{origin_.file});
-    read_ = true;
-  } catch (const ::toml::parse_error& e) {
-    findings_.error(std::string(code), place_of(e.source(), origin_), std::string(e.description()),
-                    "the file is not whole TOML: write it anew and rename it into place");
-  } catch (const std::exception& e) {
-    findings_.error(std::string(code), {origin_.file, 0, 0}, std::string("no TOML: ") + e.what(),
-                    "the file is not whole TOML: write it anew and rename it into place");
+    is_valid_ = true;
+  } catch (const ::toml::parse_error& error) {
+    findings_.error(code, locate(error.source(), origin_), std::string(error.description()),
+                    kRewriteFile);
+  } catch (const std::exception& error) {
+    findings_.error(code, {origin_.file, 0, 0}, std::string("no TOML: ") + error.what(),
+                    kRewriteFile);
   }
-  if (!read_) tree_->root.clear();
 }
-Document::~Document() = default;
 
-Table Document::root() {
-  Table out;
-  out.node_ = &tree_->root;
-  out.origin_ = &origin_;
-  out.findings_ = &findings_;
-  return out;
-}
+Table Document::root() { return {&tree_->root, &origin_, &findings_}; }
 
 }  // namespace alderspur::toml
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -84,7 +84,7 @@
       said += line + "\n";
       EXPECT_NE(program.sources.render(x).find('^'), std::string::npos) << line;
       const auto it = std::find_if(expected.begin(), expected.end(), [&](auto& e) {
-        return e.code == x.code && e.line == x.place.line &&
+        return e.code == x.code && e.line == x.location.line &&
                line.find(e.words) != std::string::npos;
       });
       if (it == expected.end()) {
@@ -132,7 +132,7 @@
     config_language::FileLoader loader;
     const auto a = config_language::check(config_language::load(name, loader, f), f);
     const auto b = config_language::check(config_language::load(stem + ".new.alder", loader, f), f);
-    EXPECT_TRUE(f.good()) << stem;
+    EXPECT_TRUE(f.is_ok()) << stem;
     std::string said;
     for (const auto& c : config_language::differ(a, b)) {
       std::string risk = config_language::word(c.risk);
@@ -199,7 +199,7 @@
   diagnostics::Findings g;
   (void)config_language::load("main.alder", m, g);
   EXPECT_EQ(g.list()[0].code, "A010");
-  EXPECT_EQ(g.list()[0].place.line, 1u);
+  EXPECT_EQ(g.list()[0].location.line, 1u);
 }
 
 TEST(Includes, DepthAndNumberAreBounded) {
@@ -222,7 +222,7 @@
   std::string deep;
   for (int i = 0; i < 50'000; ++i) deep += "a {\n";
   (void)formatted(deep, h);
-  EXPECT_FALSE(h.good());
+  EXPECT_FALSE(h.is_ok());
 }
 
 // Random edits of good files: nothing crashes, and what parses formats to a tree that is the same,
--- a/tests/consensus/conservative_merge_test.cpp
+++ b/tests/consensus/conservative_merge_test.cpp
@@ -20,7 +20,7 @@
   }
   diagnostics::Findings findings;
   auto result = endpoints::read_list(text, "list", 0, {}, findings);
-  EXPECT_TRUE(findings.good());
+  EXPECT_TRUE(findings.is_ok());
   return result.list;
 }
 
@@ -55,7 +55,7 @@
   const auto text = to_text(merged, 41);
   diagnostics::Findings findings;
   const auto reread = endpoints::read_list(text, "list", 0, {}, findings);
-  ASSERT_TRUE(findings.good() && reread.list);
+  ASSERT_TRUE(findings.is_ok() && reread.list);
   EXPECT_EQ(reread.list->generation, 41u);
   EXPECT_EQ(shorthand(*reread.list), "a2b4");
 }
--- a/tests/endpoints/list_fixture.h
+++ b/tests/endpoints/list_fixture.h
@@ -58,7 +58,7 @@
   if (!result.list) return nullptr;
   check_alone(*result.list, findings);
   check_change(in_force, *result.list, {}, findings);
-  return findings.good() ? result.list : nullptr;
+  return findings.is_ok() ? result.list : nullptr;
 }
 
 /// Reads a list that has to be accepted.
--- a/tests/endpoints/list_test.cpp
+++ b/tests/endpoints/list_test.cpp
@@ -110,9 +110,9 @@
   });
   ASSERT_NE(finding, list.end()) << refused.name << ": " << diagnostics::to_string(list[0]);
   const auto text = diagnostics::to_string(*finding);
-  EXPECT_EQ(finding->place.line, refused.line) << refused.name << ": " << text;
+  EXPECT_EQ(finding->location.line, refused.line) << refused.name << ": " << text;
   EXPECT_NE(text.find(refused.message_part), std::string::npos) << text;
-  EXPECT_EQ(finding->place.file, "servers.toml") << refused.name;
+  EXPECT_EQ(finding->location.file, "servers.toml") << refused.name;
 }
 
 TEST(List, IsRefusedWithPlaceAndRemedyWhenItIsWrong) {
@@ -220,7 +220,7 @@
   diagnostics::Findings damaged_findings;
   EXPECT_FALSE(read_pieces(manifest, damaged, {}, damaged_findings));
   EXPECT_EQ(damaged_findings.list()[0].code, "L006");
-  EXPECT_EQ(damaged_findings.list()[0].place.line, 15U) << "the manifest's line";
+  EXPECT_EQ(damaged_findings.list()[0].location.line, 15U) << "the manifest's line";
   for (const char* bad_name : {"../p0.toml", "/etc/passwd", ".hidden", "a/b"}) {
     diagnostics::Findings name_findings;
     const auto text = replaced(head, "p0.toml", bad_name);
@@ -263,13 +263,13 @@
     diagnostics::Findings findings;
     const auto list = read_checked(text, findings, in_force.get());
     if (!list) {
-      RC_ASSERT(!findings.good());
+      RC_ASSERT(!findings.is_ok());
       continue;
     }
     diagnostics::Findings check_findings;
     check_alone(*list, check_findings);
     check_change(in_force.get(), *list, {}, check_findings);
-    RC_ASSERT(check_findings.good());
+    RC_ASSERT(check_findings.is_ok());
     RC_ASSERT(list->generation > 5 || list->digest == in_force->digest);
     diagnostics::Findings second_findings;
     const auto second = read_checked(text, second_findings, list.get());
@@ -286,8 +286,8 @@
   for (const char* bad : {"250", "", "ms", "1 S", "-1 s", "1e3 s", "1 s s", "1.2.3 s"}) {
     EXPECT_FALSE(toml::parse_duration(bad)) << bad;
   }
-  EXPECT_EQ(diagnostics::nearest("wieght", {"weight", "state"}), "weight");
-  EXPECT_EQ(diagnostics::nearest("quite another", {"weight", "state"}), "");
+  EXPECT_EQ(diagnostics::closest_match("wieght", {"weight", "state"}), "weight");
+  EXPECT_EQ(diagnostics::closest_match("quite another", {"weight", "state"}), "");
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -65,7 +65,7 @@
   EXPECT_EQ(s.log.form, log::Form::json);
   diagnostics::Findings g;
   const auto least = settings::read("[router]\nconfig = \"c.json\"\n", "a.toml", "", g);
-  EXPECT_TRUE(g.good());
+  EXPECT_TRUE(g.is_ok());
   EXPECT_FALSE(least.membership || least.signed_url || least.xds) << "absent sections are off";
 }
 
@@ -106,7 +106,7 @@
                                   << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
     const auto said = diagnostics::to_string(*it);
     EXPECT_NE(said.find(c.says), std::string::npos) << said;
-    EXPECT_EQ(it->place.line, c.line) << said;
+    EXPECT_EQ(it->location.line, c.line) << said;
     EXPECT_EQ(said.find("of some length"), std::string::npos) << "a message holds no secret";
   }
 }
