--- a/bench/config_language_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -103,12 +103,12 @@
 }
 void three_limits_benchmark(benchmark::State& state) {
   limits::Limits l;
-  const std::vector<limits::Limits::Ask> asked = {
+  const std::vector<limits::Claim> asked = {
       {"route r", {100, 1e6, 1000}}, {"pool p", {100, 1e6, 1000}}, {"policy q", {100, 1e6, 1000}}};
   core::Time now = 0;
   for (auto _ : state) {
-    auto v = l.ask(asked, ++now);
-    v.permit.release(now);
+    auto v = l.acquire(asked, ++now);
+    v.reservation.release(now);
   }
 }
 
--- a/src/control/routes.cpp
+++ b/src/control/routes.cpp
@@ -89,14 +89,15 @@
   return found.is_ok() ? compiled : nullptr;
 }
 
-/// What a request keeps until its end: the table under which it began, its match, and its permit.
+/// What a request keeps until its end: the table under which it began, its match, and its
+/// reservation.
 class Routes::Held : public signed_url::Hold {
  public:
-  void end(core::Time now) override { permit.release(now); }
+  void end(core::Time now) override { reservation.release(now); }
   TablePtr table;
   const routing::Route* route = nullptr;
   routing::Target target;
-  limits::Permit permit;
+  limits::Reservation reservation;
 };
 
 Routes::Routes(edge_router::EdgeRouter& node, std::string file, log::Log& log)
@@ -142,7 +143,7 @@
 
 void Routes::replace_table(TablePtr table) {
   const auto before = std::exchange(table_, std::move(table));
-  limits_.keep(limit_names(*table_->table));
+  limits_.retain(limit_names(*table_->table));
   log_.record(
       kLogModule, log::Level::info, "table_taken",
       {{"routes", table_->table->routes().size()}, {"before", before->table->routes().size()}});
@@ -188,18 +189,18 @@
 core::Time Routes::admit(signed_url::Found& found, core::Time now) {
   auto& held = static_cast<Held&>(*found.hold);
   const auto& table = *held.table->table;
-  std::vector<limits::Limits::Ask> asks{{"route " + held.route->name, to_rule(held.route->limits)}};
+  std::vector<limits::Claim> claims{{"route " + held.route->name, to_rule(held.route->limits)}};
   if (held.target.pool) {
     const auto& pool = table.pools()[*held.target.pool];
-    asks.push_back({"pool " + pool.name, to_rule(pool.limits)});
+    claims.push_back({"pool " + pool.name, to_rule(pool.limits)});
   }
   if (held.target.policy) {
     const auto& policy = table.policies()[*held.target.policy];
-    asks.push_back({"policy " + policy.name, to_rule(policy.limits)});
+    claims.push_back({"policy " + policy.name, to_rule(policy.limits)});
   }
-  auto verdict = limits_.ask(asks, now);
-  if (!verdict.admitted) return std::max<core::Time>(1, verdict.retry_after);
-  held.permit = std::move(verdict.permit);
+  auto admission = limits_.acquire(claims, now);
+  if (!admission.is_admitted) return std::max<core::Time>(1, admission.retry_after);
+  held.reservation = std::move(admission.reservation);
   return 0;
 }
 
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -1,117 +1,82 @@
 #include "limits/limits.h"
 
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 namespace alderspur::limits {
-namespace {
 
-constexpr double kSecond = 1e6;
-constexpr double kHoldingTimeLearningRate = 0.1;
-constexpr double kInitialHoldingTime = 100'000;  // microseconds
-constexpr Time kMinRetryAfter = 1'000;
-constexpr Time kMaxRetryAfter = 60'000'000;
+Reservation::Reservation(Reservation&& other) noexcept { swap(other); }
 
-double burst(const Rule& r) {
-  return r.burst ? std::max(1.0, static_cast<double>(*r.burst))
-                 : std::max(1.0, r.max_rate.value_or(0) / 10);
+Reservation& Reservation::operator=(Reservation&& other) noexcept {
+  Reservation previous(std::move(other));
+  swap(previous);
+  return *this;
 }
-Time bounded(double microseconds) {
-  return std::clamp(static_cast<Time>(std::ceil(std::min(microseconds, 1e12))), kMinRetryAfter,
-                    kMaxRetryAfter);
-}
-
-}  // namespace
 
-Permit::~Permit() {
-  if (limits_) limits_->give_back(gates_, 0, 0);
+Reservation::~Reservation() {
+  if (limits_) limits_->release(names_, 0);
 }
-void Permit::release(Time now) {
+
+void Reservation::release(Time now) {
   if (!limits_) return;
-  std::exchange(limits_, nullptr)->give_back(gates_, since_, now);
-  gates_.clear();
-}
-void Permit::swap(Permit& other) noexcept {
-  std::swap(limits_, other.limits_);
-  std::swap(gates_, other.gates_);
-  std::swap(since_, other.since_);
+  std::exchange(limits_, nullptr)->release(names_, now - acquired_at_);
+  names_.clear();
 }
 
-void Limits::fill(Gate& g, const Rule& rule, Time now) const {
-  const double most = burst(rule);
-  if (!g.begun) g.tokens = most, g.filled = now, g.begun = true;
-  const double passed = static_cast<double>(std::max<Time>(0, now - g.filled)) / kSecond;
-  g.tokens = std::min(most, g.tokens + passed * *rule.max_rate);
-  g.filled = std::max(g.filled, now);
+void Reservation::swap(Reservation& other) noexcept {
+  std::swap(limits_, other.limits_);
+  std::swap(names_, other.names_);
+  std::swap(acquired_at_, other.acquired_at_);
 }
 
-// All are looked at before anything is taken: a request that one gate refuses must not cost another
-// a token.
-Verdict Limits::ask(const std::vector<Ask>& asked, Time now) {
-  Verdict v;
-  for (const auto& a : asked) {
-    if (!a.rule.any()) continue;
-    Gate& g = gates_[a.gate];
-    if (a.rule.max_rate) {
-      fill(g, a.rule, now);
-      if (g.tokens < 1) {
-        ++g.counters.refused_rate;
-        const Time after = bounded((1 - g.tokens) / *a.rule.max_rate * kSecond);
-        if (after > v.retry_after) v.gate = a.gate, v.retry_after = after;
-        v.admitted = false;
-      }
-    }
-    if (a.rule.max_in_flight && g.out >= *a.rule.max_in_flight) {
-      ++g.counters.refused_full;
-      // Little's law the other way round: of `out` held for `held` each, one leaves every held /
-      // out; it has to be as many as stand over the limit.
-      const double held = g.held > 0 ? g.held : kInitialHoldingTime;
-      const auto over = static_cast<double>(g.out - *a.rule.max_in_flight + 1);
-      const Time after =
-          bounded(held * over / static_cast<double>(std::max<std::size_t>(1, g.out)));
-      if (after > v.retry_after) v.gate = a.gate, v.retry_after = after;
-      v.admitted = false;
+// All limits are checked before any is acquired: a request that one of them rejects must not cost
+// another a token.
+Admission Limits::acquire(const std::vector<Claim>& claims, Time now) {
+  Admission admission;
+  for (const auto& claim : claims) {
+    if (!claim.rule.is_limited()) continue;
+    const auto retry_after = limiters_[claim.name].check(claim.rule, now);
+    if (!retry_after) continue;
+    admission.is_admitted = false;
+    if (*retry_after > admission.retry_after) {
+      admission.retry_after = *retry_after;
+      admission.rejected_by = claim.name;
     }
   }
-  if (!v.admitted) return v;
-  v.permit.since_ = now;
-  for (const auto& a : asked) {
-    if (!a.rule.any()) continue;
-    Gate& g = gates_[a.gate];
-    if (a.rule.max_rate) g.tokens -= 1;
-    ++g.out;
-    ++g.counters.admitted;
-    v.permit.gates_.push_back(a.gate);
+  if (!admission.is_admitted) return admission;
+  Reservation& reservation = admission.reservation;
+  reservation.acquired_at_ = now;
+  for (const auto& claim : claims) {
+    if (!claim.rule.is_limited()) continue;
+    limiters_[claim.name].acquire(claim.rule);
+    reservation.names_.push_back(claim.name);
   }
-  if (!v.permit.gates_.empty()) v.permit.limits_ = this;
-  return v;
+  if (!reservation.names_.empty()) reservation.limits_ = this;
+  return admission;
 }
 
-void Limits::give_back(const std::vector<std::string>& gates, Time since, Time now) {
-  for (const auto& name : gates) {
-    const auto it = gates_.find(name);
-    if (it == gates_.end() || it->second.out == 0) continue;
-    Gate& g = it->second;
-    --g.out;
-    if (now <= since) continue;
-    const auto held = static_cast<double>(now - since);
-    g.held = g.held > 0 ? g.held + kHoldingTimeLearningRate * (held - g.held) : held;
+void Limits::release(const std::vector<std::string>& names, Time hold_time) {
+  for (const auto& name : names) {
+    const auto it = limiters_.find(name);
+    if (it != limiters_.end()) it->second.release(hold_time);
   }
 }
 
-void Limits::keep(const std::vector<std::string>& named) {
-  std::erase_if(gates_, [&](const auto& e) {
-    return e.second.out == 0 && std::find(named.begin(), named.end(), e.first) == named.end();
+void Limits::retain(const std::vector<std::string>& names) {
+  std::erase_if(limiters_, [&names](const auto& entry) {
+    const bool is_named = std::find(names.begin(), names.end(), entry.first) != names.end();
+    return !is_named && entry.second.in_flight() == 0;
   });
 }
 
-std::size_t Limits::in_flight(std::string_view gate) const {
-  const auto it = gates_.find(gate);
-  return it == gates_.end() ? 0 : it->second.out;
+std::size_t Limits::in_flight(std::string_view name) const {
+  const auto it = limiters_.find(name);
+  return it == limiters_.end() ? 0 : it->second.in_flight();
 }
-GateCounters Limits::counters(std::string_view gate) const {
-  const auto it = gates_.find(gate);
-  return it == gates_.end() ? GateCounters{} : it->second.counters;
+
+LimiterCounters Limits::counters(std::string_view name) const {
+  const auto it = limiters_.find(name);
+  return it == limiters_.end() ? LimiterCounters{} : it->second.counters();
 }
 
 }  // namespace alderspur::limits
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -7,66 +7,68 @@
 #include <deque>
 #include <random>
 
+#include "limits/retry_budget.h"
+
 namespace {
 
 using namespace alderspur::limits;
 using alderspur::core::Time;
 constexpr Time kSecond = 1'000'000;
 
-Limits::Ask full(const char* gate, std::uint32_t most) { return {gate, {most, {}, {}}}; }
-Limits::Ask rate(const char* gate, double a_second, std::uint32_t burst) {
+Claim full(const char* gate, std::uint32_t most) { return {gate, {most, {}, {}}}; }
+Claim rate(const char* gate, double a_second, std::uint32_t burst) {
   return {gate, {{}, a_second, burst}};
 }
 
 TEST(Limits, ARefusalSaysWhenRoomReturns) {
   Limits l;
-  auto a = l.ask({full("route r", 2)}, 0);
-  auto b = l.ask({full("route r", 2)}, 0);
-  auto c = l.ask({full("route r", 2)}, 0);
-  EXPECT_TRUE(a.admitted && b.admitted);
-  ASSERT_FALSE(c.admitted);
-  EXPECT_EQ(c.gate, "route r");
-  a.permit.release(400'000);
-  a.permit.release(400'000);  // once is enough
+  auto a = l.acquire({full("route r", 2)}, 0);
+  auto b = l.acquire({full("route r", 2)}, 0);
+  auto c = l.acquire({full("route r", 2)}, 0);
+  EXPECT_TRUE(a.is_admitted && b.is_admitted);
+  ASSERT_FALSE(c.is_admitted);
+  EXPECT_EQ(c.rejected_by, "route r");
+  a.reservation.release(400'000);
+  a.reservation.release(400'000);  // once is enough
   EXPECT_EQ(l.in_flight("route r"), 1u);
-  auto d = l.ask({full("route r", 2)}, 400'000);
-  EXPECT_TRUE(d.admitted);
-  EXPECT_EQ(l.ask({full("route r", 2)}, 400'000).retry_after, 200'000)
+  auto d = l.acquire({full("route r", 2)}, 400'000);
+  EXPECT_TRUE(d.is_admitted);
+  EXPECT_EQ(l.acquire({full("route r", 2)}, 400'000).retry_after, 200'000)
       << "two held for 0.4 s each: one leaves in 0.2";
-  EXPECT_EQ(l.ask({full("route r", 1)}, 400'000).retry_after, 400'000)
+  EXPECT_EQ(l.acquire({full("route r", 1)}, 400'000).retry_after, 400'000)
       << "a limit that fell: two have to leave";
 
-  auto first = l.ask({rate("pool p", 10, 1)}, 0);
-  EXPECT_TRUE(first.admitted);
-  EXPECT_EQ(l.ask({rate("pool p", 10, 1)}, 40'000).retry_after, 60'000);
-  EXPECT_TRUE(l.ask({rate("pool p", 10, 1)}, 100'000).admitted);
-  EXPECT_FALSE(l.ask({rate("pool p", 10, 1)}, 50'000).admitted)
+  auto first = l.acquire({rate("pool p", 10, 1)}, 0);
+  EXPECT_TRUE(first.is_admitted);
+  EXPECT_EQ(l.acquire({rate("pool p", 10, 1)}, 40'000).retry_after, 60'000);
+  EXPECT_TRUE(l.acquire({rate("pool p", 10, 1)}, 100'000).is_admitted);
+  EXPECT_FALSE(l.acquire({rate("pool p", 10, 1)}, 50'000).is_admitted)
       << "a clock that steps back brings no tokens";
 }
 
 TEST(Limits, ARequestThatOneGateRefusesCostsTheOthersNothing) {
   Limits l;
-  auto a = l.ask({full("route r", 1)}, 0);
+  auto a = l.acquire({full("route r", 1)}, 0);
   for (int i = 0; i < 5; ++i) {
-    EXPECT_FALSE(l.ask({rate("pool p", 1, 1), full("route r", 1)}, 0).admitted);
+    EXPECT_FALSE(l.acquire({rate("pool p", 1, 1), full("route r", 1)}, 0).is_admitted);
   }
   EXPECT_EQ(l.in_flight("pool p"), 0u);
-  EXPECT_TRUE(l.ask({rate("pool p", 1, 1)}, 0).admitted) << "its token is still there";
-  EXPECT_EQ(l.counters("route r").refused_full, 5u);
+  EXPECT_TRUE(l.acquire({rate("pool p", 1, 1)}, 0).is_admitted) << "its token is still there";
+  EXPECT_EQ(l.counters("route r").rejected_in_flight, 5u);
 }
 
 TEST(Limits, AFloodOfOneRouteLeavesTheOtherItsRoom) {
   Limits l;
-  std::vector<Permit> held;
+  std::vector<Reservation> held;
   int flood = 0;
   int other = 0;
   for (Time now = 0; now < kSecond; now += 100) {
-    auto v = l.ask({full("route flood", 20), full("pool p", 40)}, now);
-    if (v.admitted) held.push_back(std::move(v.permit)), ++flood;
+    auto v = l.acquire({full("route flood", 20), full("pool p", 40)}, now);
+    if (v.is_admitted) held.push_back(std::move(v.reservation)), ++flood;
     if (now % 10'000 == 0) {
-      auto w = l.ask({full("route other", 20), full("pool p", 40)}, now);
-      EXPECT_TRUE(w.admitted) << now;
-      w.permit.release(now + 1'000);
+      auto w = l.acquire({full("route other", 20), full("pool p", 40)}, now);
+      EXPECT_TRUE(w.is_admitted) << now;
+      w.reservation.release(now + 1'000);
       ++other;
     }
   }
@@ -76,13 +78,13 @@
 
 TEST(Limits, GatesOfATableThatIsGoneAreForgottenOnceTheyHoldNothing) {
   Limits l;
-  auto a = l.ask({full("route old", 5), full("pool p", 5)}, 0);
-  l.keep({"pool p"});
-  EXPECT_EQ(l.gates(), 2u) << "something is still out";
-  a.permit.release(1);
-  l.keep({"pool p"});
-  EXPECT_EQ(l.gates(), 1u);
-  { const auto b = l.ask({full("pool p", 5)}, 2); }
+  auto a = l.acquire({full("route old", 5), full("pool p", 5)}, 0);
+  l.retain({"pool p"});
+  EXPECT_EQ(l.size(), 2u) << "something is still out";
+  a.reservation.release(1);
+  l.retain({"pool p"});
+  EXPECT_EQ(l.size(), 1u);
+  { const auto b = l.acquire({full("pool p", 5)}, 2); }
   EXPECT_EQ(l.in_flight("pool p"), 0u) << "a permit that goes gives back";
 }
 
@@ -90,8 +92,8 @@
   RetryBudget budget(0.1);
   int further = 0;
   for (int i = 0; i < 10'000; ++i) {
-    budget.first();
-    for (int tries = 0; tries < 8 && budget.further(); ++tries) ++further;
+    budget.on_request();
+    for (int tries = 0; tries < 8 && budget.try_retry(); ++tries) ++further;
   }
   EXPECT_LE(further, 10'000 / 10 + 20);
   EXPECT_GE(further, 10'000 / 10 - 20);
@@ -105,7 +107,7 @@
   const std::uint32_t burst = 1 + random() % 5;
   const auto a_second = static_cast<double>(1 + random() % 200);
   Limits l;
-  std::vector<Permit> held;
+  std::vector<Reservation> held;
   std::deque<Time> admitted;
   Time now = kSecond;
   for (int i = 0; i < 400; ++i) {
@@ -115,9 +117,9 @@
       if (random() % 2) held[at].release(now);
       held.erase(held.begin() + static_cast<std::ptrdiff_t>(at));
     }
-    auto v = l.ask({{"g", {most, a_second, burst}}, full("h", 1000)}, now);
-    RC_ASSERT(v.admitted == (v.retry_after == 0));
-    if (v.admitted) held.push_back(std::move(v.permit)), admitted.push_back(now);
+    auto v = l.acquire({{"g", {most, a_second, burst}}, full("h", 1000)}, now);
+    RC_ASSERT(v.is_admitted == (v.retry_after == 0));
+    if (v.is_admitted) held.push_back(std::move(v.reservation)), admitted.push_back(now);
     RC_ASSERT(held.size() <= most);
     RC_ASSERT(l.in_flight("g") == held.size() && l.in_flight("h") == held.size());
     for (std::size_t from = admitted.size() > 40 ? admitted.size() - 40 : 0; from < admitted.size();
