--- a/bench/config_language_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -52,7 +52,7 @@
     diagnostics::Findings f;
     const auto p = config_language::load("main.alder", m, f);
     benchmark::DoNotOptimize(config_language::check(p, f));
-    if (!f.good()) state.SkipWithError(diagnostics::to_string(f.list()[0]).c_str());
+    if (!f.is_ok()) state.SkipWithError(diagnostics::to_string(f.list()[0]).c_str());
   }
 }
 void format_benchmark(benchmark::State& state) {
@@ -103,12 +103,12 @@
 }
 void three_limits_benchmark(benchmark::State& state) {
   limits::Limits l;
-  const std::vector<limits::Limits::Ask> asked = {
+  const std::vector<limits::Claim> asked = {
       {"route r", {100, 1e6, 1000}}, {"pool p", {100, 1e6, 1000}}, {"policy q", {100, 1e6, 1000}}};
   core::Time now = 0;
   for (auto _ : state) {
-    auto v = l.ask(asked, ++now);
-    v.permit.release(now);
+    auto v = l.acquire(asked, ++now);
+    v.reservation.release(now);
   }
 }
 
--- a/src/control/routes.cpp
+++ b/src/control/routes.cpp
@@ -33,13 +33,13 @@
   const auto found = std::find(names.begin(), names.end(), route.cls);
   const auto number = static_cast<std::uint32_t>(found - names.begin());
   if (found == names.end()) {
-    findings.error("S002", route.place, "the router's configuration has no class " + route.cls);
+    findings.error("S002", route.location, "the router's configuration has no class " + route.cls);
   } else if (config.settings.classes[number].never_cached) {
-    findings.error("S002", route.place,
+    findings.error("S002", route.location,
                    "class " + route.cls + " runs at the origin and cannot be fetched by links");
   }
   if (!has_capture(route, "object")) {
-    findings.error("S002", route.place, "the path of route " + route.name + " has no {object}",
+    findings.error("S002", route.location, "the path of route " + route.name + " has no {object}",
                    "the signed front takes object and part from {object} and {part}");
   }
   return number;
@@ -78,7 +78,7 @@
   diagnostics::Findings found;
   const auto checked = config_language::load_and_check(file, found);
   auto compiled = std::make_shared<TableInForce>();
-  if (found.good()) {
+  if (found.is_ok()) {
     compiled->table = std::make_unique<routing::Table>(checked.meaning, checked.program.sources);
     compiled->deadlines = config.names.request_timeouts;
     for (const auto& route : compiled->table->routes()) {
@@ -86,17 +86,18 @@
     }
   }
   report_errors(found, findings);
-  return found.good() ? compiled : nullptr;
+  return found.is_ok() ? compiled : nullptr;
 }
 
-/// What a request keeps until its end: the table under which it began, its match, and its permit.
+/// What a request keeps until its end: the table under which it began, its match, and its
+/// reservation.
 class Routes::Held : public signed_url::Hold {
  public:
-  void end(core::Time now) override { permit.release(now); }
+  void end(core::Time now) override { reservation.release(now); }
   TablePtr table;
   const routing::Route* route = nullptr;
   routing::Target target;
-  limits::Permit permit;
+  limits::Reservation reservation;
 };
 
 Routes::Routes(edge_router::EdgeRouter& node, std::string file, log::Log& log)
@@ -142,7 +143,7 @@
 
 void Routes::replace_table(TablePtr table) {
   const auto before = std::exchange(table_, std::move(table));
-  limits_.keep(limit_names(*table_->table));
+  limits_.retain(limit_names(*table_->table));
   log_.record(
       kLogModule, log::Level::info, "table_taken",
       {{"routes", table_->table->routes().size()}, {"before", before->table->routes().size()}});
@@ -188,18 +189,18 @@
 core::Time Routes::admit(signed_url::Found& found, core::Time now) {
   auto& held = static_cast<Held&>(*found.hold);
   const auto& table = *held.table->table;
-  std::vector<limits::Limits::Ask> asks{{"route " + held.route->name, to_rule(held.route->limits)}};
+  std::vector<limits::Claim> claims{{"route " + held.route->name, to_rule(held.route->limits)}};
   if (held.target.pool) {
     const auto& pool = table.pools()[*held.target.pool];
-    asks.push_back({"pool " + pool.name, to_rule(pool.limits)});
+    claims.push_back({"pool " + pool.name, to_rule(pool.limits)});
   }
   if (held.target.policy) {
     const auto& policy = table.policies()[*held.target.policy];
-    asks.push_back({"policy " + policy.name, to_rule(policy.limits)});
+    claims.push_back({"policy " + policy.name, to_rule(policy.limits)});
   }
-  auto verdict = limits_.ask(asks, now);
-  if (!verdict.admitted) return std::max<core::Time>(1, verdict.retry_after);
-  held.permit = std::move(verdict.permit);
+  auto admission = limits_.acquire(claims, now);
+  if (!admission.is_admitted) return std::max<core::Time>(1, admission.retry_after);
+  held.reservation = std::move(admission.reservation);
   return 0;
 }
 
