--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -11,206 +11,212 @@
 
 using namespace router_fixture;
 
-TEST(Budget, RetriesDryUpWhenEverythingFails) {
-  Bed bed;
+TEST(AdmissionTest, LimitsRetriesWhenEverythingFails) {
+  RouterFixture fixture;
   std::size_t attempts = 0;
   for (int i = 0; i < 500; ++i) {
-    const auto id = bed.ask(static_cast<std::uint64_t>(i));
-    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
-      bed.end(id, AttemptResult::overloaded, FillOutcome::none, k);
+    const auto id = fixture.send_request(static_cast<std::uint64_t>(i));
+    for (std::uint32_t k = 0; k < fixture.sends[id].size(); ++k) {
+      fixture.finish_attempt(id, AttemptResult::overloaded, FillOutcome::none, k);
     }
-    attempts += bed.sends[id].size();
-    EXPECT_EQ(bed.answers[id], 1);
+    attempts += fixture.sends[id].size();
+    EXPECT_EQ(fixture.final_responses[id], 1);
   }
   EXPECT_LT(attempts, 500 * 1.5);
 }
 
-TEST(Admission, AnswersPastTheAimCloseTheDoorAndQuickOnesOpenItAgain) {
-  Bed bed;
-  const auto run = [&](Time takes) {
-    int refused = 0;
-    std::vector<RequestId> out;
+TEST(AdmissionTest, RejectsWhileResponsesMissTheObjectiveAndRecovers) {
+  RouterFixture fixture;
+  const auto run_requests = [&](Time response_time) {
+    int rejected = 0;
+    std::vector<RequestId> in_flight;
     for (int i = 0; i < 300; ++i) {
-      out.push_back(bed.ask(static_cast<std::uint64_t>(i % 40), 0, 400));
-      refused += bed.answers[out.back()];
-      if (out.size() < 30) continue;
-      if (bed.answers[out.front()] == 0) {
-        bed.end(out.front(), AttemptResult::ok, FillOutcome::hit, 0, takes);
+      in_flight.push_back(fixture.send_request(static_cast<std::uint64_t>(i % 40), 0, 400));
+      rejected += fixture.final_responses[in_flight.back()];
+      if (in_flight.size() < 30) continue;
+      if (fixture.final_responses[in_flight.front()] == 0) {
+        fixture.finish_attempt(in_flight.front(), AttemptResult::ok, FillOutcome::hit, 0,
+                               response_time);
       }
-      out.erase(out.begin());
+      in_flight.erase(in_flight.begin());
     }
-    for (auto id : out) {
-      if (bed.answers[id] == 0) bed.end(id, AttemptResult::ok, FillOutcome::hit);
+    for (auto id : in_flight) {
+      if (fixture.final_responses[id] == 0) {
+        fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::hit);
+      }
     }
-    return refused;
+    return rejected;
   };
-  EXPECT_EQ(run(200 * kMillisecond), 0);
-  EXPECT_GT(run(4 * kSecond), 30);
-  for (int i = 0; i < 3; ++i) run(100 * kMillisecond);
-  EXPECT_LT(run(100 * kMillisecond), 30);
+  EXPECT_EQ(run_requests(200 * kMillisecond), 0);
+  EXPECT_GT(run_requests(4 * kSecond), 30);
+  for (int i = 0; i < 3; ++i) run_requests(100 * kMillisecond);
+  EXPECT_LT(run_requests(100 * kMillisecond), 30);
 }
 
-// Guards against blaming caches for a dead source where answers carry no notes: every cache looked
-// sick, the next one was asked to fill from the same source, and the door shut. Guards against a
-// door that stays shut because fetches take their time however little is out: the caches behind it
-// would never fill again.
-TEST(Admission, WhatAnswersTakeAtTheLeastWorkKeepsNobodyOut) {
-  Bed bed;
+// Guards against rejecting everything because fetches take long even at low load: the caches
+// behind the limit would never fill again.
+TEST(AdmissionTest, AdmitsRequestsWhenFillsAreSlowAtLowLoad) {
+  RouterFixture fixture;
   std::multimap<Time, RequestId> due;
   int served = 0;
-  for (std::uint64_t o = 1; o <= 2000; ++o) {
-    bed.advance(10 * kMillisecond);
-    while (!due.empty() && due.begin()->first <= bed.now) {
-      bed.end(due.begin()->second, AttemptResult::ok, FillOutcome::none, 0, 310 * kMillisecond);
+  for (std::uint64_t object = 1; object <= 2000; ++object) {
+    fixture.advance(10 * kMillisecond);
+    while (!due.empty() && due.begin()->first <= fixture.now) {
+      fixture.finish_attempt(due.begin()->second, AttemptResult::ok, FillOutcome::none, 0,
+                             310 * kMillisecond);
       due.erase(due.begin());
     }
-    const auto id = bed.ask(o);  // 100 ms to send, wanted within 700: a third of the room is gone
-    if (bed.sends[id].empty()) continue;
-    due.emplace(bed.now + 310 * kMillisecond, id);
-    served += o > 1000;
+    // Takes 100 ms to send, within an objective of 700: 310 ms leave two thirds of the limit.
+    const auto id = fixture.send_request(object);
+    if (fixture.sends[id].empty()) continue;
+    due.emplace(fixture.now + 310 * kMillisecond, id);
+    served += object > 1000;
   }
   EXPECT_GE(served, 950);
 }
 
-// Guards against a door set by a few slow answers: of a location's sizes, which are told, each
-// router knows its part, and what lies far below that is no crowd however slow some fills are.
-TEST(Fleet, AFewSlowFillsDoNotShutTheDoorOfAnIdleLocation) {
-  auto s = site();
-  s.router_count = 100;
-  s.router_count_by_location = {0, 0, 0, 8};
-  int refused = 0;
-  auto servers = fleet();
+// Guards against a concurrency limit that a few slow responses lower: each router knows its part
+// of a location's capacity, and load far below that is no overload.
+TEST(AdmissionTest, AdmitsRequestsWhenFewFillsAreSlowInAnIdleLocation) {
+  auto settings = test_settings();
+  settings.router_count = 100;
+  settings.router_count_by_location = {0, 0, 0, 8};
+  int rejected = 0;
+  auto servers = test_endpoints();
   for (int i = 0; i < 4; ++i) servers[static_cast<std::size_t>(i)].weight = 12;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Bed bed(s, servers, seed);
-    for (std::uint64_t o = 1; o <= 200; ++o) {
-      const auto id =
-          bed.ask(o, 0, o % 10 == 0 ? 1200 : 200);  // of 48 transfers, 6 are this router's
-      refused += bed.answers[id];
-      bed.advance(120 * kMillisecond);
-      if (o > 2 && bed.answers[RequestId{id.value - 2}] == 0) {
-        bed.end(RequestId{id.value - 2}, AttemptResult::ok, FillOutcome::none, 0,
-                o % 4 == 0 ? 2 * kSecond : 300 * kMillisecond);
+    RouterFixture fixture(settings, servers, seed);
+    for (std::uint64_t object = 1; object <= 200; ++object) {
+      // Of 48 transfers at a time, 6 are this router's.
+      const auto id = fixture.send_request(object, kPartClass, object % 10 == 0 ? 1200 : 200);
+      rejected += fixture.final_responses[id];
+      fixture.advance(120 * kMillisecond);
+      if (object > 2 && fixture.final_responses[RequestId{id.value - 2}] == 0) {
+        fixture.finish_attempt(RequestId{id.value - 2}, AttemptResult::ok, FillOutcome::none, 0,
+                               object % 4 == 0 ? 2 * kSecond : 300 * kMillisecond);
       }
     }
   }
-  EXPECT_LE(refused, 40) << "of 4,000";
+  EXPECT_LE(rejected, 40) << "of 4,000";
 }
 
-// Guards against a hundred routers that all go on asking one origin for what a purge has made void
-// everywhere: together they keep out no more than the origin bears, whatever each of them sees of
-// it.
-TEST(Fleet, WhatAPurgeMadeVoidIsFetchedByAllTogetherNoFasterThanTheOriginBears) {
+// Guards against overloading the origin after a purge of everything: all routers together fetch
+// no more than the origin can serve, whatever each of them sees of it.
+TEST(AdmissionTest, LimitsFetchesOfAllRoutersWhenEverythingWasPurged) {
   for (const std::uint32_t routers : {3u, 100u}) {
-    auto s = site();
-    s.router_count = routers;
-    s.router_count_by_location = {0, 0, 0, std::max(1u, routers / 12)};
-    int fetching = 0;
-    int held_only = 0;
-    for (std::uint32_t r = 0; r < routers; ++r) {
-      Bed bed(s, fleet(), 100 + r);
-      bed.tell(Purge{{}, {5}, 0});
-      for (std::uint64_t o = 1; o <= 30; ++o) {
-        bed.advance(120 * kMillisecond);
-        const auto id = bed.ask(o, 0, 200);
-        if (bed.answers[id] || bed.sends[id].empty()) continue;
-        const bool held = bed.sends[id][0].fill->cached_only;
-        bed.end(id, held ? AttemptResult::miss : AttemptResult::overloaded, FillOutcome::none, 0,
-                60 * kMillisecond);
-        if (held) {
-          EXPECT_EQ(bed.sends[id].size(), 1u) << "nobody else holds it either";
+    auto settings = test_settings();
+    settings.router_count = routers;
+    settings.router_count_by_location = {0, 0, 0, std::max(1u, routers / 12)};
+    int fetch_count = 0;
+    int cached_only_count = 0;
+    for (std::uint32_t router = 0; router < routers; ++router) {
+      RouterFixture fixture(settings, test_endpoints(), 100 + router);
+      fixture.handle(Purge{{}, {5}, 0});
+      for (std::uint64_t object = 1; object <= 30; ++object) {
+        fixture.advance(120 * kMillisecond);
+        const auto id = fixture.send_request(object, kPartClass, 200);
+        if (fixture.final_responses[id] || fixture.sends[id].empty()) continue;
+        const bool is_cached_only = fixture.sends[id][0].fill->cached_only;
+        fixture.finish_attempt(id, is_cached_only ? AttemptResult::miss : AttemptResult::overloaded,
+                               FillOutcome::none, 0, 60 * kMillisecond);
+        if (is_cached_only) {
+          EXPECT_EQ(fixture.sends[id].size(), 1u) << "no other cache has a copy either";
         }
       }
-      for (std::uint64_t o = 100; o < 140; ++o) {
-        const auto id = bed.ask(o, 0, 200);
-        if (bed.sends[id].empty()) continue;
-        const bool held = bed.sends[id][0].fill->cached_only;
-        ++(held ? held_only : fetching);
+      for (std::uint64_t object = 100; object < 140; ++object) {
+        const auto id = fixture.send_request(object, kPartClass, 200);
+        if (fixture.sends[id].empty()) continue;
+        const bool is_cached_only = fixture.sends[id][0].fill->cached_only;
+        ++(is_cached_only ? cached_only_count : fetch_count);
       }
     }
-    EXPECT_LE(fetching * 0.2, 60) << "seconds of fetches out, of " << routers << " routers";
-    EXPECT_GT(held_only, 0);
+    EXPECT_LE(fetch_count * 0.2, 60)
+        << "seconds of fetches in flight, of " << routers << " routers";
+    EXPECT_GT(cached_only_count, 0);
   }
 }
 
-// Guards against taking a request's own sending for a crowd: large objects alone closed the door.
-TEST(Admission, LargeObjectsSentAtTopPaceDoNotCloseTheDoor) {
-  Bed bed;
-  int refused = 0;
-  std::vector<RequestId> out;
+// Guards against taking the transfer time of large objects for overload.
+TEST(AdmissionTest, AdmitsLargeObjectsWhenTheyAreSentAtFullRate) {
+  RouterFixture fixture;
+  int rejected = 0;
+  std::vector<RequestId> in_flight;
   for (int i = 0; i < 3000; ++i) {
-    out.push_back(bed.ask(static_cast<std::uint64_t>(i % 40), 0, 1500));
-    refused += bed.answers[out.back()];
-    if (out.size() < 12) continue;
-    if (bed.answers[out.front()] == 0) {
-      bed.end(out.front(), AttemptResult::ok, FillOutcome::none, 0, 1550 * kMillisecond);
+    in_flight.push_back(fixture.send_request(static_cast<std::uint64_t>(i % 40), 0, 1500));
+    rejected += fixture.final_responses[in_flight.back()];
+    if (in_flight.size() < 12) continue;
+    if (fixture.final_responses[in_flight.front()] == 0) {
+      fixture.finish_attempt(in_flight.front(), AttemptResult::ok, FillOutcome::none, 0,
+                             1550 * kMillisecond);
     }
-    out.erase(out.begin());
+    in_flight.erase(in_flight.begin());
   }
-  EXPECT_EQ(refused, 0);
+  EXPECT_EQ(rejected, 0);
 }
 
-// A location's routers each see a sliver; each alone under a floor for one router, all would never
-// refuse together.
-std::size_t admitted_together(std::uint32_t routers) {
-  auto s = site();
-  s.router_count = routers;
-  s.router_count_by_location = {0, 0, 0, routers};
+// The sends of all routers of a location after a time of slow responses. Guards against a lower
+// bound for one router that, kept by each of many, would admit too much.
+std::size_t sends_admitted_together(std::uint32_t routers) {
+  auto settings = test_settings();
+  settings.router_count = routers;
+  settings.router_count_by_location = {0, 0, 0, routers};
   std::size_t sent = 0;
   for (std::uint32_t i = 0; i < routers; ++i) {
-    Bed bed(s, fleet(), 50 + i);
-    for (std::uint64_t o = 1; o <= 120; ++o) {
-      const auto id = bed.ask(o, 0, 400);
-      bed.advance(100 * kMillisecond);
-      if (bed.answers[id]) continue;
-      bed.end(id, AttemptResult::ok, FillOutcome::hit, 0, 4 * kSecond);
+    RouterFixture fixture(settings, test_endpoints(), 50 + i);
+    for (std::uint64_t object = 1; object <= 120; ++object) {
+      const auto id = fixture.send_request(object, kPartClass, 400);
+      fixture.advance(100 * kMillisecond);
+      if (fixture.final_responses[id]) continue;
+      fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::hit, 0, 4 * kSecond);
+    }
+    for (std::uint64_t object = 1; object <= 30; ++object) {
+      sent += !fixture.sends[fixture.send_request(object, kPartClass, 400)].empty();
     }
-    for (std::uint64_t o = 1; o <= 30; ++o) sent += !bed.sends[bed.ask(o, 0, 400)].empty();
   }
   return sent;
 }
 
-TEST(Admission, ManyRoutersOfALocationRefuseTogetherAboutAsMuchAsOne) {
-  EXPECT_GE(admitted_together(1), 3u);
-  EXPECT_LE(admitted_together(12),
-            12 * 2u);  // each keeps room for a request or two, not for a whole floor
+TEST(AdmissionTest, AdmitsAboutAsMuchAsOneRouterWhenLocationHasMany) {
+  EXPECT_GE(sends_admitted_together(1), 3u);
+  // Each keeps capacity for a request or two, not for the lower bound of one router.
+  EXPECT_LE(sends_admitted_together(12), 12 * 2u);
 }
 
-TEST(Origin, FillsThatWaitForASlowOriginAreHeldBackButHitsAreNot) {
-  Bed bed;
-  bed.serve(1);
+TEST(AdmissionTest, LimitsFillsButNotHitsWhenOriginIsSlow) {
+  RouterFixture fixture;
+  fixture.serve_request(1);
   std::vector<RequestId> waiting;
-  bool held = false;
-  for (std::uint64_t i = 0; i < 400 && !held; ++i) {
-    const auto id = bed.ask(1000 + i, 0, 400);
-    if (bed.answers[id]) continue;
-    held = bed.sends[id][0].fill->cached_only;
+  bool is_cached_only = false;
+  for (std::uint64_t i = 0; i < 400 && !is_cached_only; ++i) {
+    const auto id = fixture.send_request(1000 + i, kPartClass, 400);
+    if (fixture.final_responses[id]) continue;
+    is_cached_only = fixture.sends[id][0].fill->cached_only;
     waiting.push_back(id);
     if (waiting.size() < 20) continue;
-    // What was asked long ago comes at last, from the origin.
-    AttemptOutcome o = bed.outcome(waiting.front(), AttemptResult::ok,
-                                   FillOutcome::filled_by_origin, 0, 4 * kSecond);
-    o.time_to_first_byte = 3800 * kMillisecond;
-    bed.tell(o);
+    // A response from the origin, long after its request.
+    AttemptOutcome outcome = fixture.outcome(waiting.front(), AttemptResult::ok,
+                                             FillOutcome::filled_by_origin, 0, 4 * kSecond);
+    outcome.time_to_first_byte = 3800 * kMillisecond;
+    fixture.handle(outcome);
     waiting.erase(waiting.begin());
   }
-  EXPECT_TRUE(held);
-  const auto seen = bed.ask(1);  // asked before: likely held by its home
-  ASSERT_FALSE(bed.sends[seen].empty());
-  EXPECT_FALSE(bed.sends[seen][0].fill->cached_only);
+  EXPECT_TRUE(is_cached_only);
+  const auto known = fixture.send_request(1);  // requested before: likely in its home cache
+  ASSERT_FALSE(fixture.sends[known].empty());
+  EXPECT_FALSE(fixture.sends[known][0].fill->cached_only);
 }
 
-// Guards against answers that never come closing the door to fills for good, where no note tells of
-// those that do: every new object would be asked for in vain first.
-TEST(Origin, WithoutNotesLostAnswersDoNotHoldBackFills) {
-  Bed bed;
-  for (std::uint64_t o = 1; o <= 300; ++o) {
-    const auto id = bed.ask(o, 0, 50);
-    bed.advance(50 * kMillisecond);
-    if (bed.sends[id].empty()) continue;
-    EXPECT_FALSE(bed.sends[id][0].fill->cached_only) << o;
-    bed.end(id, o % 3 ? AttemptResult::ok : AttemptResult::timeout, FillOutcome::none, 0,
-            o % 3 ? 50 * kMillisecond : 5 * kSecond);
+// Guards against lost responses that stop fills for good where no fill outcome is reported:
+// every new object would be requested in vain first.
+TEST(AdmissionTest, AllowsFillsWhenResponsesAreLostAndFillsNotReported) {
+  RouterFixture fixture;
+  for (std::uint64_t object = 1; object <= 300; ++object) {
+    const auto id = fixture.send_request(object, kPartClass, 50);
+    fixture.advance(50 * kMillisecond);
+    if (fixture.sends[id].empty()) continue;
+    EXPECT_FALSE(fixture.sends[id][0].fill->cached_only) << object;
+    fixture.finish_attempt(id, object % 3 ? AttemptResult::ok : AttemptResult::timeout,
+                           FillOutcome::none, 0, object % 3 ? 50 * kMillisecond : 5 * kSecond);
   }
 }
 
--- a/tests/policy/fill_policy_test.cpp
+++ b/tests/policy/fill_policy_test.cpp
@@ -9,55 +9,58 @@
 
 using namespace router_fixture;
 
-TEST(Rendezvous, ParentsAreHashedByObjectForEveryLocation) {
-  Bed here;
-  auto other = site();
-  other.location = {4};
-  auto there_fleet = fleet();
-  for (auto& s : there_fleet) {
-    if (s.role == Role::cache) s.location = {4}, s.id.value += 100;
+TEST(FillPolicyTest, ChoosesSameParentForObjectInEveryLocation) {
+  RouterFixture fixture;
+  auto other_settings = test_settings();
+  other_settings.location = {4};
+  auto other_endpoints = test_endpoints();
+  for (auto& server : other_endpoints) {
+    if (server.role != Role::cache) continue;
+    server.location = {4};
+    server.id.value += 100;
   }
-  Bed there(other, there_fleet, 99);
+  RouterFixture other(other_settings, other_endpoints, 99);
   std::set<std::uint64_t> parents;
-  for (std::uint64_t o = 1; o <= 40; ++o) {
-    const auto p = here.sends[here.ask(o)].at(0).fill->source;
-    EXPECT_EQ(p, there.sends[there.ask(o)].at(0).fill->source);
-    parents.insert(p.value);
+  for (std::uint64_t object = 1; object <= 40; ++object) {
+    const auto parent = fixture.sends[fixture.send_request(object)].at(0).fill->source;
+    EXPECT_EQ(parent, other.sends[other.send_request(object)].at(0).fill->source);
+    parents.insert(parent.value);
   }
   EXPECT_EQ(parents, (std::set<std::uint64_t>{20, 21}));
 }
 
-TEST(Health, AllParentsDownFallsBackToTheOrigin) {
-  Bed bed(site(), {cache(1), cache(2), upstream(30, Role::origin)});
-  EXPECT_EQ(bed.sends[bed.ask(1)].at(0).fill->source.value, 30u);
+TEST(FillPolicyTest, FillsFromOriginWhenThereAreNoParents) {
+  RouterFixture fixture(test_settings(),
+                        {make_cache(1), make_cache(2), make_upstream(30, Role::origin)});
+  EXPECT_EQ(fixture.sends[fixture.send_request(1)].at(0).fill->source.value, 30u);
 }
 
-// Guards against writes waiting, and failing, in the queue of a full parent that can only pass them
-// on.
-TEST(Fleet, WritesAreFilledFromTheOriginItself) {
-  auto s = site();
-  s.classes[2].never_cached = true;
-  Bed bed(s);
-  for (std::uint64_t o = 1; o <= 20; ++o) {
-    const auto id = bed.ask(o, 2);
-    ASSERT_EQ(bed.sends[id].size(), 1u);
-    EXPECT_EQ(bed.sends[id][0].fill->source, ServerId{30});
-    bed.end(id, AttemptResult::ok);
+// Guards against writes that wait and fail in the queue of an overloaded parent, which can only
+// forward them.
+TEST(FillPolicyTest, FillsFromOriginWhenClassIsNeverCached) {
+  auto settings = test_settings();
+  settings.classes[kKeyedClass].never_cached = true;
+  RouterFixture fixture(settings);
+  for (std::uint64_t object = 1; object <= 20; ++object) {
+    const auto id = fixture.send_request(object, kKeyedClass);
+    ASSERT_EQ(fixture.sends[id].size(), 1u);
+    EXPECT_EQ(fixture.sends[id][0].fill->source, ServerId{30});
+    fixture.finish_attempt(id, AttemptResult::ok);
   }
 }
 
-TEST(Origin, WhereItFailedBehindAParentOnlyAnOlderCopyIsWorthAnotherAttempt) {
-  Bed bed;
-  const auto parts = bed.ask(1, 0);
-  const auto pages = bed.ask(2, 1);
-  bed.end(parts, AttemptResult::overloaded, FillOutcome::origin_failed);
-  EXPECT_EQ(bed.sends[parts].size(), 1u);
-  EXPECT_EQ(bed.answers[parts], 1);
-  bed.end(pages, AttemptResult::overloaded, FillOutcome::origin_failed);
-  ASSERT_EQ(bed.sends[pages].size(), 2u);
-  EXPECT_EQ(bed.sends[pages][1].fill->max_age, 38 * kSecond);
-  bed.end(pages, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
-  EXPECT_EQ(bed.sends[pages].size(), 2u);
+TEST(FillPolicyTest, RetriesAfterOriginFailureOnlyWhenStaleCopyIsAllowed) {
+  RouterFixture fixture;
+  const auto parts = fixture.send_request(1, kPartClass);
+  const auto pages = fixture.send_request(2, kPageClass);
+  fixture.finish_attempt(parts, AttemptResult::overloaded, FillOutcome::origin_failed);
+  EXPECT_EQ(fixture.sends[parts].size(), 1u);
+  EXPECT_EQ(fixture.final_responses[parts], 1);
+  fixture.finish_attempt(pages, AttemptResult::overloaded, FillOutcome::origin_failed);
+  ASSERT_EQ(fixture.sends[pages].size(), 2u);
+  EXPECT_EQ(fixture.sends[pages][1].fill->max_age, 38 * kSecond);
+  fixture.finish_attempt(pages, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
+  EXPECT_EQ(fixture.sends[pages].size(), 2u);
 }
 
 }  // namespace
--- a/tests/policy/health_test.cpp
+++ b/tests/policy/health_test.cpp
@@ -10,337 +10,350 @@
 
 using namespace router_fixture;
 
-TEST(Health, ACacheThatErrsFastDrawsNothing) {
-  Bed bed;
+TEST(HealthTest, EjectsCacheWhenItFailsFast) {
+  RouterFixture fixture;
   std::map<std::uint64_t, int> sent;
   for (int i = 0; i < 400; ++i) {
-    const auto id = bed.ask(static_cast<std::uint64_t>(i));
-    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
-      ++sent[bed.sends[id][k].server.value];
-      bed.end(id, bed.sends[id][k].server.value == 2 ? AttemptResult::error : AttemptResult::ok,
-              FillOutcome::hit, k);
+    const auto id = fixture.send_request(static_cast<std::uint64_t>(i));
+    for (std::uint32_t k = 0; k < fixture.sends[id].size(); ++k) {
+      ++sent[fixture.sends[id][k].server.value];
+      fixture.finish_attempt(
+          id, fixture.sends[id][k].server.value == 2 ? AttemptResult::error : AttemptResult::ok,
+          FillOutcome::hit, k);
     }
-    bed.advance(10 * kMillisecond);
+    fixture.advance(10 * kMillisecond);
   }
   EXPECT_LT(sent[2], 20);
 }
 
-TEST(Health, AFailedFillIsNotTheCachesFault) {
-  Bed bed;
-  const auto id = bed.ask(1);
-  const auto first = bed.sends[id][0];
-  bed.end(id, AttemptResult::miss, FillOutcome::source_unreachable);
-  ASSERT_EQ(bed.sends[id].size(), 2u);
-  EXPECT_EQ(bed.sends[id][1].server, first.server);
-  EXPECT_NE(bed.sends[id][1].fill->source, first.fill->source);
+TEST(HealthTest, RetriesOnSameCacheWhenItsSourceIsUnreachable) {
+  RouterFixture fixture;
+  const auto id = fixture.send_request(1);
+  const auto first = fixture.sends[id][0];
+  fixture.finish_attempt(id, AttemptResult::miss, FillOutcome::source_unreachable);
+  ASSERT_EQ(fixture.sends[id].size(), 2u);
+  EXPECT_EQ(fixture.sends[id][1].server, first.server);
+  EXPECT_NE(fixture.sends[id][1].fill->source, first.fill->source);
 }
 
-TEST(Health, ASourcesRefusalIsBlamedOnTheSourceWhateverTheOutcomesKind) {
+TEST(HealthTest, BlamesSourceWhenItRefusedWhateverTheResult) {
   for (const auto result : {AttemptResult::overloaded, AttemptResult::error, AttemptResult::miss}) {
-    Bed bed;
+    RouterFixture fixture;
     std::uint64_t home = 0;
     for (int i = 0; i < 6; ++i) {
-      const auto id = bed.ask(1);
-      ASSERT_FALSE(bed.sends[id].empty());
-      if (home == 0) home = bed.sends[id][0].server.value;
-      EXPECT_EQ(bed.sends[id][0].server.value, home) << "the cache stays in";
-      for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
-        bed.end(id, result, FillOutcome::source_refused, k);
+      const auto id = fixture.send_request(1);
+      ASSERT_FALSE(fixture.sends[id].empty());
+      if (home == 0) home = fixture.sends[id][0].server.value;
+      EXPECT_EQ(fixture.sends[id][0].server.value, home) << "the cache stays in use";
+      for (std::uint32_t k = 0; k < fixture.sends[id].size(); ++k) {
+        fixture.finish_attempt(id, result, FillOutcome::source_refused, k);
       }
-      EXPECT_EQ(bed.answers[id], 1);
+      EXPECT_EQ(fixture.final_responses[id], 1);
     }
-    EXPECT_NE(bed.sends[bed.ask(1)][0].fill->source, bed.sends[RequestId{1}][0].fill->source);
+    EXPECT_NE(fixture.sends[fixture.send_request(1)][0].fill->source,
+              fixture.sends[RequestId{1}][0].fill->source);
   }
 }
 
-TEST(Health, WhereProbesAreAllowedOneGoesBeforeTheTrial) {
-  Bed bed(probing_site());
-  std::uint64_t o = 1;
-  while (bed.serve(o) != 1) ++o;
-  for (int i = 0; i < 2; ++i) bed.end(bed.ask(o), AttemptResult::connect_failed);
-  bed.advance(5 * kSecond);
-  EXPECT_NE(bed.sends[bed.ask(o)][0].server.value, 1u);
-  bed.tell(HealthCheckResult{{1}, true, kMillisecond, {}});
-  bed.advance(2 * kSecond);
-  EXPECT_EQ(bed.sends[bed.ask(o)][0].server.value, 1u);
+TEST(HealthTest, ChecksHealthBeforeProbationWhenChecksAreAllowed) {
+  RouterFixture fixture(test_settings_with_health_checks());
+  std::uint64_t object = 1;
+  while (fixture.serve_request(object) != 1) ++object;
+  for (int i = 0; i < 2; ++i) {
+    fixture.finish_attempt(fixture.send_request(object), AttemptResult::connect_failed);
+  }
+  fixture.advance(5 * kSecond);
+  EXPECT_NE(fixture.sends[fixture.send_request(object)][0].server.value, 1u);
+  fixture.handle(HealthCheckResult{{1}, true, kMillisecond, {}});
+  fixture.advance(2 * kSecond);
+  EXPECT_EQ(fixture.sends[fixture.send_request(object)][0].server.value, 1u);
 }
 
-TEST(Health, AParentThatIsNotReachedIsOutAtOnceAndComesBackAsAColdOne) {
-  auto s = site();
-  s.router_count = 300;
-  s.router_count_by_location = {0, 0, 0, 12};
-  Bed bed(s);
-  const auto first = bed.ask(1);
-  const auto dead = bed.sends[first].at(0).fill->source;
-  bed.end(first, AttemptResult::overloaded, FillOutcome::source_unreachable);
-  bed.end(first, AttemptResult::ok, FillOutcome::filled, 1);
-  int named = 0;
-  for (std::uint64_t o = 10; o < 410; ++o) {
-    const auto id = bed.ask(o);
-    ASSERT_FALSE(bed.sends[id].empty());
-    named += bed.sends[id][0].fill->source == dead;
-    bed.end(id, AttemptResult::ok, FillOutcome::filled);
-    bed.advance(10 * kMillisecond);
+TEST(HealthTest, EjectsParentAtOnceWhenUnreachableAndReturnsItInSlowStart) {
+  auto settings = test_settings();
+  settings.router_count = 300;
+  settings.router_count_by_location = {0, 0, 0, 12};
+  RouterFixture fixture(settings);
+  const auto first = fixture.send_request(1);
+  const auto lost_parent = fixture.sends[first].at(0).fill->source;
+  fixture.finish_attempt(first, AttemptResult::overloaded, FillOutcome::source_unreachable);
+  fixture.finish_attempt(first, AttemptResult::ok, FillOutcome::filled, 1);
+  int fills_from_parent = 0;
+  for (std::uint64_t object = 10; object < 410; ++object) {
+    const auto id = fixture.send_request(object);
+    ASSERT_FALSE(fixture.sends[id].empty());
+    fills_from_parent += fixture.sends[id][0].fill->source == lost_parent;
+    fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::filled);
+    fixture.advance(10 * kMillisecond);
   }
-  EXPECT_LE(named, 1) << "of 300 routers, each may test it with about as much as a cold one bears";
+  EXPECT_LE(fills_from_parent, 1)
+      << "300 routers may test it with no more than its slow start quota";
 }
 
-TEST(Health, WithoutNotesADeadSourceIsFoundByAskingTheSameCacheOnceMore) {
-  Bed bed;
-  int to_dead_late = 0;
-  int refused = 0;
-  for (std::uint64_t o = 1; o <= 60; ++o) {
-    const auto id = bed.ask(o, 0, 400);
-    bed.advance(100 * kMillisecond);
-    if (bed.sends[id].empty()) continue;
-    const bool dead = bed.sends[id][0].fill->source == ServerId{20};
-    to_dead_late += dead && o > 30;
-    bed.end(id, dead ? AttemptResult::overloaded : AttemptResult::ok, FillOutcome::none, 0,
-            50 * kMillisecond);
-    if (dead && bed.sends[id].size() > 1) {
-      EXPECT_EQ(bed.sends[id][1].server, bed.sends[id][0].server);
-      EXPECT_NE(bed.sends[id][1].fill->source, ServerId{20});
-      bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
+TEST(HealthTest, FindsFailedSourceByRetryWhenFillsAreNotReported) {
+  RouterFixture fixture;
+  int late_requests_to_failed = 0;
+  int rejected = 0;
+  for (std::uint64_t object = 1; object <= 60; ++object) {
+    const auto id = fixture.send_request(object, kPartClass, 400);
+    fixture.advance(100 * kMillisecond);
+    if (fixture.sends[id].empty()) continue;
+    const bool has_failed_source = fixture.sends[id][0].fill->source == ServerId{20};
+    late_requests_to_failed += has_failed_source && object > 30;
+    fixture.finish_attempt(id, has_failed_source ? AttemptResult::overloaded : AttemptResult::ok,
+                           FillOutcome::none, 0, 50 * kMillisecond);
+    if (has_failed_source && fixture.sends[id].size() > 1) {
+      EXPECT_EQ(fixture.sends[id][1].server, fixture.sends[id][0].server);
+      EXPECT_NE(fixture.sends[id][1].fill->source, ServerId{20});
+      fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::none, 1);
     }
-    refused += bed.answers[id];
+    rejected += fixture.final_responses[id];
   }
-  EXPECT_EQ(refused, 0);
-  EXPECT_LE(to_dead_late, 6);
+  EXPECT_EQ(rejected, 0);
+  EXPECT_LE(late_requests_to_failed, 6);
 }
 
-// Guards against a cache, or a parent, that fails half of what it is sent and hides behind the
-// other end of its fills: each error might be the source's, and asking once more succeeds often
-// enough.
-TEST(Health, WhoFailsHalfStandsOutAmongItsPeersWhicheverEndItIs) {
+// Guards against a cache or parent that fails half of its requests and hides behind the other
+// end of its fills: each error might be the other end's, and a retry succeeds often enough.
+TEST(HealthTest, EjectsCacheOrParentWhenItFailsHalfOfItsRequests) {
   for (const ServerId failing : {ServerId{2}, ServerId{20}}) {
-    Bed bed;
+    RouterFixture fixture;
     int errors = 0;
-    int late = 0;
-    int refused = 0;
-    int others = 0;
-    for (std::uint64_t o = 1; o <= 400; ++o) {
-      const auto id = bed.ask(o, 0, 50);
-      bed.advance(50 * kMillisecond);
-      for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
-        const auto& to = bed.sends[id][k];
-        const bool concerned = to.server == failing || to.fill->source == failing;
-        const bool fails = concerned && errors++ % 2 == 0;
-        late += concerned && o > 100;
-        others += !concerned && o > 100;
-        if (bed.end(id, fails ? AttemptResult::error : AttemptResult::ok, FillOutcome::none, k,
-                    20 * kMillisecond);
-            !fails) {
-          break;
-        }
+    int requests_to_failing = 0;
+    int rejected = 0;
+    int requests_to_others = 0;
+    for (std::uint64_t object = 1; object <= 400; ++object) {
+      const auto id = fixture.send_request(object, kPartClass, 50);
+      fixture.advance(50 * kMillisecond);
+      for (std::uint32_t k = 0; k < fixture.sends[id].size(); ++k) {
+        const auto& send = fixture.sends[id][k];
+        const bool involves_failing = send.server == failing || send.fill->source == failing;
+        const bool fails = involves_failing && errors++ % 2 == 0;
+        requests_to_failing += involves_failing && object > 100;
+        requests_to_others += !involves_failing && object > 100;
+        fixture.finish_attempt(id, fails ? AttemptResult::error : AttemptResult::ok,
+                               FillOutcome::none, k, 20 * kMillisecond);
+        if (!fails) break;
       }
-      refused += bed.answers[id];
+      rejected += fixture.final_responses[id];
     }
-    EXPECT_LE(late, 45) << failing.value << ": of some 300 it gets trials only";
-    EXPECT_GE(others, 280);
-    EXPECT_LE(refused, 3);
+    EXPECT_LE(requests_to_failing, 45)
+        << failing.value << ": of some 300 requests it gets only those of its probation";
+    EXPECT_GE(requests_to_others, 280);
+    EXPECT_LE(rejected, 3);
   }
 }
 
-// Guards against a silent cache or parent holding its requests to their deadlines where no second
-// copy may go.
-TEST(Health, ASilentCacheIsProbedAndWhatItHoldsMovesOn) {
-  Bed bed(probing_site());
-  const auto id = bed.ask(1);
-  const auto silent = bed.sends[id][0].server;
-  bed.advance(550 * kMillisecond);  // 100 of them are its own sending time
-  ASSERT_EQ(bed.probes[silent], 1);
-  const auto actions = bed.tell(HealthCheckResult{silent, false, 250 * kMillisecond, {}});
+// Guards against an unresponsive cache or parent that delays its requests to their deadlines, as
+// no hedged request may be sent.
+TEST(HealthTest, ChecksUnresponsiveCacheAndRetriesElsewhereWhenCheckFails) {
+  RouterFixture fixture(test_settings_with_health_checks());
+  const auto id = fixture.send_request(1);
+  const auto silent = fixture.sends[id][0].server;
+  fixture.advance(550 * kMillisecond);  // 100 of them are the transfer time
+  ASSERT_EQ(fixture.health_checks[silent], 1);
+  const auto actions = fixture.handle(HealthCheckResult{silent, false, 250 * kMillisecond, {}});
   ASSERT_EQ(std::count_if(actions.begin(), actions.end(),
-                          [](auto& a) { return std::holds_alternative<Cancel>(a); }),
+                          [](auto& action) { return std::holds_alternative<Cancel>(action); }),
             1);
-  EXPECT_EQ(bed.sends[id].size(), 1u) << "the next leaves only after the first has ended";
-  bed.end(id, AttemptResult::cancelled);
-  ASSERT_EQ(bed.sends[id].size(), 2u);
-  EXPECT_NE(bed.sends[id][1].server, silent);
+  EXPECT_EQ(fixture.sends[id].size(), 1u) << "the next leaves only after the first has ended";
+  fixture.finish_attempt(id, AttemptResult::cancelled);
+  ASSERT_EQ(fixture.sends[id].size(), 2u);
+  EXPECT_NE(fixture.sends[id][1].server, silent);
 }
 
-// Guards against taking lost connections, as spoilt answers cause them, for a sick cache: all of a
-// point's caches would be out. The request they cost goes to the same cache once more.
-TEST(Health, ALostConnectionIsAskedAboutAndPutsNoCacheOutByItself) {
-  Bed bed(probing_site());
+// Guards against ejecting all caches of a location for lost connections, which corrupted
+// responses cause. The request is retried on the same cache.
+TEST(HealthTest, EjectsCacheAfterResetsOnlyWhenTheyRecur) {
+  RouterFixture fixture(test_settings_with_health_checks());
   ServerId home{};
   for (int i = 0; i < 6; ++i) {
-    bed.advance(4 * kSecond);
-    const auto id = bed.ask(1);
-    ASSERT_EQ(bed.sends[id].size(), 1u);
+    fixture.advance(4 * kSecond);
+    const auto id = fixture.send_request(1);
+    ASSERT_EQ(fixture.sends[id].size(), 1u);
     if (i > 0) {
-      EXPECT_EQ(bed.sends[id][0].server, home);
+      EXPECT_EQ(fixture.sends[id][0].server, home);
     }
-    home = bed.sends[id][0].server;
-    bed.end(id, AttemptResult::reset);
-    EXPECT_GE(bed.probes[home], i + 1);
-    ASSERT_EQ(bed.sends[id].size(), 2u);
-    EXPECT_EQ(bed.sends[id][1].server, home);
-    bed.tell(HealthCheckResult{home, true, kMillisecond, {}});
-    bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
+    home = fixture.sends[id][0].server;
+    fixture.finish_attempt(id, AttemptResult::reset);
+    EXPECT_GE(fixture.health_checks[home], i + 1);
+    ASSERT_EQ(fixture.sends[id].size(), 2u);
+    EXPECT_EQ(fixture.sends[id][1].server, home);
+    fixture.handle(HealthCheckResult{home, true, kMillisecond, {}});
+    fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::none, 1);
   }
-  // Where it happens to one cache only, again and again, that one is out however well its probes
-  // go.
+  // Where it happens to one cache only, again and again, that one is ejected though its health
+  // checks succeed.
   for (int i = 0; i < 40; ++i) {
-    bed.advance(20 * kMillisecond);
-    bed.serve(100 + static_cast<std::uint64_t>(i));
+    fixture.advance(20 * kMillisecond);
+    fixture.serve_request(100 + static_cast<std::uint64_t>(i));
   }
-  for (int i = 0; i < 20 && bed.sends[bed.ask(1)][0].server == home; ++i) {
-    bed.advance(20 * kMillisecond);
-    const RequestId id{bed.next - 1};
-    bed.end(id, AttemptResult::reset);
-    bed.tell(HealthCheckResult{home, true, kMillisecond, {}});
-    if (bed.sends[id].size() > 1) bed.end(id, AttemptResult::ok, FillOutcome::none, 1);
+  for (int i = 0; i < 20 && fixture.sends[fixture.send_request(1)][0].server == home; ++i) {
+    fixture.advance(20 * kMillisecond);
+    const RequestId id{fixture.next_request_id - 1};
+    fixture.finish_attempt(id, AttemptResult::reset);
+    fixture.handle(HealthCheckResult{home, true, kMillisecond, {}});
+    if (fixture.sends[id].size() > 1) {
+      fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::none, 1);
+    }
   }
-  EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
+  EXPECT_NE(fixture.sends[fixture.send_request(1)][0].server, home);
 }
 
-TEST(Health, ACacheThatResetsAndAnswersNoProbeIsOutAtOnce) {
-  Bed bed(probing_site());
-  const auto id = bed.ask(1);
-  const auto home = bed.sends[id][0].server;
-  bed.end(id, AttemptResult::reset);
-  bed.tell(HealthCheckResult{home, false, 250 * kMillisecond, {}});
-  EXPECT_NE(bed.sends[bed.ask(1)][0].server, home);
+TEST(HealthTest, EjectsCacheAtOnceWhenHealthCheckFailsAfterReset) {
+  RouterFixture fixture(test_settings_with_health_checks());
+  const auto id = fixture.send_request(1);
+  const auto home = fixture.sends[id][0].server;
+  fixture.finish_attempt(id, AttemptResult::reset);
+  fixture.handle(HealthCheckResult{home, false, 250 * kMillisecond, {}});
+  EXPECT_NE(fixture.sends[fixture.send_request(1)][0].server, home);
 }
 
-// A parent is looked at while a fill by it is late, and is out after four probes without a word.
-Bed with_late_fill(ServerId& parent) {
-  Bed bed(probing_site());
-  const auto id = bed.ask(1);
-  parent = bed.sends[id][0].fill->source;
-  EXPECT_EQ(bed.probes[parent], 0);
-  bed.advance(2 * kSecond);
-  bed.end(id, AttemptResult::ok);
-  return bed;
+// A parent is checked while a fill from it is late, and is ejected after four failed checks.
+RouterFixture router_with_late_fill(ServerId& parent) {
+  RouterFixture fixture(test_settings_with_health_checks());
+  const auto id = fixture.send_request(1);
+  parent = fixture.sends[id][0].fill->source;
+  EXPECT_EQ(fixture.health_checks[parent], 0);
+  fixture.advance(2 * kSecond);
+  fixture.finish_attempt(id, AttemptResult::ok);
+  return fixture;
 }
 
-int fills_by(Bed& bed, ServerId parent, std::uint64_t from, std::uint64_t to) {
-  int n = 0;
-  for (std::uint64_t o = from; o < to; ++o) {
-    const auto id = bed.ask(o);
-    n += bed.sends[id].size() > 0 && bed.sends[id][0].fill->source == parent;
-    if (bed.sends[id].size() > 0) bed.end(id, AttemptResult::ok);
+int fills_from(RouterFixture& fixture, ServerId parent, std::uint64_t from, std::uint64_t to) {
+  int total = 0;
+  for (std::uint64_t object = from; object < to; ++object) {
+    const auto id = fixture.send_request(object);
+    total += !fixture.sends[id].empty() && fixture.sends[id][0].fill->source == parent;
+    if (!fixture.sends[id].empty()) fixture.finish_attempt(id, AttemptResult::ok);
   }
-  return n;
+  return total;
 }
 
-TEST(Health, ASilentParentIsFoundByProbesAndIsNobodysSource) {
+TEST(HealthTest, EjectsParentWhenFourHealthChecksFail) {
   ServerId parent;
-  auto bed = with_late_fill(parent);
-  ASSERT_EQ(bed.probes[parent], 1);
-  EXPECT_GT(fills_by(bed, parent, 100, 140), 0);
+  auto fixture = router_with_late_fill(parent);
+  ASSERT_EQ(fixture.health_checks[parent], 1);
+  EXPECT_GT(fills_from(fixture, parent, 100, 140), 0);
   for (int i = 0; i < 4; ++i) {
-    ASSERT_EQ(bed.probes[parent], i + 1);
-    bed.tell(HealthCheckResult{parent, false, 250 * kMillisecond, {}});
+    ASSERT_EQ(fixture.health_checks[parent], i + 1);
+    fixture.handle(HealthCheckResult{parent, false, 250 * kMillisecond, {}});
   }
-  EXPECT_EQ(fills_by(bed, parent, 200, 240), 0);
+  EXPECT_EQ(fills_from(fixture, parent, 200, 240), 0);
 }
 
-// Guards against probes that grow with routers times parents: 13,000 on a day of 19,000 requests.
-TEST(Fleet, ParentsAreNotLookedAtByTheClock) {
-  auto s = probing_site();
-  s.router_count = 100;
-  int probes = 0;
+// Guards against health checks in proportion to routers times parents.
+TEST(HealthTest, SendsNoChecksToParentsWhenNoFillIsLate) {
+  auto settings = test_settings_with_health_checks();
+  settings.router_count = 100;
+  int health_checks = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Bed bed(s, fleet(), seed);
-    for (std::uint64_t o = 1; o <= 20; ++o) bed.serve(o), bed.advance(500 * kMillisecond);
-    for (const std::uint64_t p : {20, 21}) probes += bed.probes[{p}];
+    RouterFixture fixture(settings, test_endpoints(), seed);
+    for (std::uint64_t object = 1; object <= 20; ++object) {
+      fixture.serve_request(object);
+      fixture.advance(500 * kMillisecond);
+    }
+    for (const std::uint64_t parent : {20, 21}) health_checks += fixture.health_checks[{parent}];
   }
-  EXPECT_EQ(probes, 0);
+  EXPECT_EQ(health_checks, 0);
 }
 
-// Guards against a probe for each slow answer where a router has one request at a cache at a time;
-// a cache that says nothing for longer than is usual is still found.
-TEST(Fleet, CachesAreLookedAtAfterAnUnusualSilenceOnly) {
-  auto s = probing_site();
-  int probes = 0;
+// Guards against a health check for each slow response where a router has one request at a cache
+// at a time; a cache that is silent for longer than usual is still found.
+TEST(HealthTest, ChecksCacheOnlyWhenItsSilenceIsUnusual) {
+  auto settings = test_settings_with_health_checks();
+  int health_checks = 0;
   int found = 0;
-  const auto all = [](Bed& bed) {
-    int n = 0;
-    for (const auto& [id, count] : bed.probes) n += id.value <= 4 ? count : 0;
-    return n;
+  const auto checks_of_caches = [](RouterFixture& fixture) {
+    int total = 0;
+    for (const auto& [id, count] : fixture.health_checks) total += id.value <= 4 ? count : 0;
+    return total;
   };
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Bed bed(s, fleet(), seed);
-    for (std::uint64_t o = 1; o <= 40; ++o) {
-      const auto id = bed.ask(o);
-      bed.advance((350 + 10 * static_cast<Time>(o * seed % 20)) * kMillisecond);
-      bed.end(id, AttemptResult::ok);
-      for (std::uint64_t c = 1; c <= 4; ++c)
-        bed.tell(HealthCheckResult{{c}, true, kMillisecond, {}});
+    RouterFixture fixture(settings, test_endpoints(), seed);
+    for (std::uint64_t object = 1; object <= 40; ++object) {
+      const auto id = fixture.send_request(object);
+      fixture.advance((350 + 10 * static_cast<Time>(object * seed % 20)) * kMillisecond);
+      fixture.finish_attempt(id, AttemptResult::ok);
+      for (std::uint64_t cache_id = 1; cache_id <= 4; ++cache_id) {
+        fixture.handle(HealthCheckResult{{cache_id}, true, kMillisecond, {}});
+      }
     }
-    const int usual = all(bed);
-    probes += usual;
-    bed.ask(1);
-    bed.advance(1500 * kMillisecond);
-    found += all(bed) > usual;
+    const int usual = checks_of_caches(fixture);
+    health_checks += usual;
+    fixture.send_request(1);
+    fixture.advance(1500 * kMillisecond);
+    found += checks_of_caches(fixture) > usual;
   }
-  EXPECT_LE(probes, 400) << "4,000 requests; a look at 300 ms would be one for each";
+  EXPECT_LE(health_checks, 400) << "of 4,000 requests; a check at 300 ms would be one for each";
   EXPECT_EQ(found, 100);
 }
 
-// Guards against a probe for every large answer: caches give theirs in one piece, and where a
-// router has one request at a cache at a time nothing else tells that it lives.
-TEST(Fleet, ACacheIsNotSilentWhileItsAnswersOwnSendingLasts) {
-  Bed bed(probing_site());
-  const auto id = bed.ask(1, 0, 3000);  // three seconds at the top pace
-  const auto server = bed.sends[id].at(0).server;
-  bed.advance(3200 * kMillisecond);
-  EXPECT_EQ(bed.probes[server], 0);
-  bed.advance(300 * kMillisecond);
-  EXPECT_EQ(bed.probes[server], 1) << "then its silence counts as any";
+// Guards against a health check for every large response: caches send theirs in one piece, and
+// where a router has one request at a cache at a time nothing else shows that it is alive.
+TEST(HealthTest, SendsNoCheckWhileLargeResponseIsBeingSent) {
+  RouterFixture fixture(test_settings_with_health_checks());
+  const auto id = fixture.send_request(1, kPartClass, 3000);  // three seconds at full rate
+  const auto server = fixture.sends[id].at(0).server;
+  fixture.advance(3200 * kMillisecond);
+  EXPECT_EQ(fixture.health_checks[server], 0);
+  fixture.advance(300 * kMillisecond);
+  EXPECT_EQ(fixture.health_checks[server], 1) << "then its silence counts";
 }
 
-// Guards against a parent with a full queue passing for lost at every router: it is spared for a
-// while and, being the same process, takes its whole part again as soon as it says that it is well.
-TEST(Fleet, AParentThatSaysItIsFullIsSparedAndNotHeldForCold) {
+// Guards against treating a parent with a full queue as lost: it gets no fills for a while and,
+// being the same process, its full part again as soon as it reports that it is well.
+TEST(HealthTest, SparesOverloadedParentAndReturnsItWithoutSlowStart) {
   ServerId parent;
-  auto bed = with_late_fill(parent);
-  const auto held = bed.ask(1);
+  auto fixture = router_with_late_fill(parent);
+  const auto in_flight = fixture.send_request(1);
   const auto actions =
-      bed.tell(HealthCheckResult{parent, false, 250 * kMillisecond, {}, 20 * kSecond, true});
-  EXPECT_TRUE(actions.empty()) << "what it has is not called off";
-  bed.end(held, AttemptResult::ok);
-  EXPECT_EQ(fills_by(bed, parent, 100, 140), 0);
-  bed.advance(2100 * kMillisecond);
-  ASSERT_GE(bed.probes[parent], 2);
-  bed.tell(HealthCheckResult{parent, true, 50 * kMillisecond, {}, 22 * kSecond, true});
-  EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
+      fixture.handle(HealthCheckResult{parent, false, 250 * kMillisecond, {}, 20 * kSecond, true});
+  EXPECT_TRUE(actions.empty()) << "its requests are not cancelled";
+  fixture.finish_attempt(in_flight, AttemptResult::ok);
+  EXPECT_EQ(fills_from(fixture, parent, 100, 140), 0);
+  fixture.advance(2100 * kMillisecond);
+  ASSERT_GE(fixture.health_checks[parent], 2);
+  fixture.handle(HealthCheckResult{parent, true, 50 * kMillisecond, {}, 22 * kSecond, true});
+  EXPECT_GT(fills_from(fixture, parent, 200, 300), 30);
 }
 
-TEST(Fleet, AWordByAConnectionFromBeforeProvesThatNothingRestarted) {
-  for (const Time up : {Time{0}, kSecond, 30 * kSecond}) {
+TEST(HealthTest, ReturnsParentWithoutSlowStartWhenItHasNotRestarted) {
+  for (const Time process_age : {Time{0}, kSecond, 30 * kSecond}) {
     ServerId parent;
-    auto bed = with_late_fill(parent);
-    for (int i = 0; i < 4; ++i) bed.tell(HealthCheckResult{parent, false, 250 * kMillisecond, {}});
-    ASSERT_EQ(fills_by(bed, parent, 100, 140), 0);
-    bed.advance(2 * kSecond);
-    bed.tell(HealthCheckResult{parent, true, 2 * kSecond, {}, up, true, true});
-    if (up > 10 * kSecond) {
-      EXPECT_GT(fills_by(bed, parent, 200, 300), 30);
+    auto fixture = router_with_late_fill(parent);
+    for (int i = 0; i < 4; ++i) {
+      fixture.handle(HealthCheckResult{parent, false, 250 * kMillisecond, {}});
+    }
+    ASSERT_EQ(fills_from(fixture, parent, 100, 140), 0);
+    fixture.advance(2 * kSecond);
+    fixture.handle(HealthCheckResult{parent, true, 2 * kSecond, {}, process_age, true, true});
+    if (process_age > 10 * kSecond) {
+      EXPECT_GT(fills_from(fixture, parent, 200, 300), 30);
     } else {
-      EXPECT_LT(fills_by(bed, parent, 200, 300), 20) << "it may be a new one: cold";
+      EXPECT_LT(fills_from(fixture, parent, 200, 300), 20) << "it may have restarted: slow start";
     }
   }
 }
 
-// Guards against holding requests on a point whose caches are all known to be out: probes find them
-// again.
-TEST(Health, WhereProbesWatchALostPointItsRequestsAreRefusedAtOnce) {
-  Bed bed(probing_site());
-  for (std::uint64_t o = 1; o <= 40; ++o) {
-    const auto id = bed.ask(o);
-    for (std::uint32_t k = 0; k < bed.sends[id].size(); ++k) {
-      bed.end(id, AttemptResult::connect_failed, FillOutcome::none, k);
+// Guards against keeping requests for a location whose caches are all known to be down: health
+// checks find them again.
+TEST(HealthTest, RejectsAtOnceWhenAllCachesAreEjected) {
+  RouterFixture fixture(test_settings_with_health_checks());
+  for (std::uint64_t object = 1; object <= 40; ++object) {
+    const auto id = fixture.send_request(object);
+    for (std::uint32_t k = 0; k < fixture.sends[id].size(); ++k) {
+      fixture.finish_attempt(id, AttemptResult::connect_failed, FillOutcome::none, k);
     }
   }
-  const auto id = bed.ask(100);
-  EXPECT_TRUE(bed.sends[id].empty());
-  EXPECT_EQ(bed.answers[id], 1);
-  bed.advance(2 * kSecond);
-  for (std::uint64_t c = 1; c <= 4; ++c) bed.tell(HealthCheckResult{{c}, true, kMillisecond, {}});
-  EXPECT_FALSE(bed.sends[bed.ask(101)].empty());
+  const auto id = fixture.send_request(100);
+  EXPECT_TRUE(fixture.sends[id].empty());
+  EXPECT_EQ(fixture.final_responses[id], 1);
+  fixture.advance(2 * kSecond);
+  for (std::uint64_t cache_id = 1; cache_id <= 4; ++cache_id) {
+    fixture.handle(HealthCheckResult{{cache_id}, true, kMillisecond, {}});
+  }
+  EXPECT_FALSE(fixture.sends[fixture.send_request(101)].empty());
 }
 
 }  // namespace
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -12,90 +12,95 @@
 
 using namespace router_fixture;
 
-// Whatever the fleet, each request has one final answer by its deadline.
-void expect_answers(Bed& bed) {
-  for (std::uint64_t o = 1; o <= 30; ++o) {
-    const auto id = bed.ask(o);
-    if (!bed.sends[id].empty()) {
-      bed.end(id, AttemptResult::ok, FillOutcome::hit);
+// Whatever the endpoint list, each request has one final response by its deadline.
+void expect_responses(RouterFixture& fixture) {
+  for (std::uint64_t object = 1; object <= 30; ++object) {
+    const auto id = fixture.send_request(object);
+    if (!fixture.sends[id].empty()) {
+      fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::hit);
     } else {
-      EXPECT_EQ(bed.answers[id], 1) << "given up at once";
+      EXPECT_EQ(fixture.final_responses[id], 1) << "rejected at once";
     }
-    bed.advance(20 * kMillisecond);
+    fixture.advance(20 * kMillisecond);
   }
-  const auto silent = bed.ask(99);
-  bed.advance(6 * kSecond);
-  EXPECT_EQ(bed.answers[silent], 1);
+  const auto silent = fixture.send_request(99);
+  fixture.advance(6 * kSecond);
+  EXPECT_EQ(fixture.final_responses[silent], 1);
 }
 
-TEST(Odd, FleetsOfNoneOneAndThousandsAnswerEveryRequest) {
-  for (const std::uint64_t n : {0, 1, 3000}) {
+TEST(RouterTest, RespondsToEveryRequestWhenCachesAreNoneOneOrThousands) {
+  for (const std::uint64_t cache_count : {0, 1, 3000}) {
     std::vector<Server> servers;
-    for (std::uint64_t i = 1; i <= n; ++i) servers.push_back(cache(i));
-    auto s = site();
-    s.router_count = 5000;
-    s.router_count_by_location.clear();  // no share stated
-    Bed bed(s, servers);
-    expect_answers(bed);
+    for (std::uint64_t i = 1; i <= cache_count; ++i) servers.push_back(make_cache(i));
+    auto settings = test_settings();
+    settings.router_count = 5000;
+    settings.router_count_by_location.clear();  // number of routers of the location is unknown
+    RouterFixture fixture(settings, servers);
+    expect_responses(fixture);
   }
 }
 
-TEST(Odd, AFullListThatReplacesEverythingAtOnceIsServedByTheReplacements) {
-  Bed bed;
-  for (std::uint64_t o = 1; o <= 60; ++o) bed.serve(o);
+TEST(RouterTest, UsesNewServersWhenCompleteListReplacesAll) {
+  RouterFixture fixture;
+  for (std::uint64_t object = 1; object <= 60; ++object) fixture.serve_request(object);
   std::vector<Server> later;
   for (std::uint64_t i = 101; i <= 104; ++i) {
-    later.push_back(cache(i, ServerStatus::ready, bed.now));
+    later.push_back(make_cache(i, ServerStatus::ready, fixture.now));
   }
-  later.push_back(upstream(30, Role::origin));
-  bed.tell(EndpointUpdate{true, false, later});
-  bed.sends.clear();
+  later.push_back(make_upstream(30, Role::origin));
+  fixture.handle(EndpointUpdate{true, false, later});
+  fixture.sends.clear();
   int answered = 0;
-  for (std::uint64_t o = 1; o <= 400; ++o) {
-    const auto id = bed.ask(o, 0, 20);
-    for (auto& s : bed.sends[id]) EXPECT_GT(s.server.value, 100u);
-    answered += !bed.sends[id].empty();
-    if (!bed.sends[id].empty()) bed.end(id, AttemptResult::ok, FillOutcome::filled_by_origin);
-    bed.advance(20 * kMillisecond);
+  for (std::uint64_t object = 1; object <= 400; ++object) {
+    const auto id = fixture.send_request(object, kPartClass, 20);
+    for (auto& send : fixture.sends[id]) EXPECT_GT(send.server.value, 100u);
+    answered += !fixture.sends[id].empty();
+    if (!fixture.sends[id].empty()) {
+      fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::filled_by_origin);
+    }
+    fixture.advance(20 * kMillisecond);
   }
   EXPECT_GT(answered, 100);
-  expect_answers(bed);
+  expect_responses(fixture);
 }
 
-TEST(Odd, WeightsOfZeroOrNaNCountAsOne) {
-  auto servers = fleet();
+TEST(RouterTest, UsesServerWhenItsWeightIsInvalid) {
+  auto servers = test_endpoints();
   servers[0].weight = 0;
   servers[1].weight = std::numeric_limits<double>::quiet_NaN();
   servers[2].weight = -3;
-  Bed bed(site(), servers);
+  RouterFixture fixture(test_settings(), servers);
   std::set<std::uint64_t> used;
-  for (std::uint64_t o = 1; o <= 200; ++o) used.insert(bed.serve(o));
-  EXPECT_EQ(used.size(), 4u) << "each keeps a share";
+  for (std::uint64_t object = 1; object <= 200; ++object) {
+    used.insert(fixture.serve_request(object));
+  }
+  EXPECT_EQ(used.size(), 4u) << "each is used";
 }
 
-TEST(Odd, ALocationWithRoutersAndNoCachesGoesStraightWhereAllowedElseRefuses) {
-  for (const bool straight : {true, false}) {
-    auto s = site();
-    s.can_bypass_caches = straight;
-    Bed bed(s, {upstream(20, Role::parent), upstream(30, Role::origin)});
-    const auto id = bed.ask(1);
-    EXPECT_EQ(bed.sends[id].empty(), !straight);
-    EXPECT_EQ(bed.answers[id], straight ? 0 : 1);
+TEST(RouterTest, BypassesCachesWhenThereAreNoneAndItIsAllowed) {
+  for (const bool can_bypass : {true, false}) {
+    auto settings = test_settings();
+    settings.can_bypass_caches = can_bypass;
+    RouterFixture fixture(settings,
+                          {make_upstream(20, Role::parent), make_upstream(30, Role::origin)});
+    const auto id = fixture.send_request(1);
+    EXPECT_EQ(fixture.sends[id].empty(), !can_bypass);
+    EXPECT_EQ(fixture.final_responses[id], can_bypass ? 0 : 1);
   }
 }
 
-TEST(Determinism, SameEventsSameActions) {
+TEST(RouterTest, RepeatsItsActionsWhenEventsAreTheSame) {
   const auto run = [] {
-    Bed a;
-    Bed beside(site(), fleet(), 3);
+    RouterFixture fixture;
+    RouterFixture other(test_settings(), test_endpoints(), 3);
     std::string trace;
     for (int i = 0; i < 200; ++i) {
-      beside.serve(static_cast<std::uint64_t>(i));
-      const auto id = a.ask(static_cast<std::uint64_t>(i * 7 % 31));
-      trace += std::to_string(a.sends[id].at(0).server.value) + ",";
-      a.end(id, i % 9 ? AttemptResult::ok : AttemptResult::overloaded);
-      a.advance(7 * kMillisecond);
-      for (auto& s : a.sends[id]) trace += std::to_string(s.timeout) + ";";
+      other.serve_request(static_cast<std::uint64_t>(i));
+      const auto id = fixture.send_request(static_cast<std::uint64_t>(i * 7 % 31));
+      trace += std::to_string(fixture.sends[id].at(0).server.value) + ",";
+      fixture.finish_attempt(id, i % 9 ? AttemptResult::ok : AttemptResult::overloaded);
+      fixture.advance(7 * kMillisecond);
+      for (auto& send : fixture.sends[id]) trace += std::to_string(send.timeout) + ";";
     }
     return trace;
   };
--- a/tests/support/router_fixture.h
+++ b/tests/support/router_fixture.h
@@ -1,4 +1,5 @@
-// A routing policy alone: its settings, servers and clock, without sockets.
+// The routing policy alone: a Router with settings, servers and a clock of the test, without
+// sockets.
 #pragma once
 
 #include <algorithm>
@@ -18,132 +19,169 @@
 constexpr Time kSecond = 1'000'000;
 constexpr Time kStart = 100 * kSecond;
 
-inline Settings site() {
-  Settings s;
-  s.location = {3};
-  s.router_count = 2;
-  s.router_count_by_location = {0, 0, 0, 1, 1};
-  ClassSettings parts;
-  ClassSettings pages;
-  ClassSettings keyed;
-  ClassSettings once;
-  parts.latency_objective = 500 * kMillisecond;
-  parts.latency_objective_stretch = 2;
-  pages = parts;
-  pages.fresh_time = 8 * kSecond;
-  pages.stale_grace_time = 30 * kSecond;
-  keyed = parts;
-  keyed.idempotency = Idempotency::idempotent_with_key;
-  keyed.dedup_scope = DedupScope::cell;
-  keyed.dedup_window = 5 * kSecond;
-  once = parts;
-  once.idempotency = Idempotency::not_idempotent;
-  s.classes = {parts, pages, keyed, once};
-  s.max_attempts = 6;
-  s.can_cancel_attempts = s.sends_retry_after = true;
-  s.max_retry_after = 2 * kSecond;
-  s.cache_slow_start_fraction = 0.2;
-  s.cache_slow_start_time = 20 * kSecond;
-  s.overload_window = 1500 * kMillisecond;
-  s.parent_slow_start_fraction = 0.1;
-  s.parent_slow_start_time = 20 * kSecond;
-  s.purge_propagation_time = 6 * kSecond;
-  s.stream_kb_per_second = 1000;
-  s.weights = WeightKind::nominal;
-  s.can_join_fills = s.has_fills = true;
-  return s;
+/// Classes of requests in test_settings(), by index.
+constexpr std::uint32_t kPartClass = 0;   // idempotent
+constexpr std::uint32_t kPageClass = 1;   // idempotent, with stale copies allowed
+constexpr std::uint32_t kKeyedClass = 2;  // idempotent with a key, within a cell
+constexpr std::uint32_t kNonIdempotentClass = 3;
+
+/// One of two routers of location 3, with fills and reports and without health checks.
+inline Settings test_settings() {
+  ClassSettings part_class;
+  part_class.latency_objective = 500 * kMillisecond;
+  part_class.latency_objective_stretch = 2;
+  ClassSettings page_class = part_class;
+  page_class.fresh_time = 8 * kSecond;
+  page_class.stale_grace_time = 30 * kSecond;
+  ClassSettings keyed_class = part_class;
+  keyed_class.idempotency = Idempotency::idempotent_with_key;
+  keyed_class.dedup_scope = DedupScope::cell;
+  keyed_class.dedup_window = 5 * kSecond;
+  ClassSettings non_idempotent_class = part_class;
+  non_idempotent_class.idempotency = Idempotency::not_idempotent;
+
+  Settings settings;
+  settings.location = {3};
+  settings.router_count = 2;
+  settings.router_count_by_location = {0, 0, 0, 1, 1};
+  settings.classes = {part_class, page_class, keyed_class, non_idempotent_class};
+  settings.max_attempts = 6;
+  settings.can_cancel_attempts = true;
+  settings.sends_retry_after = true;
+  settings.max_retry_after = 2 * kSecond;
+  settings.cache_slow_start_fraction = 0.2;
+  settings.cache_slow_start_time = 20 * kSecond;
+  settings.overload_window = 1500 * kMillisecond;
+  settings.parent_slow_start_fraction = 0.1;
+  settings.parent_slow_start_time = 20 * kSecond;
+  settings.purge_propagation_time = 6 * kSecond;
+  settings.stream_kb_per_second = 1000;
+  settings.weights = WeightKind::nominal;
+  settings.can_join_fills = true;
+  settings.has_fills = true;
+  return settings;
 }
 
-inline Settings probing_site() {
-  auto s = site();
-  s.health_checks_allowed = true;
-  return s;
+inline Settings test_settings_with_health_checks() {
+  Settings settings = test_settings();
+  settings.health_checks_allowed = true;
+  return settings;
 }
 
-inline Server cache(std::uint64_t id, ServerStatus status = ServerStatus::ready, Time born = 0) {
-  return {{id}, Role::cache, {3}, {static_cast<std::uint32_t>(id % 2)}, status, 4, born};
+/// A cache of location 3, in cell 0 or 1 by its id.
+inline Server make_cache(std::uint64_t id, ServerStatus status = ServerStatus::ready,
+                         Time started_at = 0) {
+  return {{id}, Role::cache, {3}, {static_cast<std::uint32_t>(id % 2)}, status, 4, started_at};
 }
-inline Server upstream(std::uint64_t id, Role role, Time born = 0) {
-  return {{id}, role, {static_cast<std::uint32_t>(id % 3)}, {0}, ServerStatus::ready, 10, born};
+
+/// A parent or an origin.
+inline Server make_upstream(std::uint64_t id, Role role, Time started_at = 0) {
+  return {{id}, role,      {static_cast<std::uint32_t>(id % 3)}, {0}, ServerStatus::ready,
+          10,   started_at};
 }
-inline std::vector<Server> fleet() {
-  return {cache(1),
-          cache(2),
-          cache(3),
-          cache(4),
-          upstream(20, Role::parent),
-          upstream(21, Role::parent),
-          upstream(30, Role::origin)};
+
+/// Caches 1 to 4, parents 20 and 21, origin 30.
+inline std::vector<Server> test_endpoints() {
+  return {make_cache(1),
+          make_cache(2),
+          make_cache(3),
+          make_cache(4),
+          make_upstream(20, Role::parent),
+          make_upstream(21, Role::parent),
+          make_upstream(30, Role::origin)};
 }
 
-// A router, a clock and what it has asked for; knows nothing of how it decides.
-struct Bed {
-  Bed(Bed&&) = default;
-  explicit Bed(const Settings& settings = site(), std::vector<Server> servers = fleet(),
-               std::uint64_t seed = 7)
+/// A router, its clock and timers, and a record of all that it has asked for. Knows nothing of how
+/// the router decides.
+class RouterFixture {
+ public:
+  explicit RouterFixture(const Settings& settings = test_settings(),
+                         std::vector<Server> servers = test_endpoints(), std::uint64_t seed = 7)
       : router(settings, seed) {
-    tell(EndpointUpdate{true, false, std::move(servers)});
+    handle(EndpointUpdate{true, false, std::move(servers)});
   }
-  std::vector<Action> tell(const Event& e) {
+
+  /// Passes an event to the router and records its actions.
+  std::vector<Action> handle(const Event& event) {
     std::vector<Action> actions;
-    router.handle(now, e, actions);
-    for (const auto& a : actions) {
-      if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(t->at, t->timer);
-      if (const auto* s = std::get_if<Send>(&a)) sends[s->id].push_back(*s);
-      if (const auto* p = std::get_if<HealthCheck>(&a)) ++probes[p->server];
-      if (const auto* r = std::get_if<Reject>(&a)) ++answers[r->id];
-      if (const auto* f = std::get_if<Fail>(&a)) ++answers[f->id];
-    }
+    router.handle(now, event, actions);
+    for (const auto& action : actions) record(action);
     return actions;
   }
-  void advance(Time by) {
-    const Time end = now + by;
-    while (!timers.empty() && timers.begin()->first <= end) {
-      const auto [at, id] = *timers.begin();
-      timers.erase(timers.begin());
+
+  /// Moves the clock, and fires the timers that become due on the way.
+  void advance(Time duration) {
+    const Time end = now + duration;
+    while (!timers_.empty() && timers_.begin()->first <= end) {
+      const auto [at, id] = *timers_.begin();
+      timers_.erase(timers_.begin());
       now = std::max(now, at);
-      tell(TimerExpired{id});
+      handle(TimerExpired{id});
     }
     now = end;
   }
-  RequestId ask(std::uint64_t object, std::uint32_t cls = 0, double size = 100,
-                std::uint32_t part = 0, std::uint32_t group = 5) {
-    const RequestId id{next++};
-    tell(Request{id, {object}, {group}, {cls}, part, size, 5 * kSecond, false});
+
+  /// A request with 5 s to its deadline.
+  RequestId send_request(std::uint64_t object, std::uint32_t class_id = kPartClass,
+                         double size_kb = 100, std::uint32_t part = 0, std::uint32_t group = 5) {
+    const RequestId id{next_request_id++};
+    handle(Request{id, {object}, {group}, {class_id}, part, size_kb, 5 * kSecond, false});
     return id;
   }
-  AttemptOutcome outcome(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
-                         std::uint32_t attempt = 0, Time elapsed = 100 * kMillisecond) {
-    AttemptOutcome o;
-    o.id = id;
-    o.attempt = {attempt};
-    o.server = sends[id].at(attempt).server;
-    o.result = result;
-    o.fill_outcome = note;
-    o.response_delivered = result == AttemptResult::ok;
-    o.elapsed = elapsed;
-    return o;
+
+  /// The outcome of one of the request's attempts, which the test may change.
+  AttemptOutcome outcome(RequestId id, AttemptResult result,
+                         FillOutcome fill_outcome = FillOutcome::none, std::uint32_t attempt = 0,
+                         Time elapsed = 100 * kMillisecond) {
+    AttemptOutcome outcome;
+    outcome.id = id;
+    outcome.attempt = {attempt};
+    outcome.server = sends[id].at(attempt).server;
+    outcome.result = result;
+    outcome.fill_outcome = fill_outcome;
+    outcome.response_delivered = result == AttemptResult::ok;
+    outcome.elapsed = elapsed;
+    return outcome;
   }
-  std::vector<Action> end(RequestId id, AttemptResult result, FillOutcome note = FillOutcome::none,
-                          std::uint32_t attempt = 0, Time elapsed = 100 * kMillisecond) {
-    return tell(outcome(id, result, note, attempt, elapsed));
+
+  std::vector<Action> finish_attempt(RequestId id, AttemptResult result,
+                                     FillOutcome fill_outcome = FillOutcome::none,
+                                     std::uint32_t attempt = 0, Time elapsed = 100 * kMillisecond) {
+    return handle(outcome(id, result, fill_outcome, attempt, elapsed));
   }
-  std::uint64_t serve(std::uint64_t object, double size = 100, std::uint32_t part = 0) {
-    const auto id = ask(object, 0, size, part);
+
+  /// Sends a request and has it answered from a copy; the server's id, or 0 if nothing was sent.
+  std::uint64_t serve_request(std::uint64_t object, double size_kb = 100, std::uint32_t part = 0) {
+    const auto id = send_request(object, kPartClass, size_kb, part);
     if (sends[id].empty()) return 0;
     const auto server = sends[id][0].server.value;
-    end(id, AttemptResult::ok, FillOutcome::hit);
+    finish_attempt(id, AttemptResult::ok, FillOutcome::hit);
     return server;
   }
-  int open_answers(RequestId id) { return answers[id]; }
 
   Router router;
   Time now = kStart;
-  std::multimap<Time, TimerId> timers;
-  std::map<RequestId, std::vector<Send>> sends;
-  std::map<RequestId, int> answers;
-  std::map<ServerId, int> probes;
-  std::uint64_t next = 1;
+  std::map<RequestId, std::vector<Send>> sends;  // in the order of the attempts
+  std::map<RequestId, int> final_responses;      // rejects and failures; one at most is right
+  std::map<ServerId, int> health_checks;
+  std::uint64_t next_request_id = 1;
+
+ private:
+  void record(const Action& action) {
+    if (const auto* timer = std::get_if<SetTimer>(&action)) {
+      timers_.emplace(timer->at, timer->timer);
+    } else if (const auto* send = std::get_if<Send>(&action)) {
+      sends[send->id].push_back(*send);
+    } else if (const auto* check = std::get_if<HealthCheck>(&action)) {
+      ++health_checks[check->server];
+    } else if (const auto* reject = std::get_if<Reject>(&action)) {
+      ++final_responses[reject->id];
+    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+      ++final_responses[fail->id];
+    }
+  }
+
+  std::multimap<Time, TimerId> timers_;
 };
 
 }  // namespace router_fixture
