--- a/tests/hot_restart/coordinator_test.cpp
+++ b/tests/hot_restart/coordinator_test.cpp
@@ -4,8 +4,11 @@
 #include <ev.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cstring>
+#include <filesystem>
 #include <fstream>
+#include <functional>
 #include <memory>
 #include <optional>
 #include <string>
@@ -29,12 +32,22 @@
     callbacks.on_peers_changed = [](const PeerSummary&, double) {};
     return std::make_unique<HotRestartCoordinator>(
         loop, deadlines, net::unix_now, in_directory, kTestKey,
-        [](const std::string&, const std::string&) {}, std::move(callbacks));
+        [this](const std::string& kind, const std::string&) { logged_kinds.push_back(kind); },
+        std::move(callbacks));
+  }
+  /// Runs the loop until it holds; false after five seconds.
+  bool run_until(const std::function<bool()>& holds) {
+    for (int i = 0; i < 5000 && !holds(); ++i) {
+      ev_run(loop.raw(), EVRUN_NOWAIT);
+      ::usleep(1000);
+    }
+    return holds();
   }
 
   core::Deadlines deadlines;
   net::Loop loop{deadlines};
   std::vector<std::string> reported_bans;
+  std::vector<std::string> logged_kinds;
 };
 
 // Guards against requests sent before the bans are known, and against reporting a ban as saved that
@@ -50,15 +63,35 @@
     is_finished = true;
     error = result;
   });
-  for (int i = 0; i < 5000 && !is_finished; ++i) {
-    ev_run(loop.raw(), EVRUN_NOWAIT);
-    ::usleep(1000);
-  }
-  ASSERT_TRUE(is_finished);
+  ASSERT_TRUE(run_until([&] { return is_finished; }));
   EXPECT_TRUE(error);
   EXPECT_TRUE(without_disk->is_banned("s-2")) << "the ban is in effect all the same";
 }
 
+// Known to fail, see KNOWN-RED.txt: restoring the bans hides that the status could not be
+// published, so that the next poll logs the same problem as a new one.
+TEST_F(HotRestartCoordinatorTest, LogsALastingProblemOnceWhenBansAreRestored) {
+  std::vector<SharedDirectory> others;
+  for (int i = 0; i < 4; ++i) {  // all slots
+    others.push_back(process());
+    ASSERT_FALSE(others.back().claim_slot());
+  }
+  const auto coordinator = start(directory);
+  bool is_saved = false;
+  coordinator->change_ban({"s-1", true}, [&](const auto& error) { is_saved = !error; });
+  ASSERT_TRUE(run_until([&] { return is_saved; }));
+  std::filesystem::remove(path_of(".bans.a"));
+  std::filesystem::remove(path_of(".bans.b"));
+  coordinator->start_serving();  // polls
+  ASSERT_TRUE(run_until([&] { return process().read_bans().list.serial > 0; }));
+  for (int i = 0; i < 3; ++i) {
+    run_until([end = net::unix_now() + 50'000] { return net::unix_now() >= end; });
+    coordinator->start_draining();  // polls again
+  }
+  run_until([end = net::unix_now() + 50'000] { return net::unix_now() >= end; });
+  EXPECT_EQ(std::count(logged_kinds.begin(), logged_kinds.end(), "shared_folder"), 1);
+}
+
 // The coordinator's first callback comes while the router is still under construction. Guards
 // against use of members that are not initialized yet: the outcome would depend on what the memory
 // held before.
--- a/tests/replication/ban_set_test.cpp
+++ b/tests/replication/ban_set_test.cpp
@@ -100,4 +100,16 @@
   }
 }
 
+// Known to fail, see KNOWN-RED.txt: the author of the refused dot is entered with 0.
+TEST(CausalContext, ChangesNothingWhenADotIsRefused) {
+  using alderspur::replication::kMaxDetachedDots;
+  alderspur::replication::CausalContext context;
+  for (std::uint64_t i = 0; i < kMaxDetachedDots; ++i) {
+    ASSERT_TRUE(context.add({author(0), i + 2})) << "beyond a gap: the first dot is missing";
+  }
+  const auto before = context;
+  ASSERT_FALSE(context.add({author(1), 2}));
+  EXPECT_EQ(context, before);
+}
+
 }  // namespace
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -3,14 +3,20 @@
 
 #include <gtest/gtest.h>
 
+#include "msgpack_codec/writer.h"
+#include "replication/frame_codec.h"
 #include "replication/simulated_replicas.h"
 
 namespace {
 
+using alderspur::replication::FrameKind;
+using simulation::Action;
+using simulation::author;
 using simulation::exploration_factor;
 using simulation::FrameReceived;
 using simulation::kSecond;
 using simulation::Network;
+using simulation::Replica;
 using simulation::replica_name;
 using simulation::Time;
 
@@ -162,6 +168,29 @@
   EXPECT_GT(network.replica("r1").counters().rejected, 2000U);
 }
 
+// Known to fail, see KNOWN-RED.txt: the list is taken for an empty one.
+TEST(Replica, RejectsFloorsFrameWhenListOfBucketsIsMalformed) {
+  alderspur::msgpack_codec::Writer frame;
+  frame.array(4).number(static_cast<std::uint64_t>(FrameKind::floors)).number(0).array(0).number(7);
+  Replica replica({.self = author(0)}, 1);
+  std::vector<Action> actions;
+  replica.handle(kSecond, FrameReceived{"r1", frame.str()}, actions);
+  EXPECT_EQ(replica.counters().rejected, 1U);
+}
+
+// Known to fail, see KNOWN-RED.txt: the floor is raised before the frame is rejected.
+TEST(Replica, KeepsGlobalFloorWhenFrameIsRejected) {
+  for (const FrameKind kind : {FrameKind::bucket_digests, FrameKind::floors}) {
+    alderspur::msgpack_codec::Writer frame;
+    frame.array(3).number(static_cast<std::uint64_t>(kind)).number(kSecond).number(7);
+    Replica replica({.self = author(0)}, 1);
+    std::vector<Action> actions;
+    replica.handle(kSecond, FrameReceived{"r1", frame.str()}, actions);
+    EXPECT_EQ(replica.counters().rejected, 1U);
+    EXPECT_EQ(replica.floors().global_floor(), 0) << static_cast<std::uint64_t>(kind);
+  }
+}
+
 // Loses frames, partitions, stops and starts replicas and makes changes, all drawn.
 class RandomSchedule {
  public:
