--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -127,7 +127,7 @@
 
 // After each of many random events: every admitted request is counted once as ended or open, and
 // the classes add up to the whole.
-TEST(Metrics, AddUpInAnyOrderOfEvents) {
+TEST(MetricsTest, AddUpInAnyOrderOfEvents) {
   std::uint64_t total_served = 0;
   std::uint64_t total_cancelled = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
@@ -153,7 +153,7 @@
   EXPECT_GT(total_cancelled, 100U);
 }
 
-TEST(Metrics, CountAvoidedCachesInTheFormatThatScrapersRead) {
+TEST(MetricsTest, CountAvoidedCachesInTheExpositionFormat) {
   core::Deadlines deadlines;
   Settings settings;
   settings.classes.resize(1);
--- a/tests/cluster/rig_test.cpp
+++ b/tests/cluster/rig_test.cpp
@@ -100,7 +100,7 @@
   EXPECT_EQ(cluster.view(2).states["n0"], "alive");
 }
 
-TEST_F(RigTest, AFifthOfAllMessagesLostForTwoMinutesFailsNobody) {
+TEST_F(RigTest, FailsNobodyWhenAFifthOfAllMessagesIsLostForTwoMinutes) {
   Rig cluster(5, 7);
   rig::Setup setup;
   setup.period = "300 ms";
@@ -239,7 +239,7 @@
 
 // A schedule of the exploration (MembershipExplored), between processes: what it prints is played
 // by ALDERSPUR_EXPLORED="LOST LATE WHO MILLISECONDS".
-TEST_F(RigTest, AnExploredScheduleReplaysBetweenProcesses) {
+TEST_F(RigTest, ReplaysAnExploredSchedule) {
   std::uint64_t lost = 3;
   std::uint64_t late = 7;
   std::size_t who = 1;
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -68,7 +68,7 @@
   return out;
 }
 
-TEST(Corpus, BrokenFilesGetTheirMessages) {
+TEST(CorpusTest, ReportsExpectedFindingsForBrokenFiles) {
   const auto all = files("broken");
   EXPECT_GE(all.size(), 60u);
   for (const auto& path : all) {
@@ -101,7 +101,7 @@
   }
 }
 
-TEST(Corpus, GoodFilesCheckAndAreInTheirForm) {
+TEST(CorpusTest, AcceptsGoodFilesAndKeepsTheirFormat) {
   const auto all = files("good");
   EXPECT_GE(all.size(), 10u);
   for (const auto& path : all) {
@@ -121,7 +121,7 @@
   }
 }
 
-TEST(Corpus, PairsDifferByMeaningAsTheyShould) {
+TEST(CorpusTest, ReportsDifferencesInMeaningForPairs) {
   std::size_t pairs = 0;
   for (const auto& path : files("differ")) {
     const auto name = path.string();
@@ -167,7 +167,7 @@
   std::map<std::string, int> reads;
 };
 
-TEST(Includes, ACycleIsToldAsItsChainAndNotFollowed) {
+TEST(IncludesTest, ReportsChainWhenIncludesFormACycle) {
   Memory m;
   m.files = {{"d/a.alder", "\ninclude \"b.alder\"\n"},
              {"d/b.alder", "include \"sub/c.alder\"\n"},
@@ -182,7 +182,7 @@
   EXPECT_EQ(m.reads["d/a.alder"], 1);
 }
 
-TEST(Includes, AFileIncludedTwiceIsReadOnceAndAPatternTakesAll) {
+TEST(IncludesTest, ReadsFileOnceWhenIncludedTwiceAndExpandsPatterns) {
   Memory m;
   m.files = {{"main.alder",
               "include \"r/*.alder\"\ninclude \"shared.alder\"\ninclude \"./r/../shared.alder\"\n"},
@@ -202,7 +202,7 @@
   EXPECT_EQ(g.list()[0].place.line, 1u);
 }
 
-TEST(Includes, DepthAndNumberAreBounded) {
+TEST(IncludesTest, LimitsDepthAndNumberOfFiles) {
   Memory m;
   for (int i = 0; i < 60; ++i) {
     m.files["f" + std::to_string(i)] = "include \"f" + std::to_string(i + 1) + "\"\n";
@@ -227,7 +227,7 @@
 
 // Random edits of good files: nothing crashes, and what parses formats to a tree that is the same,
 // once and for all.
-RC_GTEST_PROP(Format, IsIdempotentAndKeepsTheMeaning, ()) {
+RC_GTEST_PROP(FormatTest, IsIdempotentAndKeepsTheMeaning, ()) {
   static const auto all = files("good");
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   const auto below = [&](std::size_t n) { return n ? static_cast<std::size_t>(random()) % n : 0; };
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -16,7 +16,7 @@
 
 const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-class Crossing : public loopback::BoardStory {
+class EventRacesTest : public loopback::BoardStory {
  protected:
   // Answers every fetch that waits, once.
   void answer_all(const std::string& body) {
@@ -74,10 +74,10 @@
   std::vector<int> fillers_;
 };
 
-class Dialing : public Crossing {
+class PendingConnectTest : public EventRacesTest {
  protected:
   void SetUp() override {
-    Crossing::SetUp();
+    EventRacesTest::SetUp();
     watch_ = watcher();
     auto member = config.known_events[0].members[0];
     member.address = late.address();
@@ -110,7 +110,7 @@
 
 // Guards against a client's cancel, or its end, waiting unread behind answers that it does not
 // take.
-TEST_F(Crossing, ACancelIsHeardFromAClientThatTakesNoAnswers) {
+TEST_F(EventRacesTest, CancelsRequestsWhenClientDoesNotRead) {
   auto c = client(front->address());
   watched.clear();  // it reads nothing
   for (unsigned i = 1; i <= 32; ++i) c->write(request(i, "asset", {{"item", object(i)}}));
@@ -135,7 +135,7 @@
   EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
-TEST_F(Crossing, ACancelInTheReadOfItsRequestLeavesNothingToSend) {
+TEST_F(EventRacesTest, SendsNothingWhenCancelIsReadWithItsRequest) {
   auto c = client(front->address());
   c->write(request(1, "asset", {{"item", object(1)}}) + loopback::withdraw(1) +
            request(2, "asset", {{"item", object(2)}}));
@@ -149,7 +149,7 @@
   EXPECT_EQ(engine->counters().forwarded, 1u);
 }
 
-TEST_F(Crossing, AClientThatLeavesInTheMiddleOfAMessageLeavesNothing) {
+TEST_F(EventRacesTest, AdmitsNothingWhenClientLeavesWithinAMessage) {
   auto ends = client(front->address());
   auto resets = client(front->address());
   for (auto* c : {ends.get(), resets.get()}) c->write(request(1, "asset", {}).substr(0, 30));
@@ -162,7 +162,7 @@
 }
 
 // A client that has waited for a place, with its request written, and has left.
-TEST_F(Crossing, AClientThatLeavesWhileItWaitsOutsideIsNotServed) {
+TEST_F(EventRacesTest, AdmitsNothingWhenClientLeavesTheListenersQueue) {
   std::vector<std::unique_ptr<loopback::Socket>> clients;
   for (unsigned i = 1; i <= 64; ++i) {  // all places
     clients.push_back(client(front->address()));
@@ -186,7 +186,7 @@
 }
 
 // Guards against further attempts for a client that has closed its connection.
-TEST_F(Crossing, AfterAClientsEndNoFurtherAttemptBegins) {
+TEST_F(EventRacesTest, StartsNoFurtherAttemptWhenClientHasHalfClosed) {
   auto c = client(front->address());
   c->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
@@ -198,7 +198,7 @@
   EXPECT_EQ(answers(c->in)[0].error, "Busy");
   EXPECT_EQ(fetches(), 1u);
 }
-TEST_F(Dialing, AfterAClientsEndWhatWaitsForAConnectIsNotSent) {
+TEST_F(PendingConnectTest, SendsNothingWhenClientHalfCloses) {
   auto c = client(front->address());
   ask(*c);
   c->half_close();
@@ -206,7 +206,7 @@
   EXPECT_EQ(answers(c->in).size(), 1u);
   come_up_and_send_nothing();
 }
-TEST_F(Dialing, AfterACancelWhatWaitsForAConnectIsNotSent) {
+TEST_F(PendingConnectTest, SendsNothingWhenRequestIsCancelled) {
   auto c = client(front->address());
   ask(*c);
   c->write(loopback::withdraw(1));
@@ -215,7 +215,7 @@
   EXPECT_TRUE(answers(c->in).empty());
 }
 
-TEST_F(Crossing, ABurstOfLeavingClientsIsSeenAsAWhole) {
+TEST_F(EventRacesTest, AbortsAllAttemptsWhenManyClientsLeaveAtOnce) {
   std::vector<std::unique_ptr<loopback::Socket>> clients;
   for (unsigned i = 1; i <= 60; ++i) {
     clients.push_back(client(front->address()));
@@ -230,15 +230,15 @@
 
 // Guards against two attempts out under one id, when a request comes again while it is still open.
 // Where a repeat would do harm it is not told that it may try again.
-class Again : public Crossing, public ::testing::WithParamInterface<bool> {
+class RepeatedRequestTest : public EventRacesTest, public ::testing::WithParamInterface<bool> {
  protected:
   void SetUp() override {
     if (!GetParam()) set("repeat", "\"safe\"", "\"unsafe\"");
-    Crossing::SetUp();
+    EventRacesTest::SetUp();
   }
 };
-INSTANTIATE_TEST_SUITE_P(Harmless, Again, ::testing::Bool());
-TEST_P(Again, ATransactionIsTurnedAwayWhileItIsOpen) {
+INSTANTIATE_TEST_SUITE_P(Harmless, RepeatedRequestTest, ::testing::Bool());
+TEST_P(RepeatedRequestTest, RejectsRepeatWhileRequestIsOpen) {
   auto first = client(front->address());
   auto again = client(front->address());
   first->write(request(1, "asset", {}));
@@ -255,7 +255,7 @@
 
 // Guards against the largest requests being cut off where the way is slow; who says nothing more
 // is.
-TEST_F(Crossing, ALargeRequestThatComesSlowlyIsTaken) {
+TEST_F(EventRacesTest, AcceptsLargeRequestWhenItArrivesSlowly) {
   auto slow = client(front->address());
   auto stops = client(front->address());
   const std::string all = request(1, "plan-accept", {{"unique", kKey}}, std::string(40'000, 'w'));
@@ -275,7 +275,7 @@
 // ----------------------------------------------------------------------------------------
 
 // Guards against a close over unread bytes: it resets the connection, and answers go with it.
-TEST_F(Crossing, ACloseOverUnreadBytesEndsInOrderAndTakesNoAnswerAlong) {
+TEST_F(EventRacesTest, DeliversResponseWhenClosingWithUnreadInput) {
   auto c = client(front->address());
   c->write(request(1, "no-such-class", {}) + "\xc1 garbage" + std::string(200'000, 'z'));
   ASSERT_TRUE(until([&] { return c->ended; }));
@@ -285,7 +285,7 @@
 }
 
 // A lingering close waits for a peer that stays, but not for ever, and gives its place to others.
-TEST_F(Crossing, PeersThatStayAfterOurEndHoldNoPlaceAndAreCutOff) {
+TEST_F(EventRacesTest, FreesSlotsWhenPeersKeepClosedConnectionsOpen) {
   std::vector<std::unique_ptr<loopback::Socket>> stay;
   for (int i = 0; i < 64; ++i) {
     stay.push_back(client(front->address()));
@@ -301,7 +301,7 @@
 }
 
 // The signed front's end: who rests is ended in order, who has just come is answered.
-TEST_F(Crossing, AtTheSignedFrontsEndNobodyIsResetAndWhoHasJustComeIsAnswered) {
+TEST_F(EventRacesTest, AnswersNewClientWhenSignedFrontShutsDown) {
   auto rests = client(http->address());
   rests->write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE(until([&] { return rests->in.starts_with("HTTP/1.1 404"); }));
@@ -320,7 +320,7 @@
 // ------------------------------------------------------------------
 
 // Guards against a send that was decided before a drain and leaves after it.
-TEST_F(Dialing, ADrainHeardWhileAConnectHangsBindsWhatWaitsForIt) {
+TEST_F(PendingConnectTest, MovesRequestWhenItsServerDrains) {
   auto c = client(front->address());
   ask(*c);
   watch_->write(event(3, "s-b", box[1].address(), "in_service") +
@@ -330,7 +330,7 @@
   ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
   come_up_and_send_nothing();
 }
-TEST_F(Dialing, ASourceThatDrainsWhileAConnectHangsIsNotNamed) {
+TEST_F(PendingConnectTest, DoesNotNameSourceWhenItDrains) {
   auto c = client(front->address());
   ask(*c);
   watch_->write(event(3, "s-o", origin.address(), "terminating", false, "hub", "origin"));
@@ -340,7 +340,7 @@
   EXPECT_FALSE(late.got("next=s-o"));
 }
 // Another server has the address by the time the connect comes up.
-TEST_F(Dialing, WhatWaitsForAServerThatHasGoneIsNotSentToWhoHasItsAddressNow) {
+TEST_F(PendingConnectTest, SendsNothingWhenAnotherServerHasTheAddress) {
   auto c = client(front->address());
   ask(*c);
   watch_->write(event(3, "s-a", late.address(), "terminated"));
@@ -356,15 +356,15 @@
 
 // Guards against commands that wait in the queue of a connection whose cache does not read: judged
 // when they were queued, they would leave after a drain.
-class Roomy : public Crossing {
+class QueuedCommandsTest : public EventRacesTest {
  protected:
   void SetUp() override {
     settings += R"(,"limits":{"memory_mb":1024})";
     set("streams-per-conn", "32", "1000");
-    Crossing::SetUp();
+    EventRacesTest::SetUp();
   }
 };
-TEST_F(Roomy, ADrainBindsWhatWaitsBehindACommandThatACacheDoesNotRead) {
+TEST_F(QueuedCommandsTest, SendsNoFurtherCommandsWhenCacheDrainsWithoutReading) {
   auto w = watcher();
   w->write(event(2, "s-b", box[1].address(), "terminating"));
   ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 2; }));
@@ -396,16 +396,16 @@
 }
 
 // Guards against a repeat that was within its window when it was decided and is not when it leaves.
-class ShortWindow : public Dialing {
+class ShortDedupWindowTest : public PendingConnectTest {
  protected:
   void SetUp() override {
     set("dedup-window", "20000000", "300000");
-    Dialing::SetUp();
+    PendingConnectTest::SetUp();
     watch_->write(event(3, "s-b", box[1].address(), "in_service"));
     ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
   }
 };
-TEST_F(ShortWindow, ARepeatThatWaitsPastItsWindowIsNotSent) {
+TEST_F(ShortDedupWindowTest, SendsNoRetryWhenWindowEndsDuringConnect) {
   auto c = client(front->address());
   unsigned n = 0;
   while (box[1].count("fetch") == 0) {  // an object whose first cache is the one that answers
@@ -426,8 +426,8 @@
 }
 
 // Guards against an event told late, that fills a gap, taking back what a later one has told.
-class Gap : public Crossing, public ::testing::WithParamInterface<bool> {};
-TEST_P(Gap, AnOlderEventThatFillsItTakesNothingBack) {
+class EventGapTest : public EventRacesTest, public ::testing::WithParamInterface<bool> {};
+TEST_P(EventGapTest, KeepsNewerChangeWhenOlderEventFillsGap) {
   const bool complete = GetParam();
   auto w = watcher();
   ASSERT_TRUE(until([&] { return w->in == "watch 1\n"; }));
@@ -444,10 +444,10 @@
   EXPECT_EQ(box[0].count("fetch"), 0u);
   EXPECT_EQ(box[1].count("fetch"), complete ? 0u : 8u) << "a whole list without it takes it out";
 }
-INSTANTIATE_TEST_SUITE_P(Lists, Gap, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(Lists, EventGapTest, ::testing::Bool());
 
 // A board that accepts and says nothing is dead; what its connection says later is nobody's.
-TEST_F(Crossing, ASilentWatchIsReplacedFromTheLastNumberAndItsLateBytesTellNothing) {
+TEST_F(EventRacesTest, WatchesFromLastEventWhenWatchFallsSilent) {
   auto w = watcher();
   ASSERT_TRUE(until([&] { return w->in == "watch 1\n"; }));
   w->write(event(2, "s-b", box[1].address(), "terminating") + R"({"rev":3,"pool":{"comp)");
@@ -462,7 +462,7 @@
 }
 
 // A drain and a request are ready in the same turn: the drain goes first.
-TEST_F(Crossing, ADrainHeardInTheTurnOfARequestBindsItsSend) {
+TEST_F(EventRacesTest, AppliesDrainBeforeRequestOfTheSameTurn) {
   auto w = watcher();
   auto c = client(front->address());
   settle();  // both connections are there
@@ -476,14 +476,14 @@
 // --------------------------------------------------------------------------
 
 // Guards against a command that crosses the cache's idle close, which is due: it might have run.
-class ShortIdle : public Crossing {
+class ShortIdleTimeoutTest : public EventRacesTest {
  protected:
   void SetUp() override {
     set("idle-close", "30000000", "400000");
-    Crossing::SetUp();
+    EventRacesTest::SetUp();
   }
 };
-TEST_F(ShortIdle, AConnectionThatTheCacheIsAboutToCloseIsNotUsed) {
+TEST_F(ShortIdleTimeoutTest, OpensNewConnectionWhenCacheIsAboutToClose) {
   auto c = client(front->address());
   c->write(request(1, "asset", {}));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
@@ -500,7 +500,7 @@
 
 // Guards against an answer that comes byte by byte for ever: what is behind it must not wait for
 // it.
-TEST_F(Crossing, AnAnswerThatNeverEndsIsGivenUpAndWhatIsBehindItMovesOn) {
+TEST_F(EventRacesTest, RetriesQueuedRequestsWhenResponseNeverEnds) {
   auto c = client(front->address());
   c->write(request(1, "asset", {{"ram", "9"}}) + request(2, "asset", {{"ram", "9"}}));
   ASSERT_TRUE(until([&] { return fetches() == 2; }));
@@ -519,7 +519,7 @@
 
 // A start that is told while a connect hangs: what waited counts against the new process, and is no
 // failure.
-TEST_F(Dialing, AStartToldWhileAConnectHangsGivesBackWhatWaitsForIt) {
+TEST_F(PendingConnectTest, ReturnsRequestsWithoutBlameWhenServerRestarts) {
   auto c = client(front->address());
   ask(*c);
   c->write(request(2, "asset", {{"item", object(2)}}));  // two failures in a row would put it out
@@ -538,7 +538,7 @@
 }
 
 // An answer and the end of its connection arrive together.
-TEST_F(Crossing, AnAnswerBeforeTheEndOfItsConnectionCounts) {
+TEST_F(EventRacesTest, CountsResponseWhenConnectionClosesBehindIt) {
   auto c = client(front->address());
   c->write(request(1, "asset", {}) + request(2, "asset", {{"item", object(2)}}));
   ASSERT_TRUE(until([&] { return fetches() == 2; }));
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(Mangled, ClientsFrames) {
+TEST(InvalidInputTest, SurvivesCorruptedClientFrames) {
   const std::string good = loopback::request(1, "pay", {{"unique", std::string(32, 'a')}}, "xyz");
   int whole = 0;
   mangle(good, [&](std::string_view bytes) {
@@ -53,7 +53,7 @@
 }
 
 // Guards against lengths and counts that claim what can never come: each ends at its header.
-TEST(Mangled, ClaimsOfMoreThanAMessageEndAtOnce) {
+TEST(InvalidInputTest, RejectsFrameAtOnceWhenItsLengthExceedsTheLimit) {
   using namespace std::string_literals;
   for (const auto& claim :
        {"\xc6\x03\x93\x87\x00"s, "\xdb\xff\xff\xff\xff"s, "\xdd\xff\xff\xff\xff"s,
@@ -68,7 +68,7 @@
   }
 }
 
-TEST(Mangled, CachesAnswers) {
+TEST(InvalidInputTest, SurvivesCorruptedCacheResponses) {
   mangle(
       "9b1f served sum=ab,t0=1764576000000,rep=inflight:7;x1:0.5 5\r\nbytes\r\np1 green - "
       "0\r\n\r\n",
@@ -83,7 +83,7 @@
       });
 }
 
-TEST(Mangled, HttpHeadsAndTokens) {
+TEST(InvalidInputTest, SurvivesCorruptedHttpHeadsAndTokens) {
   const signed_url::Key key{"k", "a secret of the tests", 0};
   const std::string text = "/asset/7f3a9c21e0b4d655/0?set=17&nbf=1&exp=99999999999&kid=k";
   const std::string link = text + "&sig=" + signed_url::signature(key, text);
@@ -109,7 +109,7 @@
          });
 }
 
-TEST(Mangled, NoticesSettingsAndDiscovery) {
+TEST(InvalidInputTest, SurvivesCorruptedEventsSettingsAndDiscoveryRequests) {
   const config::Names names;
   mangle(
       R"({"rev":41,"pool":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:1","size":4}]},
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -18,7 +18,7 @@
   return {gate, {{}, a_second, burst}};
 }
 
-TEST(Limits, ARefusalSaysWhenRoomReturns) {
+TEST(LimitsTest, ReturnsRetryAfterWhenRejecting) {
   Limits l;
   auto a = l.ask({full("route r", 2)}, 0);
   auto b = l.ask({full("route r", 2)}, 0);
@@ -44,7 +44,7 @@
       << "a clock that steps back brings no tokens";
 }
 
-TEST(Limits, ARequestThatOneGateRefusesCostsTheOthersNothing) {
+TEST(LimitsTest, ChargesNoLimitWhenOneRejects) {
   Limits l;
   auto a = l.ask({full("route r", 1)}, 0);
   for (int i = 0; i < 5; ++i) {
@@ -55,7 +55,7 @@
   EXPECT_EQ(l.counters("route r").refused_full, 5u);
 }
 
-TEST(Limits, AFloodOfOneRouteLeavesTheOtherItsRoom) {
+TEST(LimitsTest, KeepsCapacityOfOtherRoutesWhenOneIsFlooded) {
   Limits l;
   std::vector<Permit> held;
   int flood = 0;
@@ -74,7 +74,7 @@
   EXPECT_EQ(other, 100);
 }
 
-TEST(Limits, GatesOfATableThatIsGoneAreForgottenOnceTheyHoldNothing) {
+TEST(LimitsTest, ForgetsLimitsOfReplacedTableOnceTheyAreFree) {
   Limits l;
   auto a = l.ask({full("route old", 5), full("pool p", 5)}, 0);
   l.keep({"pool p"});
@@ -86,7 +86,7 @@
   EXPECT_EQ(l.in_flight("pool p"), 0u) << "a permit that goes gives back";
 }
 
-TEST(Limits, ARetryStormIsHeldToItsBudget) {
+TEST(LimitsTest, KeepsRetriesWithinTheirBudget) {
   RetryBudget budget(0.1);
   int further = 0;
   for (int i = 0; i < 10'000; ++i) {
@@ -99,7 +99,7 @@
 
 // Whatever comes and goes: never more at once than allowed, never more in any window than rate and
 // burst give, and in the end nothing is out.
-RC_GTEST_PROP(Limits, HoldOverAnyTrafficAndConserveWhatTheyGive, ()) {
+RC_GTEST_PROP(LimitsTest, HoldForAnyTrafficAndReleaseWhatTheyReserve, ()) {
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   const std::uint32_t most = 1 + random() % 8;
   const std::uint32_t burst = 1 + random() % 5;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -358,7 +358,7 @@
 
 // Guards against a fleet that dials its board in step, again and again, after it has ended all
 // connections.
-TEST(Board, SpreadsReconnectsWhenAHundredRoutersLoseTheServer) {
+TEST(DiscoveryClientTest, SpreadsReconnectsWhenAHundredRoutersLoseTheServer) {
   std::vector<std::mt19937_64> routers;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) routers.emplace_back(seed);
   std::vector<core::Time> at(100, 0);
@@ -449,7 +449,7 @@
   EXPECT_EQ(engine->counters().rejected + engine->counters().failed, 0u);
 }
 
-TEST(Complaints, LogsOneLinePerKindWithCountWhenReportsRepeat) {
+TEST(RateLimitedLogTest, LogsOneLinePerKindWithCountWhenReportsRepeat) {
   core::RateLimitedLog complaints;
   std::vector<std::string> lines;
   complaints.report(core::InvalidInput::response, 1, "nobody listens yet");
@@ -596,9 +596,9 @@
   std::vector<core::AttemptId> sent, aborted;
   std::vector<core::FinalStatus> answers;
 };
-class Core : public ::testing::Test {
+class EngineTest : public ::testing::Test {
  protected:
-  Core() {
+  EngineTest() {
     alderspur::ClassSettings c;
     c.latency_objective = 250'000;
     settings.classes = {c};
@@ -630,7 +630,7 @@
   std::optional<core::Engine> engine;
 };
 
-TEST_F(Core, SendsNothingWhenClientLeavesInTheSameTurn) {
+TEST_F(EngineTest, SendsNothingWhenClientLeavesInTheSameTurn) {
   const auto t = take();
   engine->cancel_request(t);
   engine->run();
@@ -639,7 +639,7 @@
   EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
-TEST_F(Core, RespondsOnceWhenResponseAndDeadlineShareATurn) {
+TEST_F(EngineTest, RespondsOnceWhenResponseAndDeadlineShareATurn) {
   take();
   engine->run();
   ASSERT_EQ(recorder.sent.size(), 1u);
@@ -658,7 +658,7 @@
 
 // Found on days with 300 routers: the next attempt reached a cache, or the same one by another
 // connection, before the abort of the one before had arrived.
-TEST_F(Core, DelaysNextAttemptWhenAbortMayStillBeOnItsWay) {
+TEST_F(EngineTest, DelaysNextAttemptWhenAbortMayStillBeOnItsWay) {
   for (const auto result : {alderspur::AttemptResult::cancelled, alderspur::AttemptResult::reset}) {
     recorder.sent.clear();
     const auto ticket = take();
@@ -693,7 +693,7 @@
 
 // A client leaves in the turn in which its attempt fails, or in the 50 ms before the next one may
 // leave.
-TEST_F(Core, StartsNoFurtherAttemptWhenClientHasLeft) {
+TEST_F(EngineTest, StartsNoFurtherAttemptWhenClientHasLeft) {
   for (const bool ended_its_side : {false, true}) {
     for (const bool in_the_turn : {true, false}) {
       recorder.sent.clear();
@@ -721,7 +721,7 @@
   EXPECT_EQ(recorder.answers.size(), 2u) << "who may still be there is answered";
 }
 
-TEST_F(Core, TightensMaxAgeWhenPurgeComesBeforeWriting) {
+TEST_F(EngineTest, TightensMaxAgeWhenPurgeComesBeforeWriting) {
   take();
   engine->run();
   ASSERT_TRUE(engine->upstream_request(recorder.sent[0])->fill->may_join);
@@ -738,7 +738,7 @@
       << "a copy older than asked for is not passed on";
 }
 
-TEST(Lines, ParsesResponsesWhereverTheBytesAreCut) {
+TEST(CacheProtocolTest, ParsesResponsesWhereverTheBytesAreCut) {
   const std::string all =
       "a served sum=f,t0=17 3\r\nxyz\r\nb not_here - 0\r\n\r\np1 green rep=inflight:7;x1:0.5 "
       "0\r\n\r\n";
@@ -767,7 +767,7 @@
   EXPECT_EQ(upstream::next_response(bad, a), core::ParseStatus::invalid);
 }
 
-TEST(Config, ThrowsConfigErrorWhenSettingsAreInvalid) {
+TEST(ConfigTest, ThrowsConfigErrorWhenSettingsAreInvalid) {
   EXPECT_THROW(config::read("{"), config::Error);
   EXPECT_THROW(config::read(R"({"settings":{}})"), config::Error);
   EXPECT_NO_THROW(config::read(R"({"settings":{"classes":[{"name":"asset"}]}})"));
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -13,7 +13,7 @@
 
 using loopback::Program;
 
-TEST(Process, ABadConfigurationEndsTheStartWithOnePlainLine) {
+TEST(ProcessTest, ExitsWithOneLineWhenConfigurationIsInvalid) {
   for (const std::string bad : {"{", R"({"settings":{"classes":[]}})",
                                 R"({"listen":"nowhere","settings":{"classes":[{}]}})"}) {
     Program p(bad);
@@ -30,7 +30,7 @@
 
 // Guards against a reload that ends the process, drops what it holds, or leaves it watching a dead
 // board.
-TEST(Process, OnSighupTheWatchMovesToTheNewBoardAndNothingElseIsLost) {
+TEST(ProcessTest, WatchesNewDiscoveryServerAfterSighup) {
   Box box;
   sockaddr_in boards[2];
   int listeners[2];
@@ -63,7 +63,7 @@
 }
 
 // Guards against losing what is held, or what still comes, at a planned restart.
-TEST(Process, AfterSigtermItGoesOnServingAndFinishesWhatItHolds) {
+TEST(ProcessTest, FinishesRequestsInFlightAfterSigterm) {
   Box box;
   Program p(config_with(box));
   const auto at = p.address();
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -14,7 +14,7 @@
 
 namespace fs = std::filesystem;
 
-class Program : public ::testing::Test {
+class CommandLineTest : public ::testing::Test {
  protected:
   void SetUp() override {
     char name[] = "/tmp/alderspur-program-XXXXXX";
@@ -64,7 +64,7 @@
   std::string folder, said;
 };
 
-TEST_F(Program, ExitCodesTellYesAFindingAndUsage) {
+TEST_F(CommandLineTest, ExitsWithCodeForSuccessFindingsOrUsage) {
   EXPECT_EQ(run("version"), 0);
   EXPECT_EQ(run("--help"), 0);
   EXPECT_EQ(run("check --help"), 0);
@@ -84,7 +84,7 @@
   EXPECT_TRUE(says(R"("code":"F003","file":"bad.toml","line":15,"column":9)")) << said;
 }
 
-TEST_F(Program, AChangeIsCheckedAgainstTheListInForceAndToldByMeaning) {
+TEST_F(CommandLineTest, ChecksAndDescribesChangeAgainstCurrentList) {
   EXPECT_EQ(run("check --against b.toml a.toml"), 1) << "the generation goes back";
   EXPECT_TRUE(says("L020")) << said;
   EXPECT_EQ(run("check --against a.toml b.toml"), 0) << said;
@@ -99,7 +99,7 @@
   EXPECT_EQ(run("diff a.toml order.toml"), 0) << said;
 }
 
-TEST_F(Program, SealWritesDigestsThatHoldUntilSomebodyEdits) {
+TEST_F(CommandLineTest, SealsListWithDigestThatDetectsEdits) {
   EXPECT_EQ(run("seal a.toml"), 0) << said;
   EXPECT_EQ(text("a.toml").rfind("digest = \"xxh3:", 0), 0u);
   EXPECT_EQ(run("check a.toml"), 0) << said;
@@ -127,7 +127,7 @@
   EXPECT_TRUE(says("piece two.toml")) << said;
 }
 
-TEST_F(Program, FilesOfTheLanguageAreCheckedFormattedComparedAndExplained) {
+TEST_F(CommandLineTest, ChecksFormatsComparesAndExplainsLanguageFiles) {
   const std::string good =
       "class a {\n  repeat = safe\n  deadline = 1 s\n}\n\nroute r {\n  path = \"/r/{o}\"\n  class "
       "= a\n}\n";
@@ -156,7 +156,7 @@
   EXPECT_EQ(run("explain good.alder nothing"), 2);
 }
 
-TEST_F(Program, AStartThatCannotGoWellEndsWithItsReason) {
+TEST_F(CommandLineTest, ExitsWithReasonWhenStartFails) {
   EXPECT_EQ(run("run --settings absent.toml"), 1);
   write("alderspur.toml", "[router]\nconfg = \"config.json\"\n");
   EXPECT_EQ(run("run --settings alderspur.toml"), 1);
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -16,7 +16,7 @@
 using namespace alderspur;
 using loopback::Box;
 
-class RoutesInService : public ::testing::Test {
+class RoutesTest : public ::testing::Test {
  protected:
   static constexpr const char* kClasses =
       "class asset {\n  repeat = safe\n  deadline = 2 s\n}\nclass video {\n  repeat = safe\n  "
@@ -122,7 +122,7 @@
   const std::string object = "7f3a9c21e0b4d655";
 };
 
-TEST_F(RoutesInService, ALinkGoesByTheRouteThatHolds) {
+TEST_F(RoutesTest, RoutesLinkByMatchingRoute) {
   write(route("parts", "/v/{object}/{part}", "video") + route("whole", "/a/{object}", "asset") +
         route("beta", "/a/{object}", "video", "  header \"X-Tier\" = \"beta\"\n"));
   start();
@@ -146,7 +146,7 @@
 
 // Three routes change their meaning while requests are under way: none is lost, each ends by the
 // table it began under, and a program that does not check changes nothing.
-TEST_F(RoutesInService, ATableIsSwappedWholeUnderRequests) {
+TEST_F(RoutesTest, ReplacesTableAtomicallyUnderLoad) {
   const auto version = [&](const char* cls, const char* most) {
     std::string t;
     for (const char* n : {"x", "y", "z"}) {
@@ -195,7 +195,7 @@
   EXPECT_EQ(first.use_count(), 1) << "nobody holds the first table any more";
 }
 
-TEST_F(RoutesInService, AFullRouteRefusesAtOnceAndTheOthersHaveTheirRoom) {
+TEST_F(RoutesTest, RejectsOnFullRouteAndServesTheOthers) {
   write(route("few", "/f/{object}", "asset", "  max-in-flight = 2\n") +
         route("other", "/o/{object}", "asset"));
   start();
@@ -222,7 +222,7 @@
   ASSERT_TRUE(until([&] { return routes->limits().in_flight("route few") == 0; }));
 }
 
-TEST_F(RoutesInService, AStartWithABrokenProgramSaysWhy) {
+TEST_F(RoutesTest, ReportsReasonWhenProgramIsInvalidAtStart) {
   write("route x {\n");
   EXPECT_THROW(start(), config::Error);
   write(route("x", "/x/{part}", "asset"));
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -46,7 +46,7 @@
   return m ? m->route->name : "none";
 }
 
-TEST(Routing, TheMoreSpecificRouteHolds) {
+TEST(RoutingTest, PrefersTheMoreSpecificRoute) {
   const auto t =
       table(route("all", "/*") + route("item", "/v/{o}/{part}") + route("first", "/v/{o}/0") +
             route("fixed", "/v/x/{part}") + route("below", "/v/*") +
@@ -95,7 +95,7 @@
   EXPECT_FALSE(t->match(ask("h", "/" + std::string(10'000, '/'))));
 }
 
-TEST(Routing, SplitsAreStableAndOfTheirSize) {
+TEST(RoutingTest, SplitsStablyByTheirWeights) {
   const auto t = table("pool near {\n  role = cache\n}\npool far {\n  role = cache\n}\n" +
                        route("r", "/r", "  pool = near\n  split 20% {\n    pool = far\n  }\n"));
   int far = 0;
@@ -109,7 +109,7 @@
   EXPECT_NEAR(far, 2000, 200);
 }
 
-TEST(Routing, PoolsAreTheServersInServiceThatTheyName) {
+TEST(RoutingTest, ResolvesPoolsToServersInService) {
   const auto t = table(
       "pool edge {\n  role = cache\n  point = [\"e1\", \"e2\"]\n  weight-least = 2\n}\npool one "
       "{\n  role = "
@@ -199,7 +199,7 @@
   return best;
 }
 
-RC_GTEST_PROP(Routing, AgreesWithAPlainLinearMatcher, ()) {
+RC_GTEST_PROP(RoutingTest, AgreesWithALinearMatcher, ()) {
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   const auto pick = [&](std::initializer_list<const char*> all) {
     return std::string(*(all.begin() + static_cast<std::ptrdiff_t>(random() % all.size())));
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -9,7 +9,7 @@
 cmake -B build-tsan -DCMAKE_BUILD_TYPE=Debug -DALDERSPUR_WERROR=ON -DALDERSPUR_TSAN=ON >/dev/null
 cmake --build build-tsan -j"$(nproc)" --target product_tests
 echo "run: built under TSan, $SECONDS s"
-setarch -R build-tsan/product_tests --gtest_filter='Watched.*:Log.*:EndpointStateTest.LoadsWhatWasSaved' --gtest_brief=1
+setarch -R build-tsan/product_tests --gtest_filter='WatchedListTest.*:LogTest.*:EndpointStateTest.LoadsWhatWasSaved' --gtest_brief=1
 bash tests/known_red_test.sh
 echo "run: threaded parts passed, $SECONDS s"
 bash tests/known_red.sh build-tests KNOWN-RED.txt
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -48,7 +48,7 @@
   return c;
 }
 
-TEST(Settings, EverySectionIsReadWithItsUnits) {
+TEST(SettingsTest, ReadsEverySectionWithItsUnits) {
   diagnostics::Findings f;
   auto s = settings::read(kGood, "a.toml", "/etc/a", f);
   settings::resolve(s, with_classes(), f);
@@ -69,7 +69,7 @@
   EXPECT_FALSE(least.membership || least.signed_url || least.xds) << "absent sections are off";
 }
 
-TEST(Settings, WhatIsWrongIsSaidWithItsLineAndTheNearestKey) {
+TEST(SettingsTest, ReportsLineAndNearestKeyWhenInvalid) {
   struct Case {
     std::string what, with, code, says;
     std::uint32_t line;
@@ -121,7 +121,7 @@
   }
 };
 
-TEST(Log, RecordsHaveStableFieldsInBothForms) {
+TEST(LogTest, WritesStableFieldsInBothFormats) {
   Lines l;
   auto text = l.log({});
   text.record(
@@ -141,7 +141,7 @@
             R"("event":"list_refused","reason":"a \"b\"\u0001","n":3})");
 }
 
-TEST(Log, OneKindIsBoundedInASecondAndSaysWhatItHeldBack) {
+TEST(LogTest, LimitsLinesPerKindAndSecondAndCountsTheRest) {
   Lines l;
   log::Settings s;
   s.per_second = 3;
@@ -159,7 +159,7 @@
   EXPECT_NE(l.out.back().find("held_back=3"), std::string::npos);
 }
 
-TEST(Log, WhatLooksLikeASecretIsBlottedOut) {
+TEST(LogTest, RedactsSecrets) {
   for (const std::string secret :
        {"/asset/1/0?exp=1&kid=k&sig=SeCrEt", "Authorization: Bearer SeCrEt", "secret=SeCrEt; x",
         "a token=SeCrEt", "SIG=SeCrEt&SIG=SeCrEt"}) {
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -20,7 +20,7 @@
   return request(id, "asset", {{"item", object}});
 }
 
-class Ending : public ::testing::Test {
+class ShutdownTest : public ::testing::Test {
  protected:
   void start(const std::string& config) {
     program = std::make_unique<Program>(config);
@@ -37,7 +37,7 @@
 
 // Guards against clients that rest until the router ends them: lost by a reset, or holding up the
 // end; and against requests that are read after the end has begun and sent on.
-TEST_F(Ending, RestingClientsAreEndedInOrderAndLateRequestsRefusedAtOnce) {
+TEST_F(ShutdownTest, ClosesIdleClientsAndRejectsLateRequests) {
   start(config_with(box));
   const auto busy = client();
   const auto rests = client();
@@ -67,7 +67,7 @@
 
 // Everything is ready in the one turn in which the signal is heard: the process sleeps while it
 // arrives.
-TEST_F(Ending, WhateverIsReadyInTheTurnOfTheSignalIsHeard) {
+TEST_F(ShutdownTest, HandlesAllInputThatIsReadyWithTheSignal) {
   sockaddr_in board{};
   const int listener = loopback::bound(board);
   ::listen(listener, 4);
@@ -116,7 +116,7 @@
 
 // Guards against a hung cache holding an answer until the process is killed: 0.7 s and the longest
 // time that a client waits, 3 s at most, after the signal.
-TEST_F(Ending, WhatAHungCacheHoldsIsAnsweredAheadOfTheKill) {
+TEST_F(ShutdownTest, RespondsBeforeTheKillWhenCacheHangs) {
   start(config_with(box));
   const auto c = client();
   c->write(asks(1));
@@ -132,7 +132,7 @@
 }
 
 // Connections that the kernel has completed and the program has not taken, as the listener closes.
-TEST_F(Ending, ConnectionsThatNobodyHasTakenAreAnsweredBeforeTheListenerCloses) {
+TEST_F(ShutdownTest, RespondsToQueuedConnectionsBeforeListenerCloses) {
   start(config_with(box, {}, 0, 32));  // 16 places
   std::vector<std::unique_ptr<loopback::Socket>> busy;
   std::vector<std::unique_ptr<loopback::Socket>> queued;
@@ -161,7 +161,7 @@
 }
 
 // A signal before the program is ready: it waits, and is then heard.
-TEST(Starting, ASignalBeforeItListensIsHeardOnceItDoes) {
+TEST(StartTest, HandlesSignalThatArrivesBeforeItListens) {
   Box box;
   for (const int number : {SIGTERM, SIGHUP}) {
     Program p({}, {}, {}, true);
@@ -184,7 +184,7 @@
 }
 
 // A board that hangs and much that is known already hold up nobody.
-TEST(Starting, IsReadyWhateverTheBoardDoesAndHoweverMuchIsKnown) {
+TEST(StartTest, ServesWhenDiscoveryServerHangs) {
   Box box;
   sockaddr_in board{};
   const int listener = loopback::bound(board);  // nobody listens, then nobody accepts
@@ -210,7 +210,7 @@
 
 // Idle clients on all places, and the board away: when it is back it is dialed, and a new client is
 // served.
-TEST(Descriptors, IdleClientsKeepNeitherTheBoardNorCachesNorNewClientsOut) {
+TEST(DescriptorsTest, ReconnectsAndServesWhenIdleClientsFillAllSlots) {
   Box box;
   sockaddr_in board{};
   int listener = loopback::bound(board);
--- a/tests/signed_test.cpp
+++ b/tests/signed_test.cpp
@@ -13,7 +13,7 @@
 
 using loopback::Box;
 
-class Signed : public loopback::Story {
+class SignedUrlTest : public loopback::Story {
  protected:
   static constexpr const char* kPath = "/asset/7f3a9c21e0b4d655/0";
   std::int64_t now() const { return net::unix_now() / 1'000'000; }
@@ -58,7 +58,7 @@
   std::string last_;
 };
 
-TEST_F(Signed, LinksAreGoodForTheirPathTimeAndKeyOnly) {
+TEST_F(SignedUrlTest, AcceptsLinkForItsPathTimeAndKeyOnly) {
   EXPECT_EQ(status(get(link(now() + 60))), 200);
   EXPECT_NE(last_.find("\r\n\r\nbytes"), std::string::npos);
   EXPECT_NE(last_.find("ETag: \"t1\""), std::string::npos);
@@ -74,7 +74,7 @@
   EXPECT_EQ(fetches(), 2u) << "what is turned away asks no box";
 }
 
-TEST_F(Signed, SomeSecondsOfSkewAreAllowedBothWays) {
+TEST_F(SignedUrlTest, AllowsClockSkewInBothDirections) {
   EXPECT_EQ(status(get(link(now() - 20))), 200) << "our clock runs ahead";
   EXPECT_EQ(status(get(link(now() + 60, now() + 20))), 200) << "our clock runs behind";
   EXPECT_EQ(status(get(link(now() - 600))), 403);
@@ -83,7 +83,7 @@
   EXPECT_EQ(status(get(link(now() - 110))), 200) << "the clock that counts is the front's";
 }
 
-TEST_F(Signed, TokensOpenTheirPrefixFromLinkCookieAndBearer) {
+TEST_F(SignedUrlTest, AcceptsTokenFromLinkCookieAndBearerForItsPrefix) {
   const auto token = [&](const std::string& prefix) {
     return sign("pfx=" + prefix + "&set=17&exp=" + std::to_string(now() + 60) + "&kid=new");
   };
@@ -99,7 +99,7 @@
   EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/video/"))), 403);
 }
 
-TEST_F(Signed, ExpiryWhileAFillRunsMakesNoSecondAnswer) {
+TEST_F(SignedUrlTest, RespondsOnceWhenLinkExpiresDuringFill) {
   auto c = client(http->address());
   c->write(get(link(now() - 20)));  // some of the skew is left
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
@@ -116,7 +116,7 @@
   EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
-TEST_F(Signed, ABoxThatDiesMidFillLeavesOneAnswer) {
+TEST_F(SignedUrlTest, RespondsOnceWhenCacheStopsDuringFill) {
   auto c = client(http->address());
   c->write(get(link(now() + 60)));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
@@ -135,7 +135,7 @@
   EXPECT_EQ(engine->counters().attempts_reset, 1u);
 }
 
-TEST_F(Signed, RefusalsAndFailuresMapToGatewayErrors) {
+TEST_F(SignedUrlTest, RespondsServiceUnavailableWhenAllServersAreDown) {
   auto c = client(http->address());
   for (auto& b : box) b.stop();
   origin.stop();
@@ -145,11 +145,11 @@
   EXPECT_NE(c->in.find("Retry-After: 1\r\n"), std::string::npos);
 }
 
-class ShortLimit : public Signed {
+class ShortTimeLimitTest : public SignedUrlTest {
  protected:
-  ShortLimit() { link_limit = 300'000; }
+  ShortTimeLimitTest() { link_limit = 300'000; }
 };
-TEST_F(ShortLimit, ASilentBoxEndsInOneGatewayTimeout) {
+TEST_F(ShortTimeLimitTest, RespondsGatewayTimeoutOnceWhenCacheIsSilent) {
   auto c = client(http->address());
   c->write(get(link(now() + 60)));
   ASSERT_TRUE(until([&] { return answers(*c) == 1; }));
@@ -160,7 +160,7 @@
   EXPECT_EQ(answers(*c), 1u);
 }
 
-TEST_F(Signed, PlainHttpMistakesGetTheirStatus) {
+TEST_F(SignedUrlTest, RespondsWithStatusWhenHttpIsInvalid) {
   EXPECT_EQ(status("nonsense\r\n\r\n"), 400);
   EXPECT_EQ(
       status("POST " + link(now() + 60) + " HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"),
@@ -175,7 +175,7 @@
 
 // Guards against a client whose end is not heard behind what it has piled up: not read, it would
 // wait there.
-TEST_F(Signed, WhoPilesUpRequestsBehindAnOpenOneIsEndedWithinBounds) {
+TEST_F(SignedUrlTest, ClosesConnectionWhenTooManyRequestsAreQueued) {
   for (const bool much : {false, true}) {
     auto c = client(http->address());
     const auto before = fetches();
@@ -197,7 +197,7 @@
   }
 }
 
-TEST_F(Signed, PipelinedRequestsAreAnsweredInOrderAndAClientThatLeavesIsOwedNothing) {
+TEST_F(SignedUrlTest, RespondsToPipelinedRequestsInOrderUntilClientLeaves) {
   auto c = client(http->address());
   c->write(get(kPath) + get(link(now() + 60)) + get("/none"));
   ASSERT_TRUE(until([&] { return fetches() == 1; }));
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -51,14 +51,14 @@
     "03 03000000 c4913a5dc2bd0b00 00004040 00002044 80a90300 0000 0000 0000 00003041 "
     "640ad2557c3bf091");
 
-TEST(Codec, EmptyBatch) {
+TEST(SimulatorCodecTest, RespondsToEmptyBatch) {
   simulator_adapter::Host host;
   const auto head = bytes("00000000 5a5c800000000000 00000000 01000000");
   const auto h = simulator_adapter::read_header(head);
   EXPECT_EQ(h.clock, 8412250u);
   EXPECT_EQ(host.answer(h, ""), bytes("00000000 01000000"));
 }
-TEST(Codec, ADemandBecomesADeliverViaWithTheParentAsSource) {
+TEST(SimulatorCodecTest, SendsRequestWithParentAsSource) {
   simulator_adapter::Host host;
   const auto reply = answer(host, 4, hello(3, kSettings) + kCensus + kMembers + kDemand);
   EXPECT_EQ(reply.substr(4, 4), le<std::uint32_t>(5));
@@ -66,13 +66,13 @@
   EXPECT_NE(reply.find(bytes("04 03000000 c4913a5dc2bd0b00 0a124a07 8b13")), std::string::npos);
   EXPECT_NE(reply.find(bytes("0a9011f2 b413 01 00000000 01")), std::string::npos);
 }
-TEST(Codec, AKilledInstanceActsNoMore) {
+TEST(SimulatorCodecTest, IgnoresStoppedInstance) {
   simulator_adapter::Host host;
   const auto stop = bytes("0a 03000000");
   const auto reply = answer(host, 5, hello(3, kSettings) + kCensus + kMembers + kDemand + stop);
   EXPECT_EQ(reply.size(), 8u);
 }
-TEST(Codec, SettingsAreReadAndDefaulted) {
+TEST(SimulatorCodecTest, ReadsSettingsWithDefaults) {
   const auto s = simulator_adapter::read_settings(kSettings).settings;
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].latency_objective, 500000);
@@ -86,7 +86,7 @@
   EXPECT_NO_THROW(simulator_adapter::read_settings(
       R"({"classes":[{"target":"soon"},7],"ceilings":[],"domain":null})"));
 }
-TEST(Codec, EveryTruncationIsAPlainError) {
+TEST(SimulatorCodecTest, ReportsErrorWhenTruncatedAnywhere) {
   const std::string body = hello(3, kSettings) + kCensus + kMembers + kDemand;
   for (std::size_t n = 0; n < body.size(); ++n) {
     simulator_adapter::Host host;
@@ -98,7 +98,7 @@
   EXPECT_THROW(answer(host, 1, bytes("02 03000000 02 29000000 07000000")),
                simulator_adapter::WireError);
 }
-TEST(Codec, AHugeListLengthEndsPlainly) {
+TEST(SimulatorCodecTest, ReportsErrorWhenListLengthIsHuge) {
   simulator_adapter::Host host;
   EXPECT_THROW(answer(host, 1, bytes("0c 00000000 ffffffff")), simulator_adapter::WireError);
 }
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,5 +1,5 @@
-// Watched lists in service: a writer that injects faults, stand-in boxes that count, a router in
-// between.
+// Watched lists in service: a writer that injects faults, stand-in caches that count, and a router
+// in between.
 #include <gtest/gtest.h>
 #include <sys/inotify.h>
 #include <sys/stat.h>
@@ -25,7 +25,7 @@
 
 // Three boxes and an origin; a router whose servers come from a watched path; a client that asks
 // all the time.
-class Watched : public ::testing::Test {
+class WatchedListTest : public ::testing::Test {
  protected:
   static constexpr core::Time kWithin = 1'000'000;
 
@@ -176,7 +176,7 @@
   core::Time next_ask = 0;
 };
 
-TEST_F(Watched, EveryWayOfWritingAValidListActsWithinASecond) {
+TEST_F(WatchedListTest, AppliesValidListWithinASecondHoweverItIsWritten) {
   const auto of = [&](std::uint64_t g) {
     return list(g, {{"a", &box[0]}, {"b", &box[1], g % 2 ? "in_service" : "draining"}});
   };
@@ -234,7 +234,7 @@
   all_answered();
 }
 
-TEST_F(Watched, NoRequestEverReachesABoxThatOnlyARefusedFileNamed) {
+TEST_F(WatchedListTest, SendsNothingToServersOfRejectedLists) {
   const auto good = list(1, {{"a", &box[0]}, {"b", &box[1]}});
   rename_in(good);
   start();
@@ -315,7 +315,7 @@
   all_answered();
 }
 
-TEST_F(Watched, ADrainedBoxGetsNothingNewAndARemovedOneNeither) {
+TEST_F(WatchedListTest, SendsNothingNewToDrainedOrRemovedServers) {
   settings.change_limits.max_lost_fraction = 1;
   rename_in(list(1, {{"a", &box[0]}, {"b", &box[1]}, {"c", &box[2]}}));
   start();
@@ -349,7 +349,7 @@
   all_answered();
 }
 
-TEST_F(Watched, ADirectoryCountsOnlyWholeWhateverTheOrderOfItsWrites) {
+TEST_F(WatchedListTest, AppliesDirectoryOnlyWhenComplete) {
   settings.list = folder + "/servers.d";
   fs::create_directories(settings.list);
   const auto piece = [&](const std::vector<Entry>& e) {
@@ -387,7 +387,7 @@
   all_answered();
 }
 
-TEST_F(Watched, TheLastGoodListIsKeptThroughARestart) {
+TEST_F(WatchedListTest, KeepsLastValidListThroughARestart) {
   settings.state_directory = folder + "/state";
   rename_in(list(5, {{"a", &box[0]}, {"b", &box[1]}}));
   start();
@@ -422,7 +422,7 @@
 
 // The watching threads run without the right to read what only root may: theirs alone, by the raw
 // system call.
-TEST_F(Watched, AFileThatMayNoLongerBeReadLeavesItsListInForce) {
+TEST_F(WatchedListTest, KeepsListWhenFileBecomesUnreadable) {
   if (::geteuid() != 0) GTEST_SKIP() << "needs the right to become somebody else";
   rename_in(list(1, {{"a", &box[0]}}));
   fs::permissions(folder, fs::perms{0755});
@@ -436,7 +436,7 @@
   all_answered();
 }
 
-TEST_F(Watched, WithBothABoxThatOnlyTheFilesListIsNotAsked) {
+TEST_F(WatchedListTest, SendsNothingToServersThatOnlyTheFileLists) {
   const auto member = [](const char* id, const Box& b, const char* zone, const char* kind) {
     return R"({"id":")" + std::string(id) + R"(","host_port":")" + b.address() +
            R"(","locality":")" + zone + R"(","flavor":")" + kind +
@@ -465,7 +465,7 @@
   all_answered();
 }
 
-TEST_F(Watched, APathWithoutWatchesIsPolled) {
+TEST_F(WatchedListTest, PollsPathWhenInotifyIsUnavailable) {
   settings.poll_interval = 100'000;
   rename_in(list(1, {{"a", &box[0]}}));
   // No inotify instance is to be had for this process: all its descriptors of that kind are taken.
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace alderspur;
 
-class Discovery : public loopback::Story {
+class XdsServerTest : public loopback::Story {
  protected:
   void SetUp() override {
     Story::SetUp();
@@ -61,7 +61,7 @@
   rapidjson::Document body;
 };
 
-TEST_F(Discovery, AProxyLearnsOfABoxThatTheRouterHasPutOutAndOfADrain) {
+TEST_F(XdsServerTest, ReportsEjectedAndDrainingCaches) {
   proxy->write(post(kAsk));
   ASSERT_EQ(next(), 200);
   EXPECT_EQ(health(box[0].address()), "HEALTHY");
@@ -98,7 +98,7 @@
   EXPECT_EQ(health(box[1].address()), "DRAINING");
 }
 
-TEST_F(Discovery, MistakesAreAnsweredAndAnotherClusterIsEmpty) {
+TEST_F(XdsServerTest, RespondsWithStatusWhenRequestIsInvalid) {
   proxy->write(post(R"({"resource_names":["other"]})") + post("{}", "/v3/discovery:clusters") +
                post("not json"));
   EXPECT_EQ(next(), 200);
