--- a/src/settings/signed_url_section.cpp
+++ b/src/settings/signed_url_section.cpp
@@ -22,8 +22,9 @@
                    "the secret of key " + *id + " has under 16 characters", "use 32 random ones");
   }
   for (const auto& other : keys) {
-    if (other.id == *id)
+    if (other.id == *id) {
       findings.error("S002", table.location("id"), "two keys are called " + *id, "rename one");
+    }
   }
   keys.push_back({*id, *secret, until.value_or(0)});
 }
