--- /dev/null
+++ b/src/policy/attempts.cpp
@@ -0,0 +1,181 @@
+#include "policy/attempts.h"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+#include "policy/send_rules.h"
+#include "policy_state/outcome.h"
+
+namespace alderspur::policy {
+namespace {
+
+/// With less time than this left no attempt can finish.
+constexpr Time kMinAttemptTime = 30 * estimators::kMillisecond;
+
+bool is_first_reset(const RequestState& state, const AttemptOutcome& outcome) {
+  return outcome.result == AttemptResult::reset && state.attempts.size() == 1;
+}
+
+/// The request is not to blame for the failure: the retry is not taken from the budget.
+bool is_free_retry(const RequestState& state, const AttemptOutcome& outcome) {
+  return outcome.result == AttemptResult::cancelled || outcome.result == AttemptResult::not_sent ||
+         is_first_reset(state, outcome);
+}
+
+}  // namespace
+
+void Attempts::start(RequestState& state) {
+  if (!parts_.admission.should_shed(state.request) && send_attempt(state, nullptr)) return;
+  reject_or_fail(state);
+  close(state);
+}
+
+void Attempts::on_attempt_failed(RequestState& state, const AttemptState& attempt,
+                                 const AttemptOutcome& outcome, const Upstream* upstream,
+                                 bool retry_same_server) {
+  if (is_retry_useless(state, attempt, outcome)) {
+    reject_or_fail(state);
+    return;
+  }
+  const bool is_free = is_free_retry(state, outcome);
+  const Upstream* preferred =
+      retry_same_server ? upstream : choose_preferred_server(state, attempt, outcome, upstream);
+  const bool is_in_time = state.deadline - context_.now >= kMinAttemptTime;
+  const bool may_retry = is_in_time && (is_free || parts_.admission.try_take_retry());
+  if (!may_retry || !send_attempt(state, preferred)) reject_or_fail(state);
+}
+
+void Attempts::reject_or_fail(RequestState& state) {
+  if (!std::exchange(state.is_open, false)) return;
+  if (may_reject(context_, state)) {
+    const Time pause = std::min(context_.settings.max_retry_after, parts_.admission.retry_after());
+    context_.emit(Reject{state.request.id, context_.settings.sends_retry_after ? pause : 0});
+  } else {
+    context_.emit(Fail{state.request.id});
+  }
+  abandon_attempt(state);
+}
+
+void Attempts::close(RequestState& state) {
+  if (std::exchange(state.is_open, false)) abandon_attempt(state);
+  if (!state.attempt_in_flight()) requests_.erase(state.request.id);
+}
+
+void Attempts::cancel_movable_attempts(ServerId server) {
+  std::set<RequestId> movable;
+  for (const auto& [id, state] : requests_) {
+    if (is_movable_from(server, state)) movable.insert(id);
+  }
+  for (const RequestId id : movable) cancel_last_attempt(requests_.at(id));
+}
+
+bool Attempts::is_retry_useless(const RequestState& state, const AttemptState& attempt,
+                                const AttemptOutcome& outcome) const {
+  const bool has_stale_grace = context_.class_settings(state.request).stale_grace_time > 0;
+  const bool was_cached_only = attempt.has_source && !attempt.may_reach_origin;
+  // All parents get the object from the same origin.
+  const bool origin_failed_finally = outcome.fill_outcome == FillOutcome::origin_failed &&
+                                     (state.accepts_stale || !has_stale_grace);
+  return outcome.fill_outcome == FillOutcome::source_lacks ||
+         outcome.result == AttemptResult::already_finished ||
+         (outcome.result == AttemptResult::miss && was_cached_only) || origin_failed_finally;
+}
+
+const Upstream* Attempts::choose_preferred_server(RequestState& state, const AttemptState& attempt,
+                                                  const AttemptOutcome& outcome,
+                                                  const Upstream* upstream) const {
+  if (is_first_reset(state, outcome) && context_.settings.health_checks_allowed) return upstream;
+  if (!fill_failed(outcome) || outcome.fill_outcome == FillOutcome::fill_limit_reached) {
+    return nullptr;
+  }
+  if (attempt.has_source && outcome.fill_outcome != FillOutcome::origin_failed) {
+    state.failed_sources.push_back(attempt.source);
+  }
+  state.accepts_stale = true;
+  return upstream;
+}
+
+bool Attempts::is_movable_from(ServerId server, const RequestState& state) const {
+  const AttemptState* attempt = state.attempt_in_flight();
+  if (!attempt || !state.is_open || state.response_started) return false;
+  const bool waits_for_source = attempt->source == server && attempt->may_reach_origin;
+  if (attempt->server != server && !waits_for_source) return false;
+  return may_move(context_, state, *attempt);
+}
+
+bool Attempts::send_attempt(RequestState& state, const Upstream* preferred) {
+  ObjectState& object = parts_.selection.object(state.request.object);
+  auto candidates = parts_.selection.candidates(object, state.request.object);
+  // The preferred server first, those that the request was sent to before last.
+  std::ranges::stable_sort(candidates, {}, [&](const Upstream* cache) {
+    if (cache == preferred) return 0;
+    return state.was_sent_to(cache->server.id) ? 2 : 1;
+  });
+  for (Upstream* cache : candidates) {
+    if (!parts_.slow_start.has_quota(*cache)) continue;
+    const auto fill = parts_.fills.plan(state, object, *cache);
+    if (!send(state, *cache, fill)) continue;
+    parts_.selection.record_sent(object, *cache);
+    return true;
+  }
+  return context_.settings.can_bypass_caches && send_bypassing_caches(state);
+}
+
+bool Attempts::send_bypassing_caches(RequestState& state) {
+  Upstream* source = parts_.fills.choose_source(state);
+  if (!source) return false;
+  const Upstream* origin = context_.upstreams.origin();
+  if (!source->is_parent() || !origin) return send(state, *source, std::nullopt);
+  Fill fill;
+  fill.source = origin->server.id;
+  fill.may_join = context_.settings.can_join_fills;
+  return send(state, *source, fill);
+}
+
+bool Attempts::send(RequestState& state, Upstream& upstream, std::optional<Fill> fill) {
+  if (!may_send_to(state, upstream)) return false;
+  const bool has_source = fill && fill->source != upstream.server.id;
+  Upstream* source = has_source ? context_.upstreams.find(fill->source) : nullptr;
+  if (source && (!source->is_ready() || !parts_.slow_start.has_quota(*source))) return false;
+  const bool may_reach_origin = source && state.is_likely_miss && !fill->cached_only;
+  limit_age_after_purge(context_, state, upstream.server.id, fill);
+  parts_.slow_start.charge(upstream, state.request);
+  if (source) parts_.slow_start.charge(*source, state.request);
+  AttemptState attempt = make_attempt(upstream, source, context_.now);
+  attempt.transfer_time = context_.workload.transfer_time(state.request);
+  attempt.may_reach_origin = may_reach_origin;
+  state.attempts.push_back(attempt);
+  upstream.begin_transfer(attempt.transfer_time, context_.now);
+  if (may_reach_origin) parts_.admission.origin_work().begin(attempt.transfer_time);
+  // All the time that is left: a shorter timeout would waste what a slow cache has done so far.
+  const Time timeout = std::max<Time>(1, state.deadline - context_.now);
+  context_.emit(Send{state.request.id, upstream.server.id, timeout, fill});
+  return true;
+}
+
+bool Attempts::may_send_to(const RequestState& state, Upstream& upstream) {
+  if (!state.is_open || state.response_started) return false;
+  const std::size_t number = state.attempts.size();
+  if (number >= context_.settings.max_attempts || !upstream.is_ready()) return false;
+  if (!may_attempt(context_, state, upstream.server, number)) return false;
+  return parts_.slow_start.has_quota(upstream);
+}
+
+void Attempts::abandon_attempt(const RequestState& state) {
+  const AttemptState* attempt = state.attempt_in_flight();
+  if (!attempt) return;
+  Upstream* upstream = context_.upstreams.find(attempt->server);
+  if (upstream && is_unresponsive_since(*upstream, *attempt) &&
+      context_.now - attempt->sent_at >= parts_.health.response_timeout(state.request)) {
+    parts_.health.record_hard_failure(*upstream, true);
+  }
+  cancel_last_attempt(state);
+}
+
+void Attempts::cancel_last_attempt(const RequestState& state) const {
+  if (!context_.settings.can_cancel_attempts) return;
+  context_.emit(Cancel{state.request.id, state.last_attempt()});
+}
+
+}  // namespace alderspur::policy
--- a/src/router/policy_parts.h
+++ b/src/policy/policy_parts.h
@@ -1,4 +1,4 @@
-// The parts of the routing policy, put together. They share one context and belong to one router.
+// The parts of the routing policy, assembled.
 #pragma once
 
 #include "policy/admission.h"
@@ -6,9 +6,12 @@
 #include "policy/fill_policy.h"
 #include "policy/health.h"
 #include "policy/slow_start.h"
+#include "policy_state/routing_context.h"
 
 namespace alderspur::policy {
 
+/// One of each part, wired together over a shared context that must outlive them. Owned by the
+/// router; one thread.
 struct PolicyParts {
   explicit PolicyParts(RoutingContext& context)
       : slow_start(context),
--- a/src/policy_state/fleet_share.h
+++ b/src/policy_state/fleet_share.h
@@ -1,38 +1,29 @@
-// How many routers share the caches and the fleet with this one, as far as it knows. One thread.
+// How many routers share the servers with this one.
 #pragma once
 
-#include <algorithm>
-
 #include "alderspur/router.h"
 
 namespace alderspur::policy {
 
+/// The routers that a limit is shared with: those of the own location, or those of all locations.
 enum class Scope { location, fleet };
 
+/// This router's share of what all routers together may do. Owned by RoutingContext; one thread.
 class FleetShare {
  public:
+  /// `settings` must outlive this object.
   explicit FleetShare(const Settings& settings) : settings_(settings) {}
 
   const BudgetShare& budget() const { return budget_; }
   void set_budget(const BudgetShare& budget) { budget_ = budget; }
 
-  /// Routers at work in that scope, at least 1: by this one's part of the budget if told, else
-  /// their number.
-  double router_count(Scope scope) const {
-    const bool fleet = scope == Scope::fleet;
-    const double part = fleet ? budget_.fleet_share : budget_.location_share;
-    if (part > 0) return 1 / part;
-    const std::uint32_t location = settings_.location.value;
-    const auto& counts = settings_.router_count_by_location;
-    const bool counted = !fleet && location < counts.size();
-    return std::max(1U, counted ? counts[location] : settings_.router_count);
-  }
-  /// How much more one observation counts than with the few routers for which the limits were set:
-  /// each of many routers sees only a part of all responses.
-  double evidence_scale(Scope scope) const {
-    constexpr double kReferenceRouters = 2;
-    return std::max(1.0, router_count(scope) / kReferenceRouters);
-  }
+  /// Routers at work in that scope, at least 1: the inverse of this router's budget share where one
+  /// was assigned, else the number in the settings.
+  double router_count(Scope scope) const;
+  /// How much more a single observation counts than it does with the few routers that limits and
+  /// thresholds are set for, since each of many routers sees only a small part of all responses. At
+  /// least 1.
+  double evidence_scale(Scope scope) const;
 
  private:
   const Settings& settings_;
--- a/src/policy_state/object_state.h
+++ b/src/policy_state/object_state.h
@@ -1,8 +1,8 @@
-// What a router remembers of an object that was asked for lately, and of the caches that serve it.
+// What a router remembers of an object that was requested lately, and of the caches that serve it.
 // Plain state; times are microseconds of the router's clock.
 #pragma once
 
-#include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <vector>
 
@@ -13,40 +13,39 @@
 
 using estimators::SlidingSum;
 
-/// A cache that has served the object.
+/// A cache that has served the object or was sent a request for it.
 struct ReplicaState {
   ServerId id;
-  SlidingSum served_load;  // as Upstream::served_load
-  SlidingSum sent;         // attempts
-  SlidingSum served;       // requests
+  /// Of this object, in the unit of Upstream::served_load.
+  SlidingSum served_load;
+  /// Attempts that were sent.
+  SlidingSum sent;
+  /// Requests that were served.
+  SlidingSum served;
   Time joined_at = 0;
 };
 
+/// One object, from its first request until it has not been requested for a while.
 struct ObjectState {
   Time last_request = 0;
-  Time last_widened = 0;
-  /// When its share of a cache's load was last too large for the set to shrink.
+  /// When the replica set last grew.
+  Time last_expanded = 0;
+  /// When its share of a cache's load was last too large for the replica set to shrink.
   Time last_busy = 0;
+  /// When it last came from a fill source.
   Time last_fetched = 0;
-  std::uint64_t requested_parts = 0;  // a bit for each part, modulo 64
+  /// A bit for each part that was requested, modulo 64.
+  std::uint64_t requested_parts = 0;
+  /// Some part was requested more than once.
   bool was_repeated = false;
   /// How many caches, in rendezvous order, serve it.
   std::size_t replica_count = 1;
   std::vector<ReplicaState> replicas;
 
-  ReplicaState& replica(ServerId id, Time now) {
-    const auto found = std::ranges::find(replicas, id, &ReplicaState::id);
-    return found != replicas.end() ? *found
-                                   : replicas.emplace_back(ReplicaState{id, {}, {}, {}, now});
-  }
-  /// Notes a request for that part. True: the same part was asked for before.
-  bool note_part(std::uint32_t part) {
-    const std::uint64_t bit = 1ULL << (part % 64);
-    const bool seen = (requested_parts & bit) != 0;
-    if (seen) was_repeated = true;
-    requested_parts |= bit;
-    return seen;
-  }
+  /// The state of that cache for this object; a new one where there is none.
+  ReplicaState& find_or_add_replica(ServerId id, Time now);
+  /// Records a request for a part. True: the same part was requested before.
+  bool record_part(std::uint32_t part);
 };
 
 }  // namespace alderspur::policy
--- a/src/policy_state/outcome.h
+++ b/src/policy_state/outcome.h
@@ -1,40 +1,21 @@
-// What the end of an attempt means, whoever asks. Pure.
+// What the end of an attempt says, independent of the request and the server. Pure functions.
 #pragma once
 
 #include "alderspur/router.h"
 
 namespace alderspur::policy {
 
-/// The server itself answered, well or not.
-inline bool is_response(AttemptResult result) {
-  return result == AttemptResult::ok || result == AttemptResult::error ||
-         result == AttemptResult::overloaded || result == AttemptResult::miss;
-}
+/// The server itself responded, with success or not.
+bool is_response(AttemptResult result);
 /// The server did nothing for the request.
-inline bool never_ran(AttemptResult result) {
-  return result == AttemptResult::overloaded || result == AttemptResult::connect_failed ||
-         result == AttemptResult::already_finished || result == AttemptResult::miss ||
-         result == AttemptResult::not_sent;
-}
-/// The fill failed; the cache that told so is well.
-inline bool fill_failed(const AttemptOutcome& outcome) {
-  return outcome.fill_outcome >= FillOutcome::source_refused;
-}
-/// The source of the fill did not answer it.
-inline bool source_failed(const AttemptOutcome& outcome) {
-  return outcome.fill_outcome == FillOutcome::source_refused ||
-         outcome.fill_outcome == FillOutcome::source_unreachable;
-}
+bool never_ran(AttemptResult result);
+/// The fill failed; the cache that reported it is healthy.
+bool fill_failed(const AttemptOutcome& outcome);
+/// The source of the fill did not respond to the cache.
+bool source_failed(const AttemptOutcome& outcome);
 /// The object came from the source.
-inline bool was_filled(const AttemptOutcome& outcome) {
-  return outcome.result == AttemptResult::ok &&
-         (outcome.fill_outcome == FillOutcome::filled ||
-          outcome.fill_outcome == FillOutcome::filled_by_origin);
-}
-/// The cache had the object, or another request's fill brought it.
-inline bool needed_no_fill(const AttemptOutcome& outcome) {
-  return outcome.fill_outcome == FillOutcome::hit ||
-         outcome.fill_outcome == FillOutcome::joined_fill;
-}
+bool was_filled(const AttemptOutcome& outcome);
+/// The cache had the object, or the fill of another request brought it.
+bool needed_no_fill(const AttemptOutcome& outcome);
 
 }  // namespace alderspur::policy
--- a/src/policy_state/purge_table.h
+++ b/src/policy_state/purge_table.h
@@ -1,7 +1,6 @@
-// The purges that a router was told of lately. No decisions; one thread.
+// The purges that a router has received lately.
 #pragma once
 
-#include <algorithm>
 #include <compare>
 #include <cstdint>
 #include <map>
@@ -10,28 +9,16 @@
 
 namespace alderspur::policy {
 
+/// The latest purge of each object and group. No decisions. Owned by RoutingContext; one thread.
 class PurgeTable {
  public:
-  void record(const Purge& purge, Time now) {
-    const Key key = purge.object ? Key{true, purge.object->value} : Key{false, purge.group.value};
-    Time& latest = latest_[key];
-    latest = std::max(latest, now - std::max<Time>(0, purge.age));
-  }
+  /// Records a purge that was received at `now`.
+  void record(const Purge& purge, Time now);
   /// When the object of a request, or its group, was last purged; -1: not lately.
-  Time last_purge(const Request& request) const {
-    Time latest = -1;
-    for (const Key& key : {Key{true, request.object.value}, Key{false, request.group.value}}) {
-      if (const auto found = latest_.find(key); found != latest_.end()) {
-        latest = std::max(latest, found->second);
-      }
-    }
-    return latest;
-  }
+  Time last_purge(const Request& request) const;
   bool is_purged(const Request& request) const { return last_purge(request) >= 0; }
-  /// Forgets the purges before that time.
-  void forget_before(Time time) {
-    std::erase_if(latest_, [time](const auto& entry) { return entry.second < time; });
-  }
+  /// Forgets the purges from before `time`.
+  void forget_before(Time time);
 
  private:
   struct Key {
@@ -39,6 +26,7 @@
     std::uint64_t id = 0;
     auto operator<=>(const Key&) const = default;
   };
+
   std::map<Key, Time> latest_;
 };
 
--- a/src/policy_state/request_state.h
+++ b/src/policy_state/request_state.h
@@ -2,7 +2,6 @@
 // ended. Plain state; times are microseconds of the router's clock.
 #pragma once
 
-#include <algorithm>
 #include <vector>
 
 #include "alderspur/router.h"
@@ -15,10 +14,13 @@
   ServerId server;
   /// Where the server is to fill from; the default id: from nowhere else.
   ServerId source;
-  LocationId location;  // of the server, as is the cell
+  /// Of the server.
+  LocationId location;
+  /// Of the server.
   CellId cell;
   Time sent_at = 0;
-  double transfer_time = 0;  // seconds
+  /// Expected, in seconds.
+  double transfer_time = 0;
   bool has_source = false;
   /// It was charged to the slow start quota of its source.
   bool charged_to_source = false;
@@ -29,49 +31,36 @@
   bool never_ran = false;
 };
 
-/// Nothing was heard of the server since the attempt was sent to it.
-inline bool is_silent_since(const Upstream& upstream, const AttemptState& attempt) {
-  return upstream.last_heard_at < attempt.sent_at;
-}
+/// Nothing was received from the server since the attempt was sent to it.
+bool is_unresponsive_since(const Upstream& upstream, const AttemptState& attempt);
 
-/// An attempt that is about to be sent. `source`: null where it fills from nowhere else.
-inline AttemptState begin_attempt(const Upstream& upstream, const Upstream* source, Time now) {
-  AttemptState attempt;
-  attempt.server = upstream.server.id;
-  attempt.location = upstream.server.location;
-  attempt.cell = upstream.server.cell;
-  attempt.sent_at = now;
-  if (source) {
-    attempt.has_source = true;
-    attempt.source = source->server.id;
-    attempt.charged_to_source = source->is_warming_up;
-  }
-  return attempt;
-}
+/// An attempt that is about to be sent. `source` is null where the server fills from nowhere else.
+AttemptState make_attempt(const Upstream& upstream, const Upstream* source, Time now);
 
+/// One request, owned by the RequestTable.
 struct RequestState {
   Request request;
   Time deadline = 0;
   /// The final answer is still owed.
   bool is_open = true;
-  /// No cache is likely to hold a current copy: never asked for here, out of date or purged.
+  /// No cache is likely to have a current copy: never requested here, out of date or purged.
   bool is_likely_miss = true;
+  /// The client has part of the response: no further attempt.
   bool response_started = false;
+  /// A stale copy will do, since the source has failed or is overloaded.
   bool accepts_stale = false;
   std::vector<AttemptState> attempts;
+  /// Sources that are not to be used for this request any more.
   std::vector<ServerId> failed_sources;
-  /// A source that may be why an attempt failed, and the cache that is asked again without it, to
-  /// tell.
+  /// A source that may have caused the failure of an attempt (see FillPolicy::suspect_source).
   ServerId suspected_source;
-  ServerId cache_asked_again;
+  /// The cache that is retried without `suspected_source`.
+  ServerId retried_cache;
 
-  bool was_sent_to(ServerId server) const {
-    return std::ranges::count(attempts, server, &AttemptState::server) > 0;
-  }
-  /// The attempt in flight, if any: never two at once, so only the last one can be.
-  const AttemptState* attempt_in_flight() const {
-    return !attempts.empty() && attempts.back().in_flight ? &attempts.back() : nullptr;
-  }
+  bool was_sent_to(ServerId server) const;
+  /// The attempt in flight, null if there is none. At most one is in flight at a time: the last.
+  const AttemptState* attempt_in_flight() const;
+  /// The number of the last attempt; there must be one.
   AttemptNo last_attempt() const { return {static_cast<std::uint32_t>(attempts.size() - 1)}; }
 };
 
--- a/src/policy_state/request_table.h
+++ b/src/policy_state/request_table.h
@@ -12,6 +12,7 @@
 
 namespace alderspur::policy {
 
+/// Hashes any alderspur::Id.
 struct IdHash {
   template <class IdType>
   std::size_t operator()(const IdType& id) const {
@@ -19,7 +20,9 @@
   }
 };
 
+/// The requests that are owed a final answer or have an attempt in flight.
 using RequestTable = std::unordered_map<RequestId, RequestState, IdHash>;
+/// The objects that were requested lately.
 using ObjectTable = std::unordered_map<ObjectId, ObjectState, IdHash>;
 
 }  // namespace alderspur::policy
--- a/src/policy_state/routing_context.h
+++ b/src/policy_state/routing_context.h
@@ -1,7 +1,7 @@
-// What all parts of the routing policy share: settings, the time of the event, the tables of state
-// and the actions that are being collected. One thread.
+// What all parts of the routing policy share.
 #pragma once
 
+#include <cstdint>
 #include <utility>
 #include <vector>
 
@@ -14,7 +14,10 @@
 
 namespace alderspur::policy {
 
+/// Settings, the time of the current event, the shared tables of state, and the actions that are
+/// being collected. Owned by the router, which outlives all parts of the policy; one thread.
 struct RoutingContext {
+  /// `seed` starts the sequence of draw().
   RoutingContext(Settings router_settings, std::uint64_t seed)
       : settings(std::move(router_settings)),
         upstreams(settings.location),
@@ -25,17 +28,21 @@
   RoutingContext& operator=(const RoutingContext&) = delete;
 
   const Settings settings;
+  /// The time of the event that is being handled, microseconds. Never steps back.
   Time now = 0;
   UpstreamTable upstreams;
   WorkloadModel workload;
   FleetShare fleet;
   PurgeTable purges;
   std::uint64_t random_counter;
-  /// Responses have told what became of fills: there is no need to guess at it.
-  bool fill_outcomes_are_told = false;
+  /// Some response has reported what became of its fill: such reports replace guesses.
+  bool fill_outcomes_are_reported = false;
+  /// Where emit() appends; set while an event is being handled.
   std::vector<Action>* actions = nullptr;
 
+  /// Appends an action for the caller of the router.
   void emit(const Action& action) const { actions->push_back(action); }
+  /// The settings of the class of a request.
   const ClassSettings& class_settings(const Request& request) const {
     return settings.classes[request.class_id.value];
   }
--- a/src/policy_state/timer_table.h
+++ b/src/policy_state/timer_table.h
@@ -1,4 +1,4 @@
-// The timers that a router has set and that have not expired yet. One thread.
+// The timers that a router has set and that have not expired yet.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +9,23 @@
 
 namespace alderspur::policy {
 
-enum class TimerKind { housekeeping, silence_check, request_deadline, subscribe_again };
+/// What is due when a timer expires.
+enum class TimerKind { housekeeping, unresponsive_check, request_deadline, resubscribe };
 
+/// A timer that has been set.
 struct Timer {
   TimerKind kind{};
-  RequestId request{};  // of a request_deadline
+  /// Of TimerKind::request_deadline.
+  RequestId request{};
 };
 
+/// Assigns ids to timers. Owned by the router; one thread.
 class TimerTable {
  public:
-  TimerId add(const Timer& timer) {
-    timers_[next_id_] = timer;
-    return {next_id_++};
-  }
-  /// Takes an expired timer out; nothing where it is not known.
-  std::optional<Timer> take(TimerId id) {
-    const auto node = timers_.extract(id.value);
-    if (!node) return std::nullopt;
-    return node.mapped();
-  }
+  /// Stores a timer under a new id.
+  TimerId add(const Timer& timer);
+  /// Removes an expired timer; absent where the id is not known.
+  std::optional<Timer> take(TimerId id);
 
  private:
   std::map<std::uint32_t, Timer> timers_;
--- a/src/policy_state/upstream_table.cpp
+++ b/src/policy_state/upstream_table.cpp
@@ -20,7 +20,7 @@
     upstream.consecutive_failures = 0;
     upstream.ejected_until = 0;
     upstream.on_probation = false;
-    upstream.was_silent = false;
+    upstream.was_unresponsive = false;
   }
   return change;
 }
--- a/src/policy_state/upstream_table.h
+++ b/src/policy_state/upstream_table.h
@@ -1,5 +1,4 @@
-// The table of all servers that a router knows, by id, with those it may use grouped by role.
-// No decisions and no I/O; one thread. Pointers stay valid until their server is removed.
+// The servers that a router knows.
 #pragma once
 
 #include <map>
@@ -11,6 +10,9 @@
 
 namespace alderspur::policy {
 
+/// All known servers by id, with those that may be used grouped by role. No decisions and no I/O.
+/// Owned by RoutingContext; one thread. Pointers to servers stay valid until remove_gone() removes
+/// them.
 class UpstreamTable {
  public:
   explicit UpstreamTable(LocationId own_location) : own_location_(own_location) {}
@@ -19,20 +21,24 @@
   struct Change {
     Upstream& upstream;
     bool is_new = false;
-    bool has_returned = false;   // it was gone and is ready again
-    bool has_restarted = false;  // its process started anew; its failures are forgotten
+    /// It was gone and is ready again.
+    bool has_returned = false;
+    /// Its process started anew; its failures are forgotten.
+    bool has_restarted = false;
   };
+
+  /// Adds or updates a server. regroup() is due afterwards.
   Change apply(const Server& server);
-  /// Marks all servers as gone that are not among these.
+  /// Marks all servers as gone that are not among these. regroup() is due afterwards.
   void retain(const std::vector<Server>& servers);
-  /// Groups the servers by role again. Due after updates, bans and removals.
+  /// Groups the servers by role again, after updates, bans and removals.
   void regroup();
-  /// Forgets the servers that are gone and have no attempt in flight.
+  /// Forgets the servers that are gone and have no attempt in flight. regroup() is due afterwards.
   void remove_gone();
-
-  /// Bans a server, listed or not, or lifts the ban. False: nothing changed.
+  /// Bans a server, listed or not, or lifts the ban; apply() takes it over. False: nothing changed.
   bool set_ban(const Ban& ban);
 
+  /// Null: not known.
   Upstream* find(ServerId id);
   /// Ready caches of the own location.
   const std::vector<Upstream*>& caches() const { return caches_; }
@@ -40,6 +46,7 @@
   const std::vector<Upstream*>& parents() const { return parents_; }
   /// The ready origin; null: there is none.
   Upstream* origin() const { return origin_; }
+  /// All servers, ready or not.
   std::map<ServerId, Upstream>& all() { return upstreams_; }
 
   /// Seconds of transfer time that the caches() have in flight.
