--- a/src/cli/cluster_versions.cpp
+++ b/src/cli/cluster_versions.cpp
@@ -137,8 +137,9 @@
   }
   rapidjson::Document view;
   view.Parse<rapidjson::kParseIterativeFlag>(reply.body.c_str());
-  if (view.HasParseError() || !view.IsObject())
+  if (view.HasParseError() || !view.IsObject()) {
     return fail("an answer that cannot be read", kFinding);
+  }
   print_versions(view);
   return std::string_view(view["acting"]["state"].GetString()) == "leased" ? kYes : kFinding;
 }
--- /dev/null
+++ b/src/cli/format.cpp
@@ -0,0 +1,66 @@
+// `alderspur fmt`: brings files of the configuration language into their canonical form.
+#include "config_language/format.h"
+
+#include <cstdio>
+#include <string>
+
+#include "cli/commands.h"
+#include "cli/file_replacement.h"
+#include "cli/printing.h"
+#include "config_language/files.h"
+#include "config_language/parser.h"
+
+namespace alderspur::cli {
+namespace {
+
+/// Writes the formatted text in place; false, after an error message, where that fails.
+bool write_formatted(const std::string& path, const std::string& formatted) {
+  if (!replace_file(path, formatted, ReplacedPermissions::as_before)) return true;
+  std::fprintf(stderr, "%s: cannot be written\n", path.c_str());
+  return false;
+}
+
+/// Prints, checks and writes one file as the options say; the exit code.
+int report_formatted(const std::string& path, const std::string& text, const std::string& formatted,
+                     const FormatOptions& options) {
+  const bool is_canonical = formatted == text;
+  int exit_code = kYes;
+  if (!options.write && !options.check) std::fputs(formatted.c_str(), stdout);
+  if (options.check && !is_canonical) {
+    std::printf("%s: not in its form\n", path.c_str());
+    exit_code = kFinding;
+  }
+  if (options.write && !is_canonical && !write_formatted(path, formatted)) exit_code = kFinding;
+  return exit_code;
+}
+
+int format_file(const std::string& path, const FormatOptions& options) {
+  config_language::FileLoader loader;
+  std::string error;
+  const auto text = loader.read(path, error);
+  if (!text) {
+    std::fprintf(stderr, "%s: %s\n", path.c_str(), error.c_str());
+    return kFinding;
+  }
+  config_language::Sources sources;
+  diagnostics::Findings findings;
+  const auto tree = config_language::parse(sources, sources.add(path, *text), findings);
+  // What did not parse is not in the tree: writing the tree would remove it from the file.
+  if (!findings.good()) {
+    print_findings(sources, findings);
+    return kFinding;
+  }
+  return report_formatted(path, *text, config_language::format(tree), options);
+}
+
+}  // namespace
+
+int format_files(const FormatOptions& options) {
+  int exit_code = kYes;
+  for (const auto& path : options.files) {
+    if (format_file(path, options) != kYes) exit_code = kFinding;
+  }
+  return exit_code;
+}
+
+}  // namespace alderspur::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -7,12 +7,11 @@
 #include <vector>
 
 #include "cli/commands.h"
-#include "cli/language.h"
 
 namespace {
 
-using namespace alderspur::cli;  // NOLINT(google-build-using-namespace): the commands, which this
-                                 // file only lists
+// NOLINTNEXTLINE(google-build-using-namespace): the commands, which this file only lists.
+using namespace alderspur::cli;
 
 /// What the command line gives to the subcommand that it names, and that command's exit code.
 struct Arguments {
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -1,5 +1,5 @@
 // `alderspur run`: reads the settings, builds the router with all parts that they switch on, and
-// runs it on this thread until it has left.
+// runs it on this thread until its graceful shutdown is over.
 #include <unistd.h>
 
 #include <csignal>
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "cli/commands.h"
+#include "cli/printing.h"
 #include "control/cluster_service.h"
 #include "control/consensus_service.h"
 #include "control/endpoint_controller.h"
@@ -29,13 +30,6 @@
 /// Proxies that may be connected to the discovery service at the same time.
 constexpr std::size_t kMaxProxies = 32;
 
-int print_findings(const diagnostics::Findings& findings) {
-  for (const auto& finding : findings.list()) {
-    std::fprintf(stderr, "%s\n", diagnostics::to_string(finding).c_str());
-  }
-  return kFinding;
-}
-
 /// One router with all parts that its settings switch on, from construction to the end of the
 /// process. The members are constructed in the order of their declaration and destroyed in the
 /// reverse order: each uses only those above it.
@@ -46,7 +40,7 @@
   RunningRouter(const RunningRouter&) = delete;
   RunningRouter& operator=(const RunningRouter&) = delete;
 
-  /// Returns when the router has been told to leave and has left.
+  /// Returns once the router has been asked to stop and its graceful shutdown is over.
   void run();
 
  private:
@@ -68,8 +62,8 @@
 
   const settings::Settings& settings_;
   log::Log& log_;
-  control::EndpointController* endpoint_controller_ =
-      nullptr;  // owned by node_; null without membership
+  /// Owned by node_; null without membership.
+  control::EndpointController* endpoint_controller_ = nullptr;
   edge_router::EdgeRouter node_;
   std::unique_ptr<control::Routes> routes_;
   std::unique_ptr<signed_url::HttpFront> signed_url_front_;
@@ -188,14 +182,14 @@
   if (routes_) routes_->reload();
 }
 
-/// 0 where no list is in force.
+/// Of the active endpoint list; 0 where there is none.
 std::uint64_t RunningRouter::endpoint_list_generation() const {
   if (!endpoint_controller_) return 0;
   const auto list = endpoint_controller_->endpoints().current_list();
   return list ? list->generation : 0;
 }
 
-/// False where a worker hangs on its disk: the process can then only be ended by _exit().
+/// False where a worker is blocked by its disk: only _exit() can then end the process.
 bool RunningRouter::stop_workers() {
   if (!node_.stop_workers()) return false;
   if (consensus_ && !consensus_->stop_workers()) return false;
@@ -235,8 +229,9 @@
   loaded.config = config::read_file(loaded.settings.config_file);
   config::Config& config = loaded.config;
   if (!loaded.settings.listen.empty()) config.listen = loaded.settings.listen;
-  if (!loaded.settings.operators_address.empty())
+  if (!loaded.settings.operators_address.empty()) {
     config.operators_address = loaded.settings.operators_address;
+  }
   if (const char* shared = std::getenv("TMPDIR")) config.shared_directory = shared;
   settings::resolve(loaded.settings, config, findings);
   if (!findings.good()) return std::nullopt;
@@ -264,7 +259,10 @@
   try {
     diagnostics::Findings findings;
     auto loaded = load_settings(file, findings);
-    if (!loaded) return print_findings(findings);
+    if (!loaded) {
+      print_findings(stderr, findings);
+      return kFinding;
+    }
     return run_router(std::move(*loaded));
   } catch (const std::exception& error) {
     std::fprintf(stderr, "alderspur: %s\n", error.what());
