--- a/src/control/cluster_service.h
+++ b/src/control/cluster_service.h
@@ -20,30 +20,45 @@
 /// Adds members to the JSON object of a view.
 using ViewExtension = std::function<void(json::Writer&)>;
 
-/// The view as JSON, as GET /control/cluster gives it; docs/cluster.md explains its fields.
+/// The view as JSON, as GET /control/cluster returns it. `now`: microseconds of the engine's clock.
+/// docs/cluster.md explains its fields.
 std::string cluster_view(const cluster::Membership& membership,
                          const cluster_transport::TransportCounters& counters, core::Time now,
                          const ViewExtension& extension = {});
 
 class ClusterService {
  public:
+  /// Receives a frame of the member `from`; the bytes are valid during the call only.
   using FrameHandler = std::function<void(const std::string& from, std::string_view frame)>;
+  /// Receives the names of all members that are alive or suspect, without this one.
   using MembersHandler = std::function<void(const std::vector<std::string>& names)>;
 
-  /// Reads the secret and takes a new epoch. Throws config::Error with the reason in one line.
+  /// Reads the secret, begins a new epoch and joins the cluster. Throws config::Error with the
+  /// reason in one line. `node` and `log` must outlive the service.
   ClusterService(edge_router::EdgeRouter& node, const settings::Cluster& settings, log::Log& log);
 
+  /// The view as JSON, with what the services add to it.
   std::string view() const;
+
   const cluster_transport::ClusterTransport& link() const { return *transport_; }
-  /// Frames of the consensus on versions.
+
+  /// Sends a frame of the consensus on versions. It may be lost: there is no error.
   void send_frame(const std::string& to, std::string_view frame) {
     transport_->send_frame(to, frame);
   }
+
+  /// Sets the handler of the consensus's frames.
   void on_frame(FrameHandler handler) { consensus_handler_ = std::move(handler); }
-  /// Frames of the replication of bans and purges; a first byte tells them from the others.
+
+  /// Sends a frame of the replication of bans and purges. It may be lost: there is no error.
   void send_replica(const std::string& to, std::string_view frame);
+
+  /// Sets the handler of the replication's frames.
   void on_replica(FrameHandler handler) { replication_handler_ = std::move(handler); }
+
+  /// Sets what adds members to the view.
   void on_view(ViewExtension extension) { view_extension_ = std::move(extension); }
+
   /// Calls the handler now, and at each change, with the members that are alive or suspect.
   void on_members(MembersHandler handler);
 
--- a/src/control/consensus_service.cpp
+++ b/src/control/consensus_service.cpp
@@ -192,10 +192,12 @@
 
 admin::HttpReply ConsensusService::answer_read(std::string_view path) const {
   if (path.empty()) return {kOk, view()};
-  if (path.starts_with(kProposalsPath))
+  if (path.starts_with(kProposalsPath)) {
     return proposal_result(read_number(path.substr(kProposalsPath.size())));
-  if (path.starts_with(kContentPath))
+  }
+  if (path.starts_with(kContentPath)) {
     return version_content(read_number(path.substr(kContentPath.size())));
+  }
   return {kNotFound, "no such call\n"};
 }
 
--- a/src/control/consensus_storage.cpp
+++ b/src/control/consensus_storage.cpp
@@ -75,10 +75,12 @@
 void ConsensusStorage::load() {
   log_writer_.submit([this, log_store = log_store_, folder = folder_] {
     wakeup_.post([this, start = load_all(folder, *log_store)] {
-      if (start.is_log_corrupt)
+      if (start.is_log_corrupt) {
         log_.record(kLogModule, log::Level::error, "log_spoilt", {{"folder", folder_}});
-      if (start.has_no_disk)
+      }
+      if (start.has_no_disk) {
         log_.record(kLogModule, log::Level::error, "no_disk", {{"folder", folder_}});
+      }
       on_event_(start);
     });
   });
--- a/src/control/endpoint_controller.cpp
+++ b/src/control/endpoint_controller.cpp
@@ -13,8 +13,8 @@
 namespace alderspur::control {
 namespace {
 
-/// How long the start waits for the files to settle.
-constexpr core::Time kFirstLookTimeout = 2'000'000;
+/// How long the start waits until the files do not change any more.
+constexpr core::Time kFirstReadTimeout = 2'000'000;
 /// Changes within this time are saved together.
 constexpr core::Time kSaveDelay = 1'000'000;
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
@@ -22,8 +22,8 @@
 
 std::string state_path(const std::string& folder) { return folder + "/membership.state"; }
 
-/// The files that a manifest names. Its findings are reported later, by evaluate(), which reads it
-/// once all of its files have settled.
+/// The files that a manifest names. Its findings are reported later, by ListEvaluator, which reads
+/// it once none of its files changes any more.
 std::vector<std::string> piece_names(const std::string& manifest,
                                      const endpoints::ListLimits& limits) {
   diagnostics::Findings ignored;
@@ -40,44 +40,14 @@
 
 }  // namespace
 
-/// What the reading worker evaluates lists against. Only the loop's thread replaces the list in
-/// force.
-struct EndpointController::EvaluationContext {
-  endpoints::SnapshotPtr in_force() const {
-    const std::lock_guard lock(mutex);
-    return list;
-  }
-  void set_in_force(endpoints::SnapshotPtr next) {
-    const std::lock_guard lock(mutex);
-    list = std::move(next);
-  }
-
-  settings::Membership settings;
-  std::vector<std::string> zones;
-  mutable std::mutex mutex;
-  endpoints::SnapshotPtr list;  // guarded by mutex
-};
-
-/// The result of reading and checking the files once.
-struct EndpointController::Evaluation {
-  std::optional<endpoints::CandidateList> candidate;  // only if valid and not yet in force
-  bool is_unchanged = false;                          // valid, and its generation is in force
-  std::string rejection;                              // the first finding
-  std::size_t finding_count = 0;
-  core::Time duration = 0;  // microseconds
-};
-
 EndpointController::EndpointController(edge_router::EdgeRouter& node,
                                        const settings::Membership& settings, log::Log& log)
     : node_(node),
       settings_(settings),
       log_(log),
       endpoints_(settings.endpoint_set),
-      context_(std::make_shared<EvaluationContext>()),
+      evaluator_(std::make_shared<ListEvaluator>(settings, node.config().names.zones)),
       wakeup_(node.loop()) {
-  context_->settings = settings;
-  context_->settings.list_limits.threads = endpoints::spare_threads();
-  context_->zones = node.config().names.zones;
   const core::Time now = node_.engine().now();
   if (settings_.list.empty()) return;
   create_watcher();
@@ -96,15 +66,15 @@
     return piece_names(text, limits);
   };
   const auto evaluate_files =
-      [this, context = context_](file_watch::LookResult&& look) -> file_watch::Apply {
-    auto evaluation = std::make_shared<Evaluation>(evaluate(*context, std::move(look)));
+      [this, evaluator = evaluator_](file_watch::LookResult&& files) -> file_watch::Apply {
+    auto evaluation = std::make_shared<ListEvaluation>(evaluator->evaluate(files));
     return [this, evaluation = std::move(evaluation)] { apply_evaluation(*evaluation); };
   };
   watcher_ = std::make_unique<file_watch::Watcher>(node_.loop(), node_.deadlines(), wakeup_,
                                                    reader_, watch, list_pieces, evaluate_files);
 }
 
-// The list that an earlier process had in force counts as in force: a list of the files with a
+// The list that was active in an earlier process counts as active: a list of the files with a
 // lower generation is rejected, and servers that are new against it begin with a cold cache.
 std::optional<endpoints::CandidateList> EndpointController::restore_state(core::Time now) {
   if (settings_.state_directory.empty()) return std::nullopt;
@@ -121,7 +91,7 @@
   const auto& list = restored.state->list;
   endpoints::CandidateList candidate{list, nullptr, difference(nullptr, *list), {}};
   diagnostics::Findings findings;
-  candidate.zones = resolve_zones(*list, context_->zones, findings);
+  candidate.zones = resolve_zones(*list, evaluator_->zones(), findings);
   check_alone(*list, findings);
   if (!findings.good()) {
     log_.record(kLogModule, log::Level::warning, "state_unusable",
@@ -135,10 +105,10 @@
 
 void EndpointController::load_initial_list(core::Time now) {
   const auto restored = restore_state(now);
-  context_->set_in_force(endpoints_.current_list());
-  Evaluation evaluation;
-  if (const auto look = watcher_->first(kFirstLookTimeout)) {
-    evaluation = evaluate(*context_, file_watch::LookResult(*look));
+  evaluator_->set_active_list(endpoints_.current_list());
+  ListEvaluation evaluation;
+  if (const auto files = watcher_->first(kFirstReadTimeout)) {
+    evaluation = evaluator_->evaluate(*files);
   } else {
     evaluation.rejection = settings_.list + " has not settled";
   }
@@ -165,46 +135,7 @@
   publish_changes();
 }
 
-EndpointController::Evaluation EndpointController::evaluate(const EvaluationContext& context,
-                                                            file_watch::LookResult&& look) {
-  Evaluation evaluation;
-  const core::Time began_at = net::unix_now();
-  if (look.sight == file_watch::Observation::unreadable) {
-    evaluation.rejection = look.error;
-    return evaluation;
-  }
-  diagnostics::Findings findings;
-  const auto& settings = context.settings;
-  const auto read = endpoints::read_list(look.texts.text, look.texts.file, began_at,
-                                         settings.list_limits, findings);
-  endpoints::SnapshotPtr list = read.list;
-  if (list && look.texts.directory) {
-    list = endpoints::read_pieces(read, look.texts.pieces, settings.list_limits, findings);
-  } else if (list && !read.pieces.empty()) {
-    findings.error("L004", {look.texts.file, 0, 0}, "a manifest is given by its directory",
-                   "name the directory");
-  }
-  const auto in_force = context.in_force();
-  if (list && findings.good()) {
-    check_alone(*list, findings);
-    check_change(in_force.get(), *list, settings.change_limits, findings);
-  }
-  if (list && findings.good()) {
-    endpoints::CandidateList candidate{list, in_force, difference(in_force.get(), *list), {}};
-    candidate.zones = resolve_zones(*list, context.zones, findings);
-    evaluation.is_unchanged = in_force && in_force->generation == list->generation;
-    if (findings.good() && !evaluation.is_unchanged) evaluation.candidate = std::move(candidate);
-  }
-  if (!findings.good()) {
-    evaluation.is_unchanged = false;
-    evaluation.rejection = diagnostics::to_string(findings.list()[0]);
-    evaluation.finding_count = findings.errors();
-  }
-  evaluation.duration = net::unix_now() - began_at;
-  return evaluation;
-}
-
-void EndpointController::apply_evaluation(const Evaluation& evaluation) {
+void EndpointController::apply_evaluation(const ListEvaluation& evaluation) {
   if (evaluation.is_unchanged) {
     last_rejection_.clear();
   } else if (evaluation.candidate) {
@@ -214,26 +145,26 @@
   }
 }
 
-void EndpointController::reject_list(const Evaluation& evaluation) {
+void EndpointController::reject_list(const ListEvaluation& evaluation) {
   ++counters_.lists_rejected;
   if (evaluation.rejection == last_rejection_) return;  // already logged
   last_rejection_ = evaluation.rejection;
-  const auto& in_force = endpoints_.current_list();
+  const auto& active = endpoints_.current_list();
   log_.record(kLogModule, log::Level::error, "list_refused",
               {{"reason", evaluation.rejection},
                {"findings", evaluation.finding_count},
-               {"in_force", in_force ? in_force->generation : 0}});
+               {"in_force", active ? active->generation : 0}});
 }
 
-void EndpointController::apply_list(const Evaluation& evaluation) {
+void EndpointController::apply_list(const ListEvaluation& evaluation) {
   const auto& candidate = *evaluation.candidate;
   const core::Time began_at = net::unix_now();
   const auto before = endpoints_.current_list();
   if (!endpoints_.apply_list(candidate, node_.engine().now())) {
-    watcher_->look_now();  // another list came into force meanwhile: evaluate against that one
+    watcher_->look_now();  // another list has become active meanwhile: evaluate against that one
     return;
   }
-  context_->set_in_force(endpoints_.current_list());
+  evaluator_->set_active_list(endpoints_.current_list());
   last_rejection_.clear();
   ++counters_.lists_applied;
   publish_changes();
--- a/src/control/replication_service.h
+++ b/src/control/replication_service.h
@@ -4,9 +4,9 @@
 // Threads: the loop's thread owns the Replica. A worker reads and writes the file, so that a disk
 // that hangs does not hold the loop.
 // Storage: one file with the bans and all operations on them that this router has seen, replaced
-// whole. So a ban that was lifted while this router was away is lifted here as well, and one that
-// nobody lifted is not lost.
-// Errors: a file that cannot be read or written is logged; the write is tried again with the next
+// atomically. So a ban that was lifted while this router was down is lifted here as well, and any
+// other ban is not lost.
+// Errors: a file that cannot be read or written is logged; the write is retried with the next
 // event.
 #pragma once
 
@@ -22,11 +22,17 @@
 
 namespace alderspur::control {
 
+/// The replica of one router; constructed and used on the loop's thread.
 class ReplicationService {
  public:
+  /// Begins to read the file; the replica starts on the loop once it has been read. `node`,
+  /// `cluster` and `log` must outlive the service.
   ReplicationService(edge_router::EdgeRouter& node, ClusterService& cluster,
                      const settings::Cluster& settings, log::Log& log);
   ~ReplicationService();
+  ReplicationService(const ReplicationService&) = delete;
+  ReplicationService& operator=(const ReplicationService&) = delete;
+
   /// Waits a short time for the worker. False: its disk hangs, and the process can only be ended by
   /// _exit().
   bool stop_worker();
--- a/src/control/version_calls.cpp
+++ b/src/control/version_calls.cpp
@@ -33,8 +33,9 @@
   std::vector<std::string> names;
   std::istringstream stream{std::string(text)};
   std::string name;
-  while (names.size() <= consensus::kMaxVoters && std::getline(stream, name, separator))
+  while (names.size() <= consensus::kMaxVoters && std::getline(stream, name, separator)) {
     names.push_back(name);
+  }
   return names;
 }
 
@@ -100,8 +101,9 @@
     if (proposal.voters.empty()) return admin::HttpReply{kBadRequest, "name the voters\n"};
   } else if (path.empty()) {
     auto content = consensus::decode_content(body);
-    if (!content)
+    if (!content) {
       return admin::HttpReply{kBadRequest, "not a content: use alderspur cluster propose\n"};
+    }
     proposal.content = std::move(*content);
   } else {
     return admin::HttpReply{kNotFound, "no such call\n"};
--- a/src/control/versions_view.cpp
+++ b/src/control/versions_view.cpp
@@ -94,8 +94,9 @@
 void write_history(json::Writer& writer, const consensus::NodeStatus& status) {
   writer.Key("history");
   writer.StartArray();
-  for (const auto& entry : status.history)
+  for (const auto& entry : status.history) {
     write_version(writer, entry.version, entry.outcome.c_str());
+  }
   writer.EndArray();
 }
 
