--- a/src/control/version_contents.cpp
+++ b/src/control/version_contents.cpp
@@ -40,9 +40,10 @@
                            const config::Config& config) {
   const std::string file = folder + kCheckedRoutesFile;
   std::ofstream(file) << text;
-  std::vector<std::string> findings;
-  if (compile(file, config, findings)) return std::nullopt;
-  return ContentError{findings.empty() ? "does not check" : findings[0]};
+  const auto result = compile_routes(file, config);
+  if (result.routes) return std::nullopt;
+  const auto errors = first_errors(result.findings);
+  return ContentError{errors.empty() ? "does not check" : errors[0]};
 }
 
 /// The first error of the documents, in the order of their names.
