--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -35,6 +35,7 @@
   void cancel_movable_attempts(ServerId server);
 
  private:
+  /// A retry would end in the same way.
   bool is_retry_useless(const RequestState& state, const AttemptState& attempt,
                         const AttemptOutcome& outcome) const;
   /// The server to retry first, if the failure was not its own; null: another one. Excludes a fill
@@ -42,14 +43,18 @@
   const Upstream* choose_preferred_server(RequestState& state, const AttemptState& attempt,
                                           const AttemptOutcome& outcome,
                                           const Upstream* upstream) const;
+  /// The request waits for that server, and may be retried elsewhere.
   bool is_movable_from(ServerId server, const RequestState& state) const;
   /// Tries the caches of the object in order of preference, then the servers behind the caches.
   /// False: nothing could be sent.
   bool send_attempt(RequestState& state, const Upstream* preferred);
+  /// Sends to a parent or the origin. False: nothing was sent.
   bool send_bypassing_caches(RequestState& state);
   /// Sends if all rules allow it. False: nothing was sent.
   bool send(RequestState& state, Upstream& upstream, std::optional<Fill> fill);
   bool may_send_to(const RequestState& state, Upstream& upstream);
+  /// Cancels the attempt in flight, if any, and counts it as a failure of a server that has not
+  /// responded in time.
   void abandon_attempt(const RequestState& state);
   void cancel_last_attempt(const RequestState& state) const;
 
--- a/src/policy/cache_selection.h
+++ b/src/policy/cache_selection.h
@@ -29,11 +29,12 @@
   void record_sent(ObjectState& object, const Upstream& cache) const;
   /// Counts a request that a server has served, and expands the replica set of a hot object.
   void record_served(const Request& request, Upstream& upstream);
-  /// Forgets idle objects and shrinks the replica sets of those that have cooled down. Due once a
-  /// second.
+  /// Forgets idle objects and shrinks the replica sets of those that have cooled down. To be called
+  /// once a second.
   void clean_up();
 
  private:
+  /// Half of the caches of the location, at least two where there are so many.
   std::size_t max_replicas() const;
   void expand_if_hot(ObjectState& object, ReplicaState& replica, Upstream& cache) const;
   void shrink_if_cooled_down(ObjectState& object) const;
--- a/src/policy/fill_policy.h
+++ b/src/policy/fill_policy.h
@@ -39,7 +39,9 @@
   void record_source_fault(ServerId suspected_source);
 
  private:
+  /// The value of Fill::cache_rank: higher for objects that are requested more.
   std::uint32_t choose_rank(const Request& request, const ObjectState& object) const;
+  /// More work is waiting for the origin than it can do in time, and so would this request.
   bool must_wait_for_origin(const RequestState& state) const;
   /// Adjusts the limit on work that may wait for the origin, where the attempt has reached it.
   void record_origin_outcome(const Request& request, const AttemptState& attempt,
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -9,7 +9,7 @@
 
 namespace alderspur::policy {
 
-/// How often check_unresponsive() is due, microseconds.
+/// Period at which check_unresponsive() is to be called, microseconds.
 constexpr Time kUnresponsiveCheckPeriod = 100 * estimators::kMillisecond;
 
 /// Outlier detection and active health checks. A server that fails is ejected for a time that grows
@@ -41,13 +41,14 @@
   /// unresponsive, and its attempts are to be moved to others.
   bool on_health_check_result(const HealthCheckResult& result);
 
-  /// Sends health checks to the servers whose responses are overdue. Due every
+  /// Sends health checks to the servers whose responses are overdue. To be called every
   /// kUnresponsiveCheckPeriod.
   void check_unresponsive(const RequestTable& requests);
-  /// Sends health checks to the servers whose ejection time is over. Due once a second.
+  /// Sends health checks to the servers whose ejection time is over. To be called once a second.
   void check_ejected();
 
  private:
+  /// Whether a server on probation must pass a health check before an attempt tests it.
   bool needs_health_check(const Upstream& upstream) const;
   void send_health_check(Upstream& upstream);
   void record_response(Upstream& upstream);
@@ -55,6 +56,7 @@
   void record_health_check_response(Upstream& upstream, const HealthCheckResult& result);
   void on_error(Upstream& upstream);
   void on_reset(Upstream& upstream);
+  /// True: the server was trusted and has just been ejected.
   bool on_unanswered_health_check(Upstream& upstream);
   void check_unresponsive_cache(Upstream& cache, Time max_interval);
   void check_unresponsive_parent(const RequestState& state, const AttemptState& attempt);
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -29,14 +29,16 @@
   void refund(Upstream& upstream, const Request& request) const;
   /// Drops the quotas and debts of all servers.
   void clear_quotas();
-  /// Takes in what warm servers carry now. Due once a second.
+  /// Takes in what warm servers carry now. To be called once a second.
   void update_capacity();
 
   /// The weight of a server, reduced while it warms up.
   double effective_weight(const Upstream& upstream) const;
 
  private:
+  /// What a request takes from a quota: seconds of transfer time.
   double cost(const Request& request) const;
+  /// How long a slow start lasts, microseconds.
   Time duration(const Upstream& upstream) const;
   /// Fraction of its full capacity that a server that warms up is promised to have by now.
   double capacity_fraction(const Upstream& upstream) const;
--- a/src/policy_state/capacity_estimate.h
+++ b/src/policy_state/capacity_estimate.h
@@ -12,7 +12,7 @@
 /// Owned by SlowStart, one for each role; one thread.
 class CapacityEstimate {
  public:
-  /// Takes in the work of the servers that are warm and not suspect. Due once a second.
+  /// Takes in the work of the servers that are warm and not suspect. To be called once a second.
   void update(const std::vector<Upstream*>& upstreams, Time now);
   /// Concurrent transfers for each server; 0: nothing was observed yet.
   double peak() const { return peak_; }
--- a/src/policy_state/upstream_table.h
+++ b/src/policy_state/upstream_table.h
@@ -27,13 +27,13 @@
     bool has_restarted = false;
   };
 
-  /// Adds or updates a server. regroup() is due afterwards.
+  /// Adds or updates a server. Call regroup() afterwards.
   Change apply(const Server& server);
-  /// Marks all servers as gone that are not among these. regroup() is due afterwards.
+  /// Marks all servers as gone that are not among these. Call regroup() afterwards.
   void retain(const std::vector<Server>& servers);
   /// Groups the servers by role again, after updates, bans and removals.
   void regroup();
-  /// Forgets the servers that are gone and have no attempt in flight. regroup() is due afterwards.
+  /// Forgets the servers that are gone and have no attempt in flight. Call regroup() afterwards.
   void remove_gone();
   /// Bans a server, listed or not, or lifts the ban; apply() takes it over. False: nothing changed.
   bool set_ban(const Ban& ban);
