--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,26 +1,30 @@
-// simulator_adapter: batches on standard input, one reply each on standard output.
+// simulator_adapter: reads batches from standard input and writes one reply for each to standard
+// output. Exit codes: 0 at the end of input, 1 on an error.
+#include <algorithm>
+#include <cstddef>
 #include <cstdio>
 #include <exception>
 #include <string>
 
-#include "simulator_adapter/codec.h"
+#include "simulator_adapter/host.h"
+#include "simulator_adapter/wire_error.h"
 
 namespace {
 
 namespace simulator_adapter = alderspur::simulator_adapter;
 
-// Reads exactly `size` bytes in steps, so that a false length cannot claim memory that never
-// arrives.
-bool read_exactly(std::string& out, std::size_t size) {
-  constexpr std::size_t kStep = 1 << 20;
-  out.clear();
-  while (out.size() < size) {
-    const std::size_t have = out.size();
-    const std::size_t want = std::min(kStep, size - have);
-    out.resize(have + want);
-    const std::size_t got = std::fread(out.data() + have, 1, want, stdin);
-    out.resize(have + got);
-    if (got == 0) return false;
+// Reads exactly `size` bytes; false: the input ends before. Reads in steps, so that a wrong length
+// does not allocate memory for bytes that never arrive.
+bool read_exactly(std::string& bytes, std::size_t size) {
+  constexpr std::size_t kStepBytes = 1 << 20;
+  bytes.clear();
+  while (bytes.size() < size) {
+    const std::size_t size_before = bytes.size();
+    const std::size_t wanted = std::min(kStepBytes, size - size_before);
+    bytes.resize(size_before + wanted);
+    const std::size_t received = std::fread(bytes.data() + size_before, 1, wanted, stdin);
+    bytes.resize(size_before + received);
+    if (received == 0) return false;
   }
   return true;
 }
@@ -30,7 +34,7 @@
   std::string head;
   std::string body;
   for (;;) {
-    if (!read_exactly(head, simulator_adapter::kBatchHeader)) {
+    if (!read_exactly(head, simulator_adapter::kBatchHeaderBytes)) {
       if (head.empty() && !std::ferror(stdin)) return 0;
       throw simulator_adapter::WireError("input ends inside a batch header");
     }
@@ -51,8 +55,8 @@
 int main() {
   try {
     return serve();
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "simulator_adapter: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "simulator_adapter: %s\n", error.what());
     return 1;
   }
 }
--- a/tests/simulator_codec_test.cpp
+++ b/tests/simulator_codec_test.cpp
@@ -1,7 +1,7 @@
 // The wire: hand-made frames both ways.
 #include <gtest/gtest.h>
 
-#include "simulator_adapter/codec.h"
+#include "simulator_adapter/host.h"
 
 namespace {
 
