--- a/src/admin/admin_handler.h
+++ b/src/admin/admin_handler.h
@@ -11,12 +11,14 @@
 
 namespace alderspur::admin {
 
+/// The reply to an operator's call.
 struct HttpReply {
   int status = 0;
   std::string body;
   std::string_view allowed_methods = {};  // for status 405; must outlive the reply
 };
 
+/// Answers operators' calls.
 class AdminHandler {
  public:
   /// Called exactly once, perhaps after the call that it was given to has returned.
@@ -41,7 +43,7 @@
                                                         const std::string& /*body*/) {
     return {};
   }
-  /// The largest body that handle_versions_call() accepts; 0: none.
+  /// The largest body that handle_versions_call() accepts, in bytes; 0: none.
   virtual std::size_t max_body_bytes() { return 0; }
   /// Bans a server by hand, or lifts its ban.
   virtual void change_ban(std::string_view server, bool is_banned, ReplyCallback done) = 0;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -42,7 +42,7 @@
   std::uint64_t number = 0;
   std::unique_ptr<net::Connection> connection;
   core::Deadlines::Key timeout{};
-  bool has_called = false;  // the request is complete
+  bool has_request = false;  // the request is complete
   bool is_answered = false;
   bool is_closed = false;
 };
@@ -64,13 +64,13 @@
 }
 
 // Closes the oldest connection without a complete request if all are in use: otherwise callers that
-// connect and send nothing would keep everybody else out.
+// connect and send nothing would block all others.
 bool AdminServer::make_room() {
   const auto open_count = std::count_if(callers_.begin(), callers_.end(),
                                         [](const auto& caller) { return !caller->is_closed; });
   if (static_cast<std::size_t>(open_count) < kMaxConnections) return true;
   for (auto& caller : callers_) {  // oldest first
-    if (caller->is_closed || caller->has_called) continue;
+    if (caller->is_closed || caller->has_request) continue;
     close(*caller);
     return true;
   }
@@ -82,11 +82,11 @@
   Caller* raw = caller.get();
   raw->number = ++last_number_;
   net::Connection::Handler handler;
-  handler.half_close = true;
+  handler.allows_half_close = true;
   handler.on_data = [this, raw](std::string_view bytes) { return on_data(*raw, bytes); };
-  handler.on_close = [this, raw](net::Closed why) {
+  handler.on_close = [this, raw](net::CloseReason reason) {
     // A caller may shut down its sending side after the request and still wait for the reply.
-    if (why != net::Closed::by_peer || !raw->has_called) close(*raw);
+    if (reason != net::CloseReason::by_peer || !raw->has_request) close(*raw);
   };
   raw->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
@@ -97,10 +97,10 @@
 // Returns how many bytes are consumed; what follows the first request is discarded.
 std::ptrdiff_t AdminServer::on_data(Caller& caller, std::string_view bytes) {
   const auto all = static_cast<std::ptrdiff_t>(bytes.size());
-  if (caller.has_called) return all;
+  if (caller.has_request) return all;
   http::Request request;
   if (!http::next_request(bytes, request, {kMaxHeadBytes, handler_.max_body_bytes()})) return 0;
-  caller.has_called = true;
+  caller.has_request = true;
   handle(caller, request);
   return all;
 }
@@ -148,7 +148,7 @@
     return;
   }
   const auto server = path.substr(kCachesPrefix.size(), last_slash - kCachesPrefix.size());
-  // By its number: the connection may be gone before the reply comes.
+  // By number, since the connection may have been closed before the reply comes.
   handler_.change_ban(server, is_ban, [this, number = caller.number](const HttpReply& reply) {
     if (Caller* waiting = find(number)) respond(*waiting, reply);
   });
@@ -175,19 +175,19 @@
 }
 
 // Marks the caller as closed; false if it was already. It is destroyed at the end of the turn.
-bool AdminServer::retire(Caller& caller) {
+bool AdminServer::mark_closed(Caller& caller) {
   if (std::exchange(caller.is_closed, true)) return false;
   deadlines_.cancel(caller.timeout);
   return true;
 }
 
 void AdminServer::close(Caller& caller) {
-  if (retire(caller)) caller.connection->close();
+  if (mark_closed(caller)) caller.connection->close();
 }
 
-// For answered callers: the reply is not cut off by unread input.
+// For answered callers: a lingering close, so that unread input does not cut off the reply.
 void AdminServer::close_with_linger(Caller& caller) {
-  if (retire(caller)) loop_.lingering().take(std::move(caller.connection));
+  if (mark_closed(caller)) loop_.lingering().add(std::move(caller.connection));
 }
 
 void AdminServer::end_turn() {
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -28,8 +28,10 @@
 constexpr core::Time kCallTimeout = 3'000'000;
 constexpr core::Time kDiskTimeout = 700'000;  // operators' tools wait 1 s for a reply
 
+/// Accepts the calls; see the top of this file.
 class AdminServer {
  public:
+  /// Throws std::runtime_error if the address cannot be bound. `now`: the Unix time.
   AdminServer(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen,
               AdminHandler& handler, std::function<core::Time()> now);
   ~AdminServer();
@@ -38,6 +40,7 @@
 
   /// To be called at the end of each turn of the event loop: writes replies and closes connections.
   void end_turn();
+  /// The address that it listens on.
   sockaddr_in address() const { return listener_.address(); }
 
  private:
@@ -51,7 +54,7 @@
   static void respond(Caller& caller, const HttpReply& reply);
   void close(Caller& caller);
   void close_with_linger(Caller& caller);
-  bool retire(Caller& caller);
+  bool mark_closed(Caller& caller);
   Caller* find(std::uint64_t number);
 
   net::Loop& loop_;
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -25,40 +25,40 @@
                 &ClassCounters::forwarded},
 };
 
-void append_head(std::string& out, const std::string& name, const char* type, const char* help) {
-  out += "# HELP " + name + ' ' + help + '\n';
-  out += "# TYPE " + name + ' ' + type + '\n';
+void append_head(std::string& text, const std::string& name, const char* type, const char* help) {
+  text += "# HELP " + name + ' ' + help + '\n';
+  text += "# TYPE " + name + ' ' + type + '\n';
 }
 
-void append_counters(std::string& out, const ClassMetric& metric, const core::Engine& engine,
+void append_counters(std::string& text, const ClassMetric& metric, const core::Engine& engine,
                      const std::vector<std::string>& class_names) {
-  append_head(out, metric.name, "counter", metric.help);
+  append_head(text, metric.name, "counter", metric.help);
   const auto& counters = engine.class_counters();
   const std::size_t count = std::min(class_names.size(), counters.size());
   for (std::size_t i = 0; i < count; ++i) {
-    out += metric.name;
-    out += "{tier=\"" + class_names[i] + "\"} " + std::to_string(counters[i].*metric.value) + '\n';
+    text += metric.name;
+    text += "{tier=\"" + class_names[i] + "\"} " + std::to_string(counters[i].*metric.value) + '\n';
   }
 }
 
-void append_gauge(std::string& out, const char* name, const char* help, std::size_t value) {
-  append_head(out, name, "gauge", help);
-  out += name;
-  out += ' ' + std::to_string(value) + '\n';
+void append_gauge(std::string& text, const char* name, const char* help, std::size_t value) {
+  append_head(text, name, "gauge", help);
+  text += name;
+  text += ' ' + std::to_string(value) + '\n';
 }
 
 }  // namespace
 
 std::string render_metrics(core::Engine& engine, const std::vector<std::string>& class_names) {
-  std::string out;
-  for (const auto& metric : kClassMetrics) append_counters(out, metric, engine, class_names);
-  append_gauge(out, "edge_relay_inflight", "Requests taken and not yet ended.",
+  std::string text;
+  for (const auto& metric : kClassMetrics) append_counters(text, metric, engine, class_names);
+  append_gauge(text, "edge_relay_inflight", "Requests taken and not yet ended.",
                engine.open_request_count());
-  const auto census = engine.count_endpoints();
-  append_gauge(out, "edge_relay_hosts_listed", "Caches on the list.", census.listed);
-  append_gauge(out, "edge_relay_hosts_down", "Caches on the list that are avoided now.",
-               census.unavailable);
-  return out;
+  const auto endpoints = engine.count_endpoints();
+  append_gauge(text, "edge_relay_hosts_listed", "Caches on the list.", endpoints.listed);
+  append_gauge(text, "edge_relay_hosts_down", "Caches on the list that are avoided now.",
+               endpoints.unavailable);
+  return text;
 }
 
 }  // namespace alderspur::admin
--- a/src/admin/router_admin_handler.h
+++ b/src/admin/router_admin_handler.h
@@ -17,6 +17,7 @@
 
 namespace alderspur::admin {
 
+/// The handler of one router.
 class RouterAdminHandler : public AdminHandler {
  public:
   /// What the handler asks of the router that it belongs to.
@@ -24,6 +25,7 @@
     std::function<bool()> is_draining;  // a planned shutdown has begun
     std::function<bool(std::string_view server)> is_listed;
   };
+  /// Answers calls about configuration versions; see AdminHandler::handle_versions_call().
   using VersionsHandler = std::function<HttpReply(std::string_view path, std::string_view query,
                                                   const std::string& body)>;
 
@@ -44,11 +46,13 @@
   /// takes longer than kDiskTimeout: 503, and the ban stays in effect all the same.
   void change_ban(std::string_view server, bool is_banned, ReplyCallback done) override;
 
+  /// Sets the view of the cluster, as JSON; without it there is none.
   void set_cluster_view(std::function<std::string()> view) { cluster_view_ = std::move(view); }
   /// The process reports itself as not ready until this returns true.
   void set_readiness_condition(std::function<bool()> condition) {
     readiness_condition_ = std::move(condition);
   }
+  /// Sets the handler of calls about versions with bodies of at most `max_body_bytes`.
   void set_versions_handler(VersionsHandler handler, std::size_t max_body_bytes) {
     versions_handler_ = std::move(handler);
     max_body_bytes_ = max_body_bytes;
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -85,7 +85,7 @@
       log_(log),
       node_(std::move(config), log_sink(), endpoint_sink_factory()) {
   node_.set_config_path(settings_.config_file);
-  node_.on_counters([this] { log_counters(); });
+  node_.set_counters_report([this] { log_counters(); });
   create_routes();
   create_signed_url_front();
   create_discovery_server();
--- a/src/cluster/epoch.cpp
+++ b/src/cluster/epoch.cpp
@@ -20,9 +20,7 @@
   if (!payload || !payload->starts_with(kFormat)) return std::nullopt;
   std::string_view number = *payload;
   number.remove_prefix(kFormat.size());
-  std::uint64_t epoch = 0;
-  if (!core::parse_number(number, epoch)) return std::nullopt;
-  return epoch;
+  return core::parse_number<std::uint64_t>(number);
 }
 
 void read_stored_epoch(const std::string& path, EpochResult& result) {
--- a/src/cluster_transport/channels.cpp
+++ b/src/cluster_transport/channels.cpp
@@ -70,7 +70,7 @@
   peer->last_used_at = now_();
   peer->authenticator =
       std::make_unique<cluster::FrameAuthenticator>(authenticator_.with_sender(random_()));
-  peer->connection = net::connect(loop_, *to, handler_for(*peer), nullptr, &source_address_);
+  peer->connection = net::connect(loop_, *to, handler_for(*peer), &source_address_);
   if (!peer->connection) return nullptr;
   peers_.emplace(peer, std::move(owned));
   outgoing_channels_[member] = peer;
--- a/src/cluster_transport/exchanges.cpp
+++ b/src/cluster_transport/exchanges.cpp
@@ -25,7 +25,7 @@
     return read_frame(peer, bytes);
   };
   handler.on_written = [this, &peer] { mark_touched(peer); };
-  handler.on_close = [this, &peer](net::Closed) { close(peer); };
+  handler.on_close = [this, &peer](net::CloseReason) { close(peer); };
   return handler;
 }
 
@@ -50,7 +50,7 @@
   if (!to || exchange_count_ >= kMaxExchanges) return;
   auto peer = std::make_unique<Peer>();
   peer->is_caller = true;
-  peer->connection = net::connect(loop_, *to, handler_for(*peer), nullptr, &source_address_);
+  peer->connection = net::connect(loop_, *to, handler_for(*peer), &source_address_);
   if (peer->connection) mark_touched(add_exchange(std::move(peer)));
 }
 
--- a/src/config/json_value.cpp
+++ b/src/config/json_value.cpp
@@ -75,9 +75,7 @@
 }
 
 std::optional<std::uint64_t> parse_hex(std::string_view text) {
-  std::uint64_t number = 0;
-  if (!core::parse_number(text, number, kHexBase)) return std::nullopt;
-  return number;
+  return core::parse_number<std::uint64_t>(text, kHexBase);
 }
 
 }  // namespace alderspur::config
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -182,8 +182,8 @@
   Token number(std::size_t begin) {
     while (digit(peek()) || peek() == '.') ++at_;
     const auto digits = text_.substr(begin, at_ - begin);
-    double value = 0;
-    if (!core::parse_number(digits, value) || digits.back() == '.' || digits.size() > 18) {
+    const auto value = core::parse_number<double>(digits);
+    if (!value || digits.back() == '.' || digits.size() > 18) {
       return fault("A004", begin, "'" + std::string(digits) + "' is no number",
                    "digits, with one point at most");
     }
@@ -210,7 +210,7 @@
       t.unit = std::string(name);
     }
     t.text = std::string(digits);
-    t.number = value;
+    t.number = *value;
     return t;
   }
 
--- a/src/control/cluster_service.cpp
+++ b/src/control/cluster_service.cpp
@@ -64,7 +64,7 @@
              {{"address", net::to_string(transport_->address())}, {"name", self.name}});
   node.add({[this] { transport_->end_turn(); }, [this] { transport_->leave(); },
             [this] { return transport_->has_left(); }});
-  node.on_cluster([this] { return view(); });
+  node.set_cluster_view([this] { return view(); });
 }
 
 void ClusterService::create_transport(const settings::Cluster& settings, std::string secret,
--- a/src/control/consensus_service.cpp
+++ b/src/control/consensus_service.cpp
@@ -82,9 +82,11 @@
   });
   cluster_.on_members(
       [this](const std::vector<std::string>& names) { handle(consensus::PeersChanged{names}); });
-  router_.on_versions([this](std::string_view path, std::string_view query,
-                             const std::string& body) { return on_admin_call(path, query, body); },
-                      kMaxRequestBodyBytes);
+  router_.set_versions_handler(
+      [this](std::string_view path, std::string_view query, const std::string& body) {
+        return on_admin_call(path, query, body);
+      },
+      kMaxRequestBodyBytes);
 }
 
 // ---- Events and actions
--- a/src/control/replication_service.cpp
+++ b/src/control/replication_service.cpp
@@ -60,7 +60,7 @@
 
 void ReplicationService::subscribe_to_router() {
   node_.on_ban([this](const hot_restart::BanChange& change) { handle_local_ban(change); });
-  node_.on_ready([this] { return has_started_ && replica_->is_caught_up(); });
+  node_.set_readiness_condition([this] { return has_started_ && replica_->is_caught_up(); });
   node_.engine().on_purge([this](const core::PurgeNotice& notice) {
     handle(replication::PurgeObserved{
         {notice.object.has_value(), notice.object.value_or(notice.group), notice.unix_time}});
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,5 +1,5 @@
-// Counts of what the program took in, forwarded and answered since its start; logged on request and
-// at exit.
+// Counters of requests, attempts, connections and invalid input since the start of the program;
+// logged on request and at exit. The loop's thread only.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 
 namespace alderspur::core {
 
+/// All counters of one router.
 struct Counters {
-  // Requests: `admitted` ones end as served, rejected, failed or cancelled.
+  // Requests: each of the `admitted` ends as served, rejected, failed or cancelled.
   std::uint64_t admitted = 0;
-  std::uint64_t forwarded = 0;  // attempts written whole to servers
+  std::uint64_t forwarded = 0;  // attempts written completely to servers
   std::uint64_t health_checks = 0;
   std::uint64_t served = 0;
   std::uint64_t not_modified = 0;  // of those served: the client's copy was current
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
   std::uint64_t cancelled = 0;
-  // Attempts, by their end.
+  // Attempts, by their outcome.
   std::uint64_t attempts_ok = 0;
   std::uint64_t attempts_miss = 0;
   std::uint64_t attempts_overloaded = 0;
@@ -27,12 +28,12 @@
   std::uint64_t attempts_connect_failed = 0;
   std::uint64_t attempts_reset = 0;
   std::uint64_t attempts_cancelled = 0;
-  // Responses that came after their attempt was over, or from a copy older than was asked for.
+  // Responses after the end of their attempt, or with a copy older than the request allows.
   std::uint64_t late_responses = 0;
   std::uint64_t stale_responses = 0;
   std::uint64_t purges = 0;
   std::uint64_t endpoint_updates = 0;
-  // Input that cannot be used.
+  // Input that was not usable.
   std::uint64_t invalid_frames = 0;
   std::uint64_t invalid_requests = 0;
   std::uint64_t invalid_responses = 0;
@@ -43,10 +44,10 @@
   std::uint64_t silent_upstream_connections = 0;
   std::uint64_t silent_clients = 0;
   std::uint64_t idle_clients = 0;
-  std::uint64_t over_limit = 0;  // clients cut off for what they left unread
+  std::uint64_t over_limit = 0;  // calls rejected by a limit of a front
 };
 
-/// The same of one class of requests.
+/// Counters of one class of requests.
 struct ClassCounters {
   std::uint64_t served = 0;
   std::uint64_t rejected = 0;
@@ -54,13 +55,14 @@
   std::uint64_t forwarded = 0;
 };
 
+/// A counter's name in log records, with its value.
 struct NamedCounter {
   const char* name;
   std::uint64_t value;
 };
-/// All of them by their names, for records of logs.
+/// All counters, in the order in which they are logged.
 std::vector<NamedCounter> named_counters(const Counters& counters);
-/// One line with all of them: "counters: admitted 2 forwarded 2 ...".
+/// All counters in one line: "counters: admitted 2 forwarded 2 ...".
 std::string to_line(const Counters& counters);
 
 }  // namespace alderspur::core
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -1,55 +1,38 @@
-// All deadlines of the program in one sorted structure, run once each turn of the loop. The loop's
-// thread.
+// The deadlines of the program in one sorted structure; those that are due run once in each turn of
+// the loop. The loop's thread only.
 #pragma once
 
 #include <compare>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
-#include <limits>
 #include <map>
-#include <utility>
 
 namespace alderspur::core {
 
-/// Microseconds. On the Unix clock where a clock is meant; Engine::now() never steps back.
+/// Microseconds: a duration, or a Unix time.
 using Time = std::int64_t;
 
+/// Callbacks by the time at which they are due.
 class Deadlines {
  public:
-  /// Names a deadline that was set. Equal times fall due in the order in which they were set.
+  /// Identifies a deadline. Equal times are due in the order in which they were set.
   struct Key {
     Time at = 0;
-    std::uint64_t sequence = 0;  // 0: none was set
+    std::uint64_t sequence = 0;  // 0: no deadline
     auto operator<=>(const Key&) const = default;
     bool is_set() const { return sequence > 0; }
   };
 
-  Key set(Time at, std::function<void()> callback) {
-    const Key key{at, ++last_sequence_};
-    pending_.emplace(key, std::move(callback));
-    return key;
-  }
-  /// Harmless where the deadline has fallen due or was never set.
+  /// Calls `callback` in the first turn at or after `at`, once.
+  Key set(Time at, std::function<void()> callback);
+  /// No effect on a deadline that has run or was never set.
   void cancel(const Key& key) { pending_.erase(key); }
-  /// Runs all callbacks that are due. What these set, even for an earlier time, waits for the next
-  /// turn: a callback that sets itself again cannot hold the loop.
-  void run_due(Time now) {
-    const std::uint64_t newest = last_sequence_;
-    for (auto it = pending_.begin(); it != pending_.end() && it->first.at <= now;) {
-      if (it->first.sequence > newest) {
-        ++it;
-        continue;
-      }
-      const auto callback = std::move(it->second);
-      pending_.erase(it);
-      callback();
-      it = pending_.begin();
-    }
-  }
-  /// When the first one is due; the largest Time: none is set.
-  Time next() const {
-    return pending_.empty() ? std::numeric_limits<Time>::max() : pending_.begin()->first.at;
-  }
+  /// Runs all callbacks that are due. Deadlines that they set wait for the next turn, even if they
+  /// are due: a callback that sets itself again cannot block the loop.
+  void run_due(Time now);
+  /// The time of the first deadline; the largest Time if there is none.
+  Time next() const;
   std::size_t size() const { return pending_.size(); }
 
  private:
--- /dev/null
+++ b/src/core/engine_requests.cpp
@@ -0,0 +1,149 @@
+// Engine: requests, from their admission to their final answers.
+#include <algorithm>
+#include <string>
+
+#include "core/engine.h"
+#include "core/engine_state.h"
+
+namespace alderspur::core {
+namespace {
+
+/// Time for the response to reach the client before it gives up, and for the difference of both
+/// clocks.
+constexpr Time kResponseMargin = 20'000;
+/// The margin is at most a tenth of the request's time limit.
+constexpr Time kMarginDivisor = 10;
+/// A request of which nothing has reached a server must be sent elsewhere, or be answered, within
+/// this part of its time limit.
+constexpr Time kUnsentPercent = 45;
+
+}  // namespace
+
+// ---- Calls of the fronts ----
+
+RequestHandle Engine::admit(Front& front, const RequestView& view) {
+  const RequestHandle handle = ++last_handle_;
+  OpenRequest& open = requests_[handle];
+  open.front = &front;
+  open.id = view.id;
+  open.idempotency_key = view.idempotency_key;
+  open.client_copy_tag = view.client_copy_tag;
+  open.body = view.body;
+  open.object_text = view.object_text;
+  handles_by_id_.emplace(open.id, handle);
+  const Time margin = std::min(kResponseMargin, view.time_limit / kMarginDivisor);
+  open.deadline = now() + std::max<Time>(0, view.time_limit - margin);
+  open.unsent_until = now_ + view.time_limit / 100 * kUnsentPercent;
+  alderspur::Request& request = open.request;
+  request.id = {handle};
+  request.object = {view.object};
+  request.group = {view.group};
+  request.class_id = {view.class_id};
+  request.part = view.part;
+  request.size_kb = view.size_kb;
+  request.is_write =
+      view.class_id < settings_.classes.size() && settings_.classes[view.class_id].never_cached;
+  request.time_budget = open.deadline - now_;
+  ++open_request_count_;
+  open_request_bytes_ += open.body.size();
+  ++counters_.admitted;
+  waiting_events_.push_back({request, handle, 0, {}});
+  return handle;
+}
+
+bool Engine::conflicts_with_open_request(const RequestView& view) const {
+  const auto [first, last] = handles_by_id_.equal_range(std::string(view.id));
+  return std::any_of(first, last, [&](const auto& entry) {
+    return requests_.at(entry.second).request.object.value != view.object;
+  });
+}
+
+void Engine::count_rejected(std::uint32_t class_id, FinalStatus status) {
+  ++counters_.admitted;
+  count_unserved(class_id, status);
+}
+
+void Engine::cancel_request(RequestHandle request) {
+  waiting_events_.push_back({alderspur::ClientGone{{request}}, request, 0, {}});
+}
+
+void Engine::finish_now(RequestHandle request) {
+  waiting_events_.push_back({alderspur::ClientGone{{request}, true}, request, 0, {}});
+}
+
+void Engine::finish_all_now() {
+  for (const auto& [handle, open] : requests_) {
+    if (open.is_open) finish_now(handle);
+  }
+}
+
+// An attempt of a request that the client sent just before its end may still begin.
+void Engine::stop_retrying(RequestHandle request) {
+  OpenRequest* open = find_request(request);
+  if (!open || !open->is_open) return;
+  open->no_attempts_from = std::min(open->no_attempts_from, now() + kAbortTravelTime);
+  deadlines_.set(open->no_attempts_from, [this, request] {
+    const OpenRequest* stopped = find_request(request);
+    if (!stopped) return;
+    for (const AttemptId attempt : stopped->attempts) {
+      if (!was_written(attempt))
+        abandon_attempt(attempt, alderspur::AttemptResult::already_finished);
+    }
+  });
+}
+
+// ---- Final answers ----
+
+void Engine::process_cancel(const Event& event) {
+  OpenRequest* open = find_request(event.request);
+  if (!open || !open->is_open) return;  // answered while the cancellation was on its way
+  ++counters_.cancelled;
+  finish_request(*open);
+  consult_router(event.event);
+}
+
+void Engine::answer_without_response(RequestHandle request, FinalStatus status, Time retry_after) {
+  OpenRequest* open = find_request(request);
+  if (!open || !open->is_open) return;
+  count_unserved(open->request.class_id.value, status);
+  Response response;
+  response.status = status;
+  response.timed_out = now_ >= open->deadline;
+  response.retry_after = retry_after;
+  effects_.emplace_back(Respond{request, open->front, response});
+  finish_request(*open);
+}
+
+void Engine::finish_request(OpenRequest& open) {
+  if (!open.is_open) return;
+  open.is_open = false;
+  --open_request_count_;
+  finished_requests_.push_back(open.request.id.value);
+}
+
+// A request stays until all its attempts have ended, since the router needs the outcome of each.
+void Engine::forget_finished_requests() {
+  for (const RequestHandle handle : finished_requests_) {
+    const OpenRequest* finished = find_request(handle);
+    if (!finished || finished->is_open || finished->attempts_in_flight > 0) continue;
+    open_request_bytes_ -= finished->body.size();
+    for (auto [it, last] = handles_by_id_.equal_range(finished->id); it != last; ++it) {
+      if (it->second == handle) {
+        handles_by_id_.erase(it);
+        break;
+      }
+    }
+    requests_.erase(handle);
+  }
+  finished_requests_.clear();
+}
+
+void Engine::count_unserved(std::uint32_t class_id, FinalStatus status) {
+  const bool is_rejected = status == FinalStatus::rejected;
+  ++(is_rejected ? counters_.rejected : counters_.failed);
+  if (class_id >= class_counters_.size()) return;
+  ClassCounters& counters = class_counters_[class_id];
+  ++(is_rejected ? counters.rejected : counters.failed);
+}
+
+}  // namespace alderspur::core
--- a/src/core/parsing.h
+++ b/src/core/parsing.h
@@ -1,36 +1,46 @@
-// Numbers and words as they come from outside.
+// Parsing of numbers and words that come from outside the program, and a stable hash of text. No
+// state; any thread.
 #pragma once
 
 #include <charconv>
 #include <cmath>
+#include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string_view>
+#include <system_error>
 #include <type_traits>
 
 namespace alderspur::core {
 
-/// What taking a message from the front of a read buffer has come to.
+/// The result of taking a message from the front of a read buffer.
 enum class ParseStatus {
   complete,  // one message was taken
   partial,   // more bytes are needed
   invalid,   // the bytes are no message
 };
 
-// The whole text must be the number.
+/// The number that the whole text states. Nothing if the text is anything else, or if the number is
+/// outside the range of T or not finite. `base` applies to integers.
 template <class T>
-bool parse_number(std::string_view text, T& out, [[maybe_unused]] int base = 10) {
-  std::from_chars_result r{};
+std::optional<T> parse_number(std::string_view text, [[maybe_unused]] int base = 10) {
+  const char* const end = text.data() + text.size();
+  T number{};
+  std::from_chars_result result{};
   if constexpr (std::is_floating_point_v<T>) {
-    r = std::from_chars(text.data(), text.data() + text.size(), out);
+    result = std::from_chars(text.data(), end, number);
   } else {
-    r = std::from_chars(text.data(), text.data() + text.size(), out, base);
+    result = std::from_chars(text.data(), end, number, base);
   }
-  if (text.empty() || r.ec != std::errc() || r.ptr != text.data() + text.size()) return false;
-  if constexpr (std::is_floating_point_v<T>) return std::isfinite(out);
-  return true;
+  if (text.empty() || result.ec != std::errc() || result.ptr != end) return std::nullopt;
+  if constexpr (std::is_floating_point_v<T>) {
+    if (!std::isfinite(number)) return std::nullopt;
+  }
+  return number;
 }
 
-// Lower case only: caches take names as they are written, so one thing must have one name.
+/// Whether the text is a hexadecimal number of exactly `digits` digits, in lower case: caches
+/// compare names as they are written, so an object must have a single name.
 inline bool is_hex_word(std::string_view text, std::size_t digits) {
   for (const char c : text) {
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'))) return false;
@@ -38,8 +48,8 @@
   return text.size() == digits;
 }
 
-/// Letters, digits, "-" and "_", at most 64. Such words become part of commands: a space or a comma
-/// in one would alter the command.
+/// Whether the text has only letters, digits, "-" and "_", and at most 64 of them. Such words
+/// become part of commands: a space or a comma in one would alter the command.
 inline bool is_plain_word(std::string_view text) {
   for (const char c : text) {
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
@@ -50,7 +60,7 @@
   return text.size() <= 64;
 }
 
-// The same text gives the same number at every router and in every run. FNV-1a, 64 bits.
+/// FNV-1a, 64 bits: the same text gives the same number at every router and in every run.
 inline std::uint64_t stable_hash(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,5 +1,7 @@
 #include "discovery/discovery_client.h"
 
+#include <algorithm>
+#include <string>
 #include <utility>
 
 namespace alderspur::discovery {
@@ -10,7 +12,7 @@
 constexpr core::Time kLivenessCheckInterval = 250'000;
 /// The server sends a line every second.
 constexpr core::Time kSilenceTimeout = 1'800'000;
-/// A gap that is not filled in this time is asked for anew, on a new connection.
+/// A gap that is not filled in this time is requested again, on a new connection.
 constexpr core::Time kGapTimeout = 1'500'000;
 constexpr std::size_t kMaxLineBytes = 1 << 20;
 constexpr std::size_t kMaxAppliedBeyondGap = 4096;
@@ -21,19 +23,6 @@
   return std::uniform_int_distribution<core::Time>(kMinReconnectDelay, kMaxReconnectDelay)(random);
 }
 
-void DirectEndpointSink::update_endpoints(bool complete,
-                                          const std::vector<config::Member>& members) {
-  if (complete) upstream_pool_.remove_unlisted(members);
-  alderspur::EndpointUpdate update;
-  update.is_complete = complete;
-  for (const auto& member : members) {
-    update.servers.push_back(member.server);
-    const bool is_usable = upstream_pool_.update_endpoint(member);
-    if (!is_usable) update.servers.back().status = alderspur::ServerStatus::gone;
-  }
-  engine_.update_endpoints(std::move(update));
-}
-
 DiscoveryClient::DiscoveryClient(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
                                  EndpointSink& sink, const config::Config& config)
     : loop_(loop),
@@ -68,15 +57,15 @@
     ++applied_up_to_;
     applied_beyond_gap_.erase(applied_up_to_);
   }
-  // A gap this old is given up.
+  // A gap this old is not waited for any longer.
   if (applied_beyond_gap_.size() > kMaxAppliedBeyondGap) {
     applied_up_to_ = *applied_beyond_gap_.begin();
     applied_beyond_gap_.erase(applied_beyond_gap_.begin());
   }
 }
 
-// An event that fills a gap comes after later ones. It must not undo what these said, for instance
-// put a draining server back into service.
+// An event that fills a gap arrives after later ones and must not undo them, for instance put a
+// draining server back into service.
 void DiscoveryClient::apply_endpoints(const config::WatchEvent& event) {
   if (event.number < last_complete_list_) return;
   if (event.is_complete) last_complete_list_ = event.number;
@@ -97,12 +86,12 @@
   sink_.update_endpoints(event.is_complete, members);
 }
 
-// ---- The watch's connection ----
+// ---- Connection ----
 
 void DiscoveryClient::connect() {
   net::Connection::Handler handler;
   handler.on_data = [this](std::string_view bytes) { return on_data(bytes); };
-  handler.on_close = [this](net::Closed) { reconnect_later(); };
+  handler.on_close = [this](net::CloseReason) { reconnect_later(); };
   connection_ = net::connect(loop_, address_, std::move(handler));
   last_data_at_ = engine_.now();
   if (!connection_) return reconnect_later();
@@ -124,9 +113,9 @@
   });
 }
 
-// The watch moves whatever state the old connection is in: the old server accepts nobody and sends
-// nothing more, but may still be open for seconds. A gap it left is filled by the new one, since
-// the numbers go on.
+// The watch moves whatever state the old connection is in: the old server sends nothing more, but
+// may keep its connections open for seconds. A gap that it left is filled by the new server, which
+// continues the numbers.
 bool DiscoveryClient::reconfigure(const config::Config& renewed) {
   const auto address = net::parse_address(renewed.discovery_address);
   if (!address) return false;
@@ -142,7 +131,7 @@
   return true;
 }
 
-// A server that fell silent leaves its connection open, and drains and purges would be missed.
+// A server that stops sending leaves its connection open, and drains and purges would be missed.
 void DiscoveryClient::check_liveness() {
   const core::Time now = engine_.now();
   if (connection_ && now > last_data_at_ + kSilenceTimeout) reconnect_later();
--- a/src/edge_router/edge_router.cpp
+++ b/src/edge_router/edge_router.cpp
@@ -6,13 +6,13 @@
 namespace alderspur::edge_router {
 namespace {
 
-/// Bounds the time that any client waits, as far as shutdown is concerned.
+/// Bounds the time that a shutdown allows for a client's request.
 constexpr core::Time kMaxClientWait = 3'000'000;
-/// After SIGTERM clients still connect and send requests for this long.
+/// After SIGTERM clients still connect and send requests for this time.
 constexpr core::Time kLameDuckTime = 700'000;
-/// The last responses are given so long before the process may be killed.
+/// The last responses are given this time before the process may be killed.
 constexpr core::Time kFinalResponseMargin = 200'000;
-/// Clients that are still there are closed so long after the last responses.
+/// Clients that are still connected are closed this time after the last responses.
 constexpr core::Time kCloseAllDelay = 100'000;
 
 sockaddr_in listen_address(const std::string& text) {
@@ -54,8 +54,8 @@
       log_, std::move(hooks));
 }
 
-// What the configuration and the shared folder say is in force before the front gives its first
-// status.
+// The endpoints and bans of the configuration and the shared directory must be in effect before the
+// front accepts its first client.
 core::Engine& EdgeRouter::start_engine() {
   engine_.attach(upstream_pool_);
   engine_.run();
@@ -86,7 +86,7 @@
 void EdgeRouter::update_peers(const hot_restart::PeerSummary& peers, double share) {
   engine_.set_budget_share({share, peers.concurrency_limit, share_of_all_, share_of_location_});
   upstream_pool_.set_process_count(peers.count + 1);
-  if (!is_constructed_) return;  // there is no front yet
+  if (!is_constructed_) return;  // the front does not exist yet
   front_.set_process_count(peers.count + 1);
   if (!drain_from_) return;
   if (peers.has_successor) {
@@ -96,6 +96,21 @@
   }
 }
 
+// ---- Operators' calls ----
+
+void EdgeRouter::set_cluster_view(std::function<std::string()> view) {
+  if (admin_handler_) admin_handler_->set_cluster_view(std::move(view));
+}
+
+void EdgeRouter::set_versions_handler(admin::RouterAdminHandler::VersionsHandler handler,
+                                      std::size_t max_body_bytes) {
+  if (admin_handler_) admin_handler_->set_versions_handler(std::move(handler), max_body_bytes);
+}
+
+void EdgeRouter::set_readiness_condition(std::function<bool()> may_be_ready) {
+  if (admin_handler_) admin_handler_->set_readiness_condition(std::move(may_be_ready));
+}
+
 // ---- Bans and shares ----
 
 void EdgeRouter::apply_ban(const hot_restart::BanChange& change) {
@@ -130,8 +145,8 @@
 
 // ---- Shutdown ----
 
-// The process is killed no sooner than kLameDuckTime and the longest time that a client waits (3 s
-// at most) after its shutdown began.
+// The process is killed no sooner than kLameDuckTime plus the longest time that a client waits (at
+// most kMaxClientWait) after its shutdown began.
 core::Time EdgeRouter::drain_time() const {
   core::Time longest = 0;
   for (const core::Time limit : config_.names.request_timeouts) {
@@ -140,8 +155,8 @@
   return std::min(longest, kMaxClientWait) + kLameDuckTime - kFinalResponseMargin;
 }
 
-// The last two deadlines guard against a cache that hangs and holds its requests, and against
-// clients that, with the successor dead, go on sending requests: SIGKILL would find some open.
+// The first two deadlines guard against a cache that hangs with its requests, and against clients
+// that go on sending requests when the successor has died: some would be open when SIGKILL comes.
 void EdgeRouter::start_shutdown() {
   if (drain_from_) return;
   drain_from_ = engine_.now() + kLameDuckTime;
@@ -160,19 +175,19 @@
   });
   deadlines_.set(drain_from_, [this] {
     for (auto& component : components_) {
-      if (component.leave) component.leave();
+      if (component.stop_accepting) component.stop_accepting();
     }
   });
 }
 
-// Clients hear of the shutdown by a close, each once it has its responses; those that are idle
-// until then hold nothing up. With another process to take over, or its operators, busy ones are
-// served until the time to drain is over.
+// Each client's connection is closed once it has its responses; idle ones do not delay the
+// shutdown. With an operators' address, which a successor needs, active clients are served until
+// the time to drain is over.
 void EdgeRouter::stop_when_drained() {
   const bool is_idle = engine_.open_request_count() == 0 && front_.is_idle();
   if (!hot_restart_ || is_idle) front_.drain();
   const auto is_done = [](const Component& component) {
-    return !component.idle || component.idle();
+    return !component.is_idle || component.is_idle();
   };
   if (is_drain_time_over_ || (is_idle && front_.is_drained() &&
                               std::all_of(components_.begin(), components_.end(), is_done))) {
@@ -182,9 +197,9 @@
 
 // ---- Operation ----
 
-// A half-written file must not end a router under load. Only the address of the discovery server
-// can change while it runs. The rest describes the process itself; a change of it is logged, so
-// that nobody waits for it to take effect.
+// An unreadable file must not end a running router. Only the address of the discovery server can
+// change while it runs. The other settings describe the process itself; a change of them is logged,
+// so that operators do not wait for it to take effect.
 void EdgeRouter::reload() {
   try {
     const auto renewed = config::read_file(config_path_);
--- a/src/edge_router/edge_router.h
+++ b/src/edge_router/edge_router.h
@@ -1,9 +1,8 @@
-// One running router: loop, engine, upstream pool, discovery client and the platform's front, wired
-// together. The program edge_router is this; `alderspur run` adds further fronts, and the cluster
-// between discovery client and engine.
+// One running router: assembles the loop, the engine, the upstream pool, the discovery client and
+// the platform's front. The program edge_router is no more than this; `alderspur run` adds further
+// fronts, and the cluster between discovery client and engine.
 //
-// One thread. run() returns when a graceful shutdown is over. The constructor throws
-// std::runtime_error if an address is not to be had. Times are microseconds.
+// All functions are for the thread that calls run(). Times are microseconds.
 #pragma once
 
 #include <functional>
@@ -23,54 +22,56 @@
 
 namespace alderspur::edge_router {
 
+/// Serves clients from its construction until run() returns.
 class EdgeRouter {
  public:
+  /// Makes the receiver of endpoint updates, while the router is being constructed.
   using MakeEndpointSink = std::function<std::unique_ptr<discovery::EndpointSink>(EdgeRouter&)>;
+  /// Receives each log event with its text.
   using LogSink = std::function<void(const std::string& event, const std::string& text)>;
-  /// What else takes part in the turns of this router. Each function may be empty.
+  /// A further part of this router that takes part in its turns. Each function may be empty.
   struct Component {
     std::function<void()> end_turn;
-    std::function<void()> leave;  // some time after SIGTERM: accept nothing new
-    std::function<bool()> idle;   // no response is owed
+    std::function<void()> stop_accepting;  // called some time after SIGTERM
+    std::function<bool()> is_idle;         // whether all responses have been sent
   };
 
+  /// Without `make_sink`, endpoint updates go straight to the pool and the engine. Throws
+  /// std::runtime_error if an address cannot be bound, and config::Error if one is malformed.
   EdgeRouter(config::Config config, LogSink log, const MakeEndpointSink& make_sink = {});
   void add(Component component) { components_.push_back(std::move(component)); }
-  /// Runs in place of logging the counters, on SIGUSR1 and at the end.
-  void on_counters(std::function<void()> report) { counters_report_ = std::move(report); }
-  /// What operators are told of the cluster. No effect where operators cannot call, as with the
-  /// next two.
-  void on_cluster(std::function<std::string()> view) {
-    if (admin_handler_) admin_handler_->set_cluster_view(std::move(view));
-  }
-  /// What operators are told of configuration versions, and what they propose.
-  void on_versions(admin::RouterAdminHandler::VersionsHandler versions,
-                   std::size_t max_body_bytes) {
-    if (admin_handler_) admin_handler_->set_versions_handler(std::move(versions), max_body_bytes);
-  }
-  /// Operators are told that this router is ready only once `may_be_ready` holds.
-  void on_ready(std::function<bool()> may_be_ready) {
-    if (admin_handler_) admin_handler_->set_readiness_condition(std::move(may_be_ready));
-  }
+  /// Replaces the logging of the counters, on SIGUSR1 and at the end.
+  void set_counters_report(std::function<void()> report) { counters_report_ = std::move(report); }
+  /// Sets the view of the cluster that operators get, as JSON. No effect without an operators'
+  /// address, as with the next two.
+  void set_cluster_view(std::function<std::string()> view);
+  /// Sets the handler of operators' calls about configuration versions.
+  void set_versions_handler(admin::RouterAdminHandler::VersionsHandler handler,
+                            std::size_t max_body_bytes);
+  /// This router reports itself as not ready until `may_be_ready` returns true.
+  void set_readiness_condition(std::function<bool()> may_be_ready);
   /// Called after SIGHUP.
   void on_reload(std::function<void()> callback) { reload_callback_ = std::move(callback); }
-  /// Called of each ban or unban by hand, whoever made it.
+  /// Called for each ban by an operator, or the end of one, whichever process it came to.
   void on_ban(std::function<void(const hot_restart::BanChange&)> callback) {
     ban_callback_ = std::move(callback);
   }
-  /// This router's part of what all routers, and those of its location, may do together; 0: as the
-  /// settings say.
+  /// Sets this router's share of the budgets of all routers and of those of its location, 0 to 1;
+  /// 0: as the settings state.
   void set_cluster_share(double of_all, double of_location);
-  /// A ban made elsewhere; the server need not be listed.
+  /// Applies a ban that another router has got; the server need not be listed.
   void ban(const hot_restart::BanChange& change);
+  /// The servers with a ban that is on the disk.
   std::vector<std::string> bans() const;
-  /// Where SIGHUP reads the configuration anew; empty: it cannot be.
+  /// Sets the file from which SIGHUP reloads the configuration.
   void set_config_path(std::string path) { config_path_ = std::move(path); }
 
+  /// Runs the loop until a graceful shutdown is complete.
   void run();
-  /// After run(): false if the shared folder hangs, and the process can only be ended by _exit().
+  /// After run(): false if the shared directory does not respond, so that the process can only be
+  /// ended by _exit().
   bool stop_workers() { return !hot_restart_ || hot_restart_->stop_worker(); }
-  /// One turn of the loop, for tests that drive it by hand.
+  /// Performs one turn of the loop, for tests that drive it step by step.
   void turn();
 
   const config::Config& config() const { return config_; }
@@ -100,13 +101,13 @@
   upstream::UpstreamPool upstream_pool_;
   std::unique_ptr<discovery::EndpointSink> sink_;
   discovery::DiscoveryClient discovery_client_;
-  // These stand before hot_restart_, which calls update_peers() and apply_ban() while the members
+  // Declared before hot_restart_, which calls update_peers() and apply_ban() while the members
   // below it are not constructed yet.
   bool is_constructed_ = false;
   double share_of_all_ = 0;
   double share_of_location_ = 0;
   std::function<void(const hot_restart::BanChange&)> ban_callback_;
-  // Null where operators cannot call, as are admin_handler_ and admin_server_.
+  // Null without an operators' address, as are admin_handler_ and admin_server_.
   std::unique_ptr<hot_restart::HotRestartCoordinator> hot_restart_;
   rpc_front::RpcFront front_;
   std::unique_ptr<admin::RouterAdminHandler> admin_handler_;
@@ -115,7 +116,7 @@
   std::function<void()> reload_callback_;
   std::function<void()> counters_report_;
   std::string config_path_;
-  core::Time drain_from_ = 0;  // 0: no shutdown is under way
+  core::Time drain_from_ = 0;  // 0: no shutdown has begun
   bool is_drain_time_over_ = false;
 };
 
--- a/src/endpoints/list_builder.cpp
+++ b/src/endpoints/list_builder.cpp
@@ -34,9 +34,9 @@
 bool is_valid_address(const std::string& address) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) return false;
-  unsigned port = 0;
+  const auto port = core::parse_number<unsigned>(std::string_view(address).substr(colon + 1));
   in_addr host{};
-  return core::parse_number(address.substr(colon + 1), port) && port > 0 && port <= kMaxPort &&
+  return port && *port > 0 && *port <= kMaxPort &&
          inet_pton(AF_INET, address.substr(0, colon).c_str(), &host) == 1 && host.s_addr != 0;
 }
 
--- a/src/endpoints/list_text.cpp
+++ b/src/endpoints/list_text.cpp
@@ -30,9 +30,8 @@
 std::optional<std::uint64_t> parse_digest(std::string_view text) {
   if (!text.starts_with(kDigestPrefix)) return {};
   text.remove_prefix(kDigestPrefix.size());
-  std::uint64_t value = 0;
-  if (!core::is_hex_word(text, kDigestDigits) || !core::parse_number(text, value, 16)) return {};
-  return value;
+  if (!core::is_hex_word(text, kDigestDigits)) return {};
+  return core::parse_number<std::uint64_t>(text, 16);
 }
 
 bool check_completeness(std::string_view text, const std::string& file, std::size_t max_bytes,
--- a/src/hot_restart/ban_store.cpp
+++ b/src/hot_restart/ban_store.cpp
@@ -38,12 +38,12 @@
 }
 
 std::optional<BanList> decode_ban_list(std::string_view payload) {
-  BanList list;
   const auto first = take_line(payload);
-  if (!first.starts_with(kFormatPrefix) ||
-      !core::parse_number(first.substr(kFormatPrefix.size()), list.serial)) {
-    return {};
-  }
+  if (!first.starts_with(kFormatPrefix)) return {};
+  const auto serial = core::parse_number<std::uint64_t>(first.substr(kFormatPrefix.size()));
+  if (!serial) return {};
+  BanList list;
+  list.serial = *serial;
   while (!payload.empty()) {
     const auto server = take_line(payload);
     if (server.empty() || !core::is_plain_word(server) || list.servers.size() >= kMaxBans) {
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -10,11 +10,13 @@
 
 namespace alderspur::net {
 
-/// "127.0.0.4:4100"; only numeric addresses, there is no DNS. Nothing: not such an address.
+/// From a text such as "127.0.0.4:4100"; host names are not resolved. Nothing if it has another
+/// form.
 std::optional<sockaddr_in> parse_address(std::string_view text);
+/// The form that parse_address() reads.
 std::string to_string(const sockaddr_in& address);
 
-/// Owns a file descriptor and closes it; -1: none.
+/// Owns a file descriptor and closes it in its destructor; -1: none.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -41,8 +41,8 @@
 
 // ---- Ends ----
 
-// Unsent bytes are dropped: the peer must not take them for the whole. The read buffer stays, since
-// its slices may still be needed in this turn.
+// Unsent bytes are discarded. The read buffer stays, since its slices may still be in use in this
+// turn.
 void Connection::close() {
   if (is_closed_) return;
   is_closed_ = true;
@@ -52,11 +52,11 @@
   queue_position_ = 0;
 }
 
-void Connection::fail(Closed reason) {
+void Connection::fail(CloseReason reason) {
   if (is_closed_) return;
   const auto on_linger_end = is_lingering_ ? std::move(on_linger_end_) : nullptr;
   const auto on_close = is_lingering_ ? nullptr : handler_.on_close;
-  is_unreadable_ = reason == Closed::unreadable;
+  is_unreadable_ = reason == CloseReason::unreadable;
   is_closed_ = !is_unreadable_;
   watcher_->want(0);
   if (is_closed_) fd_ = Fd();
@@ -67,7 +67,7 @@
 void Connection::linger(std::function<void()> on_end) {
   if (is_closed_ || is_lingering_) return;
   is_lingering_ = true;
-  has_input_ended_ = false;  // read once more: the end of input is what ends a lingering close
+  has_input_ended_ = false;  // reads again: a lingering close ends with the input
   on_linger_end_ = std::move(on_end);
   if (!is_connecting_ && unwritten() == 0) end_own_side();
   update_watcher();
@@ -85,10 +85,10 @@
   if (received < 0 && is_temporary(errno)) return;
   if (received > 0) {
     discarded_bytes_ += static_cast<std::size_t>(received);
-    if (discarded_bytes_ <= kLingerBytes) return;
+    if (discarded_bytes_ <= kMaxLingerBytes) return;
   }
   has_input_ended_ = received == 0;
-  if (received != 0 || has_own_side_ended_) fail(Closed::by_peer);
+  if (received != 0 || has_own_side_ended_) fail(CloseReason::by_peer);
 }
 
 bool Connection::peer_ended() const {
@@ -99,7 +99,7 @@
 
 // ---- Reading ----
 
-bool Connection::arrived() const {
+bool Connection::has_input_waiting() const {
   int bytes = 0;
   return !is_closed_ && ::ioctl(fd_.get(), FIONREAD, &bytes) == 0 && bytes > 0;
 }
@@ -129,41 +129,41 @@
   int error = 0;
   socklen_t size = sizeof error;
   getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-  if (error) return fail(Closed::refused);
+  if (error) return fail(CloseReason::refused);
   is_connecting_ = false;
   flush();
   if (!is_closed_ && handler_.on_written) handler_.on_written();
   if (!is_closed_) update_watcher();
 }
 
-// One read a turn: a second one could move the buffer under slices handed out in the same turn.
+// Reads once a turn: a second read could move the buffer while slices of it are in use.
 void Connection::read() {
   if (consumed_bytes_) return;
   if (buffer_.size() - buffered_bytes_ < kMinReadBytes) {
     buffer_.resize(std::max(buffer_.size() * 2, buffered_bytes_ + kMinReadBytes));
   }
-  const std::size_t room = std::min(buffer_.size() - buffered_bytes_, kMaxReadBytes);
-  const ssize_t received = ::recv(fd_.get(), buffer_.data() + buffered_bytes_, room, 0);
+  const std::size_t capacity = std::min(buffer_.size() - buffered_bytes_, kMaxReadBytes);
+  const ssize_t received = ::recv(fd_.get(), buffer_.data() + buffered_bytes_, capacity, 0);
   if (received < 0) {
-    if (!is_temporary(errno)) fail(Closed::reset);
+    if (!is_temporary(errno)) fail(CloseReason::reset);
     return;
   }
   if (received == 0) {
-    if (!handler_.half_close) return fail(Closed::by_peer);
+    if (!handler_.allows_half_close) return fail(CloseReason::by_peer);
     has_input_ended_ = true;
-    return handler_.on_close(Closed::by_peer);
+    return handler_.on_close(CloseReason::by_peer);
   }
   last_read_at_ = unix_now();
   buffered_bytes_ += static_cast<std::size_t>(received);
   const auto consumed = handler_.on_data(std::string_view(buffer_.data(), buffered_bytes_));
-  if (consumed < 0) return fail(Closed::unreadable);
+  if (consumed < 0) return fail(CloseReason::unreadable);
   consumed_bytes_ = static_cast<std::size_t>(consumed);
 }
 
 bool Connection::reoffer_unread() {
   if (is_closed_ || consumed_bytes_ || buffered_bytes_ == 0) return false;
   const auto consumed = handler_.on_data(std::string_view(buffer_.data(), buffered_bytes_));
-  if (consumed < 0) fail(Closed::unreadable);
+  if (consumed < 0) fail(CloseReason::unreadable);
   consumed_bytes_ = consumed > 0 ? static_cast<std::size_t>(consumed) : 0;
   return consumed_bytes_ > 0;
 }
@@ -173,7 +173,7 @@
   std::memmove(buffer_.data(), buffer_.data() + consumed_bytes_, buffered_bytes_ - consumed_bytes_);
   buffered_bytes_ -= consumed_bytes_;
   consumed_bytes_ = 0;
-  // Most connections are idle and must hold next to no memory.
+  // Most connections are idle and should not keep a buffer.
   if (buffered_bytes_ == 0) std::string().swap(buffer_);
 }
 
@@ -191,7 +191,7 @@
     msghdr message{};
     message.msg_iov = buffers;
     message.msg_iovlen = kMaxWriteParts;
-    // An error shows again at the next readiness, where fail() may call the owner.
+    // An error is reported again when the socket is ready; only there may fail() call the owner.
     const ssize_t result = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
     std::size_t sent = result < 0 ? 0 : static_cast<std::size_t>(result);
     for (auto& part : parts) {
@@ -209,7 +209,7 @@
   const ssize_t sent =
       ::send(fd_.get(), queue_.data() + queue_position_, unwritten(), MSG_NOSIGNAL);
   if (sent < 0) {
-    if (!is_temporary(errno)) fail(Closed::reset);
+    if (!is_temporary(errno)) fail(CloseReason::reset);
     return;
   }
   queue_position_ += static_cast<std::size_t>(sent);
@@ -220,9 +220,7 @@
 }
 
 std::unique_ptr<Connection> connect(Loop& loop, const sockaddr_in& address,
-                                    Connection::Handler handler, bool* refused,
-                                    const sockaddr_in* source) {
-  if (refused) *refused = false;
+                                    Connection::Handler handler, const sockaddr_in* source) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (fd.get() < 0) return nullptr;
   if (source) {
@@ -230,10 +228,7 @@
   }
   const int result =
       ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  if (result < 0 && errno != EINPROGRESS) {
-    if (refused) *refused = true;
-    return nullptr;
-  }
+  if (result < 0 && errno != EINPROGRESS) return nullptr;
   const bool is_connecting = result < 0;
   return std::make_unique<Connection>(loop, std::move(fd), is_connecting, std::move(handler));
 }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,5 +1,6 @@
-// A TCP connection on the loop: a read buffer whose slices live until the turn ends, a write queue,
-// and counts of bytes queued and written. The loop's thread only; times are microseconds.
+// A TCP connection on the event loop: a read buffer whose slices stay valid until the turn ends, a
+// write queue, and counts of the bytes queued and written. The loop's thread only; times are
+// microseconds.
 #pragma once
 
 #include <cstddef>
@@ -14,58 +15,66 @@
 
 namespace alderspur::net {
 
-/// Why a connection ended from outside.
-enum class Closed {
-  by_peer,
-  reset,
-  refused,     // a connect that failed
-  unreadable,  // the handler could not read what came
+/// Why a connection was closed other than by its owner.
+enum class CloseReason {
+  by_peer,     // end of input
+  reset,       // an error in reading or writing
+  refused,     // the connect has failed
+  unreadable,  // the handler could not parse the input
 };
-/// A lingering close discards at most so many bytes of the peer's.
-constexpr std::size_t kLingerBytes = 1 << 20;
+/// A lingering close discards at most this much input.
+constexpr std::size_t kMaxLingerBytes = 1 << 20;
 
+/// Owns a connected or connecting socket.
 class Connection {
  public:
+  /// The owner's callbacks.
   struct Handler {
-    /// Takes what it can from the front of the bytes; returns how many it has consumed, or -1 if
-    /// they are unreadable.
+    /// Consumes input from the front of the bytes; returns the number of bytes consumed, or -1 if
+    /// they cannot be parsed.
     std::function<std::ptrdiff_t(std::string_view)> on_data;
-    /// Something left the write queue, or the connect succeeded.
+    /// Called when bytes have left the write queue, or the connect has succeeded.
     std::function<void()> on_written;
-    /// Once, at the end; the owner destroys the connection after the turn. Unreadable: nothing more
-    /// is read, but what was written may still leave, by linger().
-    std::function<void(Closed)> on_close;
-    /// At the end of input on_close(by_peer) is called, but writing may go on.
-    bool half_close = false;
+    /// Called once, at the end; the owner destroys the connection after the turn. After
+    /// `unreadable` nothing more is read, but what was written can still be sent by linger().
+    std::function<void(CloseReason)> on_close;
+    /// If set, the connection can still be written to after on_close(by_peer).
+    bool allows_half_close = false;
   };
+  /// Takes over a connected socket, or one that is connecting.
   Connection(Loop& loop, Fd fd, bool is_connecting, Handler handler);
 
-  /// Sends all parts in one go if the queue is empty; only what the socket does not take is copied.
+  /// Sends all parts in one call if the queue is empty; only what the socket does not accept is
+  /// copied into the queue.
   void write(std::string_view head, std::string_view body = {}, std::string_view tail = {});
-  /// The slices that were handed out are no longer used.
+  /// Discards the consumed input. Slices that were passed to on_data must no longer be used.
   void end_turn();
-  /// Offers what was left to on_data once more; true if some of it was consumed.
+  /// Passes the input that was not consumed to on_data again; true if some of it was consumed.
   bool reoffer_unread();
-  /// Closes at once: unsent bytes are dropped, unread ones reset the connection. No on_close.
+  /// Closes at once, without on_close: unsent bytes are discarded, and unread input resets the
+  /// connection.
   void close();
-  /// Lingering close: this side ends once all is written; what still comes is discarded, at most
-  /// kLingerBytes of it, until the peer has ended too. No handler is called any more; `on_end`
-  /// once, never from within this call. A close over unread bytes would reset the connection, and
-  /// drop what the peer has yet to read.
+  /// Lingering close: ends this side once everything is written, and discards input, at most
+  /// kMaxLingerBytes, until the peer has ended too. No handler is called any more; `on_end` is
+  /// called once, never from within this call. Closing with unread input would reset the connection
+  /// and discard what the peer has not read yet.
   void linger(std::function<void()> on_end);
 
-  /// Bytes have arrived that were not read from the socket yet.
-  bool arrived() const;
-  /// The peer has ended its side, though what it wrote before may not be read yet.
+  /// Whether input has arrived that was not read from the socket yet.
+  bool has_input_waiting() const;
+  /// Whether the peer has ended its side; input from before may not have been read yet.
   bool peer_ended() const;
   bool connecting() const { return is_connecting_; }
   bool closed() const { return is_closed_; }
+  /// Bytes in the write queue.
   std::size_t unwritten() const { return queue_.size() - queue_position_; }
-  /// Bytes of a message that is not whole yet.
+  /// Bytes of input that were not consumed, such as those of an incomplete message.
   std::size_t unread() const { return buffered_bytes_ - consumed_bytes_; }
+  /// Bytes passed to write() since the connection was made.
   std::uint64_t queued_total() const { return queued_total_; }
+  /// Those of them that the socket has accepted.
   std::uint64_t written_total() const { return queued_total_ - unwritten(); }
-  /// Unix time at which bytes last came; 0: none have.
+  /// Unix time of the last input; 0: there was none.
   core::Time last_read_at() const { return last_read_at_; }
 
  private:
@@ -73,7 +82,7 @@
   void on_connected();
   void read();
   void flush();
-  void fail(Closed reason);
+  void fail(CloseReason reason);
   void update_watcher();
   void end_own_side();
   void discard_input();
@@ -98,10 +107,10 @@
   std::unique_ptr<IoWatcher> watcher_;
 };
 
-/// Null if no descriptor is to be had or the address refuses at once (`*refused`, if given, tells
-/// which). `source`: the address to connect from, where it can be had.
+/// Starts to connect. Null if there is no free descriptor or the connect fails at once. `source`:
+/// the address to connect from, if it can be bound; null: any.
 std::unique_ptr<Connection> connect(Loop& loop, const sockaddr_in& address,
-                                    Connection::Handler handler, bool* refused = nullptr,
+                                    Connection::Handler handler,
                                     const sockaddr_in* source = nullptr);
 
 }  // namespace alderspur::net
--- a/src/net/lingering.cpp
+++ b/src/net/lingering.cpp
@@ -15,15 +15,16 @@
   }
 }
 
-void Lingering::take(std::unique_ptr<Connection> connection) {
+void Lingering::add(std::unique_ptr<Connection> connection) {
   if (!connection || connection->closed()) return;
-  if (size() >= kMaxLingering) cut_oldest();
+  if (size() >= kMaxLingering) close_oldest();
   const auto position = entries_.insert(entries_.end(), Entry{std::move(connection)});
-  position->timeout = deadlines_.set(unix_now() + kLingerTime, [this, position] { end(position); });
+  position->timeout =
+      deadlines_.set(unix_now() + kMaxLingerTime, [this, position] { end(position); });
   position->connection->linger([this, position] { end(position); });
 }
 
-// A callback of the connection may be running: it is destroyed when the turn ends.
+// The connection is destroyed when the turn ends, since its callback may be running.
 void Lingering::end(Position position) {
   if (std::exchange(position->has_ended, true)) return;
   deadlines_.cancel(position->timeout);
@@ -31,7 +32,7 @@
   ended_.push_back(position);
 }
 
-bool Lingering::cut_oldest() {
+bool Lingering::close_oldest() {
   const auto oldest = std::find_if(entries_.begin(), entries_.end(),
                                    [](const Entry& entry) { return !entry.has_ended; });
   if (oldest == entries_.end()) return false;
@@ -39,9 +40,9 @@
   return true;
 }
 
-bool Lingering::fit(std::size_t others, std::size_t limit) {
+bool Lingering::make_room(std::size_t others, std::size_t limit) {
   while (others + size() >= limit) {
-    if (!cut_oldest()) return false;
+    if (!close_oldest()) return false;
   }
   return true;
 }
--- a/src/net/lingering.h
+++ b/src/net/lingering.h
@@ -1,9 +1,9 @@
-// Connections that are being closed in order (lingering close): this side has ended or ends once
-// all is written, and what the peer still sends is discarded until it has ended too.
+// Connections in a lingering close: this side ends once everything is written, and input is
+// discarded until the peer has ended too.
 //
-// Each is bounded in time (kLingerTime, microseconds) and bytes (kLingerBytes), all of them in
-// number; beyond it the oldest is closed at once. They hold descriptors: owners of a budget of
-// connections count size() in it. The loop's thread only.
+// Each is bounded in time (kMaxLingerTime, microseconds) and bytes (kMaxLingerBytes), and their
+// number by kMaxLingering, beyond which the oldest is closed at once. They hold descriptors: owners
+// with a limit on connections count size() towards it. The loop's thread only.
 #pragma once
 
 #include <cstddef>
@@ -16,20 +16,24 @@
 namespace alderspur::net {
 
 class Connection;
-constexpr core::Time kLingerTime = 1'000'000;
+
+constexpr core::Time kMaxLingerTime = 1'000'000;
 constexpr std::size_t kMaxLingering = 256;
 
+/// Owns the connections until they have ended.
 class Lingering {
  public:
   explicit Lingering(core::Deadlines& deadlines);
   ~Lingering();
-  /// Only at the end of a turn, when slices of its buffer are no longer used.
-  void take(std::unique_ptr<Connection> connection);
-  /// Closes the oldest at once; false: there is none.
-  bool cut_oldest();
-  /// Closes the oldest until one more connection fits beside `others` into `limit`; false: the
-  /// others fill it.
-  bool fit(std::size_t others, std::size_t limit);
+  /// Starts a lingering close. To be called at the end of a turn, when slices of the connection's
+  /// buffer are no longer in use.
+  void add(std::unique_ptr<Connection> connection);
+  /// Closes the oldest connection at once; false: there is none.
+  bool close_oldest();
+  /// Closes the oldest connections until one more fits into `limit` beside `others`; false: the
+  /// others alone reach the limit.
+  bool make_room(std::size_t others, std::size_t limit);
+  /// Connections that have not ended.
   std::size_t size() const { return entries_.size() - ended_.size(); }
   /// Destroys those that have ended.
   void end_turn();
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -41,8 +41,8 @@
 }
 Listener::~Listener() { *is_alive_ = false; }
 
-// Classic BPF that names the second socket of the group, in the order in which they began to
-// listen. Where there is no second one, connections are spread as before.
+// The classic BPF program selects the second socket of the group, in the order in which they began
+// to listen. Without a second socket, connections are spread as before.
 bool Listener::steer_to_successor() {
   sock_filter code[] = {{BPF_RET | BPF_K, 0, 0, 1}};
   const sock_fprog program{1, code};
@@ -113,7 +113,7 @@
   }
 }
 
-// Out of room or descriptors, the listening socket stays readable, and the loop would spin on it.
+// Without capacity or descriptors the socket stays readable, and the loop would spin on it.
 void Listener::pause() {
   if (!full_since_) full_since_ = unix_now();
   watcher_->want(0);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,6 +1,6 @@
-// A listening TCP socket on the loop. It accepts while the owner has room, pauses where there is
-// none, and can steer new connections to another process on the same address. The loop's thread
-// only; times are microseconds.
+// A listening TCP socket on the event loop. It accepts connections while its owner has capacity,
+// pauses otherwise, and can steer new connections to another process on the same address. The
+// loop's thread only; times are microseconds.
 #pragma once
 
 #include <functional>
@@ -12,36 +12,40 @@
 
 namespace alderspur::net {
 
+/// Owns the socket.
 class Listener {
  public:
-  /// Throws std::runtime_error if the address is not to be had. `is_shared`: another process may
-  /// listen on the same address, and the kernel spreads connections over both.
+  /// Throws std::runtime_error if the address cannot be bound. `may_accept` is asked before each
+  /// connection is accepted. `is_shared`: another process may listen on the same address, and the
+  /// kernel spreads connections over both.
   Listener(Loop& loop, core::Deadlines& deadlines, const sockaddr_in& address,
            std::function<bool()> may_accept, std::function<void(Fd)> on_accept,
            bool is_shared = false);
   ~Listener();
 
-  /// All new connections go to the process that began to listen after this one; false: the kernel
-  /// refuses, and they are spread as before.
+  /// Steers all new connections to the process that began to listen after this one; false: the
+  /// kernel does not allow it, and connections are spread as before.
   bool steer_to_successor();
   void stop_steering();
-  /// One descriptor is kept back for when the process has none left, so that one more caller gets
-  /// in; taken anew by this once there is room again.
+  /// Reserves a descriptor, so that one more connection can be accepted when the process has none
+  /// left. To be called again after each use.
   void keep_spare();
 
+  /// Which of the established connections accept_rest_and_stop() accepts.
   enum class AcceptRest {
     within_limits,  // as long as may_accept() holds and there are descriptors
     all,            // whatever may_accept() says
   };
-  /// Accepts what the kernel has completed for this socket, then stops: the close would reset these
-  /// connections. False: there is no room for all of them, and it goes on listening.
+  /// Accepts the established connections in the socket's queue, which closing it would reset, then
+  /// stops. False: some of them could not be accepted, and the socket is still listening.
   bool accept_rest_and_stop(AcceptRest rest);
+  /// Closes the socket.
   void stop();
 
+  /// The bound address, with the port that the kernel chose for port 0.
   sockaddr_in address() const;
-  /// How long there has not been room for all: whoever is accepted now may have waited so long, and
-  /// left since.
-  core::Time waited() const { return full_since_ ? unix_now() - full_since_ : 0; }
+  /// The longest time that a connection accepted now may have waited in the queue.
+  core::Time accept_delay() const { return full_since_ ? unix_now() - full_since_ : 0; }
 
  private:
   Fd accept_one();
@@ -54,8 +58,8 @@
   std::function<void(Fd)> on_accept_;
   std::unique_ptr<IoWatcher> watcher_;
   Fd spare_;
-  core::Time full_since_ = 0;  // 0: all that came has been accepted
-  /// False once this is destroyed, for the deadline that ends a pause.
+  core::Time full_since_ = 0;  // 0: the queue was empty since
+  /// False once this is destroyed; for the deadline that ends a pause.
   std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -12,20 +12,19 @@
 
 namespace alderspur::net {
 
-/// Since 1970. Follows the wall clock, but never by jumps: see loop.cpp. Any thread.
+/// Unix time. Follows the wall clock, but never by steps: see loop.cpp. Any thread.
 core::Time unix_now();
-/// Of a clock that never goes back and that nobody sets; it also runs while the machine sleeps. Any
-/// thread.
+/// The time of a clock that is never set and also runs while the machine sleeps. Any thread.
 core::Time steady_now();
 
-/// Watches a descriptor while it exists; the callback is a plain function object.
+/// Watches a descriptor for as long as it exists.
 class IoWatcher {
  public:
   IoWatcher(struct ev_loop* loop, int fd, std::function<void(int events)> on_ready);
   ~IoWatcher();
   IoWatcher(const IoWatcher&) = delete;
   IoWatcher& operator=(const IoWatcher&) = delete;
-  /// EV_READ, EV_WRITE, both or 0.
+  /// Sets the events to watch for: EV_READ, EV_WRITE, both or 0. None at first.
   void want(int events);
 
  private:
@@ -39,28 +38,35 @@
 class Lingering;
 
 /// Blocks SIGTERM, SIGHUP and SIGUSR1 until Loop::run(), which handles them in its first turn. To
-/// be called before a program makes threads: they inherit it.
+/// be called before a program starts threads, which inherit the signal mask.
 void hold_signals();
 
+/// Waits for descriptors, signals and deadlines, and performs turns.
 class Loop {
  public:
+  /// `deadlines` must outlive the loop, which wakes up for each of them; the callback of on_turn()
+  /// has to run them.
   explicit Loop(core::Deadlines& deadlines);
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
+  /// For libev's watchers.
   struct ev_loop* raw() {
     return loop_;
   }
-  /// Called before each wait, after all that was ready has been read.
+  /// Called before each wait, after all ready descriptors have been read.
   void on_turn(std::function<void()> callback) { turn_callback_ = std::move(callback); }
+  /// Calls `callback` in the loop's thread when the signal arrives.
   void on_signal(int number, std::function<void()> callback);
+  /// Performs turns until stop() is called.
   void run();
   void stop();
-  /// Takes all connections that are closed in order.
+  /// The connections in a lingering close.
   Lingering& lingering() { return *lingering_; }
 
  private:
+  /// A signal that is handled.
   struct Signal {
     ev_signal watcher{};
     std::function<void()> callback;
--- a/src/net/wakeup.h
+++ b/src/net/wakeup.h
@@ -1,4 +1,4 @@
-// Lets another thread run functions on the loop's thread.
+// Runs functions of other threads on the loop's thread.
 #pragma once
 
 #include <ev.h>
@@ -11,7 +11,7 @@
 
 namespace alderspur::net {
 
-/// Must outlive all threads that post; what has not run when it is destroyed is dropped.
+/// Must outlive all threads that post. Functions that have not run when it is destroyed never run.
 class Wakeup {
  public:
   explicit Wakeup(Loop& loop);
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -47,7 +47,7 @@
   p.hubs = texts(d.settings, "hub");
   for (const auto& p_when : d.when) p.points.push_back(p_when);
   for (const auto& c : texts(d.settings, "cell")) {
-    if (std::uint32_t cell = 0; core::parse_number(c, cell)) p.cells.push_back(cell);
+    if (const auto cell = core::parse_number<std::uint32_t>(c)) p.cells.push_back(*cell);
   }
   p.weight_least = number<double>(d.settings, "weight-least").value_or(0);
   p.limits = limits_of(d.settings);
--- a/src/rpc_front/rpc_codec.cpp
+++ b/src/rpc_front/rpc_codec.cpp
@@ -2,6 +2,7 @@
 
 #include "core/parsing.h"
 #include "msgpack_codec/document.h"
+#include "msgpack_codec/measure.h"
 #include "msgpack_codec/writer.h"
 
 namespace alderspur::rpc_front {
@@ -30,13 +31,22 @@
 constexpr std::uint32_t kMaxGroup = 255;
 constexpr std::size_t kIdDigits = 16;
 constexpr std::size_t kIdempotencyKeyDigits = 32;
+constexpr int kHexBase = 16;
 constexpr core::Time kMicrosecondsPerMillisecond = 1000;
 
-struct FieldName {
+constexpr std::string_view kLivenessMethod = "status";
+constexpr std::string_view kCancelMethod = "withdraw";
+constexpr std::string_view kRejectedError = "Busy";
+constexpr std::string_view kFailedError = "Failed";
+constexpr std::string_view kRetryAfterField = "later";
+constexpr std::string_view kNotModifiedField = "current";
+
+/// A field of a request by its name on the wire.
+struct RequestField {
   std::string_view name;
-  std::string_view Call::*field;
+  std::string_view Call::*value;
 };
-constexpr FieldName kFieldNames[] = {
+constexpr RequestField kRequestFields[] = {
     {"txn", &Call::request_id},
     {"limit", &Call::time_limit},
     {"unique", &Call::idempotency_key},
@@ -61,32 +71,38 @@
   return {};
 }
 
-// A map of strings to strings; unknown names are passed over.
+// Reads a map of strings to strings, and ignores unknown names. False: it is no such map.
 bool read_fields(const msgpack_object& map, Call& call) {
   if (map.type != MSGPACK_OBJECT_MAP) return false;
   for (std::uint32_t i = 0; i < map.via.map.size; ++i) {
     const auto& [key, value] = map.via.map.ptr[i];
     if (!is_text(key) || !is_text(value)) return false;
     const auto name = text(key);
-    for (const FieldName& known : kFieldNames) {
-      if (known.name == name) call.*known.field = text(value);
+    for (const RequestField& field : kRequestFields) {
+      if (field.name == name) call.*field.value = text(value);
     }
   }
   return true;
 }
 
 void read_notification(const msgpack_object* items, Call& call) {
-  call.is_notification = true;
-  call.method = text(items[1]);
+  call.kind = CallKind::ignored;
   const auto& arguments = items[2];
-  call.is_well_formed = arguments.type == MSGPACK_OBJECT_ARRAY && arguments.via.array.size >= 1 &&
-                        is_number(arguments.via.array.ptr[0]);
-  if (call.is_well_formed) call.id = arguments.via.array.ptr[0].via.u64;
+  const bool has_call_id = arguments.type == MSGPACK_OBJECT_ARRAY &&
+                           arguments.via.array.size >= 1 && is_number(arguments.via.array.ptr[0]);
+  if (text(items[1]) != kCancelMethod || !has_call_id) return;
+  call.kind = CallKind::cancellation;
+  call.id = arguments.via.array.ptr[0].via.u64;
 }
 
 void read_request(const msgpack_object* items, Call& call) {
   call.id = items[1].via.u64;
-  call.method = text(items[2]);
+  const auto method = text(items[2]);
+  if (method == kLivenessMethod) {
+    call.kind = CallKind::liveness_query;
+    return;
+  }
+  call.class_name = method;
   const auto& arguments = items[3];
   if (arguments.type != MSGPACK_OBJECT_ARRAY || arguments.via.array.size < 1) return;
   call.is_well_formed = read_fields(arguments.via.array.ptr[0], call);
@@ -113,19 +129,37 @@
   return core::ParseStatus::invalid;
 }
 
-bool read_time_limit(const Call& call, const RequestRules& rules, core::RequestView& view) {
-  double milliseconds = 0;
-  if (!core::parse_number(call.time_limit, milliseconds)) return false;
-  if (milliseconds < 1 || milliseconds > kMaxTimeLimitMilliseconds) return false;
-  view.time_limit = static_cast<core::Time>(milliseconds * kMicrosecondsPerMillisecond);
-  return rules.max_time_limit <= 0 ||
-         view.time_limit <= rules.max_time_limit + kMicrosecondsPerMillisecond;
+std::optional<core::Time> read_time_limit(const Call& call, const RequestRules& rules) {
+  const auto milliseconds = core::parse_number<double>(call.time_limit);
+  if (!milliseconds) return std::nullopt;
+  if (*milliseconds < 1 || *milliseconds > kMaxTimeLimitMilliseconds) return std::nullopt;
+  const auto time_limit = static_cast<core::Time>(*milliseconds * kMicrosecondsPerMillisecond);
+  const core::Time max_time_limit = rules.max_time_limit + kMicrosecondsPerMillisecond;
+  if (rules.max_time_limit > 0 && time_limit > max_time_limit) return std::nullopt;
+  return time_limit;
+}
+
+// 0 where the client does not state it.
+std::optional<double> read_size_kb(const Call& call) {
+  if (call.size_kb.empty()) return 0;
+  const auto size_kb = core::parse_number<double>(call.size_kb);
+  if (!size_kb || *size_kb < 0 || *size_kb > kMaxSizeKb) return std::nullopt;
+  return size_kb;
 }
 
-bool read_size(const Call& call, core::RequestView& view) {
-  if (call.size_kb.empty()) return true;
-  return core::parse_number(call.size_kb, view.size_kb) && !(view.size_kb < 0) &&
-         !(view.size_kb > kMaxSizeKb);
+std::optional<std::uint32_t> read_bounded_number(std::string_view text, std::uint32_t max) {
+  const auto number = core::parse_number<std::uint32_t>(text);
+  if (!number || *number > max) return std::nullopt;
+  return number;
+}
+
+bool are_words_valid(const Call& call, const RequestRules& rules) {
+  if (!core::is_hex_word(call.request_id, kIdDigits)) return false;
+  if (!core::is_hex_word(call.object, kIdDigits)) return false;
+  if (!core::is_plain_word(call.client_copy_tag)) return false;
+  return rules.requires_idempotency_key
+             ? core::is_hex_word(call.idempotency_key, kIdempotencyKeyDigits)
+             : call.idempotency_key.empty();
 }
 
 void begin_response(Writer& writer, std::uint64_t call_id) {
@@ -134,13 +168,13 @@
 
 EncodedResponse encode_error(std::uint64_t call_id, const core::Response& response) {
   const bool is_rejected = response.status == core::FinalStatus::rejected;
-  const bool has_advice = is_rejected && response.retry_after > 0;
+  const bool has_retry_after = is_rejected && response.retry_after > 0;
   Writer head;
   begin_response(head, call_id);
-  head.array(2).text(is_rejected ? "Busy" : "Failed").map(has_advice ? 1 : 0);
-  if (has_advice) {
+  head.array(2).text(is_rejected ? kRejectedError : kFailedError).map(has_retry_after ? 1 : 0);
+  if (has_retry_after) {
     const core::Time rounded_up = response.retry_after + kMicrosecondsPerMillisecond - 1;
-    head.text("later").text(std::to_string(rounded_up / kMicrosecondsPerMillisecond));
+    head.text(kRetryAfterField).text(std::to_string(rounded_up / kMicrosecondsPerMillisecond));
   }
   head.nil();
   return {head.str(), {}};
@@ -162,27 +196,27 @@
   return read_call(document.root(), call);
 }
 
-bool to_request_view(const Call& call, const RequestRules& rules, core::RequestView& view) {
-  if (!call.is_well_formed) return false;
-  if (!core::is_hex_word(call.request_id, kIdDigits)) return false;
-  if (!core::is_hex_word(call.object, kIdDigits)) return false;
-  if (!core::is_plain_word(call.client_copy_tag)) return false;
-  if (!core::parse_number(call.object, view.object, 16)) return false;
-  const bool is_key_valid = rules.requires_idempotency_key
-                                ? core::is_hex_word(call.idempotency_key, kIdempotencyKeyDigits)
-                                : call.idempotency_key.empty();
-  if (!is_key_valid) return false;
-  if (!read_time_limit(call, rules, view)) return false;
-  if (!core::parse_number(call.part, view.part) || view.part > kMaxPart) return false;
-  if (!core::parse_number(call.group, view.group) || view.group > kMaxGroup) return false;
-  if (!read_size(call, view)) return false;
-  if (call.body.size() > (rules.is_write ? kMaxWriteBodyBytes : 0)) return false;
+std::optional<core::RequestView> to_request_view(const Call& call, const RequestRules& rules) {
+  if (!call.is_well_formed || !are_words_valid(call, rules)) return std::nullopt;
+  if (call.body.size() > (rules.is_write ? kMaxWriteBodyBytes : 0)) return std::nullopt;
+  const auto object = core::parse_number<std::uint64_t>(call.object, kHexBase);
+  const auto time_limit = read_time_limit(call, rules);
+  const auto part = read_bounded_number(call.part, kMaxPart);
+  const auto group = read_bounded_number(call.group, kMaxGroup);
+  const auto size_kb = read_size_kb(call);
+  if (!object || !time_limit || !part || !group || !size_kb) return std::nullopt;
+  core::RequestView view;
   view.id = call.request_id;
   view.idempotency_key = call.idempotency_key;
   view.client_copy_tag = call.client_copy_tag;
   view.object_text = call.object;
   view.body = call.body;
-  return true;
+  view.object = *object;
+  view.time_limit = *time_limit;
+  view.part = *part;
+  view.group = *group;
+  view.size_kb = *size_kb;
+  return view;
 }
 
 EncodedResponse encode_response(std::uint64_t call_id, const core::Response& response) {
@@ -192,11 +226,11 @@
   head.nil().array(2).bytes_header(response.body.size());
   Writer tail;
   tail.map(response.not_modified ? 1 : 0);
-  if (response.not_modified) tail.text("current").text("1");
+  if (response.not_modified) tail.text(kNotModifiedField).text("1");
   return {head.str(), tail.str()};
 }
 
-std::string encode_status(std::uint64_t call_id) {
+std::string encode_liveness_response(std::uint64_t call_id) {
   Writer writer;
   begin_response(writer, call_id);
   writer.nil().array(2).boolean_true().map(0);
--- a/src/rpc_front/rpc_front.cpp
+++ b/src/rpc_front/rpc_front.cpp
@@ -1,4 +1,4 @@
-// Clients' connections, their calls and the responses to them.
+// RpcFront: connections, calls and responses.
 #include "rpc_front/rpc_front.h"
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 namespace alderspur::rpc_front {
 namespace {
 
-/// Advice to clients that ask for more than they may.
+/// The wait that is asked of a client whose call exceeds a limit of the front.
 constexpr core::Time kRetryAfter = 500'000;
-/// Bounds a whole message of a class that names no time limit.
+/// Bounds the arrival of a message of a class without a time limit.
 constexpr core::Time kDefaultMessageTimeout = 5'000'000;
-/// A client that waited to be accepted for longer, and has ended its side, has left.
-constexpr core::Time kPatienceInQueue = 100'000;
+/// A client that waited longer than this to be accepted, and has ended its side, has disconnected.
+constexpr core::Time kMaxAcceptDelay = 100'000;
 
 }  // namespace
 
@@ -60,12 +60,12 @@
   Client* client = owned.get();
   client->accepted_at = engine_.now();
   client->idle_since = client->accepted_at;
-  client->may_have_left = listener_ && listener_->waited() > kPatienceInQueue;
+  client->may_have_disconnected = listener_ && listener_->accept_delay() > kMaxAcceptDelay;
   net::Connection::Handler handler;
-  handler.half_close = true;
+  handler.allows_half_close = true;
   handler.on_data = [this, client](std::string_view bytes) { return on_data(*client, bytes); };
-  handler.on_written = [this, client] { touch(*client); };
-  handler.on_close = [this, client](net::Closed reason) { on_closed(*client, reason); };
+  handler.on_written = [this, client] { mark_changed(*client); };
+  handler.on_close = [this, client](net::CloseReason reason) { on_closed(*client, reason); };
   client->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   client->index = clients_.size();
@@ -73,11 +73,11 @@
   ++client_count_;
 }
 
-// A walk over all clients in every turn would make each request pay for thousands of idle
-// connections. Only those that were read, written to or closed can need anything when it ends.
-void RpcFront::touch(Client& client) {
-  if (std::exchange(client.is_touched, true)) return;
-  touched_.push_back(&client);
+// Only clients that were read, written to or closed need work when the turn ends. A walk over all
+// of them would cost every turn as much as there are idle connections.
+void RpcFront::mark_changed(Client& client) {
+  if (std::exchange(client.is_marked_changed, true)) return;
+  changed_clients_.push_back(&client);
 }
 
 void RpcFront::remove(Client& client) {
@@ -87,22 +87,23 @@
   clients_.pop_back();
 }
 
-// A client that ends its side may have left or may still wait for responses. What is in flight may
-// end, and its response is passed on; nothing more begins. After a reset nobody waits.
-void RpcFront::on_closed(Client& client, net::Closed reason) {
-  touch(client);
+// A client that ends its side has disconnected or still waits for responses. Attempts in flight may
+// complete, and their responses are passed on; no further attempt is made. After a reset no
+// response can be delivered.
+void RpcFront::on_closed(Client& client, net::CloseReason reason) {
+  mark_changed(client);
   client.is_ending = true;
-  if (reason == net::Closed::unreadable) return close(client, CloseMode::lingering);
-  if (reason != net::Closed::by_peer) return close(client, CloseMode::immediate);
+  if (reason == net::CloseReason::unreadable) return close(client, CloseMode::lingering);
+  if (reason != net::CloseReason::by_peer) return close(client, CloseMode::immediate);
   for (const auto& [call_id, request] : client.open_calls) engine_.stop_retrying(request);
 }
 
-// The only way in which a client's connection ends.
+// Every end of a client's connection comes by way of this function.
 void RpcFront::close(Client& client, CloseMode mode) {
   if (client.is_closed) return;
   client.is_closed = true;
   client.lingers = mode == CloseMode::lingering;
-  touch(client);
+  mark_changed(client);
   --client_count_;
   if (!client.lingers) client.connection->close();
   update_byte_counts(client);
@@ -114,21 +115,21 @@
 }
 
 void RpcFront::end_turn() {
-  for (Client* client : touched_) {
+  for (Client* client : changed_clients_) {
     if (client->is_closed) continue;
     client->connection->end_turn();
     update_byte_counts(*client);
     const bool has_ended =
         client->is_ending && client->open_calls.empty() && client->connection->unwritten() == 0;
-    if (has_ended || (client->has_called && may_close_now(*client))) {
+    if (has_ended || (client->has_sent_message && may_close_now(*client))) {
       close(*client, CloseMode::lingering);
     }
   }
   close_oldest_partial_messages();
-  for (Client* client : std::exchange(touched_, {})) {
-    client->is_touched = false;
+  for (Client* client : std::exchange(changed_clients_, {})) {
+    client->is_marked_changed = false;
     if (!client->is_closed) continue;
-    if (client->lingers) loop_.lingering().take(std::move(client->connection));
+    if (client->lingers) loop_.lingering().add(std::move(client->connection));
     remove(*client);
   }
 }
@@ -143,10 +144,10 @@
 // ---- Calls ----
 
 std::ptrdiff_t RpcFront::on_data(Client& client, std::string_view bytes) {
-  touch(client);
-  // The end of its side is here although its bytes are read first: its requests would be sent on
-  // for nobody.
-  if (std::exchange(client.may_have_left, false) && client.connection->peer_ended()) {
+  mark_changed(client);
+  // The client has ended its side already, although its requests are read first: forwarding them
+  // would be of no use.
+  if (std::exchange(client.may_have_disconnected, false) && client.connection->peer_ended()) {
     close(client, CloseMode::immediate);
     return static_cast<std::ptrdiff_t>(bytes.size());
   }
@@ -164,7 +165,7 @@
     }
     bytes = rest;
     has_read_message = true;
-    client.has_called = true;
+    client.has_sent_message = true;
   }
   if (bytes.empty()) {
     client.partial_since = 0;
@@ -174,26 +175,29 @@
   return static_cast<std::ptrdiff_t>(size_before - bytes.size());
 }
 
-// False: the call's id is still open, which makes every response under it ambiguous.
+// False: a call with this id is still open, so that responses with the id would be ambiguous.
 bool RpcFront::on_call(Client& client, const Call& call) {
-  if (call.is_notification) {
-    on_notification(client, call);
-    return true;
+  switch (call.kind) {
+    case CallKind::ignored:
+      return true;
+    case CallKind::cancellation:
+      on_cancellation(client, call.id);
+      return true;
+    case CallKind::liveness_query:
+      if (client.open_calls.contains(call.id)) return false;
+      client.connection->write(encode_liveness_response(call.id));
+      return true;
+    case CallKind::request:
+      if (client.open_calls.contains(call.id)) return false;
+      on_request(client, call);
+      return true;
   }
-  if (client.open_calls.contains(call.id)) return false;
-  if (call.method == kStatusMethod) {
-    client.connection->write(encode_status(call.id));
-    return true;
-  }
-  on_request(client, call);
   return true;
 }
 
-// Nothing is answered to a notification, so one that is unknown or malformed is passed over.
-void RpcFront::on_notification(Client& client, const Call& call) {
-  if (call.method != kCancelMethod || !call.is_well_formed) return;
-  const auto found = client.open_calls.find(call.id);
-  if (found == client.open_calls.end()) return;  // its response is on the way
+void RpcFront::on_cancellation(Client& client, std::uint64_t call_id) {
+  const auto found = client.open_calls.find(call_id);
+  if (found == client.open_calls.end()) return;  // its response has been sent
   engine_.cancel_request(found->second);
   open_calls_.erase(found->second);
   client.open_calls.erase(found);
@@ -201,22 +205,21 @@
 }
 
 void RpcFront::on_request(Client& client, const Call& call) {
-  const auto found = classes_.find(std::string(call.method));
+  const auto found = classes_.find(std::string(call.class_name));
   if (found == classes_.end()) return reject_invalid(client, call, core::kNoClass);
   const RequestClass& request_class = found->second;
-  core::RequestView view;
-  if (!to_request_view(call, request_class.rules, view) ||
-      engine_.conflicts_with_open_request(view)) {
+  auto view = to_request_view(call, request_class.rules);
+  if (!view || engine_.conflicts_with_open_request(*view)) {
     return reject_invalid(client, call, request_class.id);
   }
-  // Under this id a request is still open or being aborted. Another attempt would run beside the
-  // one in flight, which may also have run already: a retry is only offered where that is harmless.
-  if (engine_.is_open(view.id)) {
-    return refuse(client, call.id, request_class.id, request_class.rules.may_repeat_anywhere);
+  // A request with this id is still open or being aborted. Another attempt would run beside the one
+  // in flight, which may also have run already: a retry is only offered where that is harmless.
+  if (engine_.is_open(view->id)) {
+    return reject(client, call.id, request_class.id, request_class.rules.may_repeat_anywhere);
   }
-  if (!has_room_for_call(client)) return refuse(client, call.id, request_class.id, true);
-  view.class_id = request_class.id;
-  const core::RequestHandle request = engine_.admit(*this, view);
+  if (!has_capacity_for_call(client)) return reject(client, call.id, request_class.id, true);
+  view->class_id = request_class.id;
+  const core::RequestHandle request = engine_.admit(*this, *view);
   client.open_calls[call.id] = request;
   client.has_sent_request = true;
   open_calls_[request] = {&client, call.id};
@@ -229,8 +232,8 @@
   reply(client, call.id, {});
 }
 
-// A request that may have run all the same must not be retried: its client is told that it failed.
-void RpcFront::refuse(Client& client, std::uint64_t call_id, std::uint32_t class_id,
+// A request that may have run must not be retried: it is answered as failed, not as rejected.
+void RpcFront::reject(Client& client, std::uint64_t call_id, std::uint32_t class_id,
                       bool may_retry) {
   core::Response response;
   response.status = may_retry ? core::FinalStatus::rejected : core::FinalStatus::failed;
@@ -257,7 +260,7 @@
 void RpcFront::reply(Client& client, std::uint64_t call_id, const core::Response& response) {
   const auto encoded = encode_response(call_id, response);
   client.connection->write(encoded.head, response.body, encoded.tail);
-  touch(client);
+  mark_changed(client);
   update_byte_counts(client);
   close_slow_readers(client);
 }
--- a/src/rpc_front/rpc_front.h
+++ b/src/rpc_front/rpc_front.h
@@ -1,6 +1,6 @@
-// The front for the platform's clients: their connections, MessagePack-RPC calls and responses. It
-// bounds connections, open calls and memory, and drains its clients before a planned end or a
-// handoff to a successor. The loop's thread only; times are microseconds.
+// The server side of the platform's client protocol: connections, MessagePack-RPC calls and their
+// responses. It bounds connections, open calls and memory, and drains its clients before a graceful
+// shutdown or a handoff to a successor process. The loop's thread only; times are microseconds.
 //
 // Its sources: rpc_front.cpp (connections, calls, responses), rpc_front_limits.cpp (timeouts and
 // bounds), rpc_front_drain.cpp (graceful shutdown, handoff).
@@ -19,46 +19,52 @@
 
 namespace alderspur::rpc_front {
 
+/// Accepts clients, admits their calls to the engine and sends its responses back.
 class RpcFront : public core::Front {
  public:
-  /// Throws std::runtime_error if the address is not to be had.
+  /// Listens at once. Throws std::runtime_error if the address cannot be bound. What is passed by
+  /// reference must outlive the front.
   RpcFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
            const sockaddr_in& listen_address, const config::Config& config);
   ~RpcFront() override;
 
   void respond(core::RequestHandle request, const core::Response& response) override;
-  /// Frees what was read in this turn and the clients that were closed in it.
+  /// To be called at the end of each turn of the loop: releases the read buffers and the clients
+  /// that were closed in it.
   void end_turn();
 
-  /// Another process takes new clients on the same address. Ours are closed, so that they connect
-  /// to it: the idle ones at once, the others when few of their calls are open, and all of them by
-  /// `drain_by`.
+  /// A successor process accepts new clients on the same address. The clients of this process are
+  /// closed, so that they connect to the successor: idle ones at once, the others when few of their
+  /// calls are open, and all of them by `drain_by`.
   void start_handoff(core::Time drain_by);
-  /// The successor is gone: clients are accepted here again.
+  /// The successor has ended: this process accepts clients again.
   void cancel_handoff();
-  /// This process ends, with a successor or without. Nobody is accepted once the queue of the
-  /// listening socket is empty, new calls are refused at once, and each client is closed, by a
-  /// lingering close, once it has its responses.
+  /// Starts a graceful shutdown, with a successor or without. No client is accepted once the queue
+  /// of the listening socket is empty, new calls are rejected at once, and each client is closed,
+  /// by a lingering close, once it has its responses.
   void drain();
-  /// The time to drain is over: what is open gets its final response in this turn.
+  /// The time to drain is over: every open call gets its final response in this turn.
   void finish_all_now();
-  /// Closes what is still there, whether it has its responses or not.
+  /// Closes all remaining connections, whether their responses have been sent or not.
   void close_all();
-  /// After drain(): no connection is left.
+  /// Whether no connection is left after drain().
   bool is_drained() const;
 
-  /// So many processes share the limits on descriptors and memory.
+  /// Sets the number of processes that share the limits on descriptors and memory; at least 1.
   void set_process_count(std::uint32_t processes);
-  /// No call is open, and all responses have been written.
+  /// Whether no call is open and all responses have been written.
   bool is_idle() const;
+  /// The address that the front listens on, with the port that the kernel chose for port 0.
   sockaddr_in address() const { return address_; }
 
  private:
   struct Client;
+  /// A class of requests, by its number in the settings.
   struct RequestClass {
     std::uint32_t id = 0;
     RequestRules rules;
   };
+  /// The call that an admitted request answers.
   struct OpenCall {
     Client* client = nullptr;
     std::uint64_t call_id = 0;
@@ -70,20 +76,20 @@
   void accept(net::Fd fd);
   std::ptrdiff_t on_data(Client& client, std::string_view bytes);
   bool on_call(Client& client, const Call& call);
-  void on_notification(Client& client, const Call& call);
+  void on_cancellation(Client& client, std::uint64_t call_id);
   void on_request(Client& client, const Call& call);
   void reject_invalid(Client& client, const Call& call, std::uint32_t class_id);
-  void refuse(Client& client, std::uint64_t call_id, std::uint32_t class_id, bool may_retry);
+  void reject(Client& client, std::uint64_t call_id, std::uint32_t class_id, bool may_retry);
   void reply(Client& client, std::uint64_t call_id, const core::Response& response);
-  void on_closed(Client& client, net::Closed reason);
+  void on_closed(Client& client, net::CloseReason reason);
   void close(Client& client, CloseMode mode);
-  void touch(Client& client);
+  void mark_changed(Client& client);
   void remove(Client& client);
 
   // Timeouts and bounds.
   bool may_accept();
   bool close_idlest_client();
-  bool has_room_for_call(const Client& client) const;
+  bool has_capacity_for_call(const Client& client) const;
   void update_byte_counts(Client& client);
   void close_slow_readers(const Client& last_written);
   void close_oldest_partial_messages();
@@ -106,12 +112,12 @@
   std::unordered_map<std::string, RequestClass> classes_;
   std::size_t max_clients_;
   std::size_t memory_limit_;
-  core::Time message_timeout_;                    // for half a message, however steadily it comes
+  core::Time message_timeout_;  // for all of a message, however steadily it arrives
   std::vector<std::unique_ptr<Client>> clients_;  // in no order
-  std::vector<Client*> touched_;                  // to be looked at when the turn ends, each once
-  std::size_t client_count_ = 0;                  // without those that are closed
-  std::size_t queued_bytes_ = 0;                  // of responses that clients have not taken yet
-  std::size_t unread_bytes_ = 0;                  // of half messages
+  std::vector<Client*> changed_clients_;          // in this turn, each once: end_turn() visits them
+  std::size_t client_count_ = 0;                  // without closed ones
+  std::size_t queued_bytes_ = 0;                  // of responses that were not sent yet
+  std::size_t unread_bytes_ = 0;                  // of incomplete messages
   std::unordered_map<core::RequestHandle, OpenCall> open_calls_;
   bool is_handing_off_ = false;
   bool is_draining_ = false;
@@ -119,7 +125,7 @@
   core::Time handoff_started_at_ = 0;
   core::Time drain_by_ = 0;
   sockaddr_in address_{};
-  std::unique_ptr<net::Listener> listener_;  // null: nobody is accepted any more
+  std::unique_ptr<net::Listener> listener_;  // null: no client is accepted any more
 };
 
 }  // namespace alderspur::rpc_front
--- a/src/rpc_front/rpc_front_drain.cpp
+++ b/src/rpc_front/rpc_front_drain.cpp
@@ -1,4 +1,4 @@
-// Graceful shutdown of the platform's front, and the handoff of its clients to a successor.
+// RpcFront: graceful shutdown, and the handoff of clients to a successor process.
 #include <algorithm>
 #include <stdexcept>
 
@@ -9,15 +9,16 @@
 namespace alderspur::rpc_front {
 namespace {
 
-/// Handshakes under way when new connections are steered to the successor end in this time.
+/// TCP handshakes in progress when new connections are steered to the successor finish in this
+/// time.
 constexpr core::Time kHandshakeTime = 100'000;
 constexpr core::Time kDrainCheckInterval = 10'000;
 
 }  // namespace
 
-// The listening socket has connections in its queue, and some whose handshake is under way. New
-// ones are steered to the successor first; the socket closes once the others must have been
-// completed, and they are accepted here.
+// The listening socket has established connections in its queue, and others whose handshake is in
+// progress. New ones are steered to the successor first; the others are accepted here, and the
+// socket closes once their handshakes must have finished.
 void RpcFront::start_handoff(core::Time drain_by) {
   if (std::exchange(is_handing_off_, true)) return;
   const bool is_steering = listener_ && listener_->steer_to_successor();
@@ -37,7 +38,7 @@
   try {
     listen(address_);
   } catch (const std::runtime_error&) {
-    // Another process has the address: it takes these clients.
+    // Another process has bound the address and accepts these clients.
   }
 }
 
@@ -52,11 +53,11 @@
     listener_->accept_rest_and_stop(net::Listener::AcceptRest::all);
     listener_.reset();
   }
-  // Those that have just connected are refused, and closed by check_drain().
+  // Calls of clients that have just connected are rejected; check_drain() closes these clients.
   const core::Time now = engine_.now();
   for (auto& client : clients_) {
     if (client->is_closed) continue;
-    if (client->has_called || client->partial_since ||
+    if (client->has_sent_message || client->partial_since ||
         now > client->accepted_at + kNewClientGrace) {
       finish_now(*client);
     }
@@ -65,7 +66,7 @@
 
 void RpcFront::close_all() {
   for (auto& client : clients_) close(*client, CloseMode::immediate);
-  while (loop_.lingering().cut_oldest()) {
+  while (loop_.lingering().close_oldest()) {
   }
 }
 
@@ -91,13 +92,13 @@
   deadlines_.set(now + kDrainCheckInterval, [this] { check_drain(); });
 }
 
-// A handoff costs a busy client the calls that are open when it is closed: fewest at the best
-// moment, which nobody knows beforehand. A third of the time is spent watching; then the first
-// moment as good as the best one seen is taken, or nearly as good in the last third; and at the end
-// any.
+// A handoff fails the calls that are open when an active client is closed, so the client should be
+// closed when few are open. The first third of the time only records the minimum; in the second
+// third the client is closed when it is down to that minimum, in the last third when it is within
+// one of it, and at the end in any case.
 void RpcFront::check_client_drain(Client& client, core::Time now) {
   if (may_close_now(client)) {
-    if (client.has_called || now > client.accepted_at + kNewClientGrace) {
+    if (client.has_sent_message || now > client.accepted_at + kNewClientGrace) {
       close(client, CloseMode::lingering);
     }
     return;
@@ -113,22 +114,22 @@
   if (open_calls <= client.fewest_open_calls + tolerance || now >= drain_by_) finish_now(client);
 }
 
-// A client is told to go by a close, in the first moment in which it has its responses and asks for
-// nothing: how long that has lasted says nothing of when its next request comes. Until that moment
-// it may send requests for ever, and what is open when the process ends is lost. What has arrived
-// and is not read yet counts as well.
+// A client is closed at the first moment at which it has all of its responses and no request
+// pending: how long it has been idle does not predict when its next request comes. A client that
+// never has such a moment may go on sending requests, and those open when the process ends are
+// lost. Bytes that have arrived and were not read yet count as a pending request.
 bool RpcFront::may_close_now(const Client& client) const {
   if (!is_handing_off_ && !is_draining_) return false;
   const net::Connection& connection = *client.connection;
   return !client.is_closed && client.open_calls.empty() && connection.unwritten() == 0 &&
-         connection.unread() == 0 && !connection.arrived();
+         connection.unread() == 0 && !connection.has_input_waiting();
 }
 
-// The final responses are given in this turn; later calls are refused.
+// The final responses are given in this turn; later calls are rejected.
 void RpcFront::finish_now(Client& client) {
   client.is_ending = true;
   for (const auto& [call_id, request] : client.open_calls) engine_.finish_now(request);
-  touch(client);
+  mark_changed(client);
 }
 
 }  // namespace alderspur::rpc_front
--- a/src/rpc_front/rpc_front_limits.cpp
+++ b/src/rpc_front/rpc_front_limits.cpp
@@ -1,5 +1,5 @@
-// Bounds of the platform's front: connections, open calls, memory, and how long a client may be
-// silent, idle or slow.
+// RpcFront: limits on connections, open calls and memory, and the timeouts of silent, idle and slow
+// clients.
 #include <algorithm>
 #include <tuple>
 
@@ -10,25 +10,25 @@
 namespace alderspur::rpc_front {
 namespace {
 
-/// Bytes that a client has not taken: beyond the first it is refused new calls, beyond the second
-/// it is closed (32 open requests of 240,000 bytes fit). To stop reading instead would hide its
-/// cancels and its end.
-constexpr std::size_t kQueueRefusalBytes = 2 << 20;
+/// Unsent bytes of one client's responses: above the first limit its new calls are rejected, above
+/// the second it is closed (responses to 32 requests of 240,000 bytes fit). To stop reading instead
+/// would hide cancellations and the client's end.
+constexpr std::size_t kMaxQueueBytesForNewCalls = 2 << 20;
 constexpr std::size_t kMaxQueueBytes = 12 << 20;
-/// Parts of the memory limit: for bodies and responses held for clients, and for half messages. A
-/// buffer may be twice as large as what is in it.
+/// Fractions of the memory limit: for request bodies and responses, and for incomplete messages. A
+/// buffer may be twice as large as its content.
 constexpr std::size_t kQueuedMemoryDivisor = 4;
 constexpr std::size_t kUnreadMemoryDivisor = 16;
 constexpr core::Time kCheckInterval = 200'000;
 /// The platform's own clients close their connections after 4 s idle.
 constexpr core::Time kIdleTimeout = 5'000'000;
 constexpr core::Time kSlowReaderTimeout = 5'000'000;
-/// An idle client is not closed for another before what it may just be sending can arrive.
-constexpr core::Time kUsefulClientGrace = 250'000;
-/// Descriptors of one process beside those for clients and servers.
+/// An idle client is not closed in favour of another before a request in transit can arrive.
+constexpr core::Time kServedClientGrace = 250'000;
+/// Descriptors of one process besides those of clients and servers.
 constexpr std::size_t kOwnDescriptors = 28;
 constexpr std::size_t kMinDescriptors = 16;
-/// While draining, so many connections more are accepted, only to be told so.
+/// Connections accepted above the limit while draining, so that their calls can be rejected.
 constexpr std::size_t kExtraClientsWhileDraining = 8;
 
 }  // namespace
@@ -38,22 +38,22 @@
 
 // ---- Connections ----
 
-// Connections that linger hold descriptors as well; they give way first.
+// Lingering connections hold descriptors as well; they are closed first.
 bool RpcFront::may_accept() {
   const std::size_t limit = max_clients_ + (is_draining_ ? kExtraClientsWhileDraining : 0);
-  return loop_.lingering().fit(client_count_, limit) || close_idlest_client();
+  return loop_.lingering().make_room(client_count_, limit) || close_idlest_client();
 }
 
-// Connections that say nothing, or have asked once and stay for good, would keep others waiting to
-// be accepted. Those that only asked for the status, or for what cannot be served, go first and at
-// once; then those that never asked; then the longest idle.
+// Idle connections would keep new clients waiting to be accepted. Those that only sent liveness
+// queries or invalid requests are closed first, without a grace time; then those that never sent a
+// message; then the one that has been idle for longest.
 bool RpcFront::close_idlest_client() {
   const auto grace = [](const Client& client) {
-    if (client.has_sent_request) return kUsefulClientGrace;
-    return client.has_called ? core::Time{0} : kNewClientGrace;
+    if (client.has_sent_request) return kServedClientGrace;
+    return client.has_sent_message ? core::Time{0} : kNewClientGrace;
   };
   const auto rank = [](const Client& client) {
-    return std::tuple(client.has_sent_request, !client.has_called, client.idle_since);
+    return std::tuple(client.has_sent_request, !client.has_sent_message, client.idle_since);
   };
   const core::Time now = engine_.now();
   Client* best = nullptr;
@@ -61,7 +61,7 @@
     if (client->is_closed || !client->open_calls.empty() || client->queued_bytes > 0) continue;
     if (now < client->idle_since + grace(*client)) continue;
     const bool is_better = !best || rank(*client) < rank(*best);
-    if (is_better && !client->connection->arrived()) best = client.get();
+    if (is_better && !client->connection->has_input_waiting()) best = client.get();
   }
   if (!best) {
     ++engine_.counters().deferred_accepts;
@@ -82,17 +82,17 @@
   memory_limit_ = (config_.memory_mb << 20) / processes;
   while (client_count_ > max_clients_ && close_idlest_client()) {
   }
-  loop_.lingering().fit(client_count_, max_clients_);
+  loop_.lingering().make_room(client_count_, max_clients_);
   if (processes == 1 && listener_) listener_->stop_steering();
 }
 
 // ---- Calls and memory ----
 
-// These are bounds of this process, not of the service: nothing has run, so a retry is harmless.
-// While draining, a new call would come too late to be finished.
-bool RpcFront::has_room_for_call(const Client& client) const {
+// These limits are of this process, not of the service: nothing has run, so a retry is harmless.
+// While draining, a new call could not be completed in time.
+bool RpcFront::has_capacity_for_call(const Client& client) const {
   if (is_draining_ || client.is_ending) return false;
-  if (client.queued_bytes > kQueueRefusalBytes) return false;
+  if (client.queued_bytes > kMaxQueueBytesForNewCalls) return false;
   if (client.open_calls.size() >= kMaxOpenCalls) return false;
   return engine_.open_request_bytes() + queued_bytes_ <= queued_bytes_limit();
 }
@@ -104,7 +104,7 @@
   unread_bytes_ += unread - std::exchange(client.unread_bytes, unread);
 }
 
-// Readers that are slow, or many, would take the memory of all others.
+// Slow or numerous readers would otherwise use up the memory of all clients.
 void RpcFront::close_slow_readers(const Client& last_written) {
   if (last_written.queued_bytes <= kMaxQueueBytes && queued_bytes_ <= queued_bytes_limit()) return;
   const auto slowest = std::max_element(
@@ -114,7 +114,7 @@
   close(**slowest, CloseMode::immediate);
 }
 
-// Half messages that together take too much memory: those that have been here for longest go.
+// Where incomplete messages together exceed their memory limit, the oldest are closed.
 void RpcFront::close_oldest_partial_messages() {
   const auto rank = [](const auto& client) {
     return std::tuple(client->unread_bytes == 0, client->partial_since);
@@ -138,24 +138,24 @@
   }
 }
 
-// A message may be long and the network slow: as long as some of it comes, it has the time of a
-// request.
+// A message may be long and the network slow: while parts of it keep arriving, it may take as long
+// as a request's time limit.
 void RpcFront::check_client(Client& client, core::Time now) {
-  const auto taken_bytes = client.connection->written_total();
-  if (client.queued_bytes == 0 || taken_bytes != client.taken_bytes) {
-    client.taken_bytes = taken_bytes;
-    client.last_taken_at = now;
+  const auto delivered_bytes = client.connection->written_total();
+  if (client.queued_bytes == 0 || delivered_bytes != client.delivered_bytes) {
+    client.delivered_bytes = delivered_bytes;
+    client.last_delivery_at = now;
   }
   const core::Time last_heard_at = std::max(client.accepted_at, client.connection->last_read_at());
   const bool is_message_late =
       client.partial_since &&
       (now > last_heard_at + kSilenceTimeout || now > client.partial_since + message_timeout_);
-  const bool never_called =
-      !client.has_called && !client.partial_since && now > client.accepted_at + kSilenceTimeout;
-  const bool is_silent = is_message_late || never_called;
+  const bool is_unused = !client.has_sent_message && !client.partial_since &&
+                         now > client.accepted_at + kSilenceTimeout;
+  const bool is_silent = is_message_late || is_unused;
   const bool is_idle = client.open_calls.empty() && client.queued_bytes == 0 &&
                        now > client.idle_since + kIdleTimeout;
-  const bool is_slow_reader = now > client.last_taken_at + kSlowReaderTimeout;
+  const bool is_slow_reader = now > client.last_delivery_at + kSlowReaderTimeout;
   auto& counters = engine_.counters();
   if (is_silent) {
     ++counters.silent_clients;
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -56,7 +56,7 @@
       listener_(
           loop, deadlines, net::parse_address(settings.listen).value_or(sockaddr_in{}),
           [this] {
-            const bool may = loop_.lingering().fit(clients_.size(), most_clients_);
+            const bool may = loop_.lingering().make_room(clients_.size(), most_clients_);
             if (!may) ++engine_.counters().deferred_accepts;
             return may;
           },
@@ -73,7 +73,7 @@
   handler.on_written = [this, raw] { touch(*raw); };
   // A client that closes has left. Its end of input is no different from a close, as with other
   // proxies.
-  handler.on_close = [this, raw](net::Closed) { drop(*raw, false); };
+  handler.on_close = [this, raw](net::CloseReason) { drop(*raw, false); };
   raw->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   raw->place = clients_.size();
@@ -170,10 +170,12 @@
   const auto query = request.target.substr(std::min(request.target.size(), path.size() + 1));
   core::RequestView d;
   auto found = find(request, path, query);
-  if (!found || found->object.size() != 16 || !core::parse_number(found->object, d.object, 16) ||
-      !core::parse_number(found->part, d.part)) {
-    return respond(client, 404);
-  }
+  if (!found || found->object.size() != 16) return respond(client, 404);
+  const auto object = core::parse_number<std::uint64_t>(found->object, 16);
+  const auto part = core::parse_number<std::uint32_t>(found->part);
+  if (!object || !part) return respond(client, 404);
+  d.object = *object;
+  d.part = *part;
   d.object_text = found->object;
   d.class_id = found->cls;
 
@@ -185,10 +187,13 @@
     ++engine_.counters().invalid_tokens;
     return respond(client, status_of(check));
   }
-  if ((!claims.set.empty() && !core::parse_number(claims.set, d.group)) ||
-      (!claims.ram.empty() && !core::parse_number(claims.ram, d.size_kb))) {
+  const auto group = core::parse_number<std::uint32_t>(claims.set);
+  const auto size_kb = core::parse_number<double>(claims.ram);
+  if ((!claims.set.empty() && !group) || (!claims.ram.empty() && !size_kb)) {
     return respond(client, 400);
   }
+  d.group = group.value_or(0);
+  d.size_kb = size_kb.value_or(0);
 
   if (guide_) {
     if (const core::Time later = guide_->admit(*found, engine_.now()); later > 0) {
@@ -275,7 +280,7 @@
   for (Client* c : touched) {
     c->touched = false;
     if (!c->dead) continue;
-    if (c->orderly) loop_.lingering().take(std::move(c->connection));
+    if (c->orderly) loop_.lingering().add(std::move(c->connection));
     const std::size_t place = c->place;
     std::swap(clients_[place], clients_.back());
     clients_[place]->place = place;
@@ -293,7 +298,7 @@
 
 bool HttpFront::rests(const Client& c) const {
   return !c.ticket && c.connection->unwritten() == 0 && c.connection->unread() == 0 &&
-         !c.connection->arrived() && engine_.now() > c.since + kNew;
+         !c.connection->has_input_waiting() && engine_.now() > c.since + kNew;
 }
 
 bool HttpFront::idle() const {
--- a/src/signed_url/token.cpp
+++ b/src/signed_url/token.cpp
@@ -12,7 +12,9 @@
 namespace {
 
 bool seconds(std::string_view text, std::int64_t& out) {
-  return core::parse_number(text, out) && out >= 0 && out < std::int64_t{1} << 40;
+  const auto parsed = core::parse_number<std::int64_t>(text);
+  out = parsed.value_or(out);
+  return parsed && out >= 0 && out < std::int64_t{1} << 40;
 }
 
 struct Fields {
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -46,12 +46,12 @@
 std::optional<double> quantity(std::string_view text, const Unit (&units)[N]) {
   const auto end = text.find_first_not_of("0123456789.");
   if (end == std::string_view::npos || end == 0) return {};
-  double value = 0;
-  if (!core::parse_number(text.substr(0, end), value)) return {};
+  const auto value = core::parse_number<double>(text.substr(0, end));
+  if (!value) return {};
   auto unit = text.substr(end);
   while (unit.starts_with(' ')) unit.remove_prefix(1);
   for (const auto& u : units) {
-    if (u.name == unit) return value * u.factor;
+    if (u.name == unit) return *value * u.factor;
   }
   return {};
 }
--- a/src/upstream/cache_protocol.cpp
+++ b/src/upstream/cache_protocol.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t kMaxBodyBytes = 240'000;
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr core::Time kMicrosecondsPerMillisecond = 1000;
-/// Later dates would overflow as microseconds.
-constexpr core::Time kMaxDateMilliseconds = core::Time{1} << 50;
+/// Later times would overflow as microseconds.
+constexpr core::Time kMaxUnixMilliseconds = core::Time{1} << 50;
 
 struct StatusWord {
   std::string_view word;
@@ -30,8 +30,8 @@
   return ResponseStatus::unknown;
 }
 
-// Takes the part before the separator off the front of `text`.
-std::string_view take_until(std::string_view& text, char separator) {
+// Removes the front of `text` up to and including the separator; returns the part before it.
+std::string_view consume_until(std::string_view& text, char separator) {
   const auto at = text.find(separator);
   const auto part = text.substr(0, at);
   text.remove_prefix(at == std::string_view::npos ? text.size() : at + 1);
@@ -68,18 +68,18 @@
   return line;
 }
 
-// False: a date that cannot be one.
+// False: the time of the copy is out of range.
 bool parse_fields(std::string_view fields, CacheResponse& response) {
   while (!fields.empty()) {
-    std::string_view value = take_until(fields, ',');
-    const auto name = take_until(value, '=');
+    std::string_view value = consume_until(fields, ',');
+    const auto name = consume_until(value, '=');
     if (name == "sum") response.tag = value;
     if (name == "rep") response.report = value;
     if (name != "t0") continue;
-    core::Time milliseconds = 0;
-    if (!core::parse_number(value, milliseconds)) return false;
-    if (milliseconds < 0 || milliseconds > kMaxDateMilliseconds) return false;
-    response.created_at = milliseconds * kMicrosecondsPerMillisecond;
+    const auto milliseconds = core::parse_number<core::Time>(value);
+    if (!milliseconds) return false;
+    if (*milliseconds < 0 || *milliseconds > kMaxUnixMilliseconds) return false;
+    response.created_at = *milliseconds * kMicrosecondsPerMillisecond;
   }
   return true;
 }
@@ -121,7 +121,7 @@
 }
 
 core::ParseStatus next_response(std::string_view& bytes, CacheResponse& response) {
-  // After a length of 0 the closing CR LF reads as an empty line.
+  // The CR LF after a body of 0 bytes reads as an empty line.
   while (bytes.starts_with(kLineEnd)) bytes.remove_prefix(kLineEnd.size());
   const auto line_size = bytes.find(kLineEnd);
   if (line_size == std::string_view::npos) {
@@ -130,22 +130,22 @@
   if (line_size > kMaxLineBytes) return core::ParseStatus::invalid;
   std::string_view line = bytes.substr(0, line_size);
   response = {};
-  response.id = take_until(line, ' ');
-  const std::string_view word = take_until(line, ' ');
-  const std::string_view fields = take_until(line, ' ');
+  response.id = consume_until(line, ' ');
+  const std::string_view word = consume_until(line, ' ');
+  const std::string_view fields = consume_until(line, ' ');
   if (response.id.empty() || word.empty()) return core::ParseStatus::invalid;
   response.status = parse_status(word);
-  // Without its length a line says nothing of where the response ends.
-  std::size_t body_size = 0;
-  if (fields.empty() || !core::parse_number(line, body_size) || body_size > kMaxBodyBytes) {
+  // Without the length of its body the end of a response cannot be found.
+  const auto body_size = core::parse_number<std::size_t>(line);
+  if (fields.empty() || !body_size || *body_size > kMaxBodyBytes) {
     return core::ParseStatus::invalid;
   }
   if (fields != "-" && !parse_fields(fields, response)) return core::ParseStatus::invalid;
   std::size_t used = line_size + kLineEnd.size();
-  if (body_size > 0) {
-    if (bytes.size() < used + body_size + kLineEnd.size()) return core::ParseStatus::partial;
-    response.body = bytes.substr(used, body_size);
-    used += body_size;
+  if (*body_size > 0) {
+    if (bytes.size() < used + *body_size + kLineEnd.size()) return core::ParseStatus::partial;
+    response.body = bytes.substr(used, *body_size);
+    used += *body_size;
     if (bytes.substr(used, kLineEnd.size()) != kLineEnd) return core::ParseStatus::invalid;
     used += kLineEnd.size();
   }
@@ -177,13 +177,13 @@
 alderspur::LoadReport parse_load_report(std::string_view text) {
   alderspur::LoadReport report;
   while (!text.empty()) {
-    std::string_view value = take_until(text, ';');
-    const auto name = take_until(value, ':');
-    double number = 0;
-    if (!core::parse_number(value, number)) continue;
-    if (name == "inflight" || name == "outstanding") report.in_flight = number;
-    if (name == "util" || name == "utilization") report.utilization = number;
-    if (name == "x1") report.link_or_fill_utilization = number;
+    std::string_view value = consume_until(text, ';');
+    const auto name = consume_until(value, ':');
+    const auto number = core::parse_number<double>(value);
+    if (!number) continue;
+    if (name == "inflight" || name == "outstanding") report.in_flight = *number;
+    if (name == "util" || name == "utilization") report.utilization = *number;
+    if (name == "x1") report.link_or_fill_utilization = *number;
   }
   return report;
 }
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -1,11 +1,10 @@
-// Records of the upstream pool: what is known of an endpoint, of each connection to it, and of each
-// response that is awaited there. Internal to UpstreamPool, whose sources share them. The loop's
-// thread only; times are microseconds.
+// State of the upstream pool: its endpoints, the connections to them, and the pending responses of
+// each connection. Internal to UpstreamPool, whose sources share it. The loop's thread only; times
+// are microseconds.
 #pragma once
 
 #include <netinet/in.h>
 
-#include <algorithm>
 #include <deque>
 #include <memory>
 #include <string>
@@ -21,74 +20,67 @@
 
 namespace alderspur::upstream {
 
-/// A response that is awaited on a connection, of an attempt or of a health check.
+/// A response that is pending on a connection, to an attempt or to a health check.
 struct UpstreamPool::PendingResponse {
   core::AttemptId attempt = 0;  // 0: a health check
   core::Time sent_at = 0;
-  core::Time expected_at = 0;  // the response is not missed before
-  int tries = 1;               // of a health check
+  core::Time expected_at = 0;  // no response is overdue before
+  int attempts = 1;            // of a health check
   bool has_timed_out = false;  // a health check that was reported as failed
   core::Deadlines::Key timeout{};
 
   bool is_health_check() const { return attempt == 0; }
 };
 
+/// A connection to an endpoint with the attempts and health checks on it.
 struct UpstreamPool::UpstreamConnection {
   Endpoint* endpoint = nullptr;
   std::unique_ptr<net::Connection> socket;
   std::unordered_map<std::string, PendingResponse> pending;  // by request id or health check tag
-  std::deque<core::AttemptId> waiting;  // for the dial to finish, or for the write queue to empty
-  std::vector<std::string> unsent_checks;  // health checks that wait for the dial to finish
+  std::deque<core::AttemptId> waiting;     // for the connect, or for an empty write queue
+  std::vector<std::string> unsent_checks;  // health checks that wait for the connect
+  /// A command that is in the write queue, wholly or in part.
   struct UnwrittenCommand {
-    std::uint64_t end = 0;  // its place in the bytes queued
+    std::uint64_t end = 0;  // position of its end in all bytes queued so far
     core::AttemptId attempt = 0;
   };
   std::deque<UnwrittenCommand> unwritten;
-  std::string liveness_tag;          // of the liveness query whose reply is awaited; empty: none
-  core::Time liveness_asked_at = 0;  // 0: not asked, or bytes came since
-  /// Ids that must not be sent again here: a late response to an aborted attempt, or a second copy
-  /// of a failed one, would be taken for the response to the same request's next attempt.
+  std::string liveness_tag;          // of the liveness query that is pending; empty: none
+  core::Time liveness_query_at = 0;  // 0: none is pending, or bytes came since
+  /// Ids that must not be sent again on this connection: a late response to an aborted attempt, or
+  /// a repeated response to a failed one, would be taken for the response to the next attempt of
+  /// the same request.
   std::unordered_set<std::string> unusable_ids;
   core::Deadlines::Key dial_timeout{};
-  bool is_retired = false;  // takes nothing new and closes once it is empty
+  bool is_retired = false;  // gets nothing new and closes once nothing is pending
   bool is_closed = false;
   core::Time last_used_at = 0;
   core::Time connected_at = 0;
   core::Time last_response_at = 0;    // to an attempt
-  core::Time partial_since = 0;       // part of a response has been here since; 0: none
-  core::Time unresponsive_since = 0;  // a health check timed out then, and nothing had come
+  core::Time partial_since = 0;       // of an incomplete response; 0: there is none
+  core::Time unresponsive_since = 0;  // a health check timed out then without any data
 
-  bool is_responsive() const {
-    return unresponsive_since == 0 || socket->last_read_at() > unresponsive_since;
-  }
-  /// The earliest of that time over the attempts pending here, at most `now`.
-  core::Time earliest(core::Time PendingResponse::*time, core::Time now) const {
-    core::Time result = now;
-    for (const auto& [id, response] : pending) {
-      if (!response.is_health_check()) result = std::min(result, response.*time);
-    }
-    return result;
-  }
+  /// Whether data has come since a health check last timed out.
+  bool is_responsive() const;
+  /// The earliest value of `time` over the pending attempts, at most `now`.
+  core::Time earliest_of_attempts(core::Time PendingResponse::*time, core::Time now) const;
+  /// Attempts and health checks, pending or waiting.
   std::size_t load() const { return pending.size() + waiting.size() + unsent_checks.size(); }
-  /// A command is only made when its first byte can leave: one that waited in the write queue would
-  /// have been judged before the list, a ban or a purge changed.
+  /// Whether a command written now leaves at once. Commands are only encoded then: one that waited
+  /// in the write queue could contradict an endpoint list, a ban or a purge that came meanwhile.
   bool takes_commands() const { return !socket->connecting() && socket->unwritten() == 0; }
 };
 
+/// A server of the endpoint list and the connections to it.
 struct UpstreamPool::Endpoint {
   config::Member member;
   sockaddr_in address{};
   std::vector<std::unique_ptr<UpstreamConnection>> connections;
-  bool is_touched = false;  // in touched_
+  bool is_marked_changed = false;  // listed in changed_endpoints_
 
   alderspur::ServerId id() const { return member.server.id; }
-  /// The connections as they are now: what is done to one of them may open another.
-  std::vector<UpstreamConnection*> current_connections() const {
-    std::vector<UpstreamConnection*> current;
-    current.reserve(connections.size());
-    for (const auto& connection : connections) current.push_back(connection.get());
-    return current;
-  }
+  /// A copy of the list of connections, to iterate over while some are closed and others opened.
+  std::vector<UpstreamConnection*> current_connections() const;
 };
 
 }  // namespace alderspur::upstream
--- a/src/upstream/upstream_health_checks.cpp
+++ b/src/upstream/upstream_health_checks.cpp
@@ -1,4 +1,4 @@
-// Health checks that the engine orders: which connection they use, their replies and timeouts.
+// UpstreamPool: the engine's health checks, the connections they use, responses and timeouts.
 #include "upstream/cache_protocol.h"
 #include "upstream/upstream_connection.h"
 #include "upstream/upstream_pool.h"
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr core::Time kHealthCheckTimeout = 250'000;
-/// After its timeout a health check is reported as failed, but its reply is awaited for so much
-/// longer: a late one shows that the server is alive behind a queue.
-constexpr core::Time kLateReplyTimeout = 3'000'000;
-constexpr int kMaxTries = 3;
-/// So many connections to an endpoint may be dialing or unresponsive; further checks share the
-/// last.
+/// After its timeout a health check is reported as failed, but its response may still come in this
+/// time: a late one shows that the server is alive behind a queue.
+constexpr core::Time kLateResponseTimeout = 3'000'000;
+constexpr int kMaxHealthCheckAttempts = 3;
+/// Connections to an endpoint that may be connecting or unresponsive; further checks share the last
+/// of them.
 constexpr std::size_t kMaxDoubtfulConnections = 2;
-/// A connection with pending responses that has been silent for so long is not used for a check.
+/// A connection with pending responses that has been silent for this time is not used for a check.
 constexpr core::Time kQuietTime = 250'000;
 
 }  // namespace
@@ -26,18 +26,19 @@
   send_health_check(server, engine_.now(), 1);
 }
 
-void UpstreamPool::send_health_check(ServerId server, core::Time since, int tries) {
+void UpstreamPool::send_health_check(ServerId server, core::Time since, int attempts) {
   const auto found = endpoints_.find(server);
   const std::string tag = health_check_tag(++last_tag_);
-  UpstreamConnection* connection =
-      found != endpoints_.end() ? connection_for_health_check(*found->second, tries > 1) : nullptr;
+  UpstreamConnection* connection = found != endpoints_.end()
+                                       ? connection_for_health_check(*found->second, attempts > 1)
+                                       : nullptr;
   if (!connection) {
     return engine_.on_health_check_result({server, false, engine_.now() - since, {}});
   }
   PendingResponse& pending = connection->pending[tag];
   connection->last_used_at = engine_.now();
   pending.sent_at = since;
-  pending.tries = tries;
+  pending.attempts = attempts;
   pending.timeout = deadlines_.set(since + kHealthCheckTimeout, [this, connection, tag] {
     on_health_check_timeout(*connection, tag);
   });
@@ -48,9 +49,9 @@
   }
 }
 
-// On a connection that a corrupted response has silenced, a check would report the machine as
-// silent: it takes one that responds, and a retry takes a new one. A dial for each check of a
-// silent endpoint, from every router, would be a load of its own: dials are bounded.
+// A connection that a corrupted response has blocked says nothing about the machine: a check uses
+// one that responds, and a retry a new one. New connections are bounded, since connects from all
+// routers to an unresponsive endpoint would be a load of their own.
 UpstreamPool::UpstreamConnection* UpstreamPool::connection_for_health_check(Endpoint& endpoint,
                                                                             bool is_retry) {
   UpstreamConnection* best = nullptr;
@@ -65,7 +66,7 @@
     }
     const bool is_quiet = !connection->pending.empty() &&
                           connection->socket->last_read_at() <= engine_.now() - kQuietTime;
-    if (!is_retry && !connection->liveness_asked_at && !is_quiet) best = connection.get();
+    if (!is_retry && !connection->liveness_query_at && !is_quiet) best = connection.get();
   }
   if (best) return best;
   return doubtful_count < kMaxDoubtfulConnections ? dial(endpoint) : doubtful;
@@ -77,8 +78,9 @@
   PendingResponse& check = found->second;
   const core::Time now = engine_.now();
   check.has_timed_out = true;
-  check.timeout = deadlines_.set(
-      now + kLateReplyTimeout, [this, &connection, tag] { forget_health_check(connection, tag); });
+  check.timeout = deadlines_.set(now + kLateResponseTimeout, [this, &connection, tag] {
+    forget_health_check(connection, tag);
+  });
   if (connection.socket->last_read_at() <= check.sent_at) connection.unresponsive_since = now;
   engine_.on_health_check_result({connection.endpoint->id(), false, now - check.sent_at, {}});
 }
@@ -104,15 +106,15 @@
        parse_load_report(response.report), connected_for, true, check.has_timed_out});
 }
 
-// Connections are also reset while the machine is well: only a refused dial, or further losses, say
-// that the check has failed.
+// Connections are also reset while the machine is healthy: only a failed connect, or repeated
+// losses, mean that the check has failed.
 void UpstreamPool::on_health_check_lost(const Endpoint& endpoint, const PendingResponse& check,
-                                        net::Closed reason) {
+                                        net::CloseReason reason) {
   deadlines_.cancel(check.timeout);
   if (check.has_timed_out) return;
   const ServerId server = endpoint.id();
-  if (reason != net::Closed::refused && check.tries < kMaxTries) {
-    send_health_check(server, check.sent_at, check.tries + 1);
+  if (reason != net::CloseReason::refused && check.attempts < kMaxHealthCheckAttempts) {
+    send_health_check(server, check.sent_at, check.attempts + 1);
   } else {
     engine_.on_health_check_result({server, false, engine_.now() - check.sent_at, {}});
   }
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -1,4 +1,4 @@
-// Endpoints of the pool and the life of their connections: choice, dialing, closing.
+// UpstreamPool: endpoints, and the choice, opening and closing of their connections.
 #include "upstream/upstream_pool.h"
 
 #include <tuple>
@@ -16,9 +16,9 @@
 namespace {
 
 constexpr core::Time kExpiryInterval = 1'000'000;
-/// A connection that is reset or corrupted fails all attempts on it. So many share one before
-/// another is opened beside it.
-constexpr std::size_t kSharedLoad = 3;
+/// A reset or corrupted connection fails all attempts on it. From this load on, a further
+/// connection is opened.
+constexpr std::size_t kMaxLoadBeforeDial = 3;
 constexpr std::size_t kMaxConnectionsPerEndpoint = 6;
 constexpr std::size_t kMinConnectionLimit = 24;
 
@@ -56,29 +56,30 @@
   if (!address && member.server.status != ServerStatus::gone) {
     engine_.log_invalid_input(core::InvalidInput::address, member.name + ' ' + member.address);
   }
-  // A restarted process knows nothing of what the previous one was asked.
+  // A restarted process does not know the requests that its predecessor received.
   if (has_moved || has_restarted) {
-    return_unsent(member.server.id);  // before the connections fail: none of these was sent
+    return_unsent(member.server.id);  // first: closing a connection would fail them
     for (UpstreamConnection* connection : endpoint.current_connections()) {
-      on_closed(*connection, net::Closed::reset);
+      on_closed(*connection, net::CloseReason::reset);
     }
   }
   if (member.server.status != ServerStatus::ready) take_out_of_service(endpoint);
   return member.server.status == ServerStatus::gone || endpoint.address.sin_port != 0;
 }
 
-// What waits is returned at once: another server may have the address by the time a dial finishes.
+// Waiting attempts are returned at once: by the time a connect finishes, another server may have
+// the address.
 void UpstreamPool::take_out_of_service(Endpoint& endpoint) {
   return_unsent(endpoint.id());
   if (endpoint.member.server.status != ServerStatus::gone) return;
-  touch(endpoint);
+  mark_changed(endpoint);
   for (auto& connection : endpoint.connections) retire(*connection);
 }
 
-// A walk over all endpoints in every turn would make each request pay for the length of the list.
-void UpstreamPool::touch(Endpoint& endpoint) {
-  if (std::exchange(endpoint.is_touched, true)) return;
-  touched_.push_back(&endpoint);
+// A walk over all endpoints in every turn would cost as much as the list is long.
+void UpstreamPool::mark_changed(Endpoint& endpoint) {
+  if (std::exchange(endpoint.is_marked_changed, true)) return;
+  changed_endpoints_.push_back(&endpoint);
 }
 
 void UpstreamPool::remove_unlisted(const std::vector<config::Member>& members) {
@@ -122,15 +123,15 @@
   const auto is_dialing = [](const auto& connection) {
     return !connection->is_closed && connection->socket->connecting();
   };
-  if (best->load() >= kSharedLoad && connections.size() < kMaxConnectionsPerEndpoint &&
+  if (best->load() >= kMaxLoadBeforeDial && connections.size() < kMaxConnectionsPerEndpoint &&
       std::none_of(connections.begin(), connections.end(), is_dialing)) {
     dial(endpoint);
   }
   return best;
 }
 
-// The least loaded of those that can be written to at once, else of the others. Null: none is fit
-// for this request.
+// The least loaded connection of those that can be written to at once, else of the others. Null:
+// none is suitable for this request.
 UpstreamPool::UpstreamConnection* UpstreamPool::best_connection(Endpoint& endpoint,
                                                                 std::string_view request_id) {
   const auto rank = [](const UpstreamConnection& connection) {
@@ -142,7 +143,7 @@
     if (connection->is_closed || connection->is_retired) continue;
     if (connection->load() >= config_.max_requests_per_connection) continue;
     if (connection->unusable_ids.contains(id) || connection->pending.contains(id)) continue;
-    if (connection->liveness_asked_at || !connection->is_responsive()) continue;
+    if (connection->liveness_query_at || !connection->is_responsive()) continue;
     if (is_expired(*connection)) {
       close(*connection);
       continue;
@@ -167,13 +168,15 @@
     mark_written(*connection);
     write_waiting(*connection);
   };
-  handler.on_close = [this, connection](net::Closed reason) { on_closed(*connection, reason); };
+  handler.on_close = [this, connection](net::CloseReason reason) {
+    on_closed(*connection, reason);
+  };
   connection->socket = net::connect(loop_, endpoint.address, std::move(handler));
   if (!connection->socket) return nullptr;
   ++connection_count_;
   connection->dial_timeout =
       deadlines_.set(engine_.now() + config_.connect_timeout, [this, connection] {
-        if (connection->socket->connecting()) on_closed(*connection, net::Closed::refused);
+        if (connection->socket->connecting()) on_closed(*connection, net::CloseReason::refused);
       });
   endpoint.connections.push_back(std::move(owned));
   connected_endpoints_[endpoint.id()] = &endpoint;
@@ -192,8 +195,8 @@
 
 // ---- Closing ----
 
-// A dial that was refused or hung, or a command not written whole, proves that nothing ran.
-void UpstreamPool::on_closed(UpstreamConnection& connection, net::Closed reason) {
+// If the connect failed, or the command was not written completely, the server cannot have run it.
+void UpstreamPool::on_closed(UpstreamConnection& connection, net::CloseReason reason) {
   if (connection.is_closed) return;
   const auto pending = std::exchange(connection.pending, {});
   const auto waiting = std::exchange(connection.waiting, {});
@@ -213,7 +216,7 @@
 void UpstreamPool::close(UpstreamConnection& connection) {
   if (connection.is_closed) return;
   connection.is_closed = true;
-  touch(*connection.endpoint);
+  mark_changed(*connection.endpoint);
   if (connection.dial_timeout.is_set()) deadlines_.cancel(connection.dial_timeout);
   connection.socket->close();
   --connection_count_;
@@ -224,8 +227,8 @@
   if (!connection.is_closed && connection.load() == 0) close(connection);
 }
 
-// An idle connection is closed, and no longer written to, before the cache closes it: a command
-// that crosses its close might have run.
+// An idle connection is closed before the cache closes it: whether a command that crosses the
+// cache's close has run would be unknown.
 bool UpstreamPool::is_expired(const UpstreamConnection& connection) const {
   return connection.load() == 0 &&
          engine_.now() > connection.last_used_at + config_.idle_timeout * 4 / 5;
@@ -240,8 +243,8 @@
   }
 }
 
-// Each connection may hold half a response of 240,000 bytes in a buffer twice that size, hence the
-// bound by memory.
+// Bounded by memory as well, since each connection may buffer an incomplete response of 240,000
+// bytes in a buffer of twice that size.
 std::size_t UpstreamPool::connection_limit(std::uint32_t processes) const {
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors) / processes;
   const auto by_sockets = processes > 1 ? sockets / 4 : sockets * 2 / 5;
@@ -260,8 +263,8 @@
 }
 
 void UpstreamPool::end_turn() {
-  for (Endpoint* endpoint : std::exchange(touched_, {})) {
-    endpoint->is_touched = false;
+  for (Endpoint* endpoint : std::exchange(changed_endpoints_, {})) {
+    endpoint->is_marked_changed = false;
     for (auto& connection : endpoint->connections) {
       if (!connection->is_closed) connection->socket->end_turn();
     }
--- a/src/upstream/upstream_requests.cpp
+++ b/src/upstream/upstream_requests.cpp
@@ -1,4 +1,4 @@
-// Attempts on pooled connections: sending, aborting, and their responses.
+// UpstreamPool: sending and aborting attempts, and their responses.
 #include "upstream/cache_protocol.h"
 #include "upstream/upstream_connection.h"
 #include "upstream/upstream_pool.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// A connection that brought nothing for so long while an attempt waited may be dead.
+/// A connection without any data for this time while an attempt was pending may be dead.
 constexpr core::Time kSuspectSilence = 300'000;
-/// A connection with more unusable ids than this is retired, which bounds the set's memory.
+/// A connection with more unusable ids is retired, which bounds the memory of the set.
 constexpr std::size_t kMaxUnusableIds = 512;
 
 }  // namespace
@@ -55,7 +55,7 @@
     return engine_.return_unsent(attempt);
   }
   const std::string id(request->id);
-  // Clients may give two requests the same id. Responses are told apart by it, so each of the two
+  // Clients may give two requests the same id. Responses are matched by it, so each of the two
   // needs a connection of its own.
   if (connection.pending.contains(id)) return send(attempt, request->server);
   std::string source_name;
@@ -70,7 +70,7 @@
   pending.sent_at = engine_.now();
   pending.expected_at = pending.sent_at + request->transfer_time;
   connection.last_used_at = pending.sent_at;
-  connection.socket->write(command, request->body, "\r\n");
+  connection.socket->write(command, request->body, kFetchEnd);
   connection.unwritten.push_back({connection.socket->queued_total(), attempt});
   mark_written(connection);
 }
@@ -97,11 +97,11 @@
   if (pending == connection.pending.end() || pending->second.attempt != attempt) return;
   const core::Time sent_at = pending->second.sent_at;
   connection.pending.erase(pending);
-  // In a stuck write queue the abort would leave long after the request's next attempt elsewhere.
-  if (connection.socket->unwritten() > 0) return on_closed(connection, net::Closed::reset);
+  // In a blocked write queue the abort would leave after the request's next attempt elsewhere.
+  if (connection.socket->unwritten() > 0) return on_closed(connection, net::CloseReason::reset);
   connection.socket->write(encode_abort(id));
   connection.unusable_ids.insert(id);
-  // A machine that vanished and came back leaves its old connections silent for ever.
+  // Connections to a machine that has crashed and come back stay silent.
   const core::Time now = engine_.now();
   const bool is_silent =
       connection.socket->last_read_at() < sent_at && now - sent_at > kSuspectSilence;
@@ -111,7 +111,7 @@
 // ---- Responses ----
 
 std::ptrdiff_t UpstreamPool::on_data(UpstreamConnection& connection, std::string_view bytes) {
-  touch(*connection.endpoint);
+  mark_changed(*connection.endpoint);
   const auto size_before = bytes.size();
   CacheResponse response;
   auto parsed = next_response(bytes, response);
@@ -132,8 +132,8 @@
   return static_cast<std::ptrdiff_t>(size_before - bytes.size());
 }
 
-// False: an unknown status, or a response to a request that was not sent whole or that did not ask
-// for this. Nothing that comes on this connection can be trusted then.
+// False: an unknown status, a response to a request that was not sent completely, or one that does
+// not fit its request. Nothing that comes on this connection can be trusted then.
 bool UpstreamPool::on_response(UpstreamConnection& connection, const CacheResponse& response) {
   if (!connection.liveness_tag.empty() && response.id == connection.liveness_tag) {
     connection.liveness_tag.clear();
@@ -149,7 +149,7 @@
     on_health_check_response(connection, id, response);
     return true;
   }
-  learn_response_interval(connection);
+  record_response_interval(connection);
   const AttemptId attempt = pending->second.attempt;
   const auto result = attempt_result(response.status);
   if (!result || !engine_.was_written(attempt) || !is_plausible(response, attempt)) return false;
@@ -165,12 +165,11 @@
   return true;
 }
 
-// A corrupted line can still parse. What is passed on must be what this request asked for: cached
-// objects come with their tag and date, writes with bytes, and only a copy that the client named is
-// confirmed.
+// A corrupted line can still parse, so a response must fit its request: cached objects come with
+// their tag and time, writes with a body, and only a copy that the client has named is confirmed.
 bool UpstreamPool::is_plausible(const CacheResponse& response, AttemptId attempt) const {
   const core::UpstreamRequest* request = engine_.upstream_request(attempt);
-  if (!request) return true;  // it is over, nothing is passed on
+  if (!request) return true;  // it has ended, and its response is discarded
   if (response.status == ResponseStatus::not_modified) {
     return response.body.empty() && !request->client_copy_tag.empty() &&
            response.tag == request->client_copy_tag;
@@ -180,12 +179,12 @@
   return !response.tag.empty() && response.created_at > 0;
 }
 
-// Where a router sends little, most connections are quiet for long while they serve; a life sign
-// asked of each would be a query for every second request. Replies to health checks and liveness
-// queries are no measure of that.
-void UpstreamPool::learn_response_interval(UpstreamConnection& connection) {
+// A router that sends little sees long intervals between responses. The watchdog takes the usual
+// interval into account, as it would otherwise send a liveness query for every second request.
+// Responses to health checks and liveness queries do not count.
+void UpstreamPool::record_response_interval(UpstreamConnection& connection) {
   const core::Time now = engine_.now();
-  const core::Time oldest = connection.earliest(&PendingResponse::sent_at, now);
+  const core::Time oldest = connection.earliest_of_attempts(&PendingResponse::sent_at, now);
   if (oldest < now) {
     const core::Time interval = now - std::max(oldest, connection.last_response_at);
     response_interval_.learn(static_cast<double>(interval));
--- a/src/upstream/upstream_watchdog.cpp
+++ b/src/upstream/upstream_watchdog.cpp
@@ -1,6 +1,6 @@
-// The pool's watchdog ends connections that stay open but have stopped responding. After a response
-// that stops short or never comes, a connection is of no further use, also for the other requests
-// on it, while the machine behind it may be well.
+// UpstreamPool: the watchdog closes connections that are open but have stopped responding. After a
+// response that is cut short or never comes, a connection is of no use to the other requests on it
+// either, while the machine behind it may be healthy.
 #include "upstream/cache_protocol.h"
 #include "upstream/upstream_connection.h"
 #include "upstream/upstream_pool.h"
@@ -9,22 +9,22 @@
 namespace {
 
 constexpr core::Time kWatchdogInterval = 50'000;
-/// A connection with pending attempts that has been silent for at least so long, and for longer
-/// than is usual before a response, is asked for a life sign.
+/// A connection with pending attempts that has been silent for this time, and for longer than is
+/// usual before a response, gets a liveness query.
 constexpr core::Time kQuietTime = 250'000;
-constexpr double kUnusualDeviations = 4;  // mean deviations above the mean
-/// Without a life sign in this time the connection is closed.
-constexpr core::Time kLifeSignTimeout = 300'000;
-/// A response must be complete in this time and twice the transfer time of what is pending, unless
-/// it comes at kMinBytesPerSecond or faster.
+constexpr double kSilenceDeviations = 4;  // mean deviations above the mean
+/// Without a reply in this time the connection is closed.
+constexpr core::Time kLivenessReplyTimeout = 300'000;
+/// A response must be complete in this time plus twice the transfer time of the pending attempts,
+/// unless it arrives at kMinBytesPerSecond or faster.
 constexpr core::Time kPartialResponseTimeout = 1'500'000;
 constexpr core::Time kMinBytesPerSecond = 32'768;
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
 
 }  // namespace
 
-// Closing a connection sends its health check again, which may dial and so append to the endpoint's
-// connections while they are walked.
+// Closing a connection sends its health checks again, which may open another and so change the
+// endpoint's list of connections.
 void UpstreamPool::check_all_connections() {
   deadlines_.set(engine_.now() + kWatchdogInterval, [this] { check_all_connections(); });
   for (auto& [id, endpoint] : connected_endpoints_) {
@@ -38,44 +38,45 @@
 
 void UpstreamPool::check_connection(UpstreamConnection& connection) {
   const core::Time now = engine_.now();
-  if (is_response_too_slow(connection, now)) return close_silent(connection);
+  if (is_response_too_slow(connection, now)) return close_unresponsive(connection);
   const core::Time last_read_at = connection.socket->last_read_at();
-  if (connection.liveness_asked_at &&
-      (connection.liveness_tag.empty() || last_read_at >= connection.liveness_asked_at)) {
-    connection.liveness_asked_at = 0;
+  if (connection.liveness_query_at &&
+      (connection.liveness_tag.empty() || last_read_at >= connection.liveness_query_at)) {
+    connection.liveness_query_at = 0;
   }
-  const core::Time expected_at = connection.earliest(&PendingResponse::expected_at, now);
+  const core::Time expected_at =
+      connection.earliest_of_attempts(&PendingResponse::expected_at, now);
   const core::Time silence = now - std::max(expected_at, last_read_at);
-  if (silence <= unusual_silence()) return;
-  // Behind part of a response nothing can be asked.
+  if (silence <= silence_threshold()) return;
+  // Behind an incomplete response no reply can be expected.
   const bool is_partial = connection.socket->unread() > 0;
-  const bool is_life_sign_missing =
-      connection.liveness_asked_at && now > connection.liveness_asked_at + kLifeSignTimeout;
-  if (is_partial || is_life_sign_missing) return close_silent(connection);
-  if (connection.liveness_asked_at || !config_.settings.health_checks_allowed) return;
-  ask_for_life_sign(connection, now);
+  const bool is_liveness_reply_overdue =
+      connection.liveness_query_at && now > connection.liveness_query_at + kLivenessReplyTimeout;
+  if (is_partial || is_liveness_reply_overdue) return close_unresponsive(connection);
+  if (connection.liveness_query_at || !config_.settings.health_checks_allowed) return;
+  send_liveness_query(connection, now);
 }
 
-core::Time UpstreamPool::unusual_silence() const {
+core::Time UpstreamPool::silence_threshold() const {
   const double unusual =
-      response_interval_.value + kUnusualDeviations * response_interval_.deviation;
+      response_interval_.value + kSilenceDeviations * response_interval_.deviation;
   return std::max(kQuietTime, static_cast<core::Time>(unusual));
 }
 
-void UpstreamPool::close_silent(UpstreamConnection& connection) {
+void UpstreamPool::close_unresponsive(UpstreamConnection& connection) {
   ++engine_.counters().silent_upstream_connections;
-  on_closed(connection, net::Closed::unreadable);
+  on_closed(connection, net::CloseReason::unreadable);
 }
 
-void UpstreamPool::ask_for_life_sign(UpstreamConnection& connection, core::Time now) {
-  connection.liveness_asked_at = now;
+void UpstreamPool::send_liveness_query(UpstreamConnection& connection, core::Time now) {
+  connection.liveness_query_at = now;
   connection.liveness_tag = liveness_tag(++last_tag_);
   ++engine_.counters().health_checks;
   connection.socket->write(encode_liveness_query(connection.liveness_tag));
 }
 
-// A response that comes byte by byte for ever keeps its connection from looking silent, and all
-// other responses wait behind it.
+// A response that arrives byte by byte keeps its connection from being silent, and delays all other
+// responses behind it.
 bool UpstreamPool::is_response_too_slow(UpstreamConnection& connection, core::Time now) {
   const auto unread = static_cast<core::Time>(connection.socket->unread());
   if (unread == 0) {
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -41,7 +41,7 @@
   Client* raw = client.get();
   net::Connection::Handler handler;
   handler.on_data = [this, raw](std::string_view bytes) { return take(*raw, bytes); };
-  handler.on_close = [this, raw](net::Closed) { drop(*raw); };
+  handler.on_close = [this, raw](net::CloseReason) { drop(*raw); };
   raw->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   raw->timeout = deadlines_.set(engine_.now() + kIdle, [this, raw] { drop(*raw); });
@@ -81,7 +81,7 @@
   client.dead = true;
   deadlines_.cancel(client.timeout);
   if (orderly) {
-    loop_.lingering().take(std::move(client.connection));
+    loop_.lingering().add(std::move(client.connection));
   } else {
     client.connection->close();
   }
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -39,13 +39,13 @@
   int whole = 0;
   mangle(good, [&](std::string_view bytes) {
     rpc_front::Call call;
-    core::RequestView demand;
     for (auto before = bytes.size() + 1; bytes.size() < before;) {
       before = bytes.size();
       if (rpc_front::next_call(bytes, call) != core::ParseStatus::complete) break;
-      if (!rpc_front::to_request_view(call, {true, true, false}, demand)) continue;
+      const auto demand = rpc_front::to_request_view(call, {true, true, false});
+      if (!demand) continue;
       ++whole;
-      EXPECT_EQ((std::string(demand.id) += demand.object_text).find_first_of(" ,=\r\n"),
+      EXPECT_EQ((std::string(demand->id) += demand->object_text).find_first_of(" ,=\r\n"),
                 std::string::npos);
     }
   });
