--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -3,18 +3,16 @@
 #include <limits>
 #include <utility>
 
-#include "msgpack_codec/document.h"
 #include "msgpack_codec/reader.h"
 #include "msgpack_codec/writer.h"
 
 namespace alderspur::cluster {
 namespace {
 
-using msgpack_codec::Document;
 using msgpack_codec::Reader;
 using msgpack_codec::Writer;
 
-static_assert(msgpack_codec::kDefaultTextLimit == kMaxNameLength);
+static_assert(msgpack_codec::kMaxNameBytes == kMaxNameLength);
 
 constexpr std::size_t kIdentityFields = 6;
 constexpr std::size_t kUpdateFields = 4;
@@ -28,8 +26,7 @@
   writer.text(identity.version).number(identity.epoch).real(identity.share);
 }
 
-Identity read_identity(Reader& reader) {
-  Reader fields(reader.next(), kIdentityFields);
+Identity read_identity_fields(Reader& fields) {
   Identity identity;
   identity.name = fields.text();
   identity.address = fields.text();
@@ -37,10 +34,13 @@
   identity.version = fields.text();
   identity.epoch = fields.number();
   identity.share = fields.real();
-  reader.fail_with(fields);
   return identity;
 }
 
+Identity read_identity(Reader& reader) {
+  return reader.record(kIdentityFields, read_identity_fields);
+}
+
 std::uint32_t read_incarnation(Reader& reader) {
   return static_cast<std::uint32_t>(reader.number(std::numeric_limits<std::uint32_t>::max()));
 }
@@ -55,42 +55,22 @@
   }
 }
 
-std::vector<GossipUpdate> read_updates(Reader& reader, std::size_t max_count) {
+GossipUpdate read_update(Reader& fields) {
   constexpr auto kLastState = static_cast<std::uint64_t>(MemberState::left);
-  std::vector<GossipUpdate> updates;
-  const auto count = reader.array(max_count);
-  for (std::uint32_t i = 0; i < count && reader.ok(); ++i) {
-    Reader fields = reader.element(i, kUpdateFields);
-    GossipUpdate update;
-    update.identity = read_identity(fields);
-    update.incarnation = read_incarnation(fields);
-    update.state = static_cast<MemberState>(fields.number(kLastState));
-    update.reported_by = fields.text();
-    reader.fail_with(fields);
-    updates.push_back(std::move(update));
-  }
-  return updates;
+  GossipUpdate update;
+  update.identity = read_identity(fields);
+  update.incarnation = read_incarnation(fields);
+  update.state = static_cast<MemberState>(fields.number(kLastState));
+  update.reported_by = fields.text();
+  return update;
 }
 
-}  // namespace
-
-std::string encode(const Message& message) {
-  Writer writer;
-  writer.array(kMessageFields).number(static_cast<std::uint64_t>(message.kind));
-  writer.number(message.ping_id);
-  write_identity(writer, message.sender);
-  writer.number(message.sender_incarnation);
-  writer.text(message.recipient).number(message.recipient_epoch);
-  writer.text(message.target).text(message.target_address).number(message.target_epoch);
-  write_updates(writer, message.updates);
-  return writer.str();
+std::vector<GossipUpdate> read_updates(Reader& reader, std::size_t max_count) {
+  return reader.records(max_count, kUpdateFields, read_update);
 }
 
-std::optional<Message> decode_message(std::string_view bytes) {
+Message read_message(Reader& reader) {
   constexpr auto kLastKind = static_cast<std::uint64_t>(Message::Kind::gossip);
-  const Document document(bytes);
-  if (!document.is_valid()) return std::nullopt;
-  Reader reader(document.root(), kMessageFields);
   Message message;
   message.kind = static_cast<Message::Kind>(reader.number(kLastKind));
   message.ping_id = reader.number();
@@ -102,10 +82,45 @@
   message.target_address = reader.text();
   message.target_epoch = reader.number();
   message.updates = read_updates(reader, kMaxUpdatesPerMessage);
-  if (!reader.ok()) return std::nullopt;
   return message;
 }
 
+MembershipSnapshot read_snapshot(Reader& reader) {
+  MembershipSnapshot snapshot;
+  snapshot.echoed_nonce = reader.number();
+  snapshot.own_nonce = reader.number();
+  snapshot.members = read_updates(reader, kMaxMembers + 1);  // the sender and all it knows
+  return snapshot;
+}
+
+Handshake read_handshake(Reader& reader) {
+  Handshake handshake;
+  if (reader.text() != kHandshakeMark) reader.fail();
+  handshake.echoed_nonce = reader.number();
+  handshake.epoch = reader.number();
+  handshake.name = reader.text();
+  if (handshake.name.empty()) reader.fail();
+  return handshake;
+}
+
+}  // namespace
+
+std::string encode(const Message& message) {
+  Writer writer;
+  writer.array(kMessageFields).number(static_cast<std::uint64_t>(message.kind));
+  writer.number(message.ping_id);
+  write_identity(writer, message.sender);
+  writer.number(message.sender_incarnation);
+  writer.text(message.recipient).number(message.recipient_epoch);
+  writer.text(message.target).text(message.target_address).number(message.target_epoch);
+  write_updates(writer, message.updates);
+  return writer.str();
+}
+
+std::optional<Message> decode_message(std::string_view bytes) {
+  return msgpack_codec::decode_array(bytes, kMessageFields, read_message);
+}
+
 std::string encode(const MembershipSnapshot& snapshot) {
   Writer writer;
   writer.array(kSnapshotFields).number(snapshot.echoed_nonce).number(snapshot.own_nonce);
@@ -114,15 +129,7 @@
 }
 
 std::optional<MembershipSnapshot> decode_snapshot(std::string_view bytes) {
-  const Document document(bytes);
-  if (!document.is_valid()) return std::nullopt;
-  Reader reader(document.root(), kSnapshotFields);
-  MembershipSnapshot snapshot;
-  snapshot.echoed_nonce = reader.number();
-  snapshot.own_nonce = reader.number();
-  snapshot.members = read_updates(reader, kMaxMembers + 1);  // the sender and all it knows
-  if (!reader.ok()) return std::nullopt;
-  return snapshot;
+  return msgpack_codec::decode_array(bytes, kSnapshotFields, read_snapshot);
 }
 
 std::string encode(const Handshake& handshake) {
@@ -133,16 +140,7 @@
 }
 
 std::optional<Handshake> decode_handshake(std::string_view bytes) {
-  const Document document(bytes);
-  if (!document.is_valid()) return std::nullopt;
-  Reader reader(document.root(), kHandshakeFields);
-  Handshake handshake;
-  if (reader.text() != kHandshakeMark) return std::nullopt;
-  handshake.echoed_nonce = reader.number();
-  handshake.epoch = reader.number();
-  handshake.name = reader.text();
-  if (!reader.ok() || handshake.name.empty()) return std::nullopt;
-  return handshake;
+  return msgpack_codec::decode_array(bytes, kHandshakeFields, read_handshake);
 }
 
 }  // namespace alderspur::cluster
--- a/src/cluster/codec.h
+++ b/src/cluster/codec.h
@@ -1,8 +1,8 @@
-// The wire form of what members send each other: MessagePack arrays, version 1. No sockets, no
-// secrets.
+// Codec of the messages between members: MessagePack arrays, version 1. No I/O and no state; any
+// thread.
 //
-// Further elements at the end of an array are ignored, so that a later version may add some. What
-// exceeds the bounds of member.h cannot be decoded.
+// Further elements at the end of an array are ignored, so that a later version may add some.
+// Messages beyond the bounds of member.h cannot be decoded.
 #pragma once
 
 #include <cstddef>
@@ -20,6 +20,7 @@
 constexpr std::size_t kMaxSnapshotFrame = 1 << 20;  // bytes, authentication included
 
 std::string encode(const Message& message);
+/// Nothing if the bytes have another form.
 std::optional<Message> decode_message(std::string_view bytes);
 
 /// The full state of a member, sent on a connection of its own. The echoed nonce proves that it was
@@ -30,6 +31,7 @@
   std::vector<GossipUpdate> members;
 };
 std::string encode(const MembershipSnapshot& snapshot);
+/// Nothing if the bytes have another form.
 std::optional<MembershipSnapshot> decode_snapshot(std::string_view bytes);
 
 /// Opens a channel, in place of a snapshot: the member that sends on it.
@@ -39,6 +41,7 @@
   std::string name;
 };
 std::string encode(const Handshake& handshake);
+/// Nothing if the bytes have another form or no name.
 std::optional<Handshake> decode_handshake(std::string_view bytes);
 
 }  // namespace alderspur::cluster
--- a/src/consensus/applied_state_codec.cpp
+++ b/src/consensus/applied_state_codec.cpp
@@ -23,6 +23,7 @@
 
 constexpr std::uint64_t kSnapshotForm = 1;
 constexpr std::size_t kSnapshotFields = 9;
+constexpr std::size_t kHistoryFields = 2;
 constexpr std::size_t kRequiredSnapshotFields = 8;  // earlier programs have no promoted flag
 
 struct CommandWriter {
@@ -173,7 +174,7 @@
   }
   writer.array(history_.size());
   for (const auto& entry : history_) {
-    writer.array(2);
+    writer.array(kHistoryFields);
     pack(writer, entry.version);
     writer.text(entry.outcome);
   }
@@ -194,17 +195,12 @@
   restored.current_ = read_version(reader);
   restored.voters_ = read_names(reader);
   Reader lists(reader.next(), 2);
-  const auto result_count = lists.array(kMaxRememberedResults);
-  for (std::uint32_t i = 0; i < result_count; ++i) {
-    Reader fields = lists.element(i, kProposalResultFields);
-    restored.results_.push_back(read_proposal_result_fields(fields));
-    lists.fail_with(fields);
+  for (auto& result :
+       lists.records(kMaxRememberedResults, kProposalResultFields, read_proposal_result_fields)) {
+    restored.results_.push_back(std::move(result));
   }
-  const auto history_size = lists.array(kMaxHistory);
-  for (std::uint32_t i = 0; i < history_size; ++i) {
-    Reader fields = lists.element(i, 2);
-    restored.history_.push_back(read_history_entry(fields));
-    lists.fail_with(fields);
+  for (auto& entry : lists.records(kMaxHistory, kHistoryFields, read_history_entry)) {
+    restored.history_.push_back(std::move(entry));
   }
   if (reader.has_more()) restored.is_promoted_ = reader.flag();
   if (!reader.ok() || !lists.ok()) return false;
--- a/src/consensus/codec.cpp
+++ b/src/consensus/codec.cpp
@@ -13,15 +13,15 @@
 
 constexpr std::size_t kVersionFields = 6;  // without a canary rollout
 constexpr std::size_t kCanaryFields = 4;
+constexpr std::size_t kServerFields = 2;
+constexpr std::size_t kConfigurationFields = 2;
 
-CanaryRollout read_canary(Reader& reader) {
-  Reader fields(reader.next(), kCanaryFields);
+CanaryRollout read_canary_fields(Reader& fields) {
   CanaryRollout canary;
   canary.routers = read_names(fields);
   canary.duration = static_cast<Time>(fields.number(kMaxCanaryDuration));
   canary.max_failure_increase = fields.real();
   canary.promote_on_expiry = fields.flag();
-  reader.fail_with(fields);
   return canary;
 }
 
@@ -33,10 +33,26 @@
   version.content_size = fields.number(kMaxContentBytes);
   version.author = fields.text();
   version.note = fields.text(kMaxNoteLength);
-  if (fields.has_more()) version.canary = read_canary(fields);
+  if (fields.has_more()) {
+    version.canary = fields.record(kCanaryFields, read_canary_fields);
+  }
   return version;
 }
 
+RaftServer read_server_fields(Reader& fields) {
+  RaftServer server;
+  server.name = fields.text();
+  server.role = static_cast<int>(fields.number(RAFT_SPARE));
+  return server;
+}
+
+Configuration read_configuration_fields(Reader& fields) {
+  Configuration configuration;
+  configuration.index = fields.number();
+  configuration.servers = read_servers(fields);
+  return configuration;
+}
+
 }  // namespace
 
 void pack(Writer& writer, const Version& version) {
@@ -52,12 +68,7 @@
   writer.flag(version.canary.promote_on_expiry);
 }
 
-Version read_version(Reader& reader) {
-  Reader fields(reader.next(), kVersionFields);
-  Version version = read_version_fields(fields);
-  reader.fail_with(fields);
-  return version;
-}
+Version read_version(Reader& reader) { return reader.record(kVersionFields, read_version_fields); }
 
 void pack(Writer& writer, const std::optional<Version>& version) {
   writer.array(version ? 1 : 0);
@@ -65,11 +76,9 @@
 }
 
 std::optional<Version> read_optional_version(Reader& reader) {
-  if (reader.array(1) == 0) return {};
-  Reader fields = reader.element(0, kVersionFields);
-  Version version = read_version_fields(fields);
-  reader.fail_with(fields);
-  return version;
+  auto versions = reader.records(1, kVersionFields, read_version_fields);
+  if (versions.empty()) return std::nullopt;
+  return std::move(versions.front());
 }
 
 void pack(Writer& writer, const std::vector<std::string>& names) {
@@ -77,46 +86,26 @@
   for (const auto& name : names) writer.text(name);
 }
 
-std::vector<std::string> read_names(Reader& reader) {
-  std::vector<std::string> names;
-  const auto count = reader.array(kMaxVoters);
-  for (std::uint32_t i = 0; i < count; ++i) names.push_back(reader.element_text(i));
-  return names;
-}
+std::vector<std::string> read_names(Reader& reader) { return reader.texts(kMaxVoters); }
 
 void pack(Writer& writer, const std::vector<RaftServer>& servers) {
   writer.array(servers.size());
   for (const auto& server : servers) {
-    writer.array(2).text(server.name).number(static_cast<std::uint64_t>(server.role));
+    writer.array(kServerFields).text(server.name).number(static_cast<std::uint64_t>(server.role));
   }
 }
 
 std::vector<RaftServer> read_servers(Reader& reader) {
-  std::vector<RaftServer> servers;
-  const auto count = reader.array(kMaxRaftServers);
-  for (std::uint32_t i = 0; i < count; ++i) {
-    Reader fields = reader.element(i, 2);
-    RaftServer server;
-    server.name = fields.text();
-    server.role = static_cast<int>(fields.number(RAFT_SPARE));
-    reader.fail_with(fields);
-    servers.push_back(std::move(server));
-  }
-  return servers;
+  return reader.records(kMaxRaftServers, kServerFields, read_server_fields);
 }
 
 void pack(Writer& writer, const Configuration& configuration) {
-  writer.array(2).number(configuration.index);
+  writer.array(kConfigurationFields).number(configuration.index);
   pack(writer, configuration.servers);
 }
 
 Configuration read_configuration(Reader& reader) {
-  Reader fields(reader.next(), 2);
-  Configuration configuration;
-  configuration.index = fields.number();
-  configuration.servers = read_servers(fields);
-  reader.fail_with(fields);
-  return configuration;
+  return reader.record(kConfigurationFields, read_configuration_fields);
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/codec.h
+++ b/src/consensus/codec.h
@@ -1,9 +1,10 @@
-// MessagePack forms shared by the messages, the log's commands, the snapshot of the replicated
-// state and the files of this folder: versions, lists of names and Raft configurations.
+// Codec of the values that messages, log commands, snapshots of the replicated state and stored
+// files share: versions, lists of names and Raft configurations, as MessagePack. No I/O and no
+// state.
 //
-// Every `pack` appends one value to the writer. Every `read_...` takes one value from the reader
-// and marks the reader as bad (`good` false) if it does not fit its form or its limits; the value
-// returned is meaningless then. Fields that a later program added at the end are ignored.
+// Every `pack` appends one value to the writer. Every `read_...` takes one value from the reader,
+// which fails if the value does not fit its form or its limits; the result is meaningless then.
+// Fields that a later version added at the end are ignored.
 #pragma once
 
 #include <cstddef>
@@ -20,10 +21,10 @@
 
 namespace alderspur::consensus {
 
-constexpr std::size_t kMaxResultText = 600;  // of a proposal's result
+constexpr std::size_t kMaxResultText = 600;  // bytes of a proposal's result
 constexpr std::size_t kMaxRaftServers = 64;  // of one Raft configuration
 
-/// A canary rollout is one field more, which programs without canary rollouts ignore.
+/// A canary rollout is a further field, which programs without canary rollouts ignore.
 void pack(msgpack_codec::Writer& writer, const Version& version);
 Version read_version(msgpack_codec::Reader& reader);
 
@@ -35,9 +36,11 @@
 void pack(msgpack_codec::Writer& writer, const std::vector<std::string>& names);
 std::vector<std::string> read_names(msgpack_codec::Reader& reader);
 
+/// Servers of a Raft configuration: kMaxRaftServers at most.
 void pack(msgpack_codec::Writer& writer, const std::vector<RaftServer>& servers);
 std::vector<RaftServer> read_servers(msgpack_codec::Reader& reader);
 
+/// A Raft configuration with the index of its log entry.
 void pack(msgpack_codec::Writer& writer, const Configuration& configuration);
 Configuration read_configuration(msgpack_codec::Reader& reader);
 
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -114,17 +114,18 @@
   return writer.bytes(snapshot.data).str();
 }
 
-std::optional<Snapshot> decode_snapshot(std::string_view bytes) {
-  const msgpack_codec::Document unpacked(bytes);
-  if (!unpacked.is_valid()) return {};
-  msgpack_codec::Reader reader(unpacked.root(), kSnapshotFields);
+Snapshot read_snapshot(msgpack_codec::Reader& reader) {
   Snapshot snapshot;
   snapshot.index = reader.number();
   snapshot.term = reader.number();
   snapshot.configuration.index = reader.number();
   snapshot.configuration.servers = read_servers(reader);
   snapshot.data = reader.bytes(kMaxSnapshotBytes);
-  return reader.ok() ? std::optional(std::move(snapshot)) : std::nullopt;
+  return snapshot;
+}
+
+std::optional<Snapshot> decode_snapshot(std::string_view bytes) {
+  return msgpack_codec::decode_array(bytes, kSnapshotFields, read_snapshot);
 }
 
 LogStoreStatus corrupt(const std::string& message) { return {LogStoreErrorCode::corrupt, message}; }
--- a/src/consensus/persisted_state.cpp
+++ b/src/consensus/persisted_state.cpp
@@ -10,6 +10,15 @@
 constexpr std::uint64_t kForm = 1;
 constexpr std::size_t kFields = 4;
 
+PersistedState read_state(msgpack_codec::Reader& reader) {
+  if (reader.number() != kForm) reader.fail();
+  PersistedState state;
+  state.current = read_version(reader);
+  state.accepted = read_optional_version(reader);
+  state.voters = read_names(reader);
+  return state;
+}
+
 }  // namespace
 
 std::string encode(const PersistedState& state) {
@@ -22,15 +31,7 @@
 }
 
 std::optional<PersistedState> decode_persisted_state(std::string_view bytes) {
-  const msgpack_codec::Document unpacked(bytes);
-  if (!unpacked.is_valid()) return {};
-  msgpack_codec::Reader reader(unpacked.root(), kFields);
-  if (reader.number() != kForm) return {};
-  PersistedState state;
-  state.current = read_version(reader);
-  state.accepted = read_optional_version(reader);
-  state.voters = read_names(reader);
-  return reader.ok() ? std::optional(std::move(state)) : std::nullopt;
+  return msgpack_codec::decode_array(bytes, kFields, read_state);
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/raft_frame.cpp
+++ b/src/consensus/raft_frame.cpp
@@ -12,6 +12,7 @@
 using msgpack_codec::Reader;
 using msgpack_codec::Writer;
 
+constexpr std::size_t kEntryFields = 3;
 constexpr std::size_t kMaxEntries = 4096;
 constexpr std::size_t kMaxEntryBytes = 64 << 10;
 constexpr std::size_t kMaxSnapshotBytes = 1 << 20;
@@ -24,7 +25,7 @@
   writer.array(message.n_entries);
   for (unsigned i = 0; i < message.n_entries; ++i) {
     const raft_entry& entry = message.entries[i];
-    writer.array(3).number(entry.term).number(entry.type).bytes(bytes_of(entry.buf));
+    writer.array(kEntryFields).number(entry.term).number(entry.type).bytes(bytes_of(entry.buf));
   }
 }
 
@@ -49,20 +50,13 @@
   writer.bytes(bytes_of(message.data));
 }
 
-std::vector<LogEntry> read_entries(Reader& reader) {
-  std::vector<LogEntry> entries;
-  const auto count = reader.array(kMaxEntries);
-  for (std::uint32_t i = 0; i < count && reader.ok(); ++i) {
-    Reader fields = reader.element(i, 3);
-    LogEntry entry;
-    entry.term = fields.number();
-    entry.type = fields.number(RAFT_CHANGE);
-    entry.data = fields.bytes(kMaxEntryBytes);
-    reader.fail_with(fields);
-    if (!(entry.type >= RAFT_COMMAND)) reader.fail();
-    entries.push_back(std::move(entry));
-  }
-  return entries;
+LogEntry read_entry(Reader& fields) {
+  LogEntry entry;
+  entry.term = fields.number();
+  entry.type = fields.number(RAFT_CHANGE);
+  entry.data = fields.bytes(kMaxEntryBytes);
+  if (entry.type < RAFT_COMMAND) fields.fail();
+  return entry;
 }
 
 // Memory for the library is allocated last, when nothing can be rejected any more.
@@ -71,7 +65,7 @@
   message.prev_log_index = reader.number();
   message.prev_log_term = reader.number();
   message.leader_commit = reader.number();
-  const auto entries = read_entries(reader);
+  const auto entries = reader.records(kMaxEntries, kEntryFields, read_entry);
   if (!reader.ok()) return;
   message.entries = to_raft_entries(entries);
   message.n_entries = static_cast<unsigned>(entries.size());
--- a/src/replication/ban_set.cpp
+++ b/src/replication/ban_set.cpp
@@ -15,10 +15,13 @@
 using msgpack_codec::Reader;
 using msgpack_codec::Writer;
 
-constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;
+constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;  // Unix time, microseconds
+constexpr std::size_t kBanSetFields = 3;
+constexpr std::size_t kBanFields = 6;
+constexpr std::size_t kDotFields = 3;
 
-// The parts of a digest are weighed differently, so that the same dot counts differently in each.
-constexpr std::uint64_t kHeldWeight = 3;
+// The parts of a digest have different weights, so that a dot counts differently in each.
+constexpr std::uint64_t kBanWeight = 3;
 constexpr std::uint64_t kContiguousWeight = 5;
 constexpr std::uint64_t kDetachedWeight = 7;
 
@@ -34,13 +37,28 @@
   return dot;
 }
 
-// A dot that names a change, not the end of a sequence: counting starts at 1.
+// A dot of a change; the sequence of an author's changes starts at 1.
 Dot read_change(Reader& reader) {
   Dot dot = read_dot(reader);
   if (dot.sequence == 0) reader.fail();
   return dot;
 }
 
+/// A ban with the change that made it.
+struct DottedBan {
+  Dot dot;
+  Ban ban;
+};
+
+DottedBan read_dotted_ban(Reader& fields) {
+  DottedBan dotted;
+  dotted.dot = read_change(fields);
+  dotted.ban.server = fields.text(kMaxServerName);
+  dotted.ban.cause = fields.text(kMaxCause);
+  dotted.ban.at = static_cast<Time>(fields.number(kMaxTime));
+  return dotted;
+}
+
 }  // namespace
 
 void BanSet::insert(const Dot& dot, const Ban& ban) {
@@ -116,7 +134,7 @@
 
 std::uint64_t BanSet::digest() const {
   std::uint64_t sum = 0;
-  for (const auto& [dot, ban] : bans_) sum += hash_dot(dot.author, dot.sequence) * kHeldWeight;
+  for (const auto& [dot, ban] : bans_) sum += hash_dot(dot.author, dot.sequence) * kBanWeight;
   for (const auto& [author, last] : context_.contiguous()) {
     sum += hash_dot(author, last) * kContiguousWeight;
   }
@@ -128,20 +146,20 @@
 
 std::string BanSet::encode() const {
   Writer writer;
-  writer.array(3).array(bans_.size());
+  writer.array(kBanSetFields).array(bans_.size());
   for (const auto& [dot, ban] : bans_) {
-    writer.array(6);
+    writer.array(kBanFields);
     write_dot(writer, dot);
     writer.text(ban.server).text(ban.cause).number(static_cast<std::uint64_t>(ban.at));
   }
   writer.array(context_.contiguous().size());
   for (const auto& [author, last] : context_.contiguous()) {
-    writer.array(3);
+    writer.array(kDotFields);
     write_dot(writer, {author, last});
   }
   writer.array(context_.detached().size());
   for (const auto& dot : context_.detached()) {
-    writer.array(3);
+    writer.array(kDotFields);
     write_dot(writer, dot);
   }
   return writer.str();
@@ -151,34 +169,18 @@
   if (bytes.size() > kMaxEncodedBans) return std::nullopt;
   const Document document(bytes);
   if (!document.is_valid()) return std::nullopt;
-  Reader reader(document.root(), 3);
+  Reader reader(document.root(), kBanSetFields);
   BanSet decoded;
-  const auto ban_count = reader.array(kMaxBans);
-  for (std::uint32_t i = 0; i < ban_count; ++i) {
-    Reader fields = reader.element(i, 6);
-    const Dot dot = read_change(fields);
-    Ban ban;
-    ban.server = fields.text(kMaxServerName);
-    ban.cause = fields.text(kMaxCause);
-    ban.at = static_cast<Time>(fields.number(kMaxTime));
-    reader.fail_with(fields);
+  for (const auto& [dot, ban] : reader.records(kMaxBans, kBanFields, read_dotted_ban)) {
     decoded.insert(dot, ban);
   }
-  const auto author_count = reader.array(kMaxAuthors);
-  for (std::uint32_t i = 0; i < author_count; ++i) {
-    Reader fields = reader.element(i, 3);
-    const Dot last = read_dot(fields);
-    reader.fail_with(fields);
+  for (const Dot& last : reader.records(kMaxAuthors, kDotFields, read_dot)) {
     decoded.context_.add_up_to(last.author, last.sequence);
   }
-  const auto detached_count = reader.array(kMaxDetachedDots);
-  for (std::uint32_t i = 0; i < detached_count; ++i) {
-    Reader fields = reader.element(i, 3);
-    const Dot dot = read_change(fields);
-    reader.fail_with(fields);
+  for (const Dot& dot : reader.records(kMaxDetachedDots, kDotFields, read_change)) {
     if (!decoded.context_.add(dot)) reader.fail();
   }
-  // A ban that is held and not seen: no router writes such a copy.
+  // Every ban must be part of the causal context; no router writes a copy without that.
   for (const auto& [dot, ban] : decoded.bans_) {
     if (!decoded.context_.contains(dot)) reader.fail();
   }
--- a/src/replication/frame_codec.cpp
+++ b/src/replication/frame_codec.cpp
@@ -8,6 +8,8 @@
 using msgpack_codec::Reader;
 using msgpack_codec::Writer;
 
+constexpr std::size_t kFloorFields = 3;
+
 static_assert(kRanges == kBucketsPerRange, "digests of both levels have one wire form");
 
 void write_header(Writer& writer, FrameKind kind, std::size_t field_count) {
@@ -19,7 +21,7 @@
 void write_floors(Writer& writer, const std::vector<PurgeFloor>& floors) {
   writer.array(floors.size());
   for (const auto& floor : floors) {
-    writer.array(3).flag(floor.is_object).number(floor.id);
+    writer.array(kFloorFields).flag(floor.is_object).number(floor.id);
     write_time(writer, floor.at);
   }
 }
@@ -29,6 +31,20 @@
   for (const auto digest : digests) writer.number(digest);
 }
 
+PurgeFloor read_floor(Reader& fields) {
+  PurgeFloor floor;
+  floor.is_object = fields.flag();
+  floor.id = fields.number();
+  floor.at = read_time(fields);
+  return floor;
+}
+
+RangeDigests read_digest_fields(Reader& fields) {
+  RangeDigests digests{};
+  for (auto& digest : digests) digest = fields.number();
+  return digests;
+}
+
 std::string encode_bans(FrameKind kind, const BanSet& bans) {
   Writer writer;
   write_header(writer, kind, 1);
@@ -92,26 +108,11 @@
 Time read_time(Reader& reader) { return static_cast<Time>(reader.number(kMaxFrameTime)); }
 
 std::vector<PurgeFloor> read_floors(Reader& reader) {
-  std::vector<PurgeFloor> floors;
-  const auto count = reader.array(kMaxFloorsPerFrame);
-  for (std::uint32_t i = 0; i < count && reader.ok(); ++i) {
-    Reader fields = reader.element(i, 3);
-    PurgeFloor floor;
-    floor.is_object = fields.flag();
-    floor.id = fields.number();
-    floor.at = read_time(fields);
-    reader.fail_with(fields);
-    floors.push_back(floor);
-  }
-  return floors;
+  return reader.records(kMaxFloorsPerFrame, kFloorFields, read_floor);
 }
 
 RangeDigests read_digests(Reader& reader) {
-  RangeDigests digests{};
-  Reader fields(reader.next(), digests.size());
-  for (auto& digest : digests) digest = fields.number();
-  reader.fail_with(fields);
-  return digests;
+  return reader.record(RangeDigests{}.size(), read_digest_fields);
 }
 
 }  // namespace alderspur::replication
--- a/src/replication/frame_codec.h
+++ b/src/replication/frame_codec.h
@@ -1,6 +1,5 @@
-// The wire form of the frames between replicas: a MessagePack array with the kind first and its
-// fields after it. No I/O. A kind of a later version reads as unknown and is rejected by the
-// receiver.
+// Codec of the frames between replicas: a MessagePack array of the kind and its fields. No I/O and
+// no state. A kind of a later version reads as unknown and is rejected by the receiver.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +13,10 @@
 
 namespace alderspur::replication {
 
-constexpr std::size_t kMaxFloorUpdates = 512;     // floors in a frame of news
+constexpr std::size_t kMaxFloorUpdates = 512;     // floors in a frame of updates
 constexpr std::size_t kMaxRangesPerFrame = 32;    // ranges whose bucket digests are sent
-constexpr std::size_t kMaxFloorsPerFrame = 4096;  // floors in an answer, and buckets asked for
-constexpr std::uint64_t kMaxFrameTime = std::uint64_t{1} << 62;
+constexpr std::size_t kMaxFloorsPerFrame = 4096;  // floors in a reply, and buckets requested
+constexpr std::uint64_t kMaxFrameTime = std::uint64_t{1} << 62;  // Unix time, microseconds
 
 /// The numbers are on the wire.
 enum class FrameKind : std::uint64_t {
@@ -27,7 +26,7 @@
   identical,       // answers digests that are the same
   full_bans,       // answers a digest of bans that differs
   bucket_digests,  // answers range digests that differ
-  floors,          // floors of buckets that differ, and the buckets whose floors are asked for
+  floors,          // floors of buckets that differ, and the buckets whose floors are requested
 };
 
 /// Bucket digests of one range of a copy.
@@ -45,7 +44,7 @@
 std::string encode_floors(Time global_floor, const std::vector<PurgeFloor>& floors,
                           const std::vector<std::size_t>& requested_buckets);
 
-/// Fields of a frame, in the order in which they stand; what does not fit fails the reader.
+/// Fields of a frame, in the order in which they stand. Values that do not fit fail the reader.
 Time read_time(msgpack_codec::Reader& reader);
 std::vector<PurgeFloor> read_floors(msgpack_codec::Reader& reader);
 RangeDigests read_digests(msgpack_codec::Reader& reader);
