--- a/src/hot_restart/ban_store.h
+++ b/src/hot_restart/ban_store.h
@@ -27,6 +27,7 @@
   std::set<std::string> servers;
   bool operator==(const BanList&) const = default;
 };
+/// The text of a list, as decode_ban_list() reads it.
 std::string encode(const BanList& list);
 /// Returns nothing if the payload does not have the format of this version.
 std::optional<BanList> decode_ban_list(std::string_view payload);
@@ -36,6 +37,7 @@
   std::string server;
   bool is_banned = false;
 };
+/// Adds the server to the set or removes it.
 void apply_change(const BanChange& change, std::set<std::string>& servers);
 
 /// The bans in effect in this process, with the changes that still wait for the disk.
@@ -50,6 +52,7 @@
   /// The list was read from the disk, perhaps as another process left it.
   void on_list_read(const BanList& list);
 
+  /// Whether a ban of the server is in effect.
   bool is_banned(const std::string& server) const;
   /// Whether no change of this server waits for the disk.
   bool is_saved(const std::string& server) const;
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -51,8 +51,8 @@
   PollResult result;
   result.error = directory.claim_slot();
   result.peers = directory.read_peers();
-  const auto give_up_at = steady_clock::now() + microseconds(kRegistrationTimeout);
-  while (!result.error && !result.peers.all_know_a_peer && steady_clock::now() < give_up_at) {
+  const auto deadline = steady_clock::now() + microseconds(kRegistrationTimeout);
+  while (!result.error && !result.peers.all_know_a_peer && steady_clock::now() < deadline) {
     std::this_thread::sleep_for(kRegistrationPause);
     result.peers = directory.read_peers();
   }
@@ -66,7 +66,7 @@
   return result;
 }
 
-// Waits for the first poll, a bounded time: nothing is served yet.
+// Waits for the first poll for a bounded time; nothing is served yet.
 void HotRestartCoordinator::begin() {
   auto promise = std::make_shared<std::promise<PollResult>>();
   auto future = promise->get_future();
@@ -130,7 +130,7 @@
 }
 
 void HotRestartCoordinator::start_poll() {
-  if (is_polling_) return;  // the disk hangs: share, peers and bans stay as they are
+  if (is_polling_) return;  // the disk does not respond: share, peers and bans stay as they are
   for (const auto& change : bans_.retry_failed_changes()) save(change, {});
   measure_load();
   status_.known_peers = peers_.count;
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -34,15 +34,19 @@
 
 constexpr core::Time kPollInterval = 150'000;
 constexpr core::Time kRegistrationTimeout = 700'000;  // to be found by the other processes
-constexpr core::Time kStartTimeout = 1'500'000;       // for the first look at the directory
+constexpr core::Time kStartTimeout = 1'500'000;       // for the first poll of the directory
 
+/// One process's part in the coordination.
 class HotRestartCoordinator {
  public:
+  /// Receives each log event with its text.
   using LogSink = std::function<void(const std::string& event, const std::string& text)>;
+  /// The load of this process.
   struct Load {
     std::uint64_t admitted_requests = 0;  // since the start of the process
-    double concurrency_limit = 0;         // see module::BudgetShare
+    double concurrency_limit = 0;         // see alderspur::BudgetShare
   };
+  /// What the coordinator asks of its owner and reports to it.
   struct Callbacks {
     std::function<Load()> measure_load;
     std::function<void(const BanChange&)> on_ban_changed;
@@ -69,13 +73,16 @@
   /// Before the destructor: false if the disk hangs, so that the worker thread cannot be joined and
   /// the process has to end without it.
   bool stop_worker();
+  /// The other processes as the last poll has found them.
   const PeerSummary& peers() const { return peers_; }
+  /// This process's share of the router's budgets, 0 to 1.
   double share() const { return status_.share; }
 
-  /// A manual ban or its end. It takes effect here at once, also if it cannot be saved.
+  /// Bans a server by hand or lifts its ban. Takes effect here at once, even if it cannot be saved.
   void change_ban(const BanChange& change, const SaveCallback& done);
   /// The banned servers as last read from the disk.
   const std::set<std::string>& saved_bans() const { return bans_.saved_list().servers; }
+  /// Whether a ban of the server is in effect here.
   bool is_banned(const std::string& server) const { return bans_.is_banned(server); }
   /// Whether no change of this server waits for the disk.
   bool is_saved(const std::string& server) const { return bans_.is_saved(server); }
--- a/src/hot_restart/process_status.h
+++ b/src/hot_restart/process_status.h
@@ -18,7 +18,7 @@
   std::uint32_t known_peers = 0;  // other processes of the router that it has found
   double share = 0;               // its part of the router's budgets, 0 to 1
   double request_rate = 0;        // requests per second that it receives
-  double concurrency_limit = 0;   // see module::BudgetShare; 0: none found yet
+  double concurrency_limit = 0;   // see alderspur::BudgetShare; 0: none found yet
 };
 
 /// The content of a slot file.
@@ -34,6 +34,7 @@
 /// One byte longer than the record, so that it always ends with a zero.
 using SlotRecordText = std::array<char, kSlotRecordBytes + 1>;
 
+/// The text of a record, as decode_slot_record() reads it.
 SlotRecordText encode(const SlotRecord& record);
 /// Returns nothing if the text has another format or a value is out of range.
 std::optional<SlotRecord> decode_slot_record(const SlotRecordText& text);
--- a/src/hot_restart/shared_directory.h
+++ b/src/hot_restart/shared_directory.h
@@ -74,11 +74,13 @@
   std::optional<SharedDirectoryError> claim_slot();
   /// Publishes this process's status. Without a slot, claims one instead.
   std::optional<SharedDirectoryError> publish(const ProcessStatus& status);
+  /// Reads the statuses of the other processes that hold a slot.
   PeerSummary read_peers();
   /// Raises the share in `status` towards `wanted`, as far as the peers' shares allow, and
   /// publishes it.
   std::optional<SharedDirectoryError> raise_share(ProcessStatus& status, double wanted);
 
+  /// Reads the newer of the two files.
   BanReadResult read_bans() const;
   /// Under the lock: applies the change to the newer of the disk's list and `known`, and writes it.
   BanChangeResult change_ban(const BanList& known, const BanChange& change);
--- a/src/json/writer.h
+++ b/src/json/writer.h
@@ -1,4 +1,5 @@
-// JSON as the program's views and commands write it: an object's members, one a call.
+// Writes JSON objects, one member a call, for the views of operators and the output of commands.
+// Not thread-safe.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -17,7 +18,7 @@
   writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
 
-/// Writes the member `key` with a number.
+/// Writes the member `key` with a non-negative integer.
 inline void write_count(Writer& writer, const char* key, std::uint64_t value) {
   writer.Key(key);
   writer.Uint64(value);
