--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -51,11 +51,11 @@
 };
 
 std::optional<ResourceId> parse_resource_id(const RouteMatch& match) {
-  ResourceId resource;
   if (match.object.size() != kObjectDigits) return std::nullopt;
-  if (!core::parse_number(match.object, resource.object, kHexadecimal)) return std::nullopt;
-  if (!core::parse_number(match.part, resource.part)) return std::nullopt;
-  return resource;
+  const auto object = core::parse_number<std::uint64_t>(match.object, kHexadecimal);
+  const auto part = core::parse_number<std::uint32_t>(match.part);
+  if (!object || !part) return std::nullopt;
+  return ResourceId{*object, *part};
 }
 
 /// The claims of a token as numbers; 0 where it has none.
@@ -65,14 +65,11 @@
 };
 
 std::optional<ResourceClaims> parse_claims(const Claims& claims) {
-  ResourceClaims parsed;
-  if (!claims.group.empty() && !core::parse_number(claims.group, parsed.group)) {
-    return std::nullopt;
-  }
-  if (!claims.size_kb.empty() && !core::parse_number(claims.size_kb, parsed.size_kb)) {
-    return std::nullopt;
-  }
-  return parsed;
+  const auto group = core::parse_number<std::uint32_t>(claims.group);
+  const auto size_kb = core::parse_number<double>(claims.size_kb);
+  if (!claims.group.empty() && !group) return std::nullopt;
+  if (!claims.size_kb.empty() && !size_kb) return std::nullopt;
+  return ResourceClaims{group.value_or(0), size_kb.value_or(0)};
 }
 
 core::Response over_limit(core::Time retry_after) {
@@ -133,7 +130,7 @@
 // ---- Connections ----
 
 bool HttpFront::may_accept() {
-  const bool has_capacity = loop_.lingering().fit(clients_.size(), max_clients_);
+  const bool has_capacity = loop_.lingering().make_room(clients_.size(), max_clients_);
   if (!has_capacity) ++engine_.counters().deferred_accepts;
   return has_capacity;
 }
@@ -145,7 +142,7 @@
   handler.on_data = [this, raw](std::string_view bytes) { return on_data(*raw, bytes); };
   handler.on_written = [this, raw] { mark_active(*raw); };
   // The end of a client's input counts as a close, as with other proxies.
-  handler.on_close = [this, raw](net::Closed) { close(*raw, CloseMode::at_once); };
+  handler.on_close = [this, raw](net::CloseReason) { close(*raw, CloseMode::at_once); };
   raw->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   raw->index = clients_.size();
@@ -192,7 +189,7 @@
 
 void HttpFront::remove(Client& client) {
   if (client.state == Client::State::lingering) {
-    loop_.lingering().take(std::move(client.connection));
+    loop_.lingering().add(std::move(client.connection));
   }
   const std::size_t index = client.index;
   std::swap(clients_[index], clients_.back());
@@ -367,7 +364,7 @@
 bool HttpFront::is_idle(const Client& client) const {
   const auto& connection = *client.connection;
   return !client.has_open_request() && connection.unwritten() == 0 && connection.unread() == 0 &&
-         !connection.arrived() && engine_.now() > client.accepted_at + kFirstRequestGrace;
+         !connection.has_input_waiting() && engine_.now() > client.accepted_at + kFirstRequestGrace;
 }
 
 // A request that has arrived in part only is not owed a response.
--- a/src/signed_url/token.cpp
+++ b/src/signed_url/token.cpp
@@ -97,9 +97,8 @@
 }
 
 std::optional<std::int64_t> parse_unix_seconds(std::string_view text) {
-  std::int64_t seconds = 0;
-  if (!core::parse_number(text, seconds)) return std::nullopt;
-  if (seconds < 0 || seconds >= kMaxUnixSeconds) return std::nullopt;
+  const auto seconds = core::parse_number<std::int64_t>(text);
+  if (!seconds || *seconds < 0 || *seconds >= kMaxUnixSeconds) return std::nullopt;
   return seconds;
 }
 
--- a/src/toml/quantity.cpp
+++ b/src/toml/quantity.cpp
@@ -24,12 +24,12 @@
 std::optional<double> parse_quantity(std::string_view text, const Unit (&units)[N]) {
   const std::size_t number_end = text.find_first_not_of("0123456789.");
   if (number_end == std::string_view::npos || number_end == 0) return std::nullopt;
-  double number = 0;
-  if (!core::parse_number(text.substr(0, number_end), number)) return std::nullopt;
+  const auto number = core::parse_number<double>(text.substr(0, number_end));
+  if (!number) return std::nullopt;
   std::string_view name = text.substr(number_end);
   while (name.starts_with(' ')) name.remove_prefix(1);
   for (const auto& unit : units) {
-    if (unit.name == name) return number * unit.factor;
+    if (unit.name == name) return *number * unit.factor;
   }
   return std::nullopt;
 }
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -49,7 +49,7 @@
   Client* raw = client.get();
   net::Connection::Handler handler;
   handler.on_data = [this, raw](std::string_view bytes) { return on_data(*raw, bytes); };
-  handler.on_close = [this, raw](net::Closed) { close(*raw); };
+  handler.on_close = [this, raw](net::CloseReason) { close(*raw); };
   raw->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
   restart_idle_timeout(*raw);
@@ -104,7 +104,7 @@
 void Server::close_lingering(Client& client) {
   client.state = Client::State::closed;
   deadlines_.cancel(client.timeout);
-  loop_.lingering().take(std::move(client.connection));
+  loop_.lingering().add(std::move(client.connection));
 }
 
 void Server::flush(Client& client) {
