--- a/bench/config_language_bench.cpp
+++ b/bench/config_language_bench.cpp
@@ -6,6 +6,7 @@
 #include <map>
 #include <string>
 
+#include "config_language/check.h"
 #include "config_language/differ.h"
 #include "config_language/format.h"
 #include "config_language/parser.h"
@@ -18,9 +19,9 @@
 
 class Memory : public config_language::Loader {
  public:
-  std::optional<std::string> read(const std::string& path, std::string& error) override {
+  config_language::ReadResult read(const std::string& path) override {
     const auto it = files.find(path);
-    if (it == files.end()) return error = "there is no such file", std::nullopt;
+    if (it == files.end()) return config_language::ReadError::not_found;
     return it->second;
   }
   std::vector<std::string> match(const std::string&) override {
@@ -80,7 +81,7 @@
   diagnostics::Findings f;
   const auto p = config_language::load("main.alder", m, f);
   const auto meaning = config_language::check(p, f);
-  for (auto _ : state) benchmark::DoNotOptimize(config_language::differ(meaning, meaning));
+  for (auto _ : state) benchmark::DoNotOptimize(config_language::find_changes(meaning, meaning));
 }
 void match_benchmark(benchmark::State& state) {
   auto m = program(static_cast<std::size_t>(state.range(0)));
@@ -95,7 +96,8 @@
   }
   std::size_t i = 0;
   for (auto _ : state) {
-    const routing::Question q{"img.example", paths[i++ % paths.size()], "GET", "edge", {}, {}, i};
+    const routing::RequestAttributes q{
+        "img.example", paths[i++ % paths.size()], "GET", "edge", {}, {}, i};
     const auto found = table.match(q);
     if (!found) state.SkipWithError("no route");
     benchmark::DoNotOptimize(found);
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -17,6 +17,7 @@
 #include "endpoints/list.h"
 #include "file_watch/source.h"
 #include "json/writer.h"
+#include "routing/server_selection.h"
 #include "settings/settings.h"
 #include "store/endpoint_state.h"
 
@@ -81,8 +82,8 @@
 void check_pools(const routing::Table& table, const endpoints::Snapshot& list,
                  diagnostics::Findings& findings) {
   for (const auto& pool : table.pools()) {
-    if (!table.servers(pool, list).empty()) continue;
-    findings.error("A043", pool.location,
+    if (!routing::select_servers(pool, list).empty()) continue;
+    findings.error("A043", pool.declared_at,
                    "pool " + pool.name + " selects no server in service of " + list.source,
                    "change what it selects, or list a server for it");
   }
@@ -121,7 +122,7 @@
   result.render = [checked](const diagnostics::Finding& finding) {
     return checked->program.sources.render(finding);
   };
-  result.summary = std::to_string(checked->meaning.declarations.size()) + " declarations in " +
+  result.summary = std::to_string(checked->meaning.declarations().size()) + " declarations in " +
                    std::to_string(checked->program.trees.size()) + " files";
 }
 
--- a/src/cli/language.cpp
+++ b/src/cli/language.cpp
@@ -9,6 +9,7 @@
 #include <fstream>
 #include <optional>
 #include <string_view>
+#include <variant>
 
 #include "cli/commands.h"
 #include "config_language/checked_program.h"
@@ -48,16 +49,16 @@
   int code = kYes;
   config_language::FileLoader loader;
   for (const auto& path : options.files) {
-    std::string error;
-    const auto text = loader.read(path, error);
-    if (!text) {
-      std::fprintf(stderr, "%s: %s\n", path.c_str(), error.c_str());
+    const auto result = loader.read(path);
+    if (const auto* error = std::get_if<config_language::ReadError>(&result)) {
+      std::fprintf(stderr, "%s: %s\n", path.c_str(), to_string(*error));
       code = kFinding;
       continue;
     }
+    const auto& text = std::get<std::string>(result);
     config_language::Sources sources;
     diagnostics::Findings findings;
-    const auto tree = config_language::parse(sources, sources.add(path, *text), findings);
+    const auto tree = config_language::parse(sources, sources.add(path, text), findings);
     // What did not parse is not in the tree: writing the tree would remove it from the file.
     if (!findings.is_ok()) {
       print_findings(sources, findings);
@@ -65,7 +66,7 @@
       continue;
     }
     const auto formatted = config_language::format(tree);
-    const bool same = formatted == *text;
+    const bool same = formatted == text;
     if (!options.write && !options.check) std::fputs(formatted.c_str(), stdout);
     if (options.check && !same) {
       std::printf("%s: not in its form\n", path.c_str());
@@ -81,8 +82,7 @@
 
 namespace {
 
-/// A request of the command line, taken apart. The question that is put to the table holds views of
-/// it.
+/// A request of the command line, taken apart. The attributes that are matched hold views of it.
 struct RequestText {
   std::string method;
   std::string host;
@@ -134,13 +134,13 @@
                  const routing::Table& table, const routing::Match& match) {
   std::printf("%s: route %s, class %s", request.c_str(),
               name_with_place(checked, "route", match.route->name).c_str(),
-              name_with_place(checked, "class", match.route->cls).c_str());
-  if (match.target.pool) {
-    const auto& pool = table.pools()[*match.target.pool];
+              name_with_place(checked, "class", match.route->class_name).c_str());
+  if (match.destination.pool) {
+    const auto& pool = table.pools()[*match.destination.pool];
     std::printf(", pool %s", name_with_place(checked, "pool", pool.name).c_str());
   }
-  if (match.target.policy) {
-    const auto& policy = table.policies()[*match.target.policy];
+  if (match.destination.policy) {
+    const auto& policy = table.policies()[*match.destination.policy];
     std::printf(", policy %s", name_with_place(checked, "policy", policy.name).c_str());
   }
   for (const auto& [name, value] : match.captures) {
@@ -166,11 +166,11 @@
       std::fprintf(stderr, "'%s' is no request: write \"GET host/path\"\n", text.c_str());
       return kUsage;
     }
-    routing::Question question{
+    routing::RequestAttributes attributes{
         request->host, request->path, request->method, options.point, {}, {}, 0};
-    question.header = [&](std::string_view name) { return find_header(options.headers, name); };
-    question.query = [&](std::string_view name) { return find_parameter(request->query, name); };
-    if (const auto match = table.match(question)) {
+    attributes.header = [&](std::string_view name) { return find_header(options.headers, name); };
+    attributes.query = [&](std::string_view name) { return find_parameter(request->query, name); };
+    if (const auto match = table.match(attributes)) {
       print_match(text, checked, table, *match);
     } else {
       std::printf("%s: no route\n", text.c_str());
@@ -190,14 +190,14 @@
     print_findings(new_program.program.sources, new_findings);
     return kUsage;
   }
-  auto changes = config_language::differ(old_program.meaning, new_program.meaning);
+  auto changes = config_language::find_changes(old_program.meaning, new_program.meaning);
   if (by_risk) {
     std::stable_sort(changes.begin(), changes.end(),
                      [](const auto& left, const auto& right) { return left.risk > right.risk; });
   }
   if (!json) {
     for (const auto& change : changes) {
-      std::printf("%-4s  %s\n", config_language::word(change.risk), change.text.c_str());
+      std::printf("%-4s  %s\n", config_language::to_string(change.risk), change.text.c_str());
     }
     return changes.empty() ? kYes : kFinding;
   }
@@ -210,8 +210,8 @@
   writer.StartArray();
   for (const auto& change : changes) {
     writer.StartObject();
-    text("risk", config_language::word(change.risk));
-    text("what", change.what);
+    text("risk", config_language::to_string(change.risk));
+    text("what", change.kind);
     text("name", change.name);
     text("field", change.field);
     text("text", change.text);
--- a/src/config_language/differ.cpp
+++ b/src/config_language/differ.cpp
@@ -1,144 +1,198 @@
 #include "config_language/differ.h"
 
 #include <algorithm>
+#include <cstdio>
+#include <map>
+#include <string_view>
+#include <utility>
 
 namespace alderspur::config_language {
 namespace {
 
-using Key = std::pair<std::string, std::string>;  // kind; name and points
+/// Fields whose change may send requests elsewhere, or repeat what must not be repeated.
+constexpr std::string_view kHighRiskFields[] = {
+    "class", "pool", "path", "host", "method", "repeat", "uncached", "role", "dedup-window"};
+/// Fields that reject requests when they fall too far.
+constexpr std::string_view kLimitFields[] = {"max-in-flight",    "max-rate", "deadline",
+                                             "attempt-deadline", "queue",    "burst"};
+constexpr std::string_view kLowRiskFields[] = {"worth", "renew", "join"};
+/// Lists in the order of preference; the order of others means nothing.
+constexpr std::string_view kOrderedFields[] = {"fallback", "fill"};
+constexpr std::string_view kDestinationFields[] = {"pool", "policy", "class"};
 
-Key key_of(const Declaration& d) {
-  auto when = d.when;
-  std::sort(when.begin(), when.end());
-  std::string name = d.name;
-  for (const auto& p : when) name += " at " + p;
-  return {std::string(d.kind->name), name};
+template <std::size_t N>
+bool is_one_of(std::string_view field, const std::string_view (&fields)[N]) {
+  return std::find(std::begin(fields), std::end(fields), field) != std::end(fields);
 }
 
-// Lists whose order means something: what is tried first.
-bool ordered(const std::string& field) { return field == "fallback" || field == "fill"; }
+Risk risk_of_change(std::string_view field, bool falls) {
+  if (is_one_of(field, kHighRiskFields)) return Risk::high;
+  if (is_one_of(field, kLimitFields)) return falls ? Risk::high : Risk::some;
+  return is_one_of(field, kLowRiskFields) ? Risk::low : Risk::some;
+}
 
-// What can hurt most: where requests go, what may be repeated, and what is let through no longer.
-Risk risk_of(const std::string& field, bool falls) {
-  for (const char* high :
-       {"class", "pool", "path", "host", "method", "repeat", "uncached", "role", "dedup-window"}) {
-    if (field == high) return Risk::high;
-  }
-  for (const char* limit :
-       {"max-in-flight", "max-rate", "deadline", "attempt-deadline", "queue", "burst"}) {
-    if (field == limit) return falls ? Risk::high : Risk::some;
+std::string format_percent(double fraction) {
+  char text[32];
+  std::snprintf(text, sizeof text, "%g%%", fraction * 100);
+  return text;
+}
+
+/// ": requests for PATH and pool POOL" of a route; empty for other declarations.
+std::string describe_requests(const Declaration& declaration) {
+  const Setting* path = declaration.find("path");
+  const Setting* pool = declaration.find("pool");
+  if (!path) return "";
+  return ": requests for " + path->written + (pool ? " and pool " + pool->written : "");
+}
+
+std::vector<std::string> comparable_texts(const Setting& setting, const std::string& field) {
+  auto texts = setting.texts;
+  if (!is_one_of(field, kOrderedFields)) std::sort(texts.begin(), texts.end());
+  return texts;
+}
+
+/// Identifies a declaration in both programs.
+struct Key {
+  std::string kind;
+  std::string name;  // with the locations: a name may be declared once for each
+
+  auto operator<=>(const Key&) const = default;
+};
+
+Key key_of(const Declaration& declaration) {
+  auto locations = declaration.locations;
+  std::sort(locations.begin(), locations.end());
+  std::string name = declaration.name;
+  for (const auto& location : locations) name += " at " + location;
+  return {std::string(declaration.kind->name), name};
+}
+
+using DeclarationsByKey = std::map<Key, const Declaration*>;
+
+DeclarationsByKey by_key(const Meaning& meaning) {
+  DeclarationsByKey result;
+  for (const auto& declaration : meaning.declarations()) {
+    result.emplace(key_of(declaration), &declaration);
   }
-  return field == "worth" || field == "renew" || field == "join" ? Risk::low : Risk::some;
+  return result;
 }
 
 class Differ {
  public:
-  std::vector<Change> run(const Meaning& from, const Meaning& to) {
-    const auto a = by_key(from);
-    const auto b = by_key(to);
-    for (const auto& [key, d] : a) {
-      if (!b.contains(key)) add(Risk::high, key, "", "is gone" + routed(*d));
+  std::vector<Change> compare(const Meaning& from, const Meaning& to) {
+    const auto before = by_key(from);
+    const auto after = by_key(to);
+    for (const auto& [key, declaration] : before) {
+      if (after.contains(key)) continue;
+      add(Risk::high, key, "", "is gone" + describe_requests(*declaration));
     }
-    for (const auto& d : to.declarations) {
-      const auto key = key_of(d);
-      const auto it = a.find(key);
-      if (it == a.end()) {
-        add(key.first == "route" ? Risk::some : Risk::low, key, "", "is new" + routed(d));
+    for (const auto& declaration : to.declarations()) {
+      const Key key = key_of(declaration);
+      const auto it = before.find(key);
+      if (it == before.end()) {
+        const Risk risk = key.kind == "route" ? Risk::some : Risk::low;
+        add(risk, key, "", "is new" + describe_requests(declaration));
       } else {
-        settings(key, "", it->second->settings, d.settings), splits(key, *it->second, d);
+        compare_settings(key, "", it->second->settings, declaration.settings);
+        compare_splits(key, it->second->splits, declaration.splits);
       }
     }
-    return std::move(out_);
+    return std::move(changes_);
   }
 
  private:
-  static std::map<Key, const Declaration*> by_key(const Meaning& m) {
-    std::map<Key, const Declaration*> out;
-    for (const auto& d : m.declarations) out.emplace(key_of(d), &d);
-    return out;
-  }
-  static std::string routed(const Declaration& d) {
-    const auto* path = d.find("path");
-    const auto* pool = d.find("pool");
-    if (!path) return "";
-    return ": requests for " + path->shown + (pool ? " and pool " + pool->shown : "");
-  }
   void add(Risk risk, const Key& key, const std::string& field, const std::string& text) {
-    out_.push_back(
-        {risk, key.first, key.second, field, key.first + " " + key.second + ": " + text});
+    changes_.push_back({risk, key.kind, key.name, field, key.kind + " " + key.name + ": " + text});
   }
 
-  void settings(const Key& key, const std::string& prefix, const Settings& a, const Settings& b) {
-    for (const auto& [name, was] : a) {
-      const auto it = b.find(name);
-      const auto field = prefix + name;
-      if (it == b.end()) {
-        add(risk_of(name, false), key, field,
-            field + " was " + was.shown + " and is not given any more");
+  /// `prefix` names the split that the settings belong to; empty for those of the declaration.
+  void compare_settings(const Key& key, const std::string& prefix, const Settings& before,
+                        const Settings& after) {
+    for (const auto& [name, old_setting] : before) {
+      const auto it = after.find(name);
+      const std::string field = prefix + name;
+      if (it != after.end()) {
+        compare_setting(key, field, name, old_setting, it->second);
       } else {
-        setting(key, field, name, was, it->second);
+        add(risk_of_change(name, false), key, field,
+            field + " was " + old_setting.written + " and is not given any more");
       }
     }
-    for (const auto& [name, is] : b) {
-      if (!a.contains(name)) {
-        add(risk_of(name, true), key, prefix + name, prefix + name + " is now given: " + is.shown);
-      }
+    for (const auto& [name, setting] : after) {
+      if (before.contains(name)) continue;
+      const std::string field = prefix + name;
+      add(risk_of_change(name, true), key, field, field + " is now given: " + setting.written);
     }
   }
-  void setting(const Key& key, const std::string& field, const std::string& name,
-               const Setting& was, const Setting& is) {
-    if (was.number && is.number) {
-      if (*was.number == *is.number) return;
-      const bool falls = *is.number < *was.number;
-      return add(risk_of(name, falls), key, field,
-                 field + (falls ? " falls from " : " rises from ") + was.shown + " to " + is.shown);
+
+  void compare_setting(const Key& key, const std::string& field, const std::string& name,
+                       const Setting& before, const Setting& after) {
+    if (before.number && after.number) {
+      if (*before.number == *after.number) return;
+      const bool falls = *after.number < *before.number;
+      add(risk_of_change(name, falls), key, field,
+          field + (falls ? " falls from " : " rises from ") + before.written + " to " +
+              after.written);
+      return;
     }
-    auto a = was.texts;
-    auto b = is.texts;
-    if (!ordered(name)) std::sort(a.begin(), a.end()), std::sort(b.begin(), b.end());
-    if (a == b) return;
+    if (comparable_texts(before, name) == comparable_texts(after, name)) return;
+    const std::string replaced = after.written + " in place of " + before.written;
     if (name == "path") {
-      return add(Risk::high, key, field,
-                 "takes requests for " + is.shown + " in place of " + was.shown);
+      add(Risk::high, key, field, "takes requests for " + replaced);
+    } else if (is_one_of(name, kDestinationFields)) {
+      add(risk_of_change(name, false), key, field,
+          "goes to " + std::string(name).append(" ") + replaced);
+    } else {
+      add(risk_of_change(name, false), key, field,
+          field + " changes from " + before.written + " to " + after.written);
     }
-    if (name == "pool" || name == "policy" || name == "class") {
-      return add(risk_of(name, false), key, field,
-                 "goes to " + name + " " + is.shown + " in place of " + was.shown);
-    }
-    add(risk_of(name, false), key, field, field + " changes from " + was.shown + " to " + is.shown);
   }
-  void splits(const Key& key, const Declaration& a, const Declaration& b) {
-    for (std::size_t i = 0; i < std::max(a.splits.size(), b.splits.size()); ++i) {
-      const auto which = "split " + std::to_string(i + 1);
-      if (i >= a.splits.size()) {
-        add(Risk::high, key, which, which + " is new, of " + percent(b.splits[i].part));
-      } else if (i >= b.splits.size()) {
-        add(Risk::high, key, which, which + " of " + percent(a.splits[i].part) + " is gone");
+
+  void compare_splits(const Key& key, const std::vector<Split>& before,
+                      const std::vector<Split>& after) {
+    for (std::size_t i = 0; i < std::max(before.size(), after.size()); ++i) {
+      const std::string field = "split " + std::to_string(i + 1);
+      if (i >= before.size()) {
+        add(Risk::high, key, field, field + " is new, of " + format_percent(after[i].fraction));
+      } else if (i >= after.size()) {
+        add(Risk::high, key, field,
+            field + " of " + format_percent(before[i].fraction) + " is gone");
       } else {
-        if (a.splits[i].part != b.splits[i].part) {
-          add(Risk::high, key, which,
-              which + (b.splits[i].part > a.splits[i].part ? " rises from " : " falls from ") +
-                  percent(a.splits[i].part) + " to " + percent(b.splits[i].part));
-        }
-        settings(key, which + " ", a.splits[i].settings, b.splits[i].settings);
+        compare_split(key, field, before[i], after[i]);
       }
     }
   }
-  static std::string percent(double part) {
-    char out[32];
-    std::snprintf(out, sizeof out, "%g%%", part * 100);
-    return out;
+
+  void compare_split(const Key& key, const std::string& field, const Split& before,
+                     const Split& after) {
+    if (before.fraction != after.fraction) {
+      const bool rises = after.fraction > before.fraction;
+      add(Risk::high, key, field,
+          field + (rises ? " rises from " : " falls from ") + format_percent(before.fraction) +
+              " to " + format_percent(after.fraction));
+    }
+    compare_settings(key, field + " ", before.settings, after.settings);
   }
 
-  std::vector<Change> out_;
+  std::vector<Change> changes_;
 };
 
 }  // namespace
 
-const char* word(Risk r) { return r == Risk::high ? "high" : r == Risk::some ? "some" : "low"; }
+const char* to_string(Risk risk) {
+  switch (risk) {
+    case Risk::low:
+      return "low";
+    case Risk::some:
+      return "some";
+    case Risk::high:
+      break;
+  }
+  return "high";
+}
 
-std::vector<Change> differ(const Meaning& from, const Meaning& to) {
-  return Differ().run(from, to);
+std::vector<Change> find_changes(const Meaning& from, const Meaning& to) {
+  return Differ().compare(from, to);
 }
 
 }  // namespace alderspur::config_language
--- a/src/config_language/format.h
+++ b/src/config_language/format.h
@@ -1,8 +1,5 @@
-// The canonical form of a syntax tree: two spaces a level, one entry a line, comments kept where
-// they stood.
-//
-// Formatting twice changes nothing, and what is formatted means what it meant: the tree of the
-// output is that of the input but for places. Pure.
+// The canonical form of a syntax tree: two spaces a level, one entry a line, comments where they
+// were. Formatting keeps the meaning, and formatting twice changes nothing. No I/O.
 #pragma once
 
 #include <string>
@@ -12,9 +9,11 @@
 namespace alderspur::config_language {
 
 std::string format(const Tree& tree);
-std::string text_of(const Value& value);  // on one line, without comments
 
-// The trees mean the same, letter for letter, places and comments aside.
-bool same(const Tree& a, const Tree& b);
+/// The value on one line, without comments.
+std::string to_string(const Value& value);
+
+/// Whether the trees are equal but for spans, comments and empty lines.
+bool is_equivalent(const Tree& left, const Tree& right);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/load.cpp
+++ b/src/config_language/load.cpp
@@ -1,6 +1,8 @@
 #include "config_language/load.h"
 
+#include <algorithm>
 #include <filesystem>
+#include <optional>
 #include <set>
 #include <utility>
 
@@ -9,114 +11,143 @@
 namespace alderspur::config_language {
 namespace {
 
-std::string normal(const std::string& path) {
-  return std::filesystem::path(path).lexically_normal().string();
+std::string normalize(const std::filesystem::path& path) {
+  return path.lexically_normal().string();
 }
 
-class Reader {
+std::string describe(const std::string& path, ReadError error) {
+  return "cannot read " + path + ": " + to_string(error);
+}
+
+bool is_include_of_one_path(const Statement& statement) {
+  const auto& arguments = statement.arguments;
+  return arguments.size() == 1 && arguments[0].kind == Value::Kind::string && !statement.value &&
+         !statement.has_block;
+}
+
+class ProgramReader {
  public:
-  Reader(Program& program, Loader& loader, diagnostics::Findings& findings)
+  ProgramReader(Program& program, Loader& loader, diagnostics::Findings& findings)
       : program_(program), loader_(loader), findings_(findings) {
-    // Statements point into the trees: those must never move.
+    // Statements point into the trees, which therefore must never move.
     program_.trees.reserve(kMaxFiles);
   }
 
-  // False: there is no such file, which the caller tells with its place.
-  bool file(const std::string& path, std::string& error) {
-    if (!read_.insert(path).second) return true;  // read already, by another way
-    auto text = loader_.read(path, error);
-    if (!text) return false;
-    all_ += text->size();
-    if (program_.trees.size() >= kMaxFiles || all_ > kMaxProgramBytes) {
-      if (!std::exchange(full_, true)) {
-        findings_.error("A008", {path, 0, 0}, "the program has too many files or bytes",
-                        std::to_string(kMaxFiles) + " files and 16 MiB are the bounds");
-      }
-      return true;
-    }
-    const auto id = program_.sources.add(path, std::move(*text));
-    program_.trees.push_back(parse(program_.sources, id, findings_));
-    chain_.push_back({path, {}});
-    for (const auto& s : program_.trees[program_.trees.size() - 1].statements) {
-      statements_of(s, path);
+  /// Reads a file and what it includes; passes over one that was read already. An error that
+  /// concerns the file itself is left to the caller, who knows what named it.
+  std::optional<ReadError> read_file(const std::string& path) {
+    if (!read_paths_.insert(path).second) return std::nullopt;
+    auto result = loader_.read(path);
+    if (const auto* error = std::get_if<ReadError>(&result)) return *error;
+    auto& text = std::get<std::string>(result);
+    total_bytes_ += text.size();
+    if (program_.trees.size() >= kMaxFiles || total_bytes_ > kMaxProgramBytes) {
+      report_too_large(path);
+      return std::nullopt;
     }
-    chain_.pop_back();
-    return true;
+    const std::uint32_t file = program_.sources.add(path, std::move(text));
+    program_.trees.push_back(parse(program_.sources, file, findings_));
+    const Tree& tree = program_.trees.back();
+    include_chain_.push_back({path, {}});
+    for (const auto& statement : tree.statements) read_statement(statement, path);
+    include_chain_.pop_back();
+    return std::nullopt;
   }
 
  private:
-  struct Step {
+  /// A file that is being read, and its include that is being followed.
+  struct IncludeStep {
     std::string path;
     Span include;
   };
 
-  void statements_of(const Statement& s, const std::string& path) {
-    if (s.key != "include") {
-      program_.statements.push_back(&s);
+  void report_too_large(const std::string& path) {
+    if (std::exchange(is_too_large_, true)) return;
+    findings_.error("A008", {path, 0, 0}, "the program has too many files or bytes",
+                    std::to_string(kMaxFiles) + " files and 16 MiB are the bounds");
+  }
+
+  void read_statement(const Statement& statement, const std::string& path) {
+    if (statement.key != "include") {
+      program_.statements.push_back(&statement);
       return;
     }
-    const auto place = program_.sources.location(s.span);
-    if (s.arguments.size() != 1 || s.arguments[0].kind != Value::Kind::string || s.value ||
-        s.block) {
-      findings_.error("A006", place, "include takes one path in quotes",
-                      "include \"routes/*.alder\"");
+    if (!is_include_of_one_path(statement)) {
+      findings_.error("A006", program_.sources.location(statement.span),
+                      "include takes one path in quotes", "include \"routes/*.alder\"");
       return;
     }
-    chain_.back().include = s.span;
-    const auto& wanted = s.arguments[0].text;
-    const auto target = normal((std::filesystem::path(path).parent_path() / wanted).string());
-    const bool pattern = wanted.find_first_of("*?") != std::string::npos;
-    const auto paths = pattern ? loader_.match(target) : std::vector<std::string>{target};
+    include_chain_.back().include = statement.span;
+    const Value& argument = statement.arguments[0];
+    const auto paths = included_paths(argument.text, path);
     if (paths.empty()) {
-      findings_.warn("A010", program_.sources.location(s.arguments[0].span),
-                     "no file is named by " + wanted);
+      findings_.warn("A010", program_.sources.location(argument.span),
+                     "no file is named by " + argument.text);
     }
-    for (const auto& p : paths) include(normal(p), s);
+    for (const auto& included : paths) include(normalize(included), argument.span);
   }
 
-  void include(const std::string& path, const Statement& s) {
-    const auto place = program_.sources.location(s.arguments[0].span);
-    std::string told;
-    bool cycle = false;
-    for (const auto& step : chain_) {
-      cycle |= step.path == path;
-      if (cycle) {
-        told +=
-            step.path + ":" + std::to_string(program_.sources.location(step.include).line) + " -> ";
+  std::vector<std::string> included_paths(const std::string& text, const std::string& from) {
+    const auto path = normalize(std::filesystem::path(from).parent_path() / text);
+    const bool is_pattern = text.find_first_of("*?") != std::string::npos;
+    if (is_pattern) return loader_.match(path);
+    return {path};
+  }
+
+  void include(const std::string& path, const Span& span) {
+    const auto location = program_.sources.location(span);
+    const auto cycle = std::find_if(include_chain_.begin(), include_chain_.end(),
+                                    [&path](const auto& step) { return step.path == path; });
+    if (cycle != include_chain_.end()) {
+      std::string steps;
+      for (auto step = cycle; step != include_chain_.end(); ++step) {
+        const auto line = program_.sources.location(step->include).line;
+        steps += step->path + ":" + std::to_string(line) + " -> ";
       }
-    }
-    if (cycle) {
-      findings_.error("A011", place, "include cycle: " + told + path,
+      findings_.error("A011", location, "include cycle: " + steps + path,
                       "remove one of these includes");
       return;
     }
-    if (chain_.size() >= kMaxIncludeDepth) {
-      findings_.error("A007", place, "includes stand too deep in one another",
+    if (include_chain_.size() >= kMaxIncludeDepth) {
+      findings_.error("A007", location, "includes stand too deep in one another",
                       "at most " + std::to_string(kMaxIncludeDepth));
       return;
     }
-    std::string error;
-    if (!file(path, error)) findings_.error("A010", place, "cannot read " + path + ": " + error);
+    if (const auto error = read_file(path)) {
+      findings_.error("A010", location, describe(path, *error));
+    }
   }
 
   Program& program_;
   Loader& loader_;
   diagnostics::Findings& findings_;
-  std::vector<Step> chain_;
-  std::set<std::string> read_;
-  std::size_t all_ = 0;
-  bool full_ = false;
+  std::vector<IncludeStep> include_chain_;
+  std::set<std::string> read_paths_;
+  std::size_t total_bytes_ = 0;
+  bool is_too_large_ = false;
 };
 
 }  // namespace
 
+const char* to_string(ReadError error) {
+  switch (error) {
+    case ReadError::not_found:
+      return "there is no such file";
+    case ReadError::not_a_regular_file:
+      return "it is no regular file";
+    case ReadError::not_readable:
+      break;
+  }
+  return "it may not be read";
+}
+
 Program load(const std::string& root, Loader& loader, diagnostics::Findings& findings) {
-  Program out;
-  std::string error;
-  if (!Reader(out, loader, findings).file(normal(root), error)) {
-    findings.error("A010", {root, 0, 0}, "cannot read " + root + ": " + error);
+  Program program;
+  ProgramReader reader(program, loader, findings);
+  if (const auto error = reader.read_file(normalize(root))) {
+    findings.error("A010", {root, 0, 0}, describe(root, *error));
   }
-  return out;
+  return program;
 }
 
 }  // namespace alderspur::config_language
--- a/src/config_language/schema.cpp
+++ b/src/config_language/schema.cpp
@@ -1,5 +1,7 @@
 #include "config_language/schema.h"
 
+#include <utility>
+
 namespace alderspur::config_language {
 namespace {
 
@@ -7,94 +9,175 @@
 constexpr double kMillisecond = 1e3;
 constexpr double kSecond = 1e6;
 constexpr double kHour = 3600e6;
+constexpr double kMaxCell = 4e9;
+constexpr double kMaxCount = 1e6;
+constexpr double kMinRate = 0.01;
+constexpr double kMaxRate = 1e7;
 
-Field duration(std::string_view key, double least, double most, bool required = false) {
-  return {key, Type::quantity, Measure::duration, least, most, {}, required, false, false, false};
-}
-Field count(std::string_view key, double least, double most) {
-  return {key, Type::count, Measure::none, least, most, {}, false, false, false, false};
+Field number(std::string_view key, Type type, Measure measure, double min, double max) {
+  Field field;
+  field.key = key;
+  field.type = type;
+  field.measure = measure;
+  field.min = min;
+  field.max = max;
+  return field;
 }
-Field percent(std::string_view key) {
-  return {key, Type::quantity, Measure::percent, 0, 1, {}, false, false, false, false};
+
+Field duration(std::string_view key, double min, double max) {
+  return number(key, Type::quantity, Measure::duration, min, max);
 }
+
+Field percent(std::string_view key) { return number(key, Type::quantity, Measure::percent, 0, 1); }
+
 Field rate(std::string_view key) {
-  return {key, Type::quantity, Measure::rate, 0.01, 1e7, {}, false, false, false, false};
+  return number(key, Type::quantity, Measure::rate, kMinRate, kMaxRate);
+}
+
+Field count(std::string_view key, double min, double max) {
+  return number(key, Type::count, Measure::none, min, max);
 }
-Field word_of(std::string_view key, std::vector<std::string_view> words, bool required = false,
-              bool list = false) {
-  return {key, Type::word, Measure::none, 0, 0, std::move(words), required, list, false, false};
+
+/// A plain number that need not be whole.
+Field real(std::string_view key, double min, double max) {
+  Field field = count(key, min, max);
+  field.accepts_fractions = true;
+  return field;
 }
-Field strings(std::string_view key, bool required = false) {
-  return {key, Type::string, Measure::none, 0, 0, {}, required, true, false, false};
+
+Field keyword(std::string_view key, std::vector<std::string_view> keywords) {
+  Field field;
+  field.key = key;
+  field.type = Type::keyword;
+  field.keywords = std::move(keywords);
+  return field;
 }
+
 Field flag(std::string_view key) {
-  return {key, Type::flag, Measure::none, 0, 0, {"yes", "no"}, false, false, false, false};
+  Field field = keyword(key, {"yes", "no"});
+  field.type = Type::flag;
+  return field;
+}
+
+Field string(std::string_view key) {
+  Field field;
+  field.key = key;
+  field.type = Type::string;
+  return field;
+}
+
+Field reference(std::string_view key, std::string_view kind) {
+  Field field;
+  field.key = key;
+  field.type = Type::reference;
+  field.referenced_kind = kind;
+  return field;
 }
-Field reference(std::string_view key, std::string_view kind, bool required = false,
-                bool list = false) {
-  return {key, Type::reference, Measure::none, 0, 0, {kind}, required, list, false, false};
+
+Field required(Field field) {
+  field.is_required = true;
+  return field;
+}
+
+Field list(Field field) {
+  field.accepts_list = true;
+  return field;
 }
-Field named(std::string_view key) {
-  return {key, Type::string, Measure::none, 0, 0, {}, false, false, true, true};
+
+Field with_argument(Field field) {
+  field.has_argument = true;
+  return field;
 }
 
-// Limits that pools, policies and routes share.
+/// Adds the limits that pools, policies and routes share.
 std::vector<Field> with_limits(std::vector<Field> fields) {
-  fields.push_back(count("max-in-flight", 1, 1e6));
+  fields.push_back(count("max-in-flight", 1, kMaxCount));
   fields.push_back(rate("max-rate"));
-  fields.push_back(count("burst", 1, 1e6));
+  fields.push_back(count("burst", 1, kMaxCount));
   fields.push_back(duration("queue", 0, 10 * kSecond));
   return fields;
 }
 
+std::vector<Field> class_fields() {
+  return {
+      required(keyword("repeat", {"safe", "keyed", "unsafe"})),
+      real("worth", 0, 1000),
+      duration("target", kMillisecond, 60 * kSecond),
+      required(duration("deadline", kMillisecond, 600 * kSecond)),
+      duration("fresh", 0, 720 * kHour),
+      duration("grace", 0, 720 * kHour),
+      duration("dedup-window", kMillisecond, 24 * kHour),
+      flag("uncached"),
+  };
+}
+
+std::vector<Field> pool_fields() {
+  return with_limits({
+      required(keyword("role", {"cache", "parent", "origin"})),
+      list(string("point")),
+      list(string("hub")),
+      list(count("cell", 0, kMaxCell)),
+      real("weight-least", 0, kMaxCount),
+      list(reference("fallback", "pool")),
+  });
+}
+
+std::vector<Field> policy_fields() {
+  return with_limits({
+      count("attempts", 1, 8),
+      count("parallel", 1, 8),
+      duration("deadline", kMillisecond, 60 * kSecond),
+      duration("attempt-deadline", kMillisecond, 60 * kSecond),
+      percent("retry-budget"),
+      duration("hedge-after", kMillisecond, 30 * kSecond),
+      percent("hedge-budget"),
+      duration("fresh", 0, 720 * kHour),
+      duration("grace", 0, 720 * kHour),
+      count("rank", 0, 3),
+      flag("renew"),
+      flag("join"),
+      keyword("purge", {"strict", "settled"}),
+      list(keyword("fill", {"parent", "origin", "point", "none", "other-point"})),
+      duration("retry-after", kMillisecond, 600 * kSecond),
+  });
+}
+
+std::vector<Field> route_fields() {
+  return with_limits({
+      list(string("host")),
+      required(string("path")),
+      list(keyword("method", {"GET", "HEAD", "POST", "PUT", "DELETE"})),
+      with_argument(string("header")),
+      with_argument(string("query")),
+      list(string("point")),
+      required(reference("class", "class")),
+      reference("pool", "pool"),
+      reference("policy", "policy"),
+  });
+}
+
 }  // namespace
 
 const std::vector<DeclarationKind>& declaration_kinds() {
   static const std::vector<DeclarationKind> kinds = {
-      {"class",
-       {word_of("repeat", {"safe", "keyed", "unsafe"}, true), count("worth", 0, 1000),
-        duration("target", kMillisecond, 60 * kSecond),
-        duration("deadline", kMillisecond, 600 * kSecond, true), duration("fresh", 0, 720 * kHour),
-        duration("grace", 0, 720 * kHour), duration("dedup-window", kMillisecond, 24 * kHour),
-        flag("uncached")}},
-      {"pool",
-       with_limits(
-           {word_of("role", {"cache", "parent", "origin"}, true), strings("point"), strings("hub"),
-            Field{"cell", Type::count, Measure::none, 0, 4e9, {}, false, true, false, false},
-            Field{
-                "weight-least", Type::count, Measure::none, 0, 1e6, {}, false, false, false, false},
-            reference("fallback", "pool", false, true)})},
-      {"policy",
-       with_limits(
-           {count("attempts", 1, 8), count("parallel", 1, 8),
-            duration("deadline", kMillisecond, 60 * kSecond),
-            duration("attempt-deadline", kMillisecond, 60 * kSecond), percent("retry-budget"),
-            duration("hedge-after", kMillisecond, 30 * kSecond), percent("hedge-budget"),
-            duration("fresh", 0, 720 * kHour), duration("grace", 0, 720 * kHour),
-            count("rank", 0, 3), flag("renew"), flag("join"),
-            word_of("purge", {"strict", "settled"}),
-            word_of("fill", {"parent", "origin", "point", "none", "other-point"}, false, true),
-            duration("retry-after", kMillisecond, 600 * kSecond)})},
-      {"route",
-       with_limits({strings("host"),
-                    Field{"path", Type::string, Measure::none, 0, 0, {}, true, false, false, false},
-                    word_of("method", {"GET", "HEAD", "POST", "PUT", "DELETE"}, false, true),
-                    named("header"), named("query"), strings("point"),
-                    reference("class", "class", true), reference("pool", "pool"),
-                    reference("policy", "policy")})},
+      {"class", class_fields()},
+      {"pool", pool_fields()},
+      {"policy", policy_fields()},
+      {"route", route_fields()},
   };
   return kinds;
 }
 
-const DeclarationKind* declaration_kind(std::string_view name) {
-  for (const auto& k : declaration_kinds()) {
-    if (k.name == name) return &k;
+const DeclarationKind* find_declaration_kind(std::string_view name) {
+  for (const auto& kind : declaration_kinds()) {
+    if (kind.name == name) return &kind;
   }
   return nullptr;
 }
-const Field* field(const DeclarationKind& kind, std::string_view key) {
-  for (const auto& f : kind.fields) {
-    if (f.key == key) return &f;
+
+const Field* find_field(const DeclarationKind& kind, std::string_view key) {
+  for (const auto& field : kind.fields) {
+    if (field.key == key) return &field;
   }
   return nullptr;
 }
--- a/src/config_language/schema.h
+++ b/src/config_language/schema.h
@@ -1,36 +1,51 @@
 // What may stand in a program: the kinds of declarations, their fields, and for each field its
-// type, its unit, its bounds and what it may name. Tables only; docs/language.md is written from
-// the same facts.
+// type, its unit, its bounds and what it may name. docs/language.md lists the same.
 //
-// A bound is in the field's base unit: microseconds, bytes, per second, parts of one. Bounds are
-// what tells a value in s that was meant in ms, so they are as narrow as use allows.
+// Bounds are as narrow as use allows, since they are how a value in seconds is found that was meant
+// in milliseconds.
 #pragma once
 
 #include <string_view>
 #include <vector>
 
-#include "config_language/parser.h"
+#include "config_language/units.h"
 
 namespace alderspur::config_language {
 
 struct Field {
-  enum class Type { quantity, count, word, string, flag, reference };
+  enum class Type {
+    quantity,   // a number with a unit
+    count,      // a plain number
+    keyword,    // one of `keywords`
+    string,     // a text in quotes
+    flag,       // yes or no
+    reference,  // the name of a declaration of the kind `referenced_kind`
+  };
+
   std::string_view key;
   Type type = Type::count;
   Measure measure = Measure::none;
-  double least = 0, most = 1e9;
-  std::vector<std::string_view> words;  // word: allowed ones; reference: the kind of what is named
-  bool required = false, list = false;  // list: one value or a list of them
-  bool argument = false;                // header "x-tier" = "gold"
-  bool repeats = false;                 // may stand more than once
+  double min = 0;  // of numbers, inclusive, in the base unit of the measure
+  double max = 0;
+  std::vector<std::string_view> keywords;
+  std::string_view referenced_kind;
+  bool is_required = false;
+  bool accepts_fractions = false;  // of a count
+  bool accepts_list = false;       // one value or a list of them
+  bool has_argument = false;       // header "x-tier" = "gold"
 };
+
 struct DeclarationKind {
   std::string_view name;
   std::vector<Field> fields;
 };
 
 const std::vector<DeclarationKind>& declaration_kinds();
-const DeclarationKind* declaration_kind(std::string_view name);
-const Field* field(const DeclarationKind& kind, std::string_view key);
+
+/// Null if there is no such kind.
+const DeclarationKind* find_declaration_kind(std::string_view name);
+
+/// Null if there is no such field.
+const Field* find_field(const DeclarationKind& kind, std::string_view key);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/syntax.h
+++ b/src/config_language/syntax.h
@@ -1,4 +1,4 @@
-// The syntax tree: one shape for every statement, with its comments and the place of every part.
+// The syntax tree: one form for every statement, with its comments and the location of every part.
 //
 //     statement = word { argument } [ "=" value ] [ "{" { statement } "}" ] end
 //     argument  = word | string | number
@@ -7,9 +7,10 @@
 //     end       = line end | ";" | before "}"
 //     comment   = "#" up to the line's end
 //
-// What statements mean is the schema's business (lang/schema.h). Plain values without I/O.
+// What statements mean is defined by schema.h. Plain values without I/O.
 #pragma once
 
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
@@ -18,38 +19,45 @@
 
 namespace alderspur::config_language {
 
+/// A value or an argument. Comments include their "#".
 struct Value {
   enum class Kind { string, word, number, list, constant };
+
   Kind kind = Kind::word;
   Span span;
-  std::string text;  // a string's content, a word, a constant's name, a number as written
+  std::string text;  // a string's content, a word, a constant's name, a number without its unit
   double number = 0;
   std::string unit;
-  std::vector<Value> items;
-  std::vector<std::string> before;  // comments on lines of their own in front of it, in a list
-  std::vector<std::string> tail;    // comments before a list's end
+  std::vector<Value> items;                   // of a list
+  std::vector<std::string> leading_comments;  // on lines of their own before an item of a list
+  std::vector<std::string> closing_comments;  // on lines of their own before a list's end
 };
 
+/// One entry, with the block that belongs to it.
 struct Statement {
-  Span span, key_span;
+  Span span;
+  Span key_span;
   std::string key;
   std::vector<Value> arguments;
   std::optional<Value> value;
-  bool block = false;
+  bool has_block = false;
   std::vector<Statement> body;
-  // Comments on lines of their own, in front of it and before its closing brace; "" is an empty
-  // line between.
-  std::vector<std::string> before, tail;
-  std::string after, opened;  // comment behind it; behind its opening brace
-  bool gap = false;           // an empty line stands in front of it
-  bool faulty = false;        // a statement of its block did not parse and is left out
+  bool is_incomplete = false;  // a statement of its block did not parse and is left out
+
+  // Layout. In lists of comments, "" stands for an empty line.
+  std::vector<std::string> leading_comments;  // on lines of their own before it
+  std::vector<std::string> closing_comments;  // on lines of their own before its closing brace
+  std::string opening_comment;                // behind its opening brace
+  std::string trailing_comment;               // behind it
+  bool follows_empty_line = false;
 };
 
+/// One file.
 struct Tree {
-  std::uint32_t file = 0;
+  std::uint32_t file = 0;  // in the Sources
   std::vector<Statement> statements;
-  std::vector<std::string> tail;  // comments at the file's end
-  bool faulty = false;            // a statement did not parse and is left out
+  std::vector<std::string> closing_comments;  // at the file's end
+  bool is_incomplete = false;                 // a statement did not parse and is left out
 };
 
 }  // namespace alderspur::config_language
--- a/src/control/routes.cpp
+++ b/src/control/routes.cpp
@@ -30,16 +30,19 @@
 std::uint32_t resolve_class(const routing::Route& route, const config::Config& config,
                             diagnostics::Findings& findings) {
   const auto& names = config.names.classes;
-  const auto found = std::find(names.begin(), names.end(), route.cls);
+  const auto found = std::find(names.begin(), names.end(), route.class_name);
   const auto number = static_cast<std::uint32_t>(found - names.begin());
   if (found == names.end()) {
-    findings.error("S002", route.location, "the router's configuration has no class " + route.cls);
+    findings.error("S002", route.declared_at,
+                   "the router's configuration has no class " + route.class_name);
   } else if (config.settings.classes[number].never_cached) {
-    findings.error("S002", route.location,
-                   "class " + route.cls + " runs at the origin and cannot be fetched by links");
+    findings.error(
+        "S002", route.declared_at,
+        "class " + route.class_name + " runs at the origin and cannot be fetched by links");
   }
   if (!has_capture(route, "object")) {
-    findings.error("S002", route.location, "the path of route " + route.name + " has no {object}",
+    findings.error("S002", route.declared_at,
+                   "the path of route " + route.name + " has no {object}",
                    "the signed front takes object and part from {object} and {part}");
   }
   return number;
@@ -63,7 +66,7 @@
 
 /// A policy may only shorten the time limit of the class.
 core::Time time_limit(const TableInForce& table, std::uint32_t class_id,
-                      const routing::Target& target) {
+                      const routing::Destination& target) {
   const core::Time of_class = table.deadlines[class_id];
   const core::Time limit = of_class > 0 ? of_class : kDefaultTimeLimit;
   if (!target.policy) return limit;
@@ -96,7 +99,7 @@
   void end(core::Time now) override { reservation.release(now); }
   TablePtr table;
   const routing::Route* route = nullptr;
-  routing::Target target;
+  routing::Destination destination;
   limits::Reservation reservation;
 };
 
@@ -151,17 +154,17 @@
 
 std::optional<routing::Match> Routes::match(const http::Request& request, std::string_view path,
                                             std::string_view query) const {
-  routing::Question question;
-  question.host = request.host;
-  question.path = path;
-  question.method = request.method == http::Method::head ? "HEAD" : "GET";
+  routing::RequestAttributes attributes;
+  attributes.host = request.host;
+  attributes.path = path;
+  attributes.method = request.method == http::Method::head ? "HEAD" : "GET";
   const auto& zones = node_.config().names.zones;
   const auto own_zone = node_.config().settings.location.value;
-  if (own_zone < zones.size()) question.point = zones[own_zone];
-  question.header = [&request](std::string_view name) { return request.field(name); };
-  question.query = [query](std::string_view name) { return http::parameter(query, name); };
-  question.hash = core::stable_hash(path);
-  return table_->table->match(question);
+  if (own_zone < zones.size()) attributes.location = zones[own_zone];
+  attributes.header = [&request](std::string_view name) { return request.field(name); };
+  attributes.query = [query](std::string_view name) { return http::parameter(query, name); };
+  attributes.hash = core::stable_hash(path);
+  return table_->table->match(attributes);
 }
 
 std::optional<signed_url::Found> Routes::find(const http::Request& request, std::string_view path,
@@ -177,11 +180,11 @@
     if (name == "object") found.object = value;
     if (name == "part") found.part = value;
   }
-  found.limit = time_limit(*table_, found.cls, matched->target);
+  found.limit = time_limit(*table_, found.cls, matched->destination);
   auto held = std::make_unique<Held>();
   held->table = table_;
   held->route = matched->route;
-  held->target = matched->target;
+  held->destination = matched->destination;
   found.hold = std::move(held);
   return found;
 }
@@ -190,12 +193,12 @@
   auto& held = static_cast<Held&>(*found.hold);
   const auto& table = *held.table->table;
   std::vector<limits::Claim> claims{{"route " + held.route->name, to_rule(held.route->limits)}};
-  if (held.target.pool) {
-    const auto& pool = table.pools()[*held.target.pool];
+  if (held.destination.pool) {
+    const auto& pool = table.pools()[*held.destination.pool];
     claims.push_back({"pool " + pool.name, to_rule(pool.limits)});
   }
-  if (held.target.policy) {
-    const auto& policy = table.policies()[*held.target.policy];
+  if (held.destination.policy) {
+    const auto& policy = table.policies()[*held.destination.policy];
     claims.push_back({"policy " + policy.name, to_rule(policy.limits)});
   }
   auto admission = limits_.acquire(claims, now);
--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -134,23 +134,23 @@
     const auto b = config_language::check(config_language::load(stem + ".new.alder", loader, f), f);
     EXPECT_TRUE(f.is_ok()) << stem;
     std::string said;
-    for (const auto& c : config_language::differ(a, b)) {
-      std::string risk = config_language::word(c.risk);
+    for (const auto& c : config_language::find_changes(a, b)) {
+      std::string risk = config_language::to_string(c.risk);
       risk.resize(6, ' ');
       said += risk + c.text + "\n";
     }
     EXPECT_EQ(said, text_of(stem + ".txt")) << stem;
-    EXPECT_TRUE(config_language::differ(a, a).empty()) << stem;
+    EXPECT_TRUE(config_language::find_changes(a, a).empty()) << stem;
   }
   EXPECT_GE(pairs, 20u);
 }
 
 class Memory : public config_language::Loader {
  public:
-  std::optional<std::string> read(const std::string& path, std::string& error) override {
+  config_language::ReadResult read(const std::string& path) override {
     ++reads[path];
     const auto it = files.find(path);
-    if (it == files.end()) return error = "there is no such file", std::nullopt;
+    if (it == files.end()) return config_language::ReadError::not_found;
     return it->second;
   }
   std::vector<std::string> match(const std::string& pattern) override {
@@ -248,7 +248,7 @@
     const auto before = tree(sources, text);
     const auto once = config_language::format(before);
     const auto after = tree(sources, once);
-    RC_ASSERT(config_language::same(before, after));
+    RC_ASSERT(config_language::is_equivalent(before, after));
     RC_ASSERT(config_language::format(after) == once);
   }
 }
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -6,19 +6,21 @@
 #include <algorithm>
 #include <random>
 
+#include "config_language/check.h"
 #include "config_language/parser.h"
 #include "endpoints/list.h"
+#include "routing/server_selection.h"
 #include "routing/table.h"
 
 namespace {
 
 using namespace alderspur;
-using routing::Question;
+using routing::RequestAttributes;
 
 class One : public config_language::Loader {
  public:
   explicit One(std::string text) : text_(std::move(text)) {}
-  std::optional<std::string> read(const std::string&, std::string&) override { return text_; }
+  config_language::ReadResult read(const std::string&) override { return text_; }
   std::vector<std::string> match(const std::string&) override { return {}; }
 
  private:
@@ -37,11 +39,11 @@
 std::string route(const std::string& name, const std::string& path, const std::string& more = "") {
   return "route " + name + " {\n  path = \"" + path + "\"\n  class = a\n" + more + "}\n";
 }
-Question ask(std::string_view host, std::string_view path, std::string_view method = "GET",
-             std::string_view point = "p") {
+RequestAttributes ask(std::string_view host, std::string_view path, std::string_view method = "GET",
+                      std::string_view point = "p") {
   return {host, path, method, point, {}, {}, 0};
 }
-std::string name(const routing::Table& t, const Question& q) {
+std::string name(const routing::Table& t, const RequestAttributes& q) {
   const auto m = t.match(q);
   return m ? m->route->name : "none";
 }
@@ -90,8 +92,8 @@
   EXPECT_EQ(name(*t, q), "beta");
   const auto m = t->match(ask("h", "/v/obj/7"));
   ASSERT_EQ(m->captures.size(), 2u);
-  EXPECT_EQ(m->captures[0], (std::pair<std::string_view, std::string_view>("o", "obj")));
-  EXPECT_EQ(t->match(ask("h", "/v/a/b/c"))->captures[0].second, "a/b/c");
+  EXPECT_EQ(m->captures[0], (routing::Capture{"o", "obj"}));
+  EXPECT_EQ(t->match(ask("h", "/v/a/b/c"))->captures[0].value, "a/b/c");
   EXPECT_FALSE(t->match(ask("h", "/" + std::string(10'000, '/'))));
 }
 
@@ -102,8 +104,8 @@
   for (std::uint64_t h = 0; h < 10'000; ++h) {
     auto q = ask("h", "/r");
     q.hash = h;
-    const auto pool = *t->match(q)->target.pool;
-    EXPECT_EQ(pool, *t->match(q)->target.pool);
+    const auto pool = *t->match(q)->destination.pool;
+    EXPECT_EQ(pool, *t->match(q)->destination.pool);
     far += t->pools()[pool].name == "far";
   }
   EXPECT_NEAR(far, 2000, 200);
@@ -141,7 +143,9 @@
   ASSERT_TRUE(list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
   const auto ids = [&](std::size_t pool) {
     std::vector<std::string> out;
-    for (const auto id : t->servers(t->pools()[pool], *list)) out.push_back(list->find(id)->name);
+    for (const auto id : routing::select_servers(t->pools()[pool], *list)) {
+      out.push_back(list->find(id)->name);
+    }
     std::sort(out.begin(), out.end());
     return out;
   };
@@ -152,7 +156,7 @@
 
 // What the table finds is what a walk over all routes finds that compares them by the stated
 // precedence.
-const routing::Route* linear(const routing::Table& t, const Question& q) {
+const routing::Route* linear(const routing::Table& t, const RequestAttributes& q) {
   std::vector<std::string> parts;
   for (std::size_t at = 1; at <= q.path.size();) {
     const auto slash = std::min(q.path.find('/', at), q.path.size());
@@ -165,7 +169,7 @@
     std::vector<int> rank;
     int host = r.hosts.empty() ? 1 : 0;
     for (const auto& h : r.hosts) {
-      if (routing::host_fits(h, q.host)) {
+      if (routing::host_matches(h, q.host)) {
         host = std::max(host, h.starts_with("*.") ? 1 + static_cast<int>(h.size()) : 1000);
       }
     }
@@ -188,11 +192,11 @@
     fits &= rest || i == parts.size();
     fits &= r.methods.empty() ||
             std::find(r.methods.begin(), r.methods.end(), q.method) != r.methods.end();
-    fits &=
-        r.points.empty() || std::find(r.points.begin(), r.points.end(), q.point) != r.points.end();
+    fits &= r.locations.empty() ||
+            std::find(r.locations.begin(), r.locations.end(), q.location) != r.locations.end();
     if (!fits) continue;
     rank.resize(12, -1);
-    rank.push_back(static_cast<int>(!r.methods.empty()) + static_cast<int>(!r.points.empty()));
+    rank.push_back(static_cast<int>(!r.methods.empty()) + static_cast<int>(!r.locations.empty()));
     if (best && best_rank >= rank) continue;
     best = &r, best_rank = rank;
   }
