--- a/src/endpoints/check.h
+++ b/src/endpoints/check.h
@@ -14,6 +14,7 @@
 
 namespace alderspur::endpoints {
 
+/// How much a change of the list may take out of service.
 struct ChangeLimits {
   // Of a point's caches in service, or of all parents: a larger part may leave service in one
   // change only if the list says `confirm = GENERATION`.
@@ -36,6 +37,7 @@
 LocationZones resolve_zones(const Snapshot& list, const std::vector<std::string>& zones,
                             diagnostics::Findings& findings);
 
+/// The server as it is used, in the zone of its point or hub.
 Member to_member(const ListedServer& server, const LocationZones& zones);
 /// All servers of a list; none if a point or hub is unknown.
 std::vector<Member> to_members(const Snapshot& list, const std::vector<std::string>& zones,
--- a/src/endpoints/damping.h
+++ b/src/endpoints/damping.h
@@ -12,6 +12,7 @@
 
 using core::Time;
 
+/// Times in microseconds.
 struct DampingSettings {
   bool is_enabled = true;
   double departure_penalty = 1000;   // added when a server leaves service
@@ -21,6 +22,7 @@
   Time max_suppress_time = 60'000'000;  // since the last departure
 };
 
+/// The damping of one server.
 class FlapDamping {
  public:
   /// The server has left service.
--- a/src/endpoints/endpoint_set.cpp
+++ b/src/endpoints/endpoint_set.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <limits>
+#include <utility>
 
 namespace alderspur::endpoints {
 namespace {
@@ -118,8 +119,8 @@
     evaluate(id, now);
   }
   for (std::size_t i = 0; i < kMaxChangesPerTurn; ++i) {
-    if (wakeups_.empty() || wakeups_.begin()->first > now) break;
-    const ServerId id = wakeups_.begin()->second;
+    if (wakeups_.empty() || wakeups_.begin()->at > now) break;
+    const ServerId id = wakeups_.begin()->id;
     wakeups_.erase(wakeups_.begin());
     const auto it = servers_.find(id.value);
     if (it == servers_.end()) continue;
@@ -130,7 +131,7 @@
 
 Time EndpointSet::next_wakeup() const {
   if (!waiting_.empty()) return 0;
-  return wakeups_.empty() ? kNever : wakeups_.begin()->first;
+  return wakeups_.empty() ? kNever : wakeups_.begin()->at;
 }
 
 Merged EndpointSet::merge_sources(ServerId id) const {
@@ -271,7 +272,7 @@
 void EndpointSet::schedule(ServerId id, KnownServer& known, Time at) {
   if (known.wakeup_at) wakeups_.erase({known.wakeup_at, id});
   known.wakeup_at = at == kNever ? 0 : at;
-  if (known.wakeup_at) wakeups_.emplace(known.wakeup_at, id);
+  if (known.wakeup_at) wakeups_.insert({known.wakeup_at, id});
 }
 
 void EndpointSet::publish(ServerId id, KnownServer& known, const Member& member) {
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -12,6 +12,7 @@
 // thread only. Times are Unix microseconds. No I/O, no clock of its own.
 #pragma once
 
+#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <deque>
@@ -20,7 +21,6 @@
 #include <set>
 #include <unordered_map>
 #include <unordered_set>
-#include <utility>
 #include <vector>
 
 #include "endpoints/check.h"
@@ -30,6 +30,7 @@
 
 namespace alderspur::endpoints {
 
+/// Times in microseconds.
 struct EndpointSetSettings {
   Authority authority = Authority::files;
   // A weight grows or shrinks by at most this factor in each interval.
@@ -46,6 +47,7 @@
   LocationZones zones;
 };
 
+/// A server as it is to be used from now on.
 struct EndpointChange {
   Member member;  // with status gone, it is to be forgotten
   Reason reason = Reason::as_listed;
@@ -71,6 +73,8 @@
   std::uint64_t reinstated = 0;
 };
 
+/// The endpoints in use, merged from the lists of the files and of service discovery. Not
+/// thread-safe; times are microseconds of one clock.
 class EndpointSet {
  public:
   static constexpr std::size_t kMaxChangesPerTurn = 1000;
@@ -103,7 +107,20 @@
 
  private:
   /// Servers with the same role and zone, which stand in for each other.
-  using Group = std::pair<Role, std::uint32_t>;
+  struct Group {
+    Role role = Role::cache;
+    std::uint32_t zone = 0;
+
+    auto operator<=>(const Group&) const = default;
+  };
+
+  /// When a server has to be evaluated.
+  struct Wakeup {
+    Time at = 0;
+    ServerId id{};
+
+    auto operator<=>(const Wakeup&) const = default;
+  };
 
   struct KnownServer {
     Member published;  // status gone: never published, or no longer in use
@@ -153,7 +170,7 @@
   std::unordered_map<std::uint64_t, KnownServer> servers_;
   std::map<Group, std::size_t> ready_counts_;  // as published
   std::map<Group, std::set<ServerId>> suppressed_;
-  std::set<std::pair<Time, ServerId>> wakeups_;
+  std::set<Wakeup> wakeups_;
   std::deque<ServerId> waiting_;      // the rest of a large change
   std::vector<ServerId> unreported_;  // for take_changes()
   EndpointSetCounters counters_;
--- a/src/endpoints/list.h
+++ b/src/endpoints/list.h
@@ -36,6 +36,7 @@
 
 namespace alderspur::endpoints {
 
+/// Bounds on a list, and how a large one is read.
 struct ListLimits {
   std::size_t max_bytes = 16 << 20;  // of one text, and of all pieces together
   std::size_t max_servers = 100'000;
@@ -47,6 +48,7 @@
   std::size_t part_bytes = 512 << 10;
   unsigned threads = 1;
 
+  /// Whether a text of this size is split.
   bool is_read_in_parts(std::size_t text_bytes) const { return text_bytes > 6 * part_bytes; }
 };
 
--- a/src/endpoints/list_builder.h
+++ b/src/endpoints/list_builder.h
@@ -17,13 +17,14 @@
 
 namespace alderspur::endpoints {
 
-/// A server as it was read, with the places that a later finding may have to name.
+/// A server as it was read, with the locations that a later finding may have to name.
 struct ServerEntry {
   ListedServer server;
   diagnostics::Location id_location;
   diagnostics::Location address_location;
 };
 
+/// Adds to a list, which must outlive it.
 class ListBuilder {
  public:
   /// `list` may have hubs and points already. Both references must outlive the builder.
--- a/src/endpoints/list_text.h
+++ b/src/endpoints/list_text.h
@@ -35,6 +35,8 @@
   std::uint32_t piece_index = 0;
   std::uint32_t lines_before = 0;  // lines of the file before the part
 };
+
+/// A list whose servers are to be parsed in parts.
 struct SplitList {
   std::string_view head;  // everything before the first server
   std::vector<ListPart> parts;
--- a/src/endpoints/member.h
+++ b/src/endpoints/member.h
@@ -11,6 +11,7 @@
 
 namespace alderspur::endpoints {
 
+/// A server with the texts that its description names it by.
 struct Member {
   Server server;
   std::string name;
--- a/src/endpoints/merge.h
+++ b/src/endpoints/merge.h
@@ -32,6 +32,7 @@
 /// A text for logs and operators.
 const char* to_string(Reason reason);
 
+/// A server as all sources together describe it.
 struct Merged {
   Member member;  // with status gone, it must not be used
   Reason reason = Reason::as_listed;
--- a/src/endpoints/snapshot.h
+++ b/src/endpoints/snapshot.h
@@ -41,6 +41,7 @@
   bool operator==(const Point&) const = default;
 };
 
+/// One generation of the list.
 struct Snapshot {
   std::uint64_t generation = 0;
   std::uint64_t confirmed_generation = 0;  // whose large removals are intended; 0: none
--- a/src/store/endpoint_state.h
+++ b/src/store/endpoint_state.h
@@ -22,6 +22,7 @@
 
 constexpr std::size_t kMaxStateFileBytes = 64 << 20;
 
+/// What a router continues from when it starts.
 struct EndpointState {
   endpoints::SnapshotPtr list;
   std::vector<endpoints::Remembered> remembered;
