--- a/src/cli/diff.cpp
+++ b/src/cli/diff.cpp
@@ -74,8 +74,8 @@
   writer.StartArray();
   for (const auto& change : changes) {
     writer.StartObject();
-    json::write_text(writer, "risk", config_language::word(change.risk));
-    json::write_text(writer, "what", change.what);
+    json::write_text(writer, "risk", config_language::to_string(change.risk));
+    json::write_text(writer, "what", change.kind);
     json::write_text(writer, "name", change.name);
     json::write_text(writer, "field", change.field);
     json::write_text(writer, "text", change.text);
@@ -87,7 +87,7 @@
 
 void print_lines(const std::vector<config_language::Change>& changes) {
   for (const auto& change : changes) {
-    std::printf("%-4s  %s\n", config_language::word(change.risk), change.text.c_str());
+    std::printf("%-4s  %s\n", config_language::to_string(change.risk), change.text.c_str());
   }
 }
 
@@ -107,7 +107,7 @@
     print_findings(new_program.program.sources, new_findings);
     return kUsage;
   }
-  auto changes = config_language::differ(old_program.meaning, new_program.meaning);
+  auto changes = config_language::find_changes(old_program.meaning, new_program.meaning);
   if (by_risk) sort_by_risk(changes);
   if (json) {
     print_as_json(changes);
--- a/src/cli/explain.cpp
+++ b/src/cli/explain.cpp
@@ -66,13 +66,13 @@
                  const routing::Table& table, const routing::Match& match) {
   std::printf("%s: route %s, class %s", request.c_str(),
               name_with_place(checked, "route", match.route->name).c_str(),
-              name_with_place(checked, "class", match.route->cls).c_str());
-  if (match.target.pool) {
-    const auto& pool = table.pools()[*match.target.pool];
+              name_with_place(checked, "class", match.route->class_name).c_str());
+  if (match.destination.pool) {
+    const auto& pool = table.pools()[*match.destination.pool];
     std::printf(", pool %s", name_with_place(checked, "pool", pool.name).c_str());
   }
-  if (match.target.policy) {
-    const auto& policy = table.policies()[*match.target.policy];
+  if (match.destination.policy) {
+    const auto& policy = table.policies()[*match.destination.policy];
     std::printf(", policy %s", name_with_place(checked, "policy", policy.name).c_str());
   }
   for (const auto& [name, value] : match.captures) {
@@ -85,14 +85,14 @@
 
 std::optional<routing::Match> find_match(const RequestText& request, const ExplainOptions& options,
                                          const routing::Table& table) {
-  routing::Question question;
-  question.host = request.host;
-  question.path = request.path;
-  question.method = request.method;
-  question.point = options.point;
-  question.header = [&](std::string_view name) { return find_header(options.headers, name); };
-  question.query = [&](std::string_view name) { return find_parameter(request.query, name); };
-  return table.match(question);
+  routing::RequestAttributes attributes;
+  attributes.host = request.host;
+  attributes.path = request.path;
+  attributes.method = request.method;
+  attributes.location = options.point;
+  attributes.header = [&](std::string_view name) { return find_header(options.headers, name); };
+  attributes.query = [&](std::string_view name) { return find_parameter(request.query, name); };
+  return table.match(attributes);
 }
 
 /// Explains one request, given as its text; the exit code.
--- a/src/cli/format.cpp
+++ b/src/cli/format.cpp
@@ -3,6 +3,7 @@
 
 #include <cstdio>
 #include <string>
+#include <variant>
 
 #include "cli/commands.h"
 #include "cli/file_replacement.h"
@@ -36,21 +37,21 @@
 
 int format_file(const std::string& path, const FormatOptions& options) {
   config_language::FileLoader loader;
-  std::string error;
-  const auto text = loader.read(path, error);
-  if (!text) {
-    std::fprintf(stderr, "%s: %s\n", path.c_str(), error.c_str());
+  const auto result = loader.read(path);
+  if (const auto* error = std::get_if<config_language::ReadError>(&result)) {
+    std::fprintf(stderr, "%s: %s\n", path.c_str(), to_string(*error));
     return kFinding;
   }
+  const auto& text = std::get<std::string>(result);
   config_language::Sources sources;
   diagnostics::Findings findings;
-  const auto tree = config_language::parse(sources, sources.add(path, *text), findings);
+  const auto tree = config_language::parse(sources, sources.add(path, text), findings);
   // What did not parse is not in the tree: writing the tree would remove it from the file.
   if (!findings.is_ok()) {
     print_findings(sources, findings);
     return kFinding;
   }
-  return report_formatted(path, *text, config_language::format(tree), options);
+  return report_formatted(path, text, config_language::format(tree), options);
 }
 
 }  // namespace
--- a/src/control/routes.cpp
+++ b/src/control/routes.cpp
@@ -30,16 +30,19 @@
 std::uint32_t resolve_class(const routing::Route& route, const config::Config& config,
                             diagnostics::Findings& findings) {
   const auto& names = config.names.classes;
-  const auto found = std::find(names.begin(), names.end(), route.cls);
+  const auto found = std::find(names.begin(), names.end(), route.class_name);
   const auto number = static_cast<std::uint32_t>(found - names.begin());
   if (found == names.end()) {
-    findings.error("S002", route.location, "the router's configuration has no class " + route.cls);
+    findings.error("S002", route.declared_at,
+                   "the router's configuration has no class " + route.class_name);
   } else if (config.settings.classes[number].never_cached) {
-    findings.error("S002", route.location,
-                   "class " + route.cls + " runs at the origin and cannot be fetched by links");
+    findings.error(
+        "S002", route.declared_at,
+        "class " + route.class_name + " runs at the origin and cannot be fetched by links");
   }
   if (!has_capture(route, "object")) {
-    findings.error("S002", route.location, "the path of route " + route.name + " has no {object}",
+    findings.error("S002", route.declared_at,
+                   "the path of route " + route.name + " has no {object}",
                    "the signed front takes object and part from {object} and {part}");
   }
   return number;
@@ -55,11 +58,11 @@
 
 /// In microseconds. A policy may only shorten the time limit of the class.
 core::Time time_limit(const CompiledRoutes& routes, std::uint32_t class_id,
-                      const routing::Target& target) {
+                      const routing::Destination& destination) {
   const core::Time class_limit = routes.request_timeouts[class_id];
   const core::Time limit = class_limit > 0 ? class_limit : kDefaultTimeLimit;
-  if (!target.policy) return limit;
-  const auto policy_limit = routes.table->policies()[*target.policy].deadline;
+  if (!destination.policy) return limit;
+  const auto policy_limit = routes.table->policies()[*destination.policy].deadline;
   return policy_limit ? std::min(limit, *policy_limit) : limit;
 }
 
@@ -95,7 +98,7 @@
 class Routes::Reservation : public signed_url::LimitReservation {
  public:
   Reservation(CompiledRoutesPtr routes, const routing::Match& match)
-      : routes_(std::move(routes)), route_(*match.route), target_(match.target) {}
+      : routes_(std::move(routes)), route_(*match.route), destination_(match.destination) {}
 
   void release(core::Time now) override { reservation_.release(now); }
 
@@ -110,12 +113,12 @@
   std::vector<limits::Claim> limits_of_request() const {
     const auto& table = *routes_->table;
     std::vector<limits::Claim> asked{{"route " + route_.name, to_rule(route_.limits)}};
-    if (target_.pool) {
-      const auto& pool = table.pools()[*target_.pool];
+    if (destination_.pool) {
+      const auto& pool = table.pools()[*destination_.pool];
       asked.push_back({"pool " + pool.name, to_rule(pool.limits)});
     }
-    if (target_.policy) {
-      const auto& policy = table.policies()[*target_.policy];
+    if (destination_.policy) {
+      const auto& policy = table.policies()[*destination_.policy];
       asked.push_back({"policy " + policy.name, to_rule(policy.limits)});
     }
     return asked;
@@ -123,7 +126,7 @@
 
   CompiledRoutesPtr routes_;
   const routing::Route& route_;  // of routes_
-  routing::Target target_;
+  routing::Destination destination_;
   limits::Reservation reservation_;
 };
 
@@ -180,17 +183,17 @@
 std::optional<routing::Match> Routes::find_route(const http::Request& request,
                                                  std::string_view path,
                                                  std::string_view query) const {
-  routing::Question question;
-  question.host = request.host;
-  question.path = path;
-  question.method = request.method == http::Method::head ? "HEAD" : "GET";
+  routing::RequestAttributes attributes;
+  attributes.host = request.host;
+  attributes.path = path;
+  attributes.method = request.method == http::Method::head ? "HEAD" : "GET";
   const auto& zones = node_.config().names.zones;
   const auto own_zone = node_.config().settings.location.value;
-  if (own_zone < zones.size()) question.point = zones[own_zone];
-  question.header = [&request](std::string_view name) { return request.field(name); };
-  question.query = [query](std::string_view name) { return http::parameter(query, name); };
-  question.hash = core::stable_hash(path);
-  return active_->table->match(question);
+  if (own_zone < zones.size()) attributes.location = zones[own_zone];
+  attributes.header = [&request](std::string_view name) { return request.field(name); };
+  attributes.query = [query](std::string_view name) { return http::parameter(query, name); };
+  attributes.hash = core::stable_hash(path);
+  return active_->table->match(attributes);
 }
 
 std::optional<signed_url::RouteMatch> Routes::match(const http::Request& request,
@@ -205,7 +208,7 @@
     if (name == "object") match.object = value;
     if (name == "part") match.part = value;
   }
-  match.time_limit = time_limit(*active_, match.class_id, found->target);
+  match.time_limit = time_limit(*active_, match.class_id, found->destination);
   match.reservation = std::make_unique<Reservation>(active_, *found);
   return match;
 }
