--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -19,15 +19,17 @@
 #include <sstream>
 #include <thread>
 
-#include "../tests/loopback.h"
 #include "signed_url/token.h"
+#include "support/fake_cache.h"
+#include "support/rpc_messages.h"
+#include "support/test_socket.h"
 
 namespace {
 
 using namespace alderspur;
 using core::Time;
-using loopback::Box;
-using loopback::Socket;
+using loopback::FakeCache;
+using loopback::TestSocket;
 
 constexpr const char* kSecret = "a secret of the load tool";
 
@@ -104,7 +106,7 @@
       ::_exit(99);
     }
     ::close(ends[1]);
-    log_ = std::make_unique<Socket>(-1);
+    log_ = std::make_unique<TestSocket>(-1);
     log_fd_ = ends[0];
     ::fcntl(log_fd_, F_SETFL, O_NONBLOCK);
     for (int i = 0; !said("subsystem=signed event=listening"); ++i) {
@@ -158,8 +160,8 @@
     for (auto& b : boxes_) {
       b.poll();
       for (const auto& c : b.commands) {
-        if (c.word != "fetch") continue;
-        Box::answer(c, "served", "bytes", loopback::dated("t"));
+        if (c.verb != "fetch") continue;
+        FakeCache::respond(c, "served", "bytes", loopback::fresh_copy_fields("t"));
         ++fetched_[&b];
       }
       b.commands.clear();
@@ -172,19 +174,19 @@
 
  private:
   std::string program_, folder_, text_;
-  std::vector<Box> boxes_;
-  Box origin_;
-  std::unique_ptr<Socket> log_;
+  std::vector<FakeCache> boxes_;
+  FakeCache origin_;
+  std::unique_ptr<TestSocket> log_;
   int log_fd_ = -1;
   pid_t pid_ = 0;
-  std::map<const Box*, std::size_t> fetched_;
+  std::map<const FakeCache*, std::size_t> fetched_;
 };
 
 // One client of the signed front with a prefix token, one request at a time.
 class HttpClient {
  public:
   explicit HttpClient(const sockaddr_in& at, std::uint64_t first)
-      : socket_(loopback::dial(at)), object_(first) {
+      : socket_(loopback::connect_to(at)), object_(first) {
     const std::string text = "pfx=/asset/&exp=4000000000&kid=k";
     query_ = text + "&sig=" + signed_url::signature({"k", kSecret, 0}, text);
   }
@@ -192,10 +194,10 @@
   bool poll(bool ask) {
     socket_->poll();
     bool done = false;
-    if (sent_ && socket_->in.find("\r\n\r\nbytes") != std::string::npos) {
+    if (sent_ && socket_->received.find("\r\n\r\nbytes") != std::string::npos) {
       took = net::unix_now() - sent_;
       sent_ = 0;
-      socket_->in.clear();
+      socket_->received.clear();
       done = true;
     }
     if (!sent_ && ask) {
@@ -211,7 +213,7 @@
   Time took = 0;
 
  private:
-  std::unique_ptr<Socket> socket_;
+  std::unique_ptr<TestSocket> socket_;
   std::string query_;
   std::uint64_t object_;
   Time sent_ = 0;
@@ -355,14 +357,14 @@
 
 // CPU of the loop a request: one client after another, idle connections beside them.
 double cost(Rig& rig, bool http, std::size_t idle) {
-  std::vector<std::unique_ptr<Socket>> beside;
-  const auto status = loopback::pack([](msgpack_packer* p) {
+  std::vector<std::unique_ptr<TestSocket>> beside;
+  const auto status = loopback::pack_message([](msgpack_packer* p) {
     msgpack_pack_array(p, 4), msgpack_pack_int(p, 0), msgpack_pack_int(p, 1),
-        loopback::str(p, "status");
+        loopback::pack_text(p, "status");
     msgpack_pack_array(p, 1), msgpack_pack_map(p, 0);
   });
   for (std::size_t i = 0; i < idle; ++i) {
-    beside.push_back(loopback::dial(http ? rig.http_at : rig.rpc_at));
+    beside.push_back(loopback::connect_to(http ? rig.http_at : rig.rpc_at));
     if (!http) beside.back()->write(status);
     if (i % 100 == 0) ::usleep(2000);
   }
@@ -379,15 +381,15 @@
     }
     used = rig.loop_cpu_us() - before;
   } else {
-    auto client = loopback::dial(rig.rpc_at);
+    auto client = loopback::connect_to(rig.rpc_at);
     std::size_t done = 0;
     double before = 0;
     for (unsigned id = 1; done < requests_per_step + 200; ++id) {
       char text[17];
       std::snprintf(text, sizeof text, "%016x", id * 7919);
-      client->write(loopback::request(id, "asset", {{"txn", text}, {"item", text}}));
-      while (client->in.find("bytes") == std::string::npos) rig.play(), client->poll();
-      client->in.clear();
+      client->write(loopback::encode_request(id, "asset", {{"txn", text}, {"item", text}}));
+      while (client->received.find("bytes") == std::string::npos) rig.play(), client->poll();
+      client->received.clear();
       if (++done == 200) before = rig.loop_cpu_us();
     }
     used = rig.loop_cpu_us() - before;
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -10,7 +10,7 @@
 
 #include "admin/admin_server.h"
 #include "admin/metrics.h"
-#include "loopback.h"
+#include "support/test_socket.h"
 
 namespace alderspur {
 namespace {
@@ -191,7 +191,7 @@
 };
 
 struct AdminServerTest : ::testing::Test {
-  using SocketPtr = std::unique_ptr<loopback::Socket>;
+  using SocketPtr = std::unique_ptr<loopback::TestSocket>;
 
   AdminServerTest() {
     loop.on_turn([this] {
@@ -200,12 +200,12 @@
     });
   }
   SocketPtr send(const std::string& bytes) const {
-    auto socket = loopback::dial(server.address());
+    auto socket = loopback::connect_to(server.address());
     socket->write(bytes);
     return socket;
   }
   bool run_until(const std::function<bool()>& condition,
-                 const std::vector<loopback::Socket*>& sockets) {
+                 const std::vector<loopback::TestSocket*>& sockets) {
     for (const core::Time end = net::unix_now() + 10'000'000; net::unix_now() < end;) {
       ev_run(loop.raw(), EVRUN_NOWAIT);
       for (auto* socket : sockets) socket->poll();
@@ -217,8 +217,8 @@
   /// The status of the reply to a call; 0 without one.
   int status_of(const std::string& call) {
     const auto socket = send(call);
-    EXPECT_TRUE(run_until([&] { return socket->ended; }, {socket.get()})) << call;
-    return socket->in.starts_with("HTTP/1.1 ") ? std::stoi(socket->in.substr(9)) : 0;
+    EXPECT_TRUE(run_until([&] { return socket->is_closed; }, {socket.get()})) << call;
+    return socket->received.starts_with("HTTP/1.1 ") ? std::stoi(socket->received.substr(9)) : 0;
   }
 
   core::Deadlines deadlines;
@@ -272,9 +272,9 @@
   for (int fd = ::dup(0); fd >= 0; fd = ::dup(0)) taken.emplace_back(fd);
   EXPECT_EQ(errno, EMFILE);
   for (auto& socket : sockets) {
-    EXPECT_TRUE(run_until([&] { return socket->ended; },
+    EXPECT_TRUE(run_until([&] { return socket->is_closed; },
                           {sockets[0].get(), sockets[1].get(), sockets[2].get()}));
-    EXPECT_TRUE(socket->in.starts_with("HTTP/1.1 200")) << socket->in;
+    EXPECT_TRUE(socket->received.starts_with("HTTP/1.1 200")) << socket->received;
   }
   taken.clear();
   ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &before), 0);
@@ -290,8 +290,8 @@
   for (std::size_t i = 60; i < silent.size(); ++i) silent[i] = send("");
   EXPECT_EQ(status_of(call_of("GET /control/ready")), 200);
   handler.pending_reply({200, "done\n"});  // a call in progress keeps its connection
-  ASSERT_TRUE(run_until([&] { return waiting->ended; }, {waiting.get()}));
-  EXPECT_NE(waiting->in.find(" 200 OK"), std::string::npos);
+  ASSERT_TRUE(run_until([&] { return waiting->is_closed; }, {waiting.get()}));
+  EXPECT_NE(waiting->received.find(" 200 OK"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/consensus/router_fleet.cpp
+++ b/tests/consensus/router_fleet.cpp
@@ -21,7 +21,7 @@
 
 // ---- DiscoveryServer
 
-DiscoveryServer::DiscoveryServer() : listener_(loopback::bound(address_)) {
+DiscoveryServer::DiscoveryServer() : listener_(loopback::bind_socket(address_)) {
   ::listen(listener_, 8);
   ::fcntl(listener_, F_SETFL, O_NONBLOCK);
 }
@@ -32,7 +32,7 @@
 
 void DiscoveryServer::poll() {
   for (int socket = 0; (socket = ::accept(listener_, nullptr, nullptr)) >= 0;) {
-    watcher_ = std::make_unique<loopback::Socket>(socket);
+    watcher_ = std::make_unique<loopback::TestSocket>(socket);
   }
   if (watcher_) watcher_->poll();
 }
@@ -163,16 +163,16 @@
 }
 
 void RouterFleet::serve(std::size_t cache, Time now) {
-  loopback::Box& box = caches.at(cache);
+  loopback::FakeCache& box = caches.at(cache);
   box.poll();
   for (auto& command : box.commands) {
-    if (command.word == "stats") loopback::Box::answer(command, "green");
-    if (command.word == "fetch") answer_fetch(cache, command, now);
+    if (command.verb == "stats") loopback::FakeCache::respond(command, "green");
+    if (command.verb == "fetch") answer_fetch(cache, command, now);
   }
   box.commands.clear();
 }
 
-void RouterFleet::answer_fetch(std::size_t cache, loopback::Command& command, Time now) {
+void RouterFleet::answer_fetch(std::size_t cache, loopback::CacheCommand& command, Time now) {
   last_request_at.at(cache) = now;
   ++requests_received.at(cache);
   auto& fields = command.fields;
@@ -181,14 +181,14 @@
   const bool is_from_second_parent =
       next != fields.end() && (next->second == "s-q" || next->second == "127.0.0.1:10");
   if (is_from_second_parent) ++fills_from_second_parent;
-  loopback::Box::answer(command, is_cache_broken.at(cache) ? "crashed" : "served", "bytes");
+  loopback::FakeCache::respond(command, is_cache_broken.at(cache) ? "crashed" : "served", "bytes");
 }
 
 void RouterFleet::take_answers(std::size_t router, Time now) {
   Client& client = clients[router];
   if (!client.socket) return;
   client.socket->poll();
-  const auto answers = loopback::answers(client.socket->in);
+  const auto answers = loopback::decode_responses(client.socket->received);
   for (std::size_t i = client.answers_seen; i < answers.size(); ++i) {
     const bool is_served = answers[i].error.empty();
     ++(is_served ? served_count : rejected_count);
@@ -196,7 +196,7 @@
   }
   client.answers_seen = answers.size();
   // Clients come and go.
-  if (client.socket->ended || client.answers_seen > kAnswersPerConnection) client = {};
+  if (client.socket->is_closed || client.answers_seen > kAnswersPerConnection) client = {};
 }
 
 bool RouterFleet::connect(std::size_t router) {
@@ -206,7 +206,7 @@
     ::close(socket);
     return false;
   }
-  clients[router].socket = std::make_unique<loopback::Socket>(socket);
+  clients[router].socket = std::make_unique<loopback::TestSocket>(socket);
   return true;
 }
 
@@ -223,8 +223,8 @@
   ++client.last_id;
   client.sent_at[client.last_id] = now;
   client.socket->write(
-      loopback::request(static_cast<unsigned>(client.last_id), "asset",
-                        {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}}));
+      loopback::encode_request(static_cast<unsigned>(client.last_id), "asset",
+                               {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}}));
 }
 
 }  // namespace fleet
--- a/tests/consensus/router_fleet.h
+++ b/tests/consensus/router_fleet.h
@@ -15,7 +15,9 @@
 
 #include "cluster/rig.h"
 #include "consensus/version.h"
-#include "loopback.h"
+#include "support/fake_cache.h"
+#include "support/rpc_messages.h"
+#include "support/test_socket.h"
 
 namespace fleet {
 
@@ -43,13 +45,13 @@
   DiscoveryServer& operator=(const DiscoveryServer&) = delete;
   std::string address() const;
   void poll();
-  bool is_watched() const { return watcher_ && watcher_->in.starts_with("watch "); }
+  bool is_watched() const { return watcher_ && watcher_->received.starts_with("watch "); }
   void send(const std::string& line) { watcher_->write(line); }
 
  private:
   sockaddr_in address_{};
   int listener_ = -1;
-  std::unique_ptr<loopback::Socket> watcher_;
+  std::unique_ptr<loopback::TestSocket> watcher_;
 };
 
 /// A base of fixtures: all members are for the tests.
@@ -114,20 +116,20 @@
   std::deque<DiscoveryServer> discovery_servers;    // by router
 
   struct Client {
-    std::unique_ptr<loopback::Socket> socket;
+    std::unique_ptr<loopback::TestSocket> socket;
     std::size_t answers_seen = 0;
     std::uint64_t last_id = 0;
     Time next_request_at = 0;
     std::map<std::uint64_t, Time> sent_at;  // by id
   };
-  std::array<loopback::Box, kCacheCount> caches;
+  std::array<loopback::FakeCache, kCacheCount> caches;
   std::vector<Client> clients;  // by router
   std::uint64_t requests_sent = 0;
 
  private:
   void step();
   void serve(std::size_t cache, Time now);
-  void answer_fetch(std::size_t cache, loopback::Command& command, Time now);
+  void answer_fetch(std::size_t cache, loopback::CacheCommand& command, Time now);
   void take_answers(std::size_t router, Time now);
   bool connect(std::size_t router);
   void send_request(std::size_t router, Time now);
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -1,32 +1,34 @@
-// Where two events cross, at the sockets: each story makes the order certain by what the stand-ins
-// do. The list of crossings, and what must happen at each, is docs/crossings.md.
+// Concurrent events at the sockets. Each test forces their order by what the peers do;
+// docs/crossings.md lists the events and the required behaviour.
 #include <algorithm>
 #include <string>
 
-#include "loopback.h"
 #include "net/lingering.h"
+#include "support/edge_router_fixture.h"
 
 namespace {
 
 using namespace alderspur;
-using loopback::answers;
-using loopback::Box;
-using loopback::Command;
-using loopback::request;
+using loopback::CacheCommand;
+using loopback::decode_responses;
+using loopback::encode_request;
+using loopback::FakeCache;
 
 const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-class EventRacesTest : public loopback::BoardStory {
+class EventRacesTest : public loopback::DiscoveryTest {
  protected:
-  // Answers every fetch that waits, once.
-  void answer_all(const std::string& body) {
-    for (auto& b : box) {
-      for (auto& c : b.commands) {
-        if (std::exchange(c.word, "answered") == "fetch") Box::answer(c, "served", body);
+  // Responds to every fetch that is not answered yet.
+  void respond_to_all(const std::string& body) {
+    for (auto& cache : caches) {
+      for (auto& command : cache.commands) {
+        if (std::exchange(command.verb, "answered") == "fetch") {
+          FakeCache::respond(command, "served", body);
+        }
       }
     }
   }
-  std::size_t aborts() const { return box[0].count("abort") + box[1].count("abort"); }
+  std::size_t abort_count() const { return caches[0].count("abort") + caches[1].count("abort"); }
   std::string object(unsigned n) {
     char out[17];
     std::snprintf(out, sizeof out, "%016x", n);
@@ -34,528 +36,569 @@
   }
 };
 
-// A listener whose connects hang until it lets them come up.
-class Late {
+// A listener whose connects hang until the test lets them complete.
+class DelayedListener {
  public:
-  Late() : fd_(loopback::bound(at_)) {
+  DelayedListener() : fd_(loopback::bind_socket(address_)) {
     ::listen(fd_, 0);
-    for (int i = 0; i < 4; ++i) {  // its queue is full
+    for (int i = 0; i < 4; ++i) {  // fill its queue
       fillers_.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-      (void)::connect(fillers_.back(), reinterpret_cast<const sockaddr*>(&at_), sizeof at_);
+      (void)::connect(fillers_.back(), reinterpret_cast<const sockaddr*>(&address_),
+                      sizeof address_);
     }
     ::fcntl(fd_, F_SETFL, O_NONBLOCK);
   }
-  ~Late() {
+  ~DelayedListener() {
     for (const int fd : fillers_) ::close(fd);
     ::close(fd_);
   }
-  std::string address() const { return net::to_string(at_); }
-  // Takes what has come up; the fillers end, so that later ones can.
-  void let_up() {
+  DelayedListener(const DelayedListener&) = delete;
+  DelayedListener& operator=(const DelayedListener&) = delete;
+
+  std::string address() const { return net::to_string(address_); }
+
+  // Both let connects complete, and read what has come.
+  bool has_received(const std::string& text) {
+    accept_connections();
+    return std::any_of(connections_.begin(), connections_.end(), [&](const auto& connection) {
+      return connection->received.find(text) != std::string::npos;
+    });
+  }
+  /// Those of the fillers are closed by them.
+  bool has_open_connection() {
+    accept_connections();
+    return std::any_of(connections_.begin(), connections_.end(),
+                       [](const auto& connection) { return !connection->is_closed; });
+  }
+
+ private:
+  void accept_connections() {
     for (const int fd : std::exchange(fillers_, {})) ::close(fd);
     for (int fd; (fd = ::accept(fd_, nullptr, nullptr)) >= 0;) {
-      taken.push_back(std::make_unique<loopback::Socket>(fd));
+      connections_.push_back(std::make_unique<loopback::TestSocket>(fd));
     }
-    for (auto& s : taken) s->poll();
-  }
-  bool got(const std::string& word) const {
-    return std::any_of(taken.begin(), taken.end(),
-                       [&](auto& s) { return s->in.find(word) != std::string::npos; });
-  }
-  std::size_t alive() const {  // connections that their peer has not ended: the router's
-    return static_cast<std::size_t>(
-        std::count_if(taken.begin(), taken.end(), [](auto& s) { return !s->ended; }));
+    for (auto& connection : connections_) connection->poll();
   }
-  std::vector<std::unique_ptr<loopback::Socket>> taken;
 
- private:
-  sockaddr_in at_{};
+  sockaddr_in address_{};
   int fd_;
   std::vector<int> fillers_;
+  std::vector<std::unique_ptr<loopback::TestSocket>> connections_;
 };
 
+// The only cache in use is one whose connects hang.
 class PendingConnectTest : public EventRacesTest {
  protected:
   void SetUp() override {
     EventRacesTest::SetUp();
-    watch_ = watcher();
+    watch_ = accept_watch();
     auto member = config.known_events[0].members[0];
-    member.address = late.address();
-    caches->update_endpoint(member);
-    // s-b is out, so that all goes to the one that hangs.
-    watch_->write(event(2, "s-b", box[1].address(), "terminating"));
-    ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 2; }));
+    member.address = listener.address();
+    upstream_pool->update_endpoint(member);
+    // s-b drains, so that all requests go to the one that hangs.
+    watch_->write(encode_event(2, "s-b", caches[1].address(), "terminating"));
+    ASSERT_TRUE(run_until([&] { return engine->counters().endpoint_updates == 2; }));
   }
-  // The request's connect hangs, and is sure to: the module has sent and nothing has come up.
-  void ask(loopback::Socket& c, std::map<std::string, std::string> fields = {},
-           const std::string& cls = "asset") {
-    c.write(request(1, cls, std::move(fields)));
-    ASSERT_TRUE(until(
-        [&] { return engine->open_request_count() == 1 && caches->connection_count() == 1; }));
+  // Sends a request and waits until its connect hangs: it is forwarded, and nothing is connected.
+  void send_until_connect_hangs(loopback::TestSocket& client,
+                                std::map<std::string, std::string> fields = {},
+                                const std::string& class_name = "asset") {
+    client.write(encode_request(1, class_name, std::move(fields)));
+    ASSERT_TRUE(run_until([&] {
+      return engine->open_request_count() == 1 && upstream_pool->connection_count() == 1;
+    }));
   }
-  bool comes_up() {
-    return until([&] { return late.let_up(), late.alive() > 0; });
+  bool let_connect_complete() {
+    return run_until([&] { return listener.has_open_connection(); });
   }
-  void come_up_and_send_nothing() {
-    ASSERT_TRUE(comes_up());
-    settle();
-    EXPECT_FALSE((late.let_up(), late.got("fetch")));
+  void expect_nothing_sent_after_connect() {
+    ASSERT_TRUE(let_connect_complete());
+    run_briefly();
+    EXPECT_FALSE(listener.has_received("fetch"));
   }
-  Late late;
-  std::unique_ptr<loopback::Socket> watch_;
+  DelayedListener listener;
+  std::unique_ptr<loopback::TestSocket> watch_;
 };
 
 // ---- Clients that leave
-// -----------------------------------------------------------------------------
 
-// Guards against a client's cancel, or its end, waiting unread behind answers that it does not
-// take.
+// Guards against a cancel, or the end of a client, that waits unread behind responses that the
+// client does not read.
 TEST_F(EventRacesTest, CancelsRequestsWhenClientDoesNotRead) {
-  auto c = client(front->address());
-  watched.clear();  // it reads nothing
-  for (unsigned i = 1; i <= 32; ++i) c->write(request(i, "asset", {{"item", object(i)}}));
-  ASSERT_TRUE(until([&] { return fetches() == 32; }));
+  auto client = connect_client(client_front->address());
+  polled_sockets.clear();  // the client reads nothing
+  for (unsigned i = 1; i <= 32; ++i) {
+    client->write(encode_request(i, "asset", {{"item", object(i)}}));
+  }
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 32; }));
   const std::string body(240'000, 'x');
-  std::vector<std::string> left;
   std::size_t sent = 0;
   for (std::size_t i = 1; i <= 30; ++i) {  // the last two stay open
-    const Command got = *fetch(i);
-    std::string all = got.id + " served " + loopback::dated("t") + " 240000\r\n" + body + "\r\n";
-    ASSERT_TRUE(until([&] { return all.erase(0, got.from->write_some(all)), all.empty(); }));
+    const CacheCommand got = *fetch_command(i);
+    std::string all =
+        got.id + " served " + loopback::fresh_copy_fields("t") + " 240000\r\n" + body + "\r\n";
+    ASSERT_TRUE(write_all(*got.connection, all));
     ++sent;
   }
-  ASSERT_TRUE(until([&] { return engine->counters().served == sent; }));
-  const Command cancelled = *fetch(31);
-  const Command left_open = *fetch(32);
+  ASSERT_TRUE(run_until([&] { return engine->counters().served == sent; }));
+  const CacheCommand cancelled = *fetch_command(31);
+  const CacheCommand left_open = *fetch_command(32);
   const unsigned id = static_cast<unsigned>(std::stoul(cancelled.fields.at("name"), nullptr, 16));
-  c->write(loopback::withdraw(id));
-  ASSERT_TRUE(until([&] { return aborts() == 1; })) << "the cancel";
-  c->reset();
-  ASSERT_TRUE(until([&] { return aborts() == 2; })) << "the end";
+  client->write(loopback::encode_cancel(id));
+  ASSERT_TRUE(run_until([&] { return abort_count() == 1; })) << "cancel";
+  client->reset();
+  ASSERT_TRUE(run_until([&] { return abort_count() == 2; })) << "reset";
   EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
 TEST_F(EventRacesTest, SendsNothingWhenCancelIsReadWithItsRequest) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {{"item", object(1)}}) + loopback::withdraw(1) +
-           request(2, "asset", {{"item", object(2)}}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  EXPECT_EQ(fetch()->fields["name"], object(2));
-  c->write(loopback::withdraw(1) +
-           loopback::withdraw(77));  // of what has ended, and of what never was
-  answer_all("bytes");
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
-  settle();
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {{"item", object(1)}}) + loopback::encode_cancel(1) +
+                encode_request(2, "asset", {{"item", object(2)}}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  EXPECT_EQ(fetch_command()->fields["name"], object(2));
+  client->write(loopback::encode_cancel(1) +
+                loopback::encode_cancel(77));  // one that has ended, and an unknown one
+  respond_to_all("bytes");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 1; }));
+  run_briefly();
   EXPECT_EQ(engine->counters().forwarded, 1u);
 }
 
 TEST_F(EventRacesTest, AdmitsNothingWhenClientLeavesWithinAMessage) {
-  auto ends = client(front->address());
-  auto resets = client(front->address());
-  for (auto* c : {ends.get(), resets.get()}) c->write(request(1, "asset", {}).substr(0, 30));
-  settle();
-  ends->half_close();
-  resets->reset();
-  ASSERT_TRUE(until([&] { return ends->ended; }));
-  settle();
+  auto half_closing = connect_client(client_front->address());
+  auto resetting = connect_client(client_front->address());
+  for (auto* client : {half_closing.get(), resetting.get()}) {
+    client->write(encode_request(1, "asset", {}).substr(0, 30));
+  }
+  run_briefly();
+  half_closing->half_close();
+  resetting->reset();
+  ASSERT_TRUE(run_until([&] { return half_closing->is_closed; }));
+  run_briefly();
   EXPECT_EQ(engine->counters().admitted, 0u);
 }
 
-// A client that has waited for a place, with its request written, and has left.
+// The client has written its request, and has left before it got a slot.
 TEST_F(EventRacesTest, AdmitsNothingWhenClientLeavesTheListenersQueue) {
-  std::vector<std::unique_ptr<loopback::Socket>> clients;
-  for (unsigned i = 1; i <= 64; ++i) {  // all places
-    clients.push_back(client(front->address()));
-    clients.back()->write(request(i, "asset", {{"item", object(i)}}));
+  std::vector<std::unique_ptr<loopback::TestSocket>> clients;
+  for (unsigned i = 1; i <= 64; ++i) {  // all slots
+    clients.push_back(connect_client(client_front->address()));
+    clients.back()->write(encode_request(i, "asset", {{"item", object(i)}}));
   }
-  ASSERT_TRUE(until([&] { return fetches() == 64; }));
-  auto left = loopback::dial(front->address());
-  auto stays = client(front->address());
-  left->write(request(100, "asset", {{"item", object(100)}}));
-  stays->write(request(101, "asset", {{"item", object(101)}}));
-  left->close();
-  settle();  // longer than the 0.1 s in which its request might still begin
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 64; }));
+  auto leaving = loopback::connect_to(client_front->address());
+  auto staying = connect_client(client_front->address());
+  leaving->write(encode_request(100, "asset", {{"item", object(100)}}));
+  staying->write(encode_request(101, "asset", {{"item", object(101)}}));
+  leaving->close();
+  run_briefly();  // longer than the 0.1 s in which its request might still begin
   ASSERT_GT(engine->counters().deferred_accepts, 0u);
-  watched.assign(1, stays.get());
+  polled_sockets.assign(1, staying.get());
   clients[0]->reset();
   clients[1]->reset();
-  ASSERT_TRUE(until([&] { return fetches() == 65; }));
-  settle();
-  EXPECT_EQ(fetches(), 65u);
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 65; }));
+  run_briefly();
+  EXPECT_EQ(fetch_count(), 65u);
   EXPECT_EQ(engine->counters().admitted, 65u);
 }
 
 // Guards against further attempts for a client that has closed its connection.
 TEST_F(EventRacesTest, StartsNoFurtherAttemptWhenClientHasHalfClosed) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  c->half_close();
-  settle();  // longer than the 0.1 s in which an attempt may begin
-  Box::answer(*fetch(), "overload");
-  ASSERT_TRUE(until([&] { return c->ended; }));
-  ASSERT_EQ(answers(c->in).size(), 1u) << "one answer, should it still be there";
-  EXPECT_EQ(answers(c->in)[0].error, "Busy");
-  EXPECT_EQ(fetches(), 1u);
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  client->half_close();
+  run_briefly();  // longer than the 0.1 s in which an attempt may begin
+  FakeCache::respond(*fetch_command(), "overload");
+  ASSERT_TRUE(run_until([&] { return client->is_closed; }));
+  ASSERT_EQ(decode_responses(client->received).size(), 1u)
+      << "one response, should it still be there";
+  EXPECT_EQ(decode_responses(client->received)[0].error, "Busy");
+  EXPECT_EQ(fetch_count(), 1u);
 }
 TEST_F(PendingConnectTest, SendsNothingWhenClientHalfCloses) {
-  auto c = client(front->address());
-  ask(*c);
-  c->half_close();
-  ASSERT_TRUE(until([&] { return c->ended; })) << "answered at once: nothing is out";
-  EXPECT_EQ(answers(c->in).size(), 1u);
-  come_up_and_send_nothing();
+  auto client = connect_client(client_front->address());
+  send_until_connect_hangs(*client);
+  client->half_close();
+  ASSERT_TRUE(run_until([&] { return client->is_closed; }))
+      << "rejected at once: nothing is in flight";
+  EXPECT_EQ(decode_responses(client->received).size(), 1u);
+  expect_nothing_sent_after_connect();
 }
 TEST_F(PendingConnectTest, SendsNothingWhenRequestIsCancelled) {
-  auto c = client(front->address());
-  ask(*c);
-  c->write(loopback::withdraw(1));
-  ASSERT_TRUE(until([&] { return engine->open_request_count() == 0; }));
-  come_up_and_send_nothing();
-  EXPECT_TRUE(answers(c->in).empty());
+  auto client = connect_client(client_front->address());
+  send_until_connect_hangs(*client);
+  client->write(loopback::encode_cancel(1));
+  ASSERT_TRUE(run_until([&] { return engine->open_request_count() == 0; }));
+  expect_nothing_sent_after_connect();
+  EXPECT_TRUE(decode_responses(client->received).empty());
 }
 
 TEST_F(EventRacesTest, AbortsAllAttemptsWhenManyClientsLeaveAtOnce) {
-  std::vector<std::unique_ptr<loopback::Socket>> clients;
+  std::vector<std::unique_ptr<loopback::TestSocket>> clients;
   for (unsigned i = 1; i <= 60; ++i) {
-    clients.push_back(client(front->address()));
-    clients.back()->write(request(i, "asset", {{"item", object(i)}}));
+    clients.push_back(connect_client(client_front->address()));
+    clients.back()->write(encode_request(i, "asset", {{"item", object(i)}}));
   }
-  ASSERT_TRUE(until([&] { return fetches() == 60; }));
-  watched.clear();
-  for (auto& c : clients) c->reset();
-  ASSERT_TRUE(until([&] { return aborts() == 60; }));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 60; }));
+  polled_sockets.clear();
+  for (auto& client : clients) client->reset();
+  ASSERT_TRUE(run_until([&] { return abort_count() == 60; }));
   EXPECT_EQ(engine->open_request_count(), 0u);
 }
 
-// Guards against two attempts out under one id, when a request comes again while it is still open.
-// Where a repeat would do harm it is not told that it may try again.
+// Guards against two attempts in flight with one id, when a request is repeated while it is open.
+// A non-idempotent one fails, so that the client does not retry it.
 class RepeatedRequestTest : public EventRacesTest, public ::testing::WithParamInterface<bool> {
  protected:
   void SetUp() override {
-    if (!GetParam()) set("repeat", "\"safe\"", "\"unsafe\"");
+    if (!GetParam()) replace_setting("repeat", "\"safe\"", "\"unsafe\"");
     EventRacesTest::SetUp();
   }
 };
-INSTANTIATE_TEST_SUITE_P(Harmless, RepeatedRequestTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(IsIdempotent, RepeatedRequestTest, ::testing::Bool());
 TEST_P(RepeatedRequestTest, RejectsRepeatWhileRequestIsOpen) {
-  auto first = client(front->address());
-  auto again = client(front->address());
-  first->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  again->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return answers(again->in).size() == 1; }));
-  EXPECT_EQ(answers(again->in)[0].error, GetParam() ? "Busy" : "Failed");
-  EXPECT_EQ(fetches(), 1u);
-  answer_all("bytes");
-  ASSERT_TRUE(until([&] { return answers(first->in).size() == 1; }));
-  again->write(request(2, "asset", {{"txn", "9b1f03aa5c7e2d41"}}));
-  ASSERT_TRUE(until([&] { return engine->counters().forwarded == 2; })) << "over, it is free again";
+  auto first = connect_client(client_front->address());
+  auto again = connect_client(client_front->address());
+  first->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  again->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return decode_responses(again->received).size() == 1; }));
+  EXPECT_EQ(decode_responses(again->received)[0].error, GetParam() ? "Busy" : "Failed");
+  EXPECT_EQ(fetch_count(), 1u);
+  respond_to_all("bytes");
+  ASSERT_TRUE(run_until([&] { return decode_responses(first->received).size() == 1; }));
+  again->write(encode_request(2, "asset", {{"txn", "9b1f03aa5c7e2d41"}}));
+  ASSERT_TRUE(run_until([&] { return engine->counters().forwarded == 2; }))
+      << "the id is free again";
 }
 
-// Guards against the largest requests being cut off where the way is slow; who says nothing more
-// is.
+// Guards against cutting off large requests on slow connections; a client that stops is cut off.
 TEST_F(EventRacesTest, AcceptsLargeRequestWhenItArrivesSlowly) {
-  auto slow = client(front->address());
-  auto stops = client(front->address());
-  const std::string all = request(1, "plan-accept", {{"unique", kKey}}, std::string(40'000, 'w'));
+  auto slow = connect_client(client_front->address());
+  auto stops = connect_client(client_front->address());
+  const std::string all =
+      encode_request(1, "plan-accept", {{"unique", kKey}}, std::string(40'000, 'w'));
   stops->write(all.substr(0, 20'000));
   for (std::size_t at = 0; at < all.size();
-       at += 10'000) {  // five parts, over the 2 s of one that stops
+       at += 10'000) {  // five parts, in more than the timeout of 2 s
     slow->write(all.substr(at, 10'000));
-    until([&, end = net::unix_now() + 700'000] { return net::unix_now() > end; });
+    run_for(700'000);
   }
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  EXPECT_FALSE(slow->ended);
-  EXPECT_TRUE(stops->ended);
-  EXPECT_EQ(fetch()->body.size(), 40'000u);
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  EXPECT_FALSE(slow->is_closed);
+  EXPECT_TRUE(stops->is_closed);
+  EXPECT_EQ(fetch_command()->body.size(), 40'000u);
 }
 
 // ---- Closing
-// ----------------------------------------------------------------------------------------
 
-// Guards against a close over unread bytes: it resets the connection, and answers go with it.
+// Guards against a close with unread input: it would reset the connection and lose responses.
 TEST_F(EventRacesTest, DeliversResponseWhenClosingWithUnreadInput) {
-  auto c = client(front->address());
-  c->write(request(1, "no-such-class", {}) + "\xc1 garbage" + std::string(200'000, 'z'));
-  ASSERT_TRUE(until([&] { return c->ended; }));
-  ASSERT_EQ(answers(c->in).size(), 1u);
-  EXPECT_EQ(answers(c->in)[0].error, "Failed");
-  EXPECT_FALSE(c->was_reset);
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "no-such-class", {}) + "\xc1 garbage" +
+                std::string(200'000, 'z'));
+  ASSERT_TRUE(run_until([&] { return client->is_closed; }));
+  ASSERT_EQ(decode_responses(client->received).size(), 1u);
+  EXPECT_EQ(decode_responses(client->received)[0].error, "Failed");
+  EXPECT_FALSE(client->was_reset);
 }
 
-// A lingering close waits for a peer that stays, but not for ever, and gives its place to others.
+// A lingering close waits a limited time for its peer, and its slot is given to others.
 TEST_F(EventRacesTest, FreesSlotsWhenPeersKeepClosedConnectionsOpen) {
-  std::vector<std::unique_ptr<loopback::Socket>> stay;
+  std::vector<std::unique_ptr<loopback::TestSocket>> peers;
   for (int i = 0; i < 64; ++i) {
-    stay.push_back(client(front->address()));
-    stay.back()->write("\xc1");
+    peers.push_back(connect_client(client_front->address()));
+    peers.back()->write("\xc1");
   }
-  ASSERT_TRUE(until(
-      [&] { return std::all_of(stay.begin(), stay.end(), [](auto& s) { return s->ended; }); }));
+  ASSERT_TRUE(run_until([&] {
+    return std::all_of(peers.begin(), peers.end(), [](auto& s) { return s->is_closed; });
+  }));
   EXPECT_EQ(loop.lingering().size(), 64u);
-  auto c = client(front->address());
-  c->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  ASSERT_TRUE(until([&] { return loop.lingering().size() == 0; })) << "none has ended its side";
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  ASSERT_TRUE(run_until([&] { return loop.lingering().size() == 0; })) << "none has ended its side";
 }
 
-// The signed front's end: who rests is ended in order, who has just come is answered.
+// Idle clients are closed without a reset, and a client that has just connected is answered.
 TEST_F(EventRacesTest, AnswersNewClientWhenSignedFrontShutsDown) {
-  auto rests = client(http->address());
-  rests->write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n");
-  ASSERT_TRUE(until([&] { return rests->in.starts_with("HTTP/1.1 404"); }));
-  settle();
-  auto comes = client(http->address());
-  comes->write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n");  // the kernel has it, the front has not
-  http->leave();
-  EXPECT_FALSE(http->idle()) << "what has come is owed an answer";
-  ASSERT_TRUE(until([&] { return rests->ended && comes->ended; }));
-  EXPECT_TRUE(comes->in.starts_with("HTTP/1.1 404"));
-  EXPECT_FALSE(rests->was_reset || comes->was_reset);
-  ASSERT_TRUE(until([&] { return http->idle(); }));
+  auto idle = connect_client(http_front->address());
+  idle->write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n");
+  ASSERT_TRUE(run_until([&] { return idle->received.starts_with("HTTP/1.1 404"); }));
+  run_briefly();
+  auto new_client = connect_client(http_front->address());
+  new_client->write(
+      "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n");  // connected in the kernel, not accepted
+  http_front->leave();
+  EXPECT_FALSE(http_front->idle()) << "the new client gets a response";
+  ASSERT_TRUE(run_until([&] { return idle->is_closed && new_client->is_closed; }));
+  EXPECT_TRUE(new_client->received.starts_with("HTTP/1.1 404"));
+  EXPECT_FALSE(idle->was_reset || new_client->was_reset);
+  ASSERT_TRUE(run_until([&] { return http_front->idle(); }));
 }
 
-// ---- The list, and sends that wait
-// ------------------------------------------------------------------
+// ---- Endpoint updates, and sends that wait
 
-// Guards against a send that was decided before a drain and leaves after it.
+// Guards against a send that was decided before a drain and is written after it.
 TEST_F(PendingConnectTest, MovesRequestWhenItsServerDrains) {
-  auto c = client(front->address());
-  ask(*c);
-  watch_->write(event(3, "s-b", box[1].address(), "in_service") +
-                event(4, "s-a", late.address(), "terminating"));
-  ASSERT_TRUE(until([&] { return box[1].count("fetch") == 1; })) << "it moves on at once";
-  answer_all("bytes");
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
-  come_up_and_send_nothing();
+  auto client = connect_client(client_front->address());
+  send_until_connect_hangs(*client);
+  watch_->write(encode_event(3, "s-b", caches[1].address(), "in_service") +
+                encode_event(4, "s-a", listener.address(), "terminating"));
+  ASSERT_TRUE(run_until([&] { return caches[1].count("fetch") == 1; })) << "it is moved at once";
+  respond_to_all("bytes");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 1; }));
+  expect_nothing_sent_after_connect();
 }
 TEST_F(PendingConnectTest, DoesNotNameSourceWhenItDrains) {
-  auto c = client(front->address());
-  ask(*c);
-  watch_->write(event(3, "s-o", origin.address(), "terminating", false, "hub", "origin"));
-  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
-  ASSERT_TRUE(comes_up());
-  ASSERT_TRUE(until([&] { return late.let_up(), late.got("fetch"); }));
-  EXPECT_FALSE(late.got("next=s-o"));
+  auto client = connect_client(client_front->address());
+  send_until_connect_hangs(*client);
+  watch_->write(encode_event(3, "s-o", origin.address(), "terminating", false, "hub", "origin"));
+  ASSERT_TRUE(run_until([&] { return engine->counters().endpoint_updates == 3; }));
+  ASSERT_TRUE(let_connect_complete());
+  ASSERT_TRUE(run_until([&] { return listener.has_received("fetch"); }));
+  EXPECT_FALSE(listener.has_received("next=s-o"));
 }
-// Another server has the address by the time the connect comes up.
+// Another server has the address when the connect completes.
 TEST_F(PendingConnectTest, SendsNothingWhenAnotherServerHasTheAddress) {
-  auto c = client(front->address());
-  ask(*c);
-  watch_->write(event(3, "s-a", late.address(), "terminated"));
-  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
-  // The kernel tries a connect again after a second: whatever still waits for it comes up now.
-  until([&, end = net::unix_now() + 2'500'000] {
-    return late.let_up(), late.got("fetch") || net::unix_now() > end;
+  auto client = connect_client(client_front->address());
+  send_until_connect_hangs(*client);
+  watch_->write(encode_event(3, "s-a", listener.address(), "terminated"));
+  ASSERT_TRUE(run_until([&] { return engine->counters().endpoint_updates == 3; }));
+  // The kernel retries a connect after a second: what still waits for it would be sent then.
+  run_until([&, end = net::unix_now() + 2'500'000] {
+    return listener.has_received("fetch") || net::unix_now() > end;
   });
-  EXPECT_FALSE(late.got("fetch"));
-  ASSERT_EQ(answers(c->in).size(), 1u) << "nobody is left";
-  EXPECT_EQ(answers(c->in)[0].error, "Busy");
+  EXPECT_FALSE(listener.has_received("fetch"));
+  ASSERT_EQ(decode_responses(client->received).size(), 1u) << "there is no other cache";
+  EXPECT_EQ(decode_responses(client->received)[0].error, "Busy");
 }
 
-// Guards against commands that wait in the queue of a connection whose cache does not read: judged
-// when they were queued, they would leave after a drain.
+// Guards against commands in the queue of a connection whose cache does not read: checked only when
+// they were queued, they would be written after a drain.
 class QueuedCommandsTest : public EventRacesTest {
  protected:
   void SetUp() override {
-    settings += R"(,"limits":{"memory_mb":1024})";
-    set("streams-per-conn", "32", "1000");
+    settings_json += R"(,"limits":{"memory_mb":1024})";
+    replace_setting("streams-per-conn", "32", "1000");
     EventRacesTest::SetUp();
   }
 };
 TEST_F(QueuedCommandsTest, SendsNoFurtherCommandsWhenCacheDrainsWithoutReading) {
-  auto w = watcher();
-  w->write(event(2, "s-b", box[1].address(), "terminating"));
-  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 2; }));
-  box[0].narrow();
-  box[0].reads = false;
-  std::vector<std::unique_ptr<loopback::Socket>> clients;
+  auto watch = accept_watch();
+  watch->write(encode_event(2, "s-b", caches[1].address(), "terminating"));
+  ASSERT_TRUE(run_until([&] { return engine->counters().endpoint_updates == 2; }));
+  caches[0].use_small_receive_buffer();
+  caches[0].is_reading = false;
+  std::vector<std::unique_ptr<loopback::TestSocket>> clients;
   const std::string body(48'000, 'w');
   unsigned asked = 0;
   for (int n = 0; n < 40; ++n) {
-    clients.push_back(client(front->address()));
+    clients.push_back(connect_client(client_front->address()));
     for (int i = 0; i < 30; ++i) {
       ++asked;
       std::string all =
-          request(asked, "plan-accept", {{"unique", kKey}, {"item", object(asked)}}, body);
-      ASSERT_TRUE(
-          until([&] { return all.erase(0, clients.back()->write_some(all)), all.empty(); }));
+          encode_request(asked, "plan-accept", {{"unique", kKey}, {"item", object(asked)}}, body);
+      ASSERT_TRUE(write_all(*clients.back(), all));
     }
-    ASSERT_TRUE(until([&] { return engine->counters().admitted == asked; }));
+    ASSERT_TRUE(run_until([&] { return engine->counters().admitted == asked; }));
   }
-  settle();
+  run_briefly();
   const auto sent = engine->counters().forwarded;
-  ASSERT_GT(engine->open_request_count(), sent + 20) << "the connections are full, and much waits";
-  w->write(event(3, "s-a", box[0].address(), "terminating"));
-  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
-  box[0].reads = true;
-  ASSERT_TRUE(until([&] { return box[0].count("fetch") >= sent; }));
-  settle();
-  EXPECT_LE(box[0].count("fetch"), sent + 6) << "one a connection was under way";
+  ASSERT_GT(engine->open_request_count(), sent + 20)
+      << "the connections are full, and many requests wait";
+  watch->write(encode_event(3, "s-a", caches[0].address(), "terminating"));
+  ASSERT_TRUE(run_until([&] { return engine->counters().endpoint_updates == 3; }));
+  caches[0].is_reading = true;
+  ASSERT_TRUE(run_until([&] { return caches[0].count("fetch") >= sent; }));
+  run_briefly();
+  EXPECT_LE(caches[0].count("fetch"), sent + 6) << "one for each connection was written in part";
 }
 
-// Guards against a repeat that was within its window when it was decided and is not when it leaves.
+// Guards against a retry within its window when it was decided, and beyond it when it is written.
 class ShortDedupWindowTest : public PendingConnectTest {
  protected:
   void SetUp() override {
-    set("dedup-window", "20000000", "300000");
+    replace_setting("dedup-window", "20000000", "300000");
     PendingConnectTest::SetUp();
-    watch_->write(event(3, "s-b", box[1].address(), "in_service"));
-    ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 3; }));
+    watch_->write(encode_event(3, "s-b", caches[1].address(), "in_service"));
+    ASSERT_TRUE(run_until([&] { return engine->counters().endpoint_updates == 3; }));
   }
 };
 TEST_F(ShortDedupWindowTest, SendsNoRetryWhenWindowEndsDuringConnect) {
-  auto c = client(front->address());
+  auto client = connect_client(client_front->address());
   unsigned n = 0;
-  while (box[1].count("fetch") == 0) {  // an object whose first cache is the one that answers
+  while (caches[1].count("fetch") == 0) {  // until an object has this one as its first cache
     ASSERT_LT(++n, 20u);
-    c->write(request(n, "plan-accept", {{"unique", kKey}, {"item", object(n)}}));
-    until([&, end = net::unix_now() + 100'000] {
-      return box[1].count("fetch") > 0 || net::unix_now() > end;
+    client->write(encode_request(n, "plan-accept", {{"unique", kKey}, {"item", object(n)}}));
+    run_until([&, end = net::unix_now() + 100'000] {
+      return caches[1].count("fetch") > 0 || net::unix_now() > end;
     });
   }
   const auto sent = engine->counters().forwarded;
-  box[1].stop();  // it may have run; the next attempt waits for the other's connect
+  caches[1].stop();  // it may have run; the next attempt waits for the other's connect
   const auto window_over = net::unix_now() + 320'000;
-  ASSERT_TRUE(until([&] { return net::unix_now() > window_over; }));
-  ASSERT_TRUE(comes_up());
-  settle();
-  EXPECT_FALSE((late.let_up(), late.got("dedupe=" + kKey) && late.got(object(n))));
-  EXPECT_EQ(engine->counters().forwarded - sent, late.got("fetch") ? n - 1 : 0u);
+  ASSERT_TRUE(run_until([&] { return net::unix_now() > window_over; }));
+  ASSERT_TRUE(let_connect_complete());
+  run_briefly();
+  EXPECT_FALSE(listener.has_received("dedupe=" + kKey) && listener.has_received(object(n)));
+  EXPECT_EQ(engine->counters().forwarded - sent, listener.has_received("fetch") ? n - 1 : 0u);
 }
 
-// Guards against an event told late, that fills a gap, taking back what a later one has told.
+// Guards against a late event that fills a gap and reverts a newer change.
 class EventGapTest : public EventRacesTest, public ::testing::WithParamInterface<bool> {};
 TEST_P(EventGapTest, KeepsNewerChangeWhenOlderEventFillsGap) {
   const bool complete = GetParam();
-  auto w = watcher();
-  ASSERT_TRUE(until([&] { return w->in == "watch 1\n"; }));
-  w->write(event(3, "s-a", box[0].address(), "terminating"));  // 2 is missing
-  auto again = watcher();
-  ASSERT_TRUE(until([&] { return again->in == "watch 1\n"; })) << "asked for what is missing";
-  again->write(event(2, "s-a", box[0].address(), "in_service", complete) +
-               event(3, "s-a", box[0].address(), "terminating") +
-               event(4, "s-x", box[1].address(), "terminated"));
-  ASSERT_TRUE(until([&] { return engine->counters().endpoint_updates == 4; }));
-  auto c = client(front->address());
-  for (unsigned i = 1; i <= 8; ++i) c->write(request(i, "asset", {{"item", object(i)}}));
-  ASSERT_TRUE(until([&] { return fetches() + answers(c->in).size() >= 8; }));
-  EXPECT_EQ(box[0].count("fetch"), 0u);
-  EXPECT_EQ(box[1].count("fetch"), complete ? 0u : 8u) << "a whole list without it takes it out";
+  auto watch = accept_watch();
+  ASSERT_TRUE(run_until([&] { return watch->received == "watch 1\n"; }));
+  watch->write(encode_event(3, "s-a", caches[0].address(), "terminating"));  // 2 is missing
+  auto again = accept_watch();
+  ASSERT_TRUE(run_until([&] { return again->received == "watch 1\n"; }))
+      << "asks for the missing event";
+  again->write(encode_event(2, "s-a", caches[0].address(), "in_service", complete) +
+               encode_event(3, "s-a", caches[0].address(), "terminating") +
+               encode_event(4, "s-x", caches[1].address(), "terminated"));
+  ASSERT_TRUE(run_until([&] { return engine->counters().endpoint_updates == 4; }));
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 8; ++i) {
+    client->write(encode_request(i, "asset", {{"item", object(i)}}));
+  }
+  ASSERT_TRUE(
+      run_until([&] { return fetch_count() + decode_responses(client->received).size() >= 8; }));
+  EXPECT_EQ(caches[0].count("fetch"), 0u);
+  EXPECT_EQ(caches[1].count("fetch"), complete ? 0u : 8u)
+      << "a complete list without it removes it";
 }
 INSTANTIATE_TEST_SUITE_P(Lists, EventGapTest, ::testing::Bool());
 
-// A board that accepts and says nothing is dead; what its connection says later is nobody's.
+// A discovery server that is silent is replaced; later bytes of its connection have no effect.
 TEST_F(EventRacesTest, WatchesFromLastEventWhenWatchFallsSilent) {
-  auto w = watcher();
-  ASSERT_TRUE(until([&] { return w->in == "watch 1\n"; }));
-  w->write(event(2, "s-b", box[1].address(), "terminating") + R"({"rev":3,"pool":{"comp)");
-  auto again = watcher();
-  ASSERT_TRUE(until([&] { return again->in == "watch 2\n"; })) << "half an event is none";
-  w->write("lete\":true,\"members\":[]}}\n");
-  settle();
-  auto c = client(front->address());
-  for (unsigned i = 1; i <= 8; ++i) c->write(request(i, "asset", {{"item", object(i)}}));
-  ASSERT_TRUE(until([&] { return fetches() == 8; }));
-  EXPECT_EQ(box[1].count("fetch"), 0u);
+  auto watch = accept_watch();
+  ASSERT_TRUE(run_until([&] { return watch->received == "watch 1\n"; }));
+  watch->write(encode_event(2, "s-b", caches[1].address(), "terminating") +
+               R"({"rev":3,"pool":{"comp)");
+  auto again = accept_watch();
+  ASSERT_TRUE(run_until([&] { return again->received == "watch 2\n"; }))
+      << "a partial event is ignored";
+  watch->write("lete\":true,\"members\":[]}}\n");
+  run_briefly();
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 8; ++i) {
+    client->write(encode_request(i, "asset", {{"item", object(i)}}));
+  }
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 8; }));
+  EXPECT_EQ(caches[1].count("fetch"), 0u);
 }
 
-// A drain and a request are ready in the same turn: the drain goes first.
+// A drain and a request are ready in the same turn: the drain applies first.
 TEST_F(EventRacesTest, AppliesDrainBeforeRequestOfTheSameTurn) {
-  auto w = watcher();
-  auto c = client(front->address());
-  settle();  // both connections are there
-  for (unsigned i = 1; i <= 8; ++i) c->write(request(i, "asset", {{"item", object(i)}}));
-  w->write(event(2, "s-a", box[0].address(), "terminating"));
-  ASSERT_TRUE(until([&] { return fetches() == 8; }));
-  EXPECT_EQ(box[0].count("fetch"), 0u);
+  auto watch = accept_watch();
+  auto client = connect_client(client_front->address());
+  run_briefly();  // both connections are there
+  for (unsigned i = 1; i <= 8; ++i) {
+    client->write(encode_request(i, "asset", {{"item", object(i)}}));
+  }
+  watch->write(encode_event(2, "s-a", caches[0].address(), "terminating"));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 8; }));
+  EXPECT_EQ(caches[0].count("fetch"), 0u);
 }
 
 // ---- Connections to caches
-// --------------------------------------------------------------------------
 
-// Guards against a command that crosses the cache's idle close, which is due: it might have run.
+// Guards against a command that is written while the cache closes for idleness: it might have run.
 class ShortIdleTimeoutTest : public EventRacesTest {
  protected:
   void SetUp() override {
-    set("idle-close", "30000000", "400000");
+    replace_setting("idle-close", "30000000", "400000");
     EventRacesTest::SetUp();
   }
 };
 TEST_F(ShortIdleTimeoutTest, OpensNewConnectionWhenCacheIsAboutToClose) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  const Command first = *fetch();
-  answer_all("bytes");
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  const CacheCommand first = *fetch_command();
+  respond_to_all("bytes");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 1; }));
   const auto nearly =
       net::unix_now() + 350'000;  // over four fifths of the time since it was last used
-  ASSERT_TRUE(until([&] { return net::unix_now() > nearly; }));
-  c->write(request(2, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  EXPECT_NE(fetch()->from, first.from);
+  ASSERT_TRUE(run_until([&] { return net::unix_now() > nearly; }));
+  client->write(encode_request(2, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  EXPECT_NE(fetch_command()->connection, first.connection);
 }
 
-// Guards against an answer that comes byte by byte for ever: what is behind it must not wait for
-// it.
+// Guards against a response that arrives byte by byte without end: requests behind it must not
+// wait.
 TEST_F(EventRacesTest, RetriesQueuedRequestsWhenResponseNeverEnds) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {{"ram", "9"}}) + request(2, "asset", {{"ram", "9"}}));
-  ASSERT_TRUE(until([&] { return fetches() == 2; }));
-  const Command got = *fetch(1);
-  ASSERT_EQ(fetch(2)->from, got.from);
-  got.from->write(got.id + " served " + loopback::dated("t") + " 240000\r\n");
-  ASSERT_TRUE(until([&] { return got.from->write("x"), fetches() == 4; }));
-  for (auto& b : box) {
-    for (auto& cmd : b.commands) {
-      if (cmd.from != got.from) Box::answer(cmd, "served", "whole");
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {{"ram", "9"}}) +
+                encode_request(2, "asset", {{"ram", "9"}}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
+  const CacheCommand got = *fetch_command(1);
+  ASSERT_EQ(fetch_command(2)->connection, got.connection);
+  got.connection->write(got.id + " served " + loopback::fresh_copy_fields("t") + " 240000\r\n");
+  ASSERT_TRUE(run_until([&] {
+    got.connection->write("x");
+    return fetch_count() == 4;
+  }));
+  for (auto& cache : caches) {
+    for (auto& command : cache.commands) {
+      if (command.connection != got.connection) FakeCache::respond(command, "served", "complete");
     }
   }
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
-  for (const auto& a : answers(c->in)) EXPECT_EQ(a.body, "whole");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 2; }));
+  for (const auto& response : decode_responses(client->received)) {
+    EXPECT_EQ(response.body, "complete");
+  }
 }
 
-// A start that is told while a connect hangs: what waited counts against the new process, and is no
-// failure.
+// The server's restart is reported while a connect hangs: what waits is no failure of the new
+// process.
 TEST_F(PendingConnectTest, ReturnsRequestsWithoutBlameWhenServerRestarts) {
-  auto c = client(front->address());
-  ask(*c);
-  c->write(request(2, "asset", {{"item", object(2)}}));  // two failures in a row would put it out
-  ASSERT_TRUE(until([&] { return engine->open_request_count() == 2; }));
-  watch_->write(event(3, "s-b", box[1].address(), "in_service"));
-  auto again = event(4, "s-a", late.address(), "in_service");
-  const std::string born = "\"up_since_ms\":";
-  again.replace(again.find(born), born.size() + 1, born + std::to_string(net::unix_now() / 1000));
-  watch_->write(again);
-  ASSERT_TRUE(until([&] { return box[1].count("fetch") == 2; })) << "its budget is empty yet";
-  for (const auto& s : engine->endpoint_statuses()) EXPECT_TRUE(s.is_usable);
-  answer_all("bytes");
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
-  settle();
-  EXPECT_FALSE((late.let_up(), late.got("fetch")));
+  auto client = connect_client(client_front->address());
+  send_until_connect_hangs(*client);
+  client->write(encode_request(
+      2, "asset", {{"item", object(2)}}));  // two failures in a row would eject the server
+  ASSERT_TRUE(run_until([&] { return engine->open_request_count() == 2; }));
+  watch_->write(encode_event(3, "s-b", caches[1].address(), "in_service"));
+  auto restarted = encode_event(4, "s-a", listener.address(), "in_service");
+  const std::string started_at = "\"up_since_ms\":";
+  restarted.replace(restarted.find(started_at), started_at.size() + 1,
+                    started_at + std::to_string(net::unix_now() / 1000));
+  watch_->write(restarted);
+  ASSERT_TRUE(run_until([&] { return caches[1].count("fetch") == 2; }))
+      << "the slow start quota of the restarted one is empty";
+  for (const auto& status : engine->endpoint_statuses()) EXPECT_TRUE(status.is_usable);
+  respond_to_all("bytes");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 2; }));
+  run_briefly();
+  EXPECT_FALSE(listener.has_received("fetch"));
 }
 
-// An answer and the end of its connection arrive together.
+// A response and the end of its connection arrive together.
 TEST_F(EventRacesTest, CountsResponseWhenConnectionClosesBehindIt) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {}) + request(2, "asset", {{"item", object(2)}}));
-  ASSERT_TRUE(until([&] { return fetches() == 2; }));
-  const Command got = *fetch(1);
-  Box::answer(got, "served", "in time");
-  got.from->close();
-  ASSERT_TRUE(until([&] { return !answers(c->in).empty(); }));
-  EXPECT_EQ(answers(c->in)[0].body, "in time");
-  ASSERT_TRUE(until([&] { return fetches() >= 2; }));
-  for (auto& b : box) {
-    for (auto& cmd : b.commands) {
-      if (cmd.id != got.id && !cmd.from->ended) Box::answer(cmd, "served", "the other");
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}) + encode_request(2, "asset", {{"item", object(2)}}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
+  const CacheCommand got = *fetch_command(1);
+  FakeCache::respond(got, "served", "in time");
+  got.connection->close();
+  ASSERT_TRUE(run_until([&] { return !decode_responses(client->received).empty(); }));
+  EXPECT_EQ(decode_responses(client->received)[0].body, "in time");
+  ASSERT_TRUE(run_until([&] { return fetch_count() >= 2; }));
+  for (auto& cache : caches) {
+    for (auto& command : cache.commands) {
+      if (command.id != got.id && !command.connection->is_closed) {
+        FakeCache::respond(command, "served", "of the other");
+      }
     }
   }
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
-  settle();
-  EXPECT_EQ(answers(c->in).size(), 2u);
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 2; }));
+  run_briefly();
+  EXPECT_EQ(decode_responses(client->received).size(), 2u);
 }
 
 }  // namespace
--- a/tests/hot_restart/replacement_fixture.cpp
+++ b/tests/hot_restart/replacement_fixture.cpp
@@ -13,8 +13,8 @@
 namespace alderspur::hot_restart {
 namespace {
 
-using loopback::Box;
-using loopback::Command;
+using loopback::CacheCommand;
+using loopback::FakeCache;
 
 // A request that crosses the close of its connection is sent again: 50 ms, and time for a slow
 // machine.
@@ -28,7 +28,7 @@
   return text.data();
 }
 
-std::string member_json(const std::string& id, const Box& cache) {
+std::string member_json(const std::string& id, const FakeCache& cache) {
   return R"({"id":")" + id + R"(","host_port":")" + cache.address() +
          R"(","locality":"edge","flavor":"small","phase":"in_service","size":4})";
 }
@@ -59,7 +59,7 @@
 }
 
 void ReplacementTest::listen_as_board() {
-  board_listener = loopback::bound(board_address);
+  board_listener = loopback::bind_socket(board_address);
   ::listen(board_listener, 8);
   ::fcntl(board_listener, F_SETFL, O_NONBLOCK);
 }
@@ -86,9 +86,10 @@
   constexpr std::string_view kAnnouncement = "operators on ";
   const std::string listen = net::to_string(address);
   Process process;
-  process.program = std::make_unique<loopback::Program>(config(), directory,
-                                                        listen.substr(0, listen.find(':')) + ":0");
-  for (std::string line = process.program->line(); !line.empty(); line = process.program->line()) {
+  process.program = std::make_unique<loopback::RouterProcess>(
+      config(), directory, listen.substr(0, listen.find(':')) + ":0");
+  for (std::string line = process.program->read_log_line(); !line.empty();
+       line = process.program->read_log_line()) {
     if (line.starts_with(kAnnouncement)) {
       process.admin_address =
           net::parse_address(line.substr(kAnnouncement.size())).value_or(sockaddr_in{});
@@ -102,13 +103,13 @@
 }
 
 std::string ReplacementTest::call(const Process& process, const std::string& method_and_path) {
-  auto socket = loopback::dial(process.admin_address);
+  auto socket = loopback::connect_to(process.admin_address);
   socket->write(method_and_path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   run_until([&] {
     socket->poll();
-    return socket->ended;
+    return socket->is_closed;
   });
-  return socket->in;
+  return socket->received;
 }
 
 std::uint64_t ReplacementTest::metric(const std::string& text, const std::string& name) {
@@ -124,8 +125,8 @@
 }
 
 std::string ReplacementTest::encode_request(unsigned number, const std::string& id) {
-  return loopback::request(number, "asset",
-                           {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}});
+  return loopback::encode_request(number, "asset",
+                                  {{"txn", id}, {"item", id}, {"limit", "3000"}, {"ram", "90"}});
 }
 
 std::string ReplacementTest::id_of(std::uint64_t number) { return hex_id(number + 1); }
@@ -137,7 +138,7 @@
       ++lost;
       return;
     }
-    client.socket = std::make_unique<loopback::Socket>(fd);
+    client.socket = std::make_unique<loopback::TestSocket>(fd);
     client.next_number = 1;
   }
   const auto number = static_cast<unsigned>(client.next_number++);
@@ -148,13 +149,13 @@
 void ReplacementTest::read(Client& client) {
   if (!client.socket) return;
   client.socket->poll();
-  for (const auto& answer : loopback::answers(client.socket->in)) {
+  for (const auto& answer : loopback::decode_responses(client.socket->received)) {
     const auto it = client.open.find(answer.id);
     if (it == client.open.end()) continue;  // counted before
     ++(answer.error.empty() ? served : answer.error == "Busy" ? busy : failed);
     client.open.erase(it);
   }
-  if (!client.socket->ended) return;
+  if (!client.socket->is_closed) return;
   client.socket.reset();
   for (const auto& [number, request] : std::exchange(client.open, {})) {
     if (net::unix_now() - request.sent_at > kCrossingTime) {
@@ -170,19 +171,19 @@
   if (board_listener >= 0) {
     for (int fd = ::accept(board_listener, nullptr, nullptr); fd >= 0;
          fd = ::accept(board_listener, nullptr, nullptr)) {
-      board_connections.push_back(std::make_unique<loopback::Socket>(fd));
+      board_connections.push_back(std::make_unique<loopback::TestSocket>(fd));
     }
   }
   for (auto& connection : board_connections) connection->poll();
 }
 
 // Whether the command is done with.
-bool ReplacementTest::answer_if_due(std::size_t index, Command& command) {
-  if (command.word == "stats") {
-    Box::answer(command, "green");
+bool ReplacementTest::answer_if_due(std::size_t index, CacheCommand& command) {
+  if (command.verb == "stats") {
+    FakeCache::respond(command, "green");
     return true;
   }
-  if (command.word != "fetch") return true;
+  if (command.verb != "fetch") return true;
   const core::Time now = net::unix_now();
   const auto [due, is_new] = fetch_due_at.try_emplace(command.id, now + cache_latency);
   if (now < due->second) return false;
@@ -191,14 +192,14 @@
   const auto item = command.fields["name"];
   if (!command.fields["agelim"].empty()) age_limits[item] = command.fields["agelim"];
   const auto body = large_items.contains(item) ? std::string(kLargeAnswerBytes, 'x') : "bytes";
-  Box::answer(command, "served", body);
+  FakeCache::respond(command, "served", body);
   return true;
 }
 
 void ReplacementTest::step_cache(std::size_t index) {
   caches[index].poll();
   std::erase_if(caches[index].commands,
-                [&](Command& command) { return answer_if_due(index, command); });
+                [&](CacheCommand& command) { return answer_if_due(index, command); });
 }
 
 void ReplacementTest::step() {
--- a/tests/hot_restart/replacement_fixture.h
+++ b/tests/hot_restart/replacement_fixture.h
@@ -13,15 +13,14 @@
 #include <string>
 #include <vector>
 
-#include "loopback.h"
-#include "process.h"
+#include "support/router_process.h"
 
 namespace alderspur::hot_restart {
 
 struct ReplacementTest : ::testing::Test {
   /// One process of the router.
   struct Process {
-    std::unique_ptr<loopback::Program> program;
+    std::unique_ptr<loopback::RouterProcess> program;
     sockaddr_in admin_address{};
   };
   /// A request without an answer.
@@ -30,7 +29,7 @@
     core::Time sent_at = 0;
   };
   struct Client {
-    std::unique_ptr<loopback::Socket> socket;
+    std::unique_ptr<loopback::TestSocket> socket;
     std::map<std::uint64_t, OpenRequest> open;
     std::uint64_t next_number = 1;
     core::Time next_send_at = 0;
@@ -67,7 +66,7 @@
   std::string config() const;
   void step_board();
   void step_cache(std::size_t index);
-  bool answer_if_due(std::size_t index, loopback::Command& command);
+  bool answer_if_due(std::size_t index, loopback::CacheCommand& command);
 
   std::string directory;
   sockaddr_in address{};  // of the router
@@ -76,9 +75,9 @@
 
   sockaddr_in board_address{};
   int board_listener = -1;
-  std::vector<std::unique_ptr<loopback::Socket>> board_connections;
+  std::vector<std::unique_ptr<loopback::TestSocket>> board_connections;
 
-  std::array<loopback::Box, 2> caches;
+  std::array<loopback::FakeCache, 2> caches;
   std::array<std::uint64_t, 2> answered_fetches{};  // by cache
   core::Time cache_latency = 15'000;
   std::map<std::string, core::Time> fetch_due_at;  // by the fetch's id
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -25,10 +25,10 @@
 bool is_ok(const std::string& reply) { return reply.starts_with("HTTP/1.1 200"); }
 
 /// The number of served requests that a process logs at its end.
-std::uint64_t logged_served_count(loopback::Program& program) {
+std::uint64_t logged_served_count(loopback::RouterProcess& program) {
   constexpr std::string_view kLabel = " served ";
   std::uint64_t count = 0;
-  for (std::string line = program.line(); !line.empty(); line = program.line()) {
+  for (std::string line = program.read_log_line(); !line.empty(); line = program.read_log_line()) {
     const auto begin = line.find(kLabel);
     if (begin != std::string::npos) count = std::stoull(line.substr(begin + kLabel.size()));
   }
@@ -44,11 +44,11 @@
   EXPECT_TRUE(is_ok(call(old_process, "GET /control/ready")));
   const auto before = metrics(old_process);
   EXPECT_GT(metric(before, kSuccessMetric), 50U);
-  old_process.program->signal(SIGTERM);
-  ASSERT_TRUE(run_until([&] { return old_process.program->ended(); }, kKillTimeout))
+  old_process.program->send_signal(SIGTERM);
+  ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, kKillTimeout))
       << "SIGKILL would have come";
   const std::uint64_t served_by_old = logged_served_count(*old_process.program);
-  EXPECT_EQ(old_process.program->exit_code(), 0);
+  EXPECT_EQ(old_process.program->wait_for_exit(), 0);
   run_for(300'000);
   finish();
   EXPECT_EQ(lost, 0U);
@@ -59,8 +59,8 @@
   EXPECT_EQ(served_by_old + metric(text, kSuccessMetric), served);
   EXPECT_EQ(metric(text, "edge_relay_inflight"), 0U);
   EXPECT_EQ(metric(text, "edge_relay_hosts_listed"), 2U);
-  new_process.program->signal(SIGTERM);
-  EXPECT_EQ(new_process.program->exit_code(), 0);
+  new_process.program->send_signal(SIGTERM);
+  EXPECT_EQ(new_process.program->wait_for_exit(), 0);
 }
 
 TEST_F(ReplacementTest, KeepsABanOverReplacementAndRestartUntilItIsLifted) {
@@ -73,11 +73,11 @@
   const auto at_ban = answered_fetches[0];
   auto new_process = start();
   EXPECT_EQ(metric(metrics(new_process), "edge_relay_hosts_down"), 1U);
-  old_process.program->signal(SIGTERM);
-  ASSERT_TRUE(run_until([&] { return old_process.program->ended(); }, kKillTimeout));
+  old_process.program->send_signal(SIGTERM);
+  ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, kKillTimeout));
   run_for(200'000);
-  new_process.program->signal(SIGKILL);  // no process is left that knows of the ban
-  new_process.program->exit_code();
+  new_process.program->send_signal(SIGKILL);  // no process is left that knows of the ban
+  new_process.program->wait_for_exit();
   const auto third = start();
   run_for(300'000);
   EXPECT_EQ(answered_fetches[0], at_ban);
@@ -103,13 +103,13 @@
   auto old_process = start();
   run_for(200'000);
   auto new_process = start();
-  new_process.program->signal(SIGKILL);
-  new_process.program->exit_code();
-  old_process.program->signal(SIGTERM);
+  new_process.program->send_signal(SIGKILL);
+  new_process.program->wait_for_exit();
+  old_process.program->send_signal(SIGTERM);
   run_for(300'000);  // clients still come, as after any SIGTERM
   const auto third = start();
-  ASSERT_TRUE(run_until([&] { return old_process.program->ended(); }, 6'000'000));
-  EXPECT_EQ(old_process.program->exit_code(), 0);
+  ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, 6'000'000));
+  EXPECT_EQ(old_process.program->wait_for_exit(), 0);
   run_for(200'000);
   finish();
   EXPECT_EQ(failed, 0U);
@@ -122,15 +122,15 @@
   auto old_process = start();
   run_for(200'000);
   auto new_process = start();
-  old_process.program->signal(SIGKILL);
-  old_process.program->exit_code();
+  old_process.program->send_signal(SIGKILL);
+  old_process.program->wait_for_exit();
   run_for(600'000);
   finish();
   EXPECT_EQ(failed, 0U);
   EXPECT_LE(lost, 40U);  // only requests open at the killed process
   EXPECT_GT(metric(metrics(new_process), kSuccessMetric), 100U);
-  new_process.program->signal(SIGTERM);
-  EXPECT_EQ(new_process.program->exit_code(), 0);
+  new_process.program->send_signal(SIGTERM);
+  EXPECT_EQ(new_process.program->wait_for_exit(), 0);
 }
 
 TEST_F(ReplacementTest, StartsWithDamagedFilesInTheSharedDirectory) {
@@ -168,7 +168,7 @@
       auto new_process = start();
       const auto text = metrics(new_process);
       EXPECT_GE(metric(text, "edge_relay_hosts_down"), 1U) << suffix << " cut to " << size;
-      new_process.program->signal(SIGKILL);
+      new_process.program->send_signal(SIGKILL);
     }
     std::ofstream(path, std::ios::trunc) << whole.str();
   }
@@ -192,7 +192,7 @@
   }
   run_for(150'000);
   auto new_process = start();
-  old_process.program->signal(SIGTERM);
+  old_process.program->send_signal(SIGTERM);
   std::string input;
   bool has_ended = false;
   run_until([&] {
@@ -204,13 +204,13 @@
   });
   ::close(fd);
   EXPECT_TRUE(has_ended);
-  const auto answers = loopback::answers(input);
+  const auto answers = loopback::decode_responses(input);
   EXPECT_EQ(answers.size(), kAnswerCount);
   for (const auto& answer : answers) {
     EXPECT_EQ(answer.body.size(), kLargeAnswerBytes) << answer.error;
   }
-  EXPECT_TRUE(run_until([&] { return old_process.program->ended(); }));
-  EXPECT_EQ(old_process.program->exit_code(), 0);
+  EXPECT_TRUE(run_until([&] { return old_process.program->has_exited(); }));
+  EXPECT_EQ(old_process.program->wait_for_exit(), 0);
   finish();
   EXPECT_EQ(lost + failed, 0U);
 }
@@ -231,9 +231,9 @@
   EXPECT_TRUE(ban.starts_with("HTTP/1.1 503"))
       << "a ban that is not on the disk is not confirmed: " << ban;
   finish();
-  process.program->signal(SIGTERM);
-  ASSERT_TRUE(run_until([&] { return process.program->ended(); }, kKillTimeout));
-  EXPECT_EQ(process.program->exit_code(), 0);
+  process.program->send_signal(SIGTERM);
+  ASSERT_TRUE(run_until([&] { return process.program->has_exited(); }, kKillTimeout));
+  EXPECT_EQ(process.program->wait_for_exit(), 0);
   EXPECT_EQ(lost + failed, 0U);
 }
 
@@ -245,11 +245,11 @@
   run_for(100'000);
   auto new_process = start();
   ASSERT_TRUE(run_until([&] {
-    return board_connections.size() == 2 && board_connections[0]->in == "watch 1\n" &&
-           board_connections[1]->in == "watch 1\n";
+    return board_connections.size() == 2 && board_connections[0]->received == "watch 1\n" &&
+           board_connections[1]->received == "watch 1\n";
   }));
   ASSERT_GT(answered_fetches[0], 0U) << "both caches are asked";
-  old_process.program->signal(SIGTERM);
+  old_process.program->send_signal(SIGTERM);
   for (auto& connection : board_connections) {
     connection->write(R"({"rev":2,"pool":{"complete":false,"members":[{"id":"s-0","host_port":")" +
                       caches[0].address() +
@@ -258,7 +258,7 @@
   }
   run_for(500'000);  // requests that are already at the cache end
   const auto before = answered_fetches[0];
-  ASSERT_TRUE(run_until([&] { return old_process.program->ended(); }, 3'700'000));
+  ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, 3'700'000));
   run_for(200'000);
   EXPECT_EQ(answered_fetches[0], before);
   finish();
@@ -270,20 +270,22 @@
 TEST_F(ReplacementTest, AppliesAPurgeInEachProcessOnceItIsNotified) {
   listen_as_board();
   auto old_process = start();
-  ASSERT_TRUE(run_until(
-      [&] { return board_connections.size() == 1 && board_connections[0]->in == "watch 1\n"; }));
+  ASSERT_TRUE(run_until([&] {
+    return board_connections.size() == 1 && board_connections[0]->received == "watch 1\n";
+  }));
   const std::string item = "00000000000000aa";
   const auto purge = R"({"rev":2,"flush":{"asset":")" + item + R"(","ms":)" +
                      std::to_string(net::unix_now() / 1000) + "}}\n";
   board_connections[0]->write(purge);
   run_for(100'000);
   auto new_process = start();
-  ASSERT_TRUE(run_until(
-      [&] { return board_connections.size() == 2 && board_connections[1]->in == "watch 1\n"; }));
+  ASSERT_TRUE(run_until([&] {
+    return board_connections.size() == 2 && board_connections[1]->received == "watch 1\n";
+  }));
   board_connections[1]->write(purge);
   run_for(100'000);
-  old_process.program->signal(SIGTERM);
-  ASSERT_TRUE(run_until([&] { return old_process.program->ended(); }, kKillTimeout));
+  old_process.program->send_signal(SIGTERM);
+  ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, kKillTimeout));
   EXPECT_TRUE(age_limits.empty());
   Client late;
   send(late, item);
@@ -302,18 +304,19 @@
 TEST_F(ReplacementTest, BothProcessesTogetherKeepTheDescriptorLimit) {
   max_sockets = 160;
   auto old_process = start();
-  std::vector<std::unique_ptr<loopback::Socket>> idle(60);
-  for (auto& socket : idle) socket = loopback::dial(address);
+  std::vector<std::unique_ptr<loopback::TestSocket>> idle(60);
+  for (auto& socket : idle) socket = loopback::connect_to(address);
   run_for(300'000);
-  EXPECT_GT(old_process.program->descriptors(), 60U);
+  EXPECT_GT(old_process.program->open_descriptors(), 60U);
   auto new_process = start();
   std::size_t most = 0;
   idle.reserve(160);
   for (int i = 0; i < 100; ++i) {
-    idle.push_back(loopback::dial(address));
+    idle.push_back(loopback::connect_to(address));
     run_for(5'000);
     if (i <= 40) continue;
-    most = std::max(most, old_process.program->descriptors() + new_process.program->descriptors());
+    most = std::max(
+        most, old_process.program->open_descriptors() + new_process.program->open_descriptors());
   }
   EXPECT_LE(most, 160U);
   EXPECT_GT(most, 80U) << "the limit is reached";
@@ -328,10 +331,10 @@
   auto old_process = start();
   run_for(200'000);
   auto new_process = start();
-  old_process.program->signal(SIGTERM);
+  old_process.program->send_signal(SIGTERM);
   run_for(130'000);  // clients go to the successor, the old listener is closed
-  new_process.program->signal(SIGKILL);
-  new_process.program->exit_code();
+  new_process.program->send_signal(SIGKILL);
+  new_process.program->wait_for_exit();
   int fd = -1;
   const auto has_connected = [&] {
     fd = connect();
@@ -339,9 +342,9 @@
   };
   EXPECT_TRUE(run_until(has_connected, 2'000'000)) << "with clients it serves for 3.5 s";
   if (fd >= 0) ::close(fd);
-  ASSERT_TRUE(run_until([&] { return old_process.program->ended(); }, kKillTimeout))
+  ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, kKillTimeout))
       << "SIGKILL would have come";
-  EXPECT_EQ(old_process.program->exit_code(), 0);
+  EXPECT_EQ(old_process.program->wait_for_exit(), 0);
   EXPECT_EQ(failed, 0U);
 }
 
@@ -350,12 +353,12 @@
   max_sockets = 160;
   auto old_process = start();
   auto new_process = start();
-  old_process.program->signal(SIGKILL);
-  old_process.program->exit_code();
+  old_process.program->send_signal(SIGKILL);
+  old_process.program->wait_for_exit();
   run_for(700'000);
-  std::vector<std::unique_ptr<loopback::Socket>> idle(60);
-  for (auto& socket : idle) socket = loopback::dial(address);
-  EXPECT_TRUE(run_until([&] { return new_process.program->descriptors() >= 80; }, 1'000'000))
+  std::vector<std::unique_ptr<loopback::TestSocket>> idle(60);
+  for (auto& socket : idle) socket = loopback::connect_to(address);
+  EXPECT_TRUE(run_until([&] { return new_process.program->open_descriptors() >= 80; }, 1'000'000))
       << "of 160, all for one process";
 }
 
@@ -369,13 +372,13 @@
   auto old_process = start();
   auto new_process = start();
   // Some 30 are accepted by each process; the rest wait in the kernel.
-  std::vector<std::unique_ptr<loopback::Socket>> sockets(200);
+  std::vector<std::unique_ptr<loopback::TestSocket>> sockets(200);
   for (std::size_t i = 0; i < sockets.size(); ++i) {
-    sockets[i] = loopback::dial(address);
+    sockets[i] = loopback::connect_to(address);
     sockets[i]->write(encode_request(1, id_of(i)));
   }
   run_for(200'000);
-  old_process.program->signal(SIGTERM);
+  old_process.program->send_signal(SIGTERM);
   run_for(300'000);
   cache_latency = 15'000;
   std::size_t answered = 0;
@@ -383,7 +386,7 @@
     answered = 0;
     for (auto& socket : sockets) {
       socket->poll();
-      answered += loopback::answers(socket->in).size();
+      answered += loopback::decode_responses(socket->received).size();
     }
     return answered == sockets.size();
   };
@@ -434,7 +437,7 @@
   auto old_process = start();
   auto new_process = start();
   const auto resident = [&] {
-    return old_process.program->resident() + new_process.program->resident();
+    return old_process.program->resident_bytes() + new_process.program->resident_bytes();
   };
   const std::size_t before = resident();
   std::size_t most = before;
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -9,9 +9,10 @@
 
 #include "config/config.h"
 #include "http/message.h"
-#include "loopback.h"
 #include "rpc_front/rpc_codec.h"
 #include "signed_url/token.h"
+#include "support/rpc_messages.h"
+#include "support/test_socket.h"
 #include "upstream/cache_protocol.h"
 #include "xds/eds.h"
 
@@ -35,7 +36,8 @@
 }
 
 TEST(InvalidInputTest, SurvivesCorruptedClientFrames) {
-  const std::string good = loopback::request(1, "pay", {{"unique", std::string(32, 'a')}}, "xyz");
+  const std::string good =
+      loopback::encode_request(1, "pay", {{"unique", std::string(32, 'a')}}, "xyz");
   int whole = 0;
   mangle(good, [&](std::string_view bytes) {
     rpc_front::Call call;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -4,32 +4,32 @@
 #include <algorithm>
 #include <sstream>
 
-#include "loopback.h"
 #include "rpc_front/rpc_codec.h"
+#include "support/edge_router_fixture.h"
 #include "upstream/cache_protocol.h"
 
 namespace {
 
 using namespace alderspur;
 
-using loopback::answers;
-using loopback::Box;
-using loopback::Command;
-using loopback::request;
+using loopback::CacheCommand;
+using loopback::decode_responses;
+using loopback::encode_request;
+using loopback::FakeCache;
 
 const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-class Platform : public loopback::BoardStory {};
+class Platform : public loopback::DiscoveryTest {};
 
 TEST_F(Platform, ForwardsRequestUnchangedAndReturnsWholeBodyWhenBytesArriveOneByOne) {
-  auto c = client(front->address());
-  const std::string all =
-      request(1, "plan-accept", {{"unique", kKey}, {"slice", "3"}, {"seen", "ab"}}, "pay\r\nme");
+  auto client = connect_client(client_front->address());
+  const std::string all = encode_request(
+      1, "plan-accept", {{"unique", kKey}, {"slice", "3"}, {"seen", "ab"}}, "pay\r\nme");
   for (const char byte : all) {  // one byte at a time
-    c->write(std::string_view(&byte, 1));
+    client->write(std::string_view(&byte, 1));
     ev_run(loop.raw(), EVRUN_NOWAIT);
   }
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  const Command got = *fetch();
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  const CacheCommand got = *fetch_command();
   EXPECT_EQ(got.id, "9b1f03aa5c7e2d41");
   EXPECT_EQ(got.body, "pay\r\nme");
   const std::map<std::string, std::string> want{
@@ -39,72 +39,72 @@
   for (const auto& [k, v] : want) EXPECT_EQ(got.fields.at(k), v) << k;
   EXPECT_LT(std::stoi(got.fields.at("ttl")), 20000);
   const std::string body(240'000, 'x');
-  Box::answer(got, "served", body);
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
-  EXPECT_EQ(answers(c->in)[0].body, body);
-  c->write(request(2, "asset", {{"seen", "ab"}}));
-  ASSERT_TRUE(until([&] { return fetches() == 2; }));
-  Box::answer(got.id == fetch(2)->id ? *fetch(1) : *fetch(2), "still_good", {},
-              loopback::dated("ab"));
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 2; }));
-  EXPECT_EQ(answers(c->in)[1].fields["current"], "1");
+  FakeCache::respond(got, "served", body);
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 1; }));
+  EXPECT_EQ(decode_responses(client->received)[0].body, body);
+  client->write(encode_request(2, "asset", {{"seen", "ab"}}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
+  FakeCache::respond(got.id == fetch_command(2)->id ? *fetch_command(1) : *fetch_command(2),
+                     "still_good", {}, loopback::fresh_copy_fields("ab"));
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 2; }));
+  EXPECT_EQ(decode_responses(client->received)[1].fields["current"], "1");
 }
 
 TEST_F(Platform, SendsToNextCacheWhenConnectIsRefused) {
-  auto c = client(front->address());
-  box[0].stop();
+  auto client = connect_client(client_front->address());
+  caches[0].stop();
   for (unsigned i = 1; i <= 4; ++i) {
-    c->write(request(i, "plan-accept",
-                     {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}}));
-    ASSERT_TRUE(until([&] { return box[1].count("fetch") == i; }));
-    Box::answer(box[1].commands.back(), "served", "ok");
-    ASSERT_TRUE(until([&] { return answers(c->in).size() == i; }));
+    client->write(encode_request(
+        i, "plan-accept", {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}}));
+    ASSERT_TRUE(run_until([&] { return caches[1].count("fetch") == i; }));
+    FakeCache::respond(caches[1].commands.back(), "served", "ok");
+    ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == i; }));
   }
   EXPECT_EQ(engine->counters().served, 4u);
 }
 
 TEST_F(Platform, AbortsAttemptAndSendsNoResponseWhenCallIsCancelled) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  c->write(loopback::withdraw(1));
-  ASSERT_TRUE(until([&] { return box_of(*fetch()).count("abort") == 1; }));
-  Box::answer(*fetch(), "served", "late");
-  settle();
-  EXPECT_TRUE(answers(c->in).empty());
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  client->write(loopback::encode_cancel(1));
+  ASSERT_TRUE(run_until([&] { return cache_of(*fetch_command()).count("abort") == 1; }));
+  FakeCache::respond(*fetch_command(), "served", "late");
+  run_briefly();
+  EXPECT_TRUE(decode_responses(client->received).empty());
   EXPECT_EQ(engine->counters().late_responses, 1u);
 }
 
 // Guards against a late answer of the attempt given up passing for the next one's under the same
 // id.
 TEST_F(Platform, RetriesEachAttemptOnceWhenConnectionIsLost) {
-  auto c = client(front->address());
-  for (unsigned i = 1; i <= 3; ++i) c->write(request(i, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 3; }));
-  Box& first = box_of(*fetch());
-  Box& second = &first == &box[0] ? box[1] : box[0];
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 3; ++i) client->write(encode_request(i, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 3; }));
+  FakeCache& first = cache_of(*fetch_command());
+  FakeCache& second = &first == &caches[0] ? caches[1] : caches[0];
   const auto before = second.count("fetch");
   first.stop();
-  ASSERT_TRUE(until([&] {
+  ASSERT_TRUE(run_until([&] {
     return second.count("fetch") == 3 || engine->counters().rejected + second.count("fetch") >= 3;
   }));
-  for (const auto& cmd : second.commands) Box::answer(cmd, "served", "again");
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 3; }));
+  for (const auto& command : second.commands) FakeCache::respond(command, "served", "again");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 3; }));
   EXPECT_GE(second.count("fetch"), before);
-  settle();
-  EXPECT_EQ(answers(c->in).size(), 3u);
+  run_briefly();
+  EXPECT_EQ(decode_responses(client->received).size(), 3u);
 }
 
 // Guards against caches being sent what they can't read or use: they would close, on others'
 // requests too.
 TEST_F(Platform, ClosesOnlyItsConnectionWhenFrameIsUnreadableAndRejectsInvalidFields) {
-  auto bad = client(front->address());
-  auto good = client(front->address());
+  auto bad = connect_client(client_front->address());
+  auto good = connect_client(client_front->address());
   bad->write("\xc1garbage");
-  ASSERT_TRUE(until([&] { return bad->ended; }));
-  good->write(request(1, "no-such-class", {}) + request(2, "asset", {}, "a body") +
-              request(3, "plan-accept", {}) +
-              request(4, "plan-accept", {{"unique", kKey}}, std::string(48'001, 'x')));
+  ASSERT_TRUE(run_until([&] { return bad->is_closed; }));
+  good->write(encode_request(1, "no-such-class", {}) + encode_request(2, "asset", {}, "a body") +
+              encode_request(3, "plan-accept", {}) +
+              encode_request(4, "plan-accept", {{"unique", kKey}}, std::string(48'001, 'x')));
   unsigned id = 4;
   for (const auto& [field, values] : std::map<std::string, std::vector<std::string>>{
            {"item", {"", "not hex", "7f", "7F3A9C21E0B4D655"}},
@@ -114,10 +114,10 @@
            {"set", {"", "256", "x", "-1"}},
            {"ram", {"inf", "-1", "1e300"}},
            {"unique", {kKey}}}) {
-    for (const auto& value : values) good->write(request(++id, "asset", {{field, value}}));
+    for (const auto& value : values) good->write(encode_request(++id, "asset", {{field, value}}));
   }
-  ASSERT_TRUE(until([&] { return answers(good->in).size() == id; }));
-  for (const auto& a : answers(good->in)) EXPECT_EQ(a.error, "Failed") << a.id;
+  ASSERT_TRUE(run_until([&] { return decode_responses(good->received).size() == id; }));
+  for (const auto& a : decode_responses(good->received)) EXPECT_EQ(a.error, "Failed") << a.id;
   // Answered, so counted: what a client was told is in the figures, though nothing was sent for it.
   EXPECT_EQ(engine->counters().admitted, id);
   EXPECT_EQ(engine->counters().failed, id);
@@ -125,78 +125,89 @@
 }
 
 TEST_F(Platform, RejectsSecondRequestWhenOpenIdNamesAnotherObject) {
-  auto usual = client(front->address());
-  auto bad = client(front->address());
-  usual->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  bad->write(request(1, "asset", {{"item", "0000000000000001"}}));
-  ASSERT_TRUE(until([&] { return answers(bad->in).size() == 1; }));
-  EXPECT_EQ(answers(bad->in)[0].error, "Failed");
-  Box::answer(*fetch(), "served", "whole");
-  ASSERT_TRUE(until([&] { return answers(usual->in).size() == 1; }));
-  EXPECT_EQ(answers(usual->in)[0].body, "whole");
-  bad->write(request(2, "asset", {{"item", "0000000000000001"}, {"txn", "9b1f03aa5c7e2d41"}}));
-  ASSERT_TRUE(until([&] { return fetches() == 2; })) << "over, it is free again";
+  auto usual = connect_client(client_front->address());
+  auto bad = connect_client(client_front->address());
+  usual->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  bad->write(encode_request(1, "asset", {{"item", "0000000000000001"}}));
+  ASSERT_TRUE(run_until([&] { return decode_responses(bad->received).size() == 1; }));
+  EXPECT_EQ(decode_responses(bad->received)[0].error, "Failed");
+  FakeCache::respond(*fetch_command(), "served", "whole");
+  ASSERT_TRUE(run_until([&] { return decode_responses(usual->received).size() == 1; }));
+  EXPECT_EQ(decode_responses(usual->received)[0].body, "whole");
+  bad->write(
+      encode_request(2, "asset", {{"item", "0000000000000001"}, {"txn", "9b1f03aa5c7e2d41"}}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; })) << "over, it is free again";
 }
 
 TEST_F(Platform, RejectsWithRetryAfterWhenClientHasTooManyOpenCalls) {
-  auto c = client(front->address());
-  for (unsigned i = 1; i <= 40; ++i) c->write(request(i, "asset", {}));
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 8; }));
-  for (const auto& a : answers(c->in)) EXPECT_EQ(a.error + a.fields.at("later"), "Busy500");
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 40; ++i) client->write(encode_request(i, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 8; }));
+  for (const auto& a : decode_responses(client->received)) {
+    EXPECT_EQ(a.error + a.fields.at("later"), "Busy500");
+  }
 }
 
 // Guards against clients that hold a place and say nothing, or only half of it, or that asked once
 // and stay.
 TEST_F(Platform, ClosesSilentClientsAfterTimeoutAndIdleOnesWhenPlacesRunOut) {
   const auto started = net::unix_now();
-  auto silent = client(front->address());
-  auto half = client(front->address());
-  auto idle = client(front->address());
-  half->write(request(1, "asset", {}).substr(0, 30));
-  idle->write(request(1, "no-such-class", {}));
-  ASSERT_TRUE(until([&] { return silent->ended && half->ended; }));
+  auto silent = connect_client(client_front->address());
+  auto half = connect_client(client_front->address());
+  auto idle = connect_client(client_front->address());
+  half->write(encode_request(1, "asset", {}).substr(0, 30));
+  idle->write(encode_request(1, "no-such-class", {}));
+  ASSERT_TRUE(run_until([&] { return silent->is_closed && half->is_closed; }));
   EXPECT_GT(net::unix_now(), started + 1'500'000);
-  EXPECT_FALSE(idle->ended);
-  std::vector<std::unique_ptr<loopback::Socket>> many;
+  EXPECT_FALSE(idle->is_closed);
+  std::vector<std::unique_ptr<loopback::TestSocket>> many;
   many.reserve(70);
-  for (int i = 0; i < 70; ++i) many.push_back(client(front->address()));  // the story allows 64
+  for (int i = 0; i < 70; ++i) {
+    many.push_back(connect_client(client_front->address()));  // of 64 slots
+  }
   auto& last = *many.back();
-  last.write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  Box::answer(*fetch(), "served", "in time");
-  ASSERT_TRUE(until([&] { return answers(last.in).size() == 1; }));
-  EXPECT_TRUE(idle->ended);
-  EXPECT_GE(std::count_if(many.begin(), many.end(), [](auto& m) { return m->ended; }), 6);
+  last.write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  FakeCache::respond(*fetch_command(), "served", "in time");
+  ASSERT_TRUE(run_until([&] { return decode_responses(last.received).size() == 1; }));
+  EXPECT_TRUE(idle->is_closed);
+  EXPECT_GE(std::count_if(many.begin(), many.end(), [](auto& m) { return m->is_closed; }), 6);
 }
 
 // Guards against passing on what is spoilt: lines without a length, without tag and date, with
 // lengths that don't fit, confirmations of a copy that the client never named.
 TEST_F(Platform, FailsAttemptAndClosesConnectionWhenResponseIsCorrupted) {
-  auto c = client(front->address());
+  auto client = connect_client(client_front->address());
   std::size_t asked = 0;
   unsigned id = 0;
   for (const std::string spoilt :
        {"served - twelve\r\n", "served - 0\r\n", "served sum=t,t0=1764576000000\r\n",
         "still_good sum=t,t0=1 0\r\n", "served sum=t,t0=1 3000000000\r\n",
         "served sum=t,t0=1 3\r\nbytes\r\n", "good\r\n"}) {
-    c->write(request(++id, "asset", {}));
-    ASSERT_TRUE(until([&] { return fetches() == asked + 1; }));
+    client->write(encode_request(++id, "asset", {}));
+    ASSERT_TRUE(run_until([&] { return fetch_count() == asked + 1; }));
     const auto last = [&] {
-      return box[0].commands.empty() ? box[1].commands.back() : box[0].commands.back();
+      return caches[0].commands.empty() ? caches[1].commands.back() : caches[0].commands.back();
     };
-    const Command got = last();
-    got.from->write(got.id + ' ' + spoilt);
-    ASSERT_TRUE(until([&] { return got.from->poll(), got.from->ended; })) << spoilt;
-    ASSERT_TRUE(until([&] { return fetches() == asked + 2 || answers(c->in).size() == id; }));
-    for (auto& b : box) {
-      for (auto& cmd : b.commands) {
-        if (cmd.id == got.id && !cmd.from->ended) Box::answer(cmd, "served", "good");
+    const CacheCommand got = last();
+    got.connection->write(got.id + ' ' + spoilt);
+    ASSERT_TRUE(run_until([&] { return got.connection->poll(), got.connection->is_closed; }))
+        << spoilt;
+    ASSERT_TRUE(run_until([&] {
+      return fetch_count() == asked + 2 || decode_responses(client->received).size() == id;
+    }));
+    for (auto& cache : caches) {
+      for (auto& command : cache.commands) {
+        if (command.id == got.id && !command.connection->is_closed) {
+          FakeCache::respond(command, "served", "good");
+        }
       }
     }
-    ASSERT_TRUE(until([&] { return answers(c->in).size() == id; })) << spoilt;
-    EXPECT_NE(answers(c->in).back().body, "bytes");
-    for (auto& b : box) b.commands.clear();
+    ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == id; }))
+        << spoilt;
+    EXPECT_NE(decode_responses(client->received).back().body, "bytes");
+    for (auto& cache : caches) cache.commands.clear();
     asked = 0;
   }
 }
@@ -208,29 +219,30 @@
   gone.servers = {config.known_events[0].members[1].server};
   gone.servers[0].status = alderspur::ServerStatus::gone;
   engine->update_endpoints(gone);
-  auto c = client(front->address());
-  c->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  Box::answer(*fetch(), "overload");
-  ASSERT_TRUE(until([&] { return fetches() == 2; }));
-  Box::answer(*fetch(), "served", "the second copy");
-  settle();
-  EXPECT_TRUE(answers(c->in).empty());
-  Box::answer(*fetch(2), "served", "its own");
-  ASSERT_TRUE(until([&] { return answers(c->in).size() == 1; }));
-  EXPECT_EQ(answers(c->in)[0].body, "its own");
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  FakeCache::respond(*fetch_command(), "overload");
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
+  FakeCache::respond(*fetch_command(), "served", "the second copy");
+  run_briefly();
+  EXPECT_TRUE(decode_responses(client->received).empty());
+  FakeCache::respond(*fetch_command(2), "served", "its own");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 1; }));
+  EXPECT_EQ(decode_responses(client->received)[0].body, "its own");
 }
 
 class Watched : public Platform {
  protected:
-  Watched() { probing = true; }
+  Watched() { allow_health_checks = true; }
   // Until it holds, the boxes answer probes on all connections but that one.
-  bool until_but(const loopback::Socket* silent, const std::function<bool()>& holds) {
-    return until([&] {
-      for (auto* b : {&box[0], &box[1], &origin}) {
-        for (auto& cmd : b->commands) {
-          if ((cmd.word == "alive" || cmd.word == "stats") && cmd.from != silent) {
-            Box::answer(cmd, "green"), cmd.word = "answered";
+  bool until_but(const loopback::TestSocket* silent, const std::function<bool()>& holds) {
+    return run_until([&] {
+      for (auto* cache : {&caches[0], &caches[1], &origin}) {
+        for (auto& command : cache->commands) {
+          if ((command.verb == "alive" || command.verb == "stats") &&
+              command.connection != silent) {
+            FakeCache::respond(command, "green"), command.verb = "answered";
           }
         }
       }
@@ -243,23 +255,25 @@
 // after none.
 TEST_F(Watched, RetriesOnSameCacheWhenConnectionFallsSilent) {
   for (const bool half : {true, false}) {
-    for (auto& b : box) b.commands.clear();
-    auto c = client(front->address());
-    for (unsigned i = 1; i <= 2; ++i) c->write(request(i, "asset", {{"ram", "90"}}));
-    ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == 2; }));
-    const Command first = *fetch(1);
-    const Command second = *fetch(2);
-    ASSERT_EQ(first.from, second.from);
+    for (auto& cache : caches) cache.commands.clear();
+    auto client = connect_client(client_front->address());
+    for (unsigned i = 1; i <= 2; ++i) client->write(encode_request(i, "asset", {{"ram", "90"}}));
+    ASSERT_TRUE(until_but(nullptr, [&] { return fetch_count() == 2; }));
+    const CacheCommand first = *fetch_command(1);
+    const CacheCommand second = *fetch_command(2);
+    ASSERT_EQ(first.connection, second.connection);
     if (half) {
-      first.from->write(first.id + " served " + loopback::dated("t") + " 100\r\nhalf of it");
+      first.connection->write(first.id + " served " + loopback::fresh_copy_fields("t") +
+                              " 100\r\nhalf of it");
     }
-    ASSERT_TRUE(until_but(first.from, [&] { return fetches() == 4; }));
+    ASSERT_TRUE(until_but(first.connection, [&] { return fetch_count() == 4; }));
     for (std::size_t i = 3; i <= 4; ++i) {
-      EXPECT_EQ(&box_of(*fetch(i)), &box_of(first));
-      Box::answer(*fetch(i), "served", "again");
+      EXPECT_EQ(&cache_of(*fetch_command(i)), &cache_of(first));
+      FakeCache::respond(*fetch_command(i), "served", "again");
     }
-    ASSERT_TRUE(until_but(first.from, [&] { return answers(c->in).size() == 2; }));
-    watched.clear();
+    ASSERT_TRUE(until_but(first.connection,
+                          [&] { return decode_responses(client->received).size() == 2; }));
+    polled_sockets.clear();
   }
   EXPECT_EQ(engine->counters().silent_upstream_connections, 2u);
 }
@@ -269,12 +283,12 @@
   bool again = false;
   for (int i = 0; i < 20 && !again;
        ++i) {  // a probe has a quarter of a second, which a slow machine may miss
-    const auto before = box[0].count("stats");
-    caches->send_health_check(config.known_events[0].members[0].server.id);
-    ASSERT_TRUE(until([&] { return box[0].count("stats") > before; }));
-    box[0].commands.back().from->reset();
-    settle();
-    again = box[0].count("stats") > before + 1;
+    const auto before = caches[0].count("stats");
+    upstream_pool->send_health_check(config.known_events[0].members[0].server.id);
+    ASSERT_TRUE(run_until([&] { return caches[0].count("stats") > before; }));
+    caches[0].commands.back().connection->reset();
+    run_briefly();
+    again = caches[0].count("stats") > before + 1;
   }
   EXPECT_TRUE(again);
 }
@@ -282,18 +296,18 @@
 // Guards against a full box passing for a dead one, and against a dial for each probe of it.
 TEST_F(Watched, AcceptsLateHealthCheckReplyAndDialsOnceWhenCacheIsSlow) {
   const auto id = config.known_events[0].members[0].server.id;
-  caches->send_health_check(id);
-  ASSERT_TRUE(until([&] { return box[0].count("stats") == 1; }));
+  upstream_pool->send_health_check(id);
+  ASSERT_TRUE(run_until([&] { return caches[0].count("stats") == 1; }));
   for (std::size_t i = 1; i <= 5; ++i) {
     const auto end = net::unix_now() + 260'000;  // past the time of the probe before
-    until([&] { return net::unix_now() > end; });
-    caches->send_health_check(id);
-    ASSERT_TRUE(until([&] { return box[0].count("stats") == i + 1; }));
+    run_until([&] { return net::unix_now() > end; });
+    upstream_pool->send_health_check(id);
+    ASSERT_TRUE(run_until([&] { return caches[0].count("stats") == i + 1; }));
   }
-  EXPECT_EQ(box[0].connections.size(), 2u);
+  EXPECT_EQ(caches[0].connections.size(), 2u);
   const auto late = engine->counters().late_responses;
-  for (auto& cmd : box[0].commands) Box::answer(cmd, "overload");
-  settle();
+  for (auto& command : caches[0].commands) FakeCache::respond(command, "overload");
+  run_briefly();
   EXPECT_EQ(engine->counters().late_responses, late) << "each word was waited for";
 }
 
@@ -302,15 +316,15 @@
 TEST_F(Watched, SendsNoLivenessQueryWhenSilenceIsUsual) {
   std::uint64_t early = 0;
   for (unsigned i = 1; i <= 6; ++i) {
-    auto c = client(front->address());
-    c->write(request(1, "asset", {{"ram", "90"}}));
-    ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == i; }));
+    auto client = connect_client(client_front->address());
+    client->write(encode_request(1, "asset", {{"ram", "90"}}));
+    ASSERT_TRUE(until_but(nullptr, [&] { return fetch_count() == i; }));
     const auto end = net::unix_now() + 450'000;
     until_but(nullptr, [&] { return net::unix_now() > end; });
-    Box::answer(*fetch(i), "served", "slow");
-    ASSERT_TRUE(until_but(nullptr, [&] { return !answers(c->in).empty(); }));
+    FakeCache::respond(*fetch_command(i), "served", "slow");
+    ASSERT_TRUE(until_but(nullptr, [&] { return !decode_responses(client->received).empty(); }));
     if (i == 2) early = engine->counters().health_checks;
-    watched.clear();
+    polled_sockets.clear();
   }
   EXPECT_GT(early, 0u);
   EXPECT_LE(engine->counters().health_checks, early + 1)
@@ -320,9 +334,9 @@
 // Guards against the same for a large answer, which a box gives in one piece after its own sending
 // time.
 TEST_F(Watched, SendsNoLivenessQueryWhenLargeResponseIsDue) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {{"ram", "90000"}}));  // ten seconds at the top pace
-  ASSERT_TRUE(until_but(nullptr, [&] { return fetches() == 1; }));
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {{"ram", "90000"}}));  // ten seconds at the top pace
+  ASSERT_TRUE(until_but(nullptr, [&] { return fetch_count() == 1; }));
   const auto end = net::unix_now() + 900'000;
   until_but(nullptr, [&] { return net::unix_now() > end; });
   EXPECT_EQ(engine->counters().health_checks, 0u);
@@ -330,15 +344,15 @@
 
 // Guards against one reset taking all that is open at a box along.
 TEST_F(Platform, UsesSeveralConnectionsWhenCacheIsBusy) {
-  auto c = client(front->address());
+  auto client = connect_client(client_front->address());
   for (unsigned i = 1; i <= 30; ++i) {
-    c->write(
-        request(i, "asset", {{"ram", "9"}, {"txn", "00000000000000" + std::to_string(10 + i)}}));
-    ASSERT_TRUE(until([&] { return fetches() == i; }));
+    client->write(encode_request(
+        i, "asset", {{"ram", "9"}, {"txn", "00000000000000" + std::to_string(10 + i)}}));
+    ASSERT_TRUE(run_until([&] { return fetch_count() == i; }));
   }
-  std::map<loopback::Socket*, int> open;
-  for (auto& b : box) {
-    for (auto& cmd : b.commands) ++open[cmd.from];
+  std::map<loopback::TestSocket*, int> open;
+  for (auto& cache : caches) {
+    for (auto& command : cache.commands) ++open[command.connection];
   }
   EXPECT_LE(open.size(), 12u);
   for (const auto& [from, n] : open) EXPECT_LE(n, 12);
@@ -346,14 +360,14 @@
 }
 
 TEST_F(Platform, RespondsWhenClientHasHalfClosed) {
-  auto c = client(front->address());
-  c->write(request(1, "asset", {}));
-  c->half_close();
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  Box::answer(*fetch(), "served", "still here");
-  ASSERT_TRUE(until([&] { return c->ended; }));
-  ASSERT_EQ(answers(c->in).size(), 1u);
-  EXPECT_EQ(answers(c->in)[0].body, "still here");
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}));
+  client->half_close();
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  FakeCache::respond(*fetch_command(), "served", "still here");
+  ASSERT_TRUE(run_until([&] { return client->is_closed; }));
+  ASSERT_EQ(decode_responses(client->received).size(), 1u);
+  EXPECT_EQ(decode_responses(client->received)[0].body, "still here");
 }
 
 // Guards against a fleet that dials its board in step, again and again, after it has ended all
@@ -380,28 +394,28 @@
 }
 
 TEST_F(Platform, WatchesFromLastEventAndAppliesDrainAtOnceWhenReconnected) {
-  auto w = watcher();
-  ASSERT_TRUE(until([&] { return w->in == "watch 1\n"; }));
-  const auto gone = [&](int rev, const char* id, Box& b) {
+  auto watch = accept_watch();
+  ASSERT_TRUE(run_until([&] { return watch->received == "watch 1\n"; }));
+  const auto gone = [&](int rev, const char* id, FakeCache& b) {
     return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":false,"members":[{"id":")" +
            id + R"(","host_port":")" + b.address() +
            "\",\"locality\":\"edge\",\"flavor\":\"small\",\"cell\":0,\"phase\":\"terminating\","
            "\"size\":4,"
            "\"up_since_ms\":0}]}}\n";
   };
-  w->write(gone(2, "s-a", box[0]) + "2\nnot json\n");
-  settle();
-  auto c = client(front->address());
+  watch->write(gone(2, "s-a", caches[0]) + "2\nnot json\n");
+  run_briefly();
+  auto client = connect_client(client_front->address());
   for (unsigned i = 1; i <= 8; ++i) {
-    c->write(request(i, "asset", {{"item", "000000000000000" + std::to_string(i)}}));
+    client->write(encode_request(i, "asset", {{"item", "000000000000000" + std::to_string(i)}}));
   }
-  ASSERT_TRUE(until([&] { return fetches() == 8; }));
-  EXPECT_EQ(box[0].count("fetch"), 0u);
-  w->close();
-  watched.clear();
-  watched.push_back(c.get());
-  auto again = watcher();
-  ASSERT_TRUE(until([&] { return again->in == "watch 2\n"; }));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 8; }));
+  EXPECT_EQ(caches[0].count("fetch"), 0u);
+  watch->close();
+  polled_sockets.clear();
+  polled_sockets.push_back(client.get());
+  auto again = accept_watch();
+  ASSERT_TRUE(run_until([&] { return again->received == "watch 2\n"; }));
 }
 
 // Guards against a crowd of useless requests, or for the status only, each on a connection of its
@@ -411,7 +425,7 @@
   std::vector<std::string> lines;
   engine->invalid_input_log().set_sink(
       [&](const std::string& event, const std::string&) { lines.push_back(event); });
-  auto w = watcher();
+  auto watch = accept_watch();
   const auto member = [](const char* id, const std::string& address, const char* phase) {
     return R"({"id":")" + std::string(id) + R"(","host_port":")" + address +
            R"(","locality":"edge","flavor":"small","cell":0,"phase":")" + phase +
@@ -421,31 +435,31 @@
     return R"({"rev":)" + std::to_string(rev) + R"(,"pool":{"complete":false,"members":[)" +
            members + "]}}\n";
   };
-  for (int i = 0; i < 500; ++i) w->write(i % 2 ? "{\"rev\":\n" : "\x01 no json at all\n");
-  w->write("{\"rev\":2,\"pool\":{\"complete\":true,\"members\":\"none\"}}\n");
-  w->write(listing(2, member("s-a", "nowhere", "in_service") + ',' +
-                          member("s-a", "nowhere", "in_service") + ',' +
-                          member("s-x", "256.1.1.1:70000", "in_service")));
-  w->write(listing(3, member("s-y", box[0].address(), "asleep")));
-  w->write(
-      listing(3, member("s-b", box[1].address(), "terminated")));  // a repeat tells nothing new
-  settle();
+  for (int i = 0; i < 500; ++i) watch->write(i % 2 ? "{\"rev\":\n" : "\x01 no json at all\n");
+  watch->write("{\"rev\":2,\"pool\":{\"complete\":true,\"members\":\"none\"}}\n");
+  watch->write(listing(2, member("s-a", "nowhere", "in_service") + ',' +
+                              member("s-a", "nowhere", "in_service") + ',' +
+                              member("s-x", "256.1.1.1:70000", "in_service")));
+  watch->write(listing(3, member("s-y", caches[0].address(), "asleep")));
+  watch->write(
+      listing(3, member("s-b", caches[1].address(), "terminated")));  // a repeat tells nothing new
+  run_briefly();
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "invalid_watch_event"), 1);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "invalid_address"), 1);
-  auto c = client(front->address());
+  auto client = connect_client(client_front->address());
   for (unsigned i = 1; i <= 12; ++i) {
-    c->write(request(i, "asset",
-                     {{"txn", "00000000000000" + std::to_string(10 + i)},
-                      {"item", "00000000000000" + std::to_string(10 + i)}}));
+    client->write(encode_request(i, "asset",
+                                 {{"txn", "00000000000000" + std::to_string(10 + i)},
+                                  {"item", "00000000000000" + std::to_string(10 + i)}}));
   }
-  ASSERT_TRUE(until([&] { return fetches() == 12; }));
-  EXPECT_GT(box[0].count("fetch"), 0u) << "the address that was good stays";
-  EXPECT_GT(box[1].count("fetch"), 0u);
-  w->write(listing(4, member("s-a", "nowhere", "in_service")));
-  settle();
-  w->write(listing(5, member("s-a", box[0].address(), "in_service")));
-  settle();
-  EXPECT_EQ(fetches(), 12u) << "the same address once more moves nobody";
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 12; }));
+  EXPECT_GT(caches[0].count("fetch"), 0u) << "the address that was good stays";
+  EXPECT_GT(caches[1].count("fetch"), 0u);
+  watch->write(listing(4, member("s-a", "nowhere", "in_service")));
+  run_briefly();
+  watch->write(listing(5, member("s-a", caches[0].address(), "in_service")));
+  run_briefly();
+  EXPECT_EQ(fetch_count(), 12u) << "the same address once more moves nobody";
   EXPECT_EQ(engine->counters().rejected + engine->counters().failed, 0u);
 }
 
@@ -471,76 +485,79 @@
 }
 
 TEST_F(Platform, ClosesAnsweredClientsAtOnceWhenPlacesRunOut) {
-  std::vector<std::unique_ptr<loopback::Socket>> bad;
-  auto usual = client(front->address());
-  usual->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 1; }));
-  watched.assign(1, usual.get());
+  std::vector<std::unique_ptr<loopback::TestSocket>> bad;
+  auto usual = connect_client(client_front->address());
+  usual->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  polled_sockets.assign(1, usual.get());
   for (int i = 0; i < 400; ++i) {
-    bad.push_back(loopback::dial(front->address()));
-    bad.back()->write(request(1, i % 2 ? "no-such-class" : "status", {}));
+    bad.push_back(loopback::connect_to(client_front->address()));
+    bad.back()->write(encode_request(1, i % 2 ? "no-such-class" : "status", {}));
     if (i % 16 != 15) continue;
-    ASSERT_TRUE(until(
+    ASSERT_TRUE(run_until(
         [&] { return engine->counters().invalid_requests == (static_cast<unsigned>(i) + 1) / 2; }));
   }
-  auto last = client(front->address());
-  last->write(request(1, "asset", {{"item", "0000000000000002"}, {"txn", "0000000000000001"}}));
-  ASSERT_TRUE(until([&] { return fetches() == 2; }));
+  auto last = connect_client(client_front->address());
+  last->write(
+      encode_request(1, "asset", {{"item", "0000000000000002"}, {"txn", "0000000000000001"}}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
   EXPECT_EQ(engine->counters().deferred_accepts, 0u);
-  EXPECT_FALSE(usual->ended);
+  EXPECT_FALSE(usual->is_closed);
 }
 
 // Guards against a listener that spins, or forgets its clients, once all places are taken by open
 // requests.
 TEST_F(Platform, DefersAcceptsUntilClientsLeaveWhenAllPlacesAreBusy) {
-  std::vector<std::unique_ptr<loopback::Socket>> clients;
+  std::vector<std::unique_ptr<loopback::TestSocket>> clients;
   for (int i = 0; i < 64; ++i) {
-    clients.push_back(client(front->address()));
+    clients.push_back(connect_client(client_front->address()));
     const auto txn = "00000000000000" + std::to_string(10 + i);
-    clients.back()->write(request(1, "asset", {{"ram", "9"}, {"txn", txn}}));
+    clients.back()->write(encode_request(1, "asset", {{"ram", "9"}, {"txn", txn}}));
   }
-  ASSERT_TRUE(until([&] { return fetches() == 64; }));
-  clients.push_back(client(front->address()));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 64; }));
+  clients.push_back(connect_client(client_front->address()));
   auto& last = *clients.back();
-  last.write(request(2, "asset", {{"ram", "9"}}));
-  settle();
+  last.write(encode_request(2, "asset", {{"ram", "9"}}));
+  run_briefly();
   EXPECT_GT(engine->counters().deferred_accepts, 0u);
   EXPECT_LT(engine->counters().deferred_accepts, 40u) << "it rests between tries";
-  watched.assign(1, &last);
+  polled_sockets.assign(1, &last);
   for (int i = 0; i < 20; ++i) clients[static_cast<std::size_t>(i)]->reset();
-  ASSERT_TRUE(until([&] { return fetches() == 65; }));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 65; }));
 }
 
 // Guards against one slow reader holding up the others or losing bytes of its own.
 TEST_F(Platform, DeliversEverythingWithoutDelayingOthersWhenReaderIsSlow) {
-  auto slow = client(front->address());
-  auto quick = client(front->address());
-  watched.assign(1, quick.get());
+  auto slow = connect_client(client_front->address());
+  auto quick = connect_client(client_front->address());
+  polled_sockets.assign(1, quick.get());
   const std::string body(240'000, 'y');
-  for (unsigned i = 1; i <= 24; ++i) slow->write(request(i, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 24; }));
+  for (unsigned i = 1; i <= 24; ++i) slow->write(encode_request(i, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 24; }));
   for (std::size_t i = 1; i <= 24; ++i) {
-    const Command c = *fetch(i);
-    const std::string head = c.id + " served " + loopback::dated("t") + " 240000\r\n";
+    const CacheCommand c = *fetch_command(i);
+    const std::string head = c.id + " served " + loopback::fresh_copy_fields("t") + " 240000\r\n";
     // The stand-in box waits for room; the router reads it meanwhile.
     std::string all = head + body + "\r\n";
-    ASSERT_TRUE(until([&] {
-      all.erase(0, c.from->write_some(all));
+    ASSERT_TRUE(run_until([&] {
+      all.erase(0, c.connection->write_some(all));
       return all.empty();
     }));
   }
-  quick->write(request(1, "asset", {}));
-  ASSERT_TRUE(until([&] { return fetches() == 25; }));
-  for (auto& b : box) {
-    if (!b.commands.empty() && b.commands.back().from) {
-      Box::answer(b.commands.back(), "served", "quick");
+  quick->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 25; }));
+  for (auto& cache : caches) {
+    if (!cache.commands.empty() && cache.commands.back().connection) {
+      FakeCache::respond(cache.commands.back(), "served", "quick");
     }
   }
-  ASSERT_TRUE(until([&] { return answers(quick->in).size() == 1; }));
-  watched.push_back(slow.get());
-  ASSERT_TRUE(
-      until([&] { return slow->in.size() > 24 * body.size() && answers(slow->in).size() == 24; }));
-  for (const auto& a : answers(slow->in)) EXPECT_EQ(a.body, body);
+  ASSERT_TRUE(run_until([&] { return decode_responses(quick->received).size() == 1; }));
+  polled_sockets.push_back(slow.get());
+  ASSERT_TRUE(run_until([&] {
+    return slow->received.size() > 24 * body.size() &&
+           decode_responses(slow->received).size() == 24;
+  }));
+  for (const auto& a : decode_responses(slow->received)) EXPECT_EQ(a.body, body);
 }
 
 // Guards against a connect that never comes up: nothing ran, so the next box is asked in time.
@@ -549,7 +566,7 @@
 TEST_P(HungConnect, SendsToNextCacheWhenConnectHangs) {
   const auto [dial_timeout, limit] = GetParam();
   sockaddr_in at{};
-  const int full = loopback::bound(at);
+  const int full = loopback::bind_socket(at);
   ::listen(full, 0);
   std::vector<int> fillers;
   for (int i = 0; i < 4; ++i) {  // its queue is full: further connects hang
@@ -559,20 +576,20 @@
   config.connect_timeout = dial_timeout;
   auto member = config.known_events[0].members[0];
   member.address = net::to_string(at);
-  caches->update_endpoint(member);
-  auto c = client(front->address());
+  upstream_pool->update_endpoint(member);
+  auto client = connect_client(client_front->address());
   for (unsigned i = 1; i <= 6; ++i) {
-    c->write(request(
+    client->write(encode_request(
         i, "plan-accept",
         {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}, {"limit", limit}}));
   }
   std::size_t answered = 0;
-  ASSERT_TRUE(until([&] {
-    for (; answered < box[1].commands.size(); ++answered) {
-      if (box[1].commands[answered].word == "fetch")
-        Box::answer(box[1].commands[answered], "served", "moved");
+  ASSERT_TRUE(run_until([&] {
+    for (; answered < caches[1].commands.size(); ++answered) {
+      if (caches[1].commands[answered].verb == "fetch")
+        FakeCache::respond(caches[1].commands[answered], "served", "moved");
     }
-    return answers(c->in).size() == 6;
+    return decode_responses(client->received).size() == 6;
   }));
   EXPECT_EQ(engine->counters().attempts_reset + engine->counters().attempts_timeout, 0u);
   EXPECT_GE(engine->counters().attempts_connect_failed, 1u);
--- a/tests/replication/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -109,10 +109,11 @@
                             std::to_string(net::unix_now() / 1000) + "}}\n");
   const auto asks = [&](std::size_t router) {  // with what bound on the copy's age, in milliseconds
     age_limits.erase(item);
-    auto s = loopback::dial(cluster->clients(router));
-    s->write(loopback::request(1, "asset",
-                               {{"txn", item}, {"item", item}, {"limit", "3000"}, {"ram", "90"}}));
-    cluster->until([&] { return s->poll(), !loopback::answers(s->in).empty(); }, 10 * kSecond);
+    auto s = loopback::connect_to(cluster->clients(router));
+    s->write(loopback::encode_request(
+        1, "asset", {{"txn", item}, {"item", item}, {"limit", "3000"}, {"ram", "90"}}));
+    cluster->until([&] { return s->poll(), !loopback::decode_responses(s->received).empty(); },
+                   10 * kSecond);
     return age_limits.contains(item) ? std::stoi(age_limits[item]) : 0;
   };
   ASSERT_TRUE(cluster->until([&] { return asks(1) > 0; }, 10 * kSecond))
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -7,14 +7,15 @@
 #include <filesystem>
 #include <fstream>
 
-#include "loopback.h"
 #include "signed_url/http_front.h"
 #include "signed_url/token.h"
+#include "support/fake_cache.h"
+#include "support/test_socket.h"
 
 namespace {
 
 using namespace alderspur;
-using loopback::Box;
+using loopback::FakeCache;
 
 class RoutesTest : public ::testing::Test {
  protected:
@@ -80,27 +81,28 @@
     return false;
   }
   // Asks on a connection of its own.
-  loopback::Socket& ask(const std::string& path, bool forged = false,
-                        const std::string& headers = "") {
+  loopback::TestSocket& ask(const std::string& path, bool forged = false,
+                            const std::string& headers = "") {
     const auto text = path + "?exp=" + std::to_string(net::unix_now() / 1'000'000 + 60) + "&kid=k";
     auto sig = signed_url::signature({"k", "a secret of the tests", 0}, text);
     if (forged) sig[3] = sig[3] == 'A' ? 'B' : 'A';
-    clients.push_back(loopback::dial(front->address()));
+    clients.push_back(loopback::connect_to(front->address()));
     clients.back()->write("GET " + text + "&sig=" + sig + " HTTP/1.1\r\nHost: h.example\r\n" +
                           headers + "\r\n");
     return *clients.back();
   }
-  static int status(const loopback::Socket& s) {
-    return s.in.size() > 12 ? std::stoi(s.in.substr(9, 3)) : 0;
+  static int status(const loopback::TestSocket& s) {
+    return s.received.size() > 12 ? std::stoi(s.received.substr(9, 3)) : 0;
   }
-  int answered(loopback::Socket& s) {
+  int answered(loopback::TestSocket& s) {
     EXPECT_TRUE(until([&] { return status(s) > 0; }));
     return status(s);
   }
   void serve_all() {
     for (; served < box.commands.size(); ++served) {
-      if (box.commands[served].word == "fetch") {
-        Box::answer(box.commands[served], "served", "bytes", loopback::dated("t"));
+      if (box.commands[served].verb == "fetch") {
+        FakeCache::respond(box.commands[served], "served", "bytes",
+                           loopback::fresh_copy_fields("t"));
       }
     }
   }
@@ -110,14 +112,14 @@
   }
 
   std::string folder, file;
-  Box box;
+  FakeCache box;
   signed_url::Settings links;
   std::vector<std::string> lines;
   std::unique_ptr<log::Log> log;
   std::unique_ptr<edge_router::EdgeRouter> node;
   std::unique_ptr<control::Routes> routes;
   std::unique_ptr<signed_url::HttpFront> front;
-  std::vector<std::unique_ptr<loopback::Socket>> clients;
+  std::vector<std::unique_ptr<loopback::TestSocket>> clients;
   std::size_t served = 0;
   const std::string object = "7f3a9c21e0b4d655";
 };
@@ -158,7 +160,7 @@
   write(version("asset", "100"));
   start();
   const auto first = routes->in_force();
-  std::vector<loopback::Socket*> asked;
+  std::vector<loopback::TestSocket*> asked;
   std::size_t swaps = 0;
   for (int round = 0; round < 12; ++round) {
     for (const char* n : {"x", "y", "z"}) {
@@ -209,7 +211,7 @@
   auto& c = ask("/f/" + object);
   EXPECT_EQ(answered(c), 503);
   EXPECT_LT(net::unix_now() - begun, 2'000'000) << "not held back";
-  EXPECT_NE(c.in.find("Retry-After: 1"), std::string::npos) << c.in;
+  EXPECT_NE(c.received.find("Retry-After: 1"), std::string::npos) << c.received;
   auto& d = ask("/o/" + object);
   ASSERT_TRUE(until([&] { return box.count("fetch") == 3; }));
   serve_all();
--- /dev/null
+++ b/tests/support/test_socket.h
@@ -0,0 +1,89 @@
+// Sockets on the loopback interface, as the peers of a router under test use them.
+#pragma once
+
+#include <arpa/inet.h>
+#include <fcntl.h>
+#include <gtest/gtest.h>
+#include <netinet/in.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <cstddef>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+
+namespace loopback {
+
+/// One end of a connection. It owns its descriptor and never blocks; poll() reads what has come.
+class TestSocket {
+ public:
+  explicit TestSocket(int fd) : fd_(fd) { ::fcntl(fd_, F_SETFL, O_NONBLOCK); }
+  ~TestSocket() { close(); }
+  TestSocket(const TestSocket&) = delete;
+  TestSocket& operator=(const TestSocket&) = delete;
+
+  void close() {
+    if (fd_ >= 0) ::close(std::exchange(fd_, -1));
+  }
+  /// Ends the connection with a reset.
+  void reset() {
+    const linger at_once{1, 0};
+    ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    close();
+  }
+  void half_close() { ::shutdown(fd_, SHUT_WR); }
+
+  /// What the kernel does not take at once is lost.
+  void write(std::string_view bytes) {
+    if (fd_ >= 0) (void)!::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+  }
+  /// The number of bytes that the kernel has taken.
+  std::size_t write_some(std::string_view bytes) {
+    const ssize_t written = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    return written > 0 ? static_cast<std::size_t>(written) : 0;
+  }
+
+  /// Appends all that can be read to `received`, and notices the end of the connection.
+  void poll() {
+    char buffer[65536];
+    for (ssize_t count = 1; fd_ >= 0 && count > 0;) {
+      count = ::recv(fd_, buffer, sizeof buffer, 0);
+      if (count > 0) received.append(buffer, static_cast<std::size_t>(count));
+      if (count == 0 || (count < 0 && errno != EAGAIN)) is_closed = true;
+      if (count < 0 && errno == ECONNRESET) was_reset = true;
+    }
+  }
+
+  std::string received;
+  bool is_closed = false;  // by the peer
+  bool was_reset = false;  // by the peer
+
+ private:
+  int fd_;
+};
+
+/// A socket bound to a free port; `address` receives it. The port can be bound again at once after
+/// the socket is closed.
+inline int bind_socket(sockaddr_in& address) {
+  const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  const int on = 1;
+  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  address = {};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t size = sizeof address;
+  EXPECT_EQ(::bind(fd, reinterpret_cast<sockaddr*>(&address), size), 0);
+  ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+  return fd;
+}
+
+inline std::unique_ptr<TestSocket> connect_to(const sockaddr_in& address) {
+  const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
+  EXPECT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
+  return std::make_unique<TestSocket>(fd);
+}
+
+}  // namespace loopback
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -14,14 +14,16 @@
 
 #include "control/endpoint_controller.h"
 #include "endpoints/list.h"
-#include "loopback.h"
 #include "store/endpoint_state.h"
+#include "support/fake_cache.h"
+#include "support/rpc_messages.h"
+#include "support/test_socket.h"
 
 namespace {
 
 using namespace alderspur;
 namespace fs = std::filesystem;
-using loopback::Box;
+using loopback::FakeCache;
 
 // Three boxes and an origin; a router whose servers come from a watched path; a client that asks
 // all the time.
@@ -44,7 +46,7 @@
   }
   struct Entry {
     std::string id;
-    const Box* box;
+    const FakeCache* box;
     std::string state = "in_service", address = {};
   };
   std::string list(std::uint64_t generation, const std::vector<Entry>& entries,
@@ -89,7 +91,7 @@
         });
     controller->start();
     node->loop().on_turn([this] { node->turn(); });
-    client = loopback::dial(node->front().address());
+    client = loopback::connect_to(node->front().address());
   }
   void stop() {
     client.reset();
@@ -115,11 +117,12 @@
     client->poll();
     // Served, or refused by the module's door while it learns what the boxes can do.
     for (const std::string mark : {"bytes of", "Busy"}) {
-      for (auto at = client->in.find(mark); at != std::string::npos; at = client->in.find(mark)) {
-        client->in.replace(at, mark.size(), mark.size(), '#'), ++answered;
+      for (auto at = client->received.find(mark); at != std::string::npos;
+           at = client->received.find(mark)) {
+        client->received.replace(at, mark.size(), mark.size(), '#'), ++answered;
       }
     }
-    if (client->in.size() > 4096) client->in.erase(0, client->in.size() - 64);
+    if (client->received.size() > 4096) client->received.erase(0, client->received.size() - 64);
     if (asking && asked - answered < 8 && net::unix_now() > next_ask) {
       ++asked;
       next_ask = net::unix_now() + 1'000;
@@ -127,14 +130,16 @@
       char item[17];
       std::snprintf(txn, sizeof txn, "%016zx", asked);
       std::snprintf(item, sizeof item, "%016zx", asked * 7919);
-      client->write(
-          loopback::request(static_cast<unsigned>(asked), "asset", {{"txn", txn}, {"item", item}}));
+      client->write(loopback::encode_request(static_cast<unsigned>(asked), "asset",
+                                             {{"txn", txn}, {"item", item}}));
     }
     for (auto* b : {&box[0], &box[1], &box[2], &origin, &stranger}) {
       b->poll();
       for (; served[b] < b->commands.size(); ++served[b]) {
         const auto& c = b->commands[served[b]];
-        if (c.word == "fetch") Box::answer(c, "served", "bytes of " + c.id, loopback::dated("t"));
+        if (c.verb == "fetch") {
+          FakeCache::respond(c, "served", "bytes of " + c.id, loopback::fresh_copy_fields("t"));
+        }
       }
     }
   }
@@ -164,13 +169,13 @@
 
   std::string folder, path;
   settings::Membership settings;
-  Box box[3], origin, stranger;  // the stranger is named by refused files only
+  FakeCache box[3], origin, stranger;  // the stranger is named by refused files only
   std::unique_ptr<log::Log> log;
   std::unique_ptr<edge_router::EdgeRouter> node;
   control::EndpointController* controller = nullptr;
-  std::unique_ptr<loopback::Socket> client;
+  std::unique_ptr<loopback::TestSocket> client;
   std::vector<std::string> lines;
-  std::map<Box*, std::size_t> served;
+  std::map<FakeCache*, std::size_t> served;
   bool asking = true;
   std::size_t asked = 0, answered = 0;
   core::Time next_ask = 0;
@@ -437,7 +442,7 @@
 }
 
 TEST_F(WatchedListTest, SendsNothingToServersThatOnlyTheFileLists) {
-  const auto member = [](const char* id, const Box& b, const char* zone, const char* kind) {
+  const auto member = [](const char* id, const FakeCache& b, const char* zone, const char* kind) {
     return R"({"id":")" + std::string(id) + R"(","host_port":")" + b.address() +
            R"(","locality":")" + zone + R"(","flavor":")" + kind +
            R"(","cell":0,"phase":"in_service","size":4,"up_since_ms":0})";
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -5,19 +5,19 @@
 #include <algorithm>
 #include <sstream>
 
-#include "loopback.h"
+#include "support/edge_router_fixture.h"
 #include "xds/server.h"
 
 namespace {
 
 using namespace alderspur;
 
-class XdsServerTest : public loopback::Story {
+class XdsServerTest : public loopback::EdgeRouterTest {
  protected:
   void SetUp() override {
-    Story::SetUp();
-    server = std::make_unique<xds::Server>(loop, deadlines, *engine, *caches, settings, 4);
-    proxy = client(server->address());
+    loopback::EdgeRouterTest::SetUp();
+    server = std::make_unique<xds::Server>(loop, deadlines, *engine, *upstream_pool, settings, 4);
+    proxy = connect_client(server->address());
   }
   static std::string post(const std::string& body,
                           const std::string& path = "/v3/discovery:endpoints") {
@@ -29,17 +29,17 @@
   int next() {
     std::size_t head = 0;
     std::size_t length = 0;
-    EXPECT_TRUE(until([&] {
+    EXPECT_TRUE(run_until([&] {
       server->end_turn();
-      head = proxy->in.find("\r\n\r\n");
+      head = proxy->received.find("\r\n\r\n");
       if (head == std::string::npos) return false;
-      const auto at = proxy->in.find("Content-Length: ");
-      length = at < head ? std::stoul(proxy->in.substr(at + 16)) : 0;
-      return proxy->in.size() >= head + 4 + length;
+      const auto at = proxy->received.find("Content-Length: ");
+      length = at < head ? std::stoul(proxy->received.substr(at + 16)) : 0;
+      return proxy->received.size() >= head + 4 + length;
     }));
-    const int status = std::stoi(proxy->in.substr(9, 3));
-    body.Parse(proxy->in.substr(head + 4, length).c_str());
-    proxy->in.erase(0, head + 4 + length);
+    const int status = std::stoi(proxy->received.substr(9, 3));
+    body.Parse(proxy->received.substr(head + 4, length).c_str());
+    proxy->received.erase(0, head + 4 + length);
     return status;
   }
   std::string health(const std::string& address) {
@@ -57,15 +57,15 @@
           "resource_names":["edge-boxes"],"node":{"id":"proxy-1"}})";
   xds::Settings settings{true, "127.0.0.1:0", "edge-boxes"};
   std::unique_ptr<xds::Server> server;
-  std::unique_ptr<loopback::Socket> proxy;
+  std::unique_ptr<loopback::TestSocket> proxy;
   rapidjson::Document body;
 };
 
 TEST_F(XdsServerTest, ReportsEjectedAndDrainingCaches) {
   proxy->write(post(kAsk));
   ASSERT_EQ(next(), 200);
-  EXPECT_EQ(health(box[0].address()), "HEALTHY");
-  EXPECT_EQ(health(box[1].address()), "HEALTHY");
+  EXPECT_EQ(health(caches[0].address()), "HEALTHY");
+  EXPECT_EQ(health(caches[1].address()), "HEALTHY");
   EXPECT_EQ(health(origin.address()), "absent") << "endpoints are the caches of the point";
   const std::string version = body["version_info"].GetString();
   const std::string again = R"({"version_info":")" + version + R"("})";
@@ -73,29 +73,29 @@
   EXPECT_EQ(next(), 304);
   EXPECT_EQ(next(), 304);
 
-  box[0].stop();
-  auto c = client(http->address());
+  caches[0].stop();
+  auto client = connect_client(http_front->address());
   for (std::uint64_t o = 1; o <= 6; ++o) {  // requests find it dead; the module puts it out
     core::RequestView d;
     const std::string id = "id" + std::to_string(o);
     d.id = d.object_text = id;
     d.object = o;
     d.time_limit = 10'000'000;
-    engine->admit(*http, d);
+    engine->admit(*http_front, d);
   }
-  ASSERT_TRUE(until([&] { return engine->counters().attempts_connect_failed >= 2; }));
+  ASSERT_TRUE(run_until([&] { return engine->counters().attempts_connect_failed >= 2; }));
   proxy->write(post(again));
   ASSERT_EQ(next(), 200);
-  EXPECT_EQ(health(box[0].address()), "UNHEALTHY");
-  EXPECT_EQ(health(box[1].address()), "HEALTHY");
+  EXPECT_EQ(health(caches[0].address()), "UNHEALTHY");
+  EXPECT_EQ(health(caches[1].address()), "HEALTHY");
 
   auto member = config.known_events[0].members[1];
   member.server.status = alderspur::ServerStatus::draining;
-  caches->update_endpoint(member);
+  upstream_pool->update_endpoint(member);
   engine->update_endpoints({false, false, {member.server}});
   proxy->write(post(kAsk));
   ASSERT_EQ(next(), 200);
-  EXPECT_EQ(health(box[1].address()), "DRAINING");
+  EXPECT_EQ(health(caches[1].address()), "DRAINING");
 }
 
 TEST_F(XdsServerTest, RespondsWithStatusWhenRequestIsInvalid) {
