--- /dev/null
+++ b/tests/discovery/discovery_client_test.cpp
@@ -0,0 +1,112 @@
+// The watch of the discovery server over loopback.
+#include "discovery/discovery_client.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <random>
+
+#include "support/edge_router_fixture.h"
+
+namespace {
+
+using namespace alderspur;
+using loopback::encode_request;
+using loopback::FakeCache;
+
+class DiscoveryClientTest : public loopback::DiscoveryTest {};
+
+// Guards against many routers that reconnect in step, again and again, after the server has closed
+// all connections.
+TEST(ReconnectDelayTest, SpreadsReconnectsWhenAHundredRoutersLoseTheServer) {
+  std::vector<std::mt19937_64> routers;
+  for (std::uint64_t seed = 1; seed <= 100; ++seed) routers.emplace_back(seed);
+  std::vector<core::Time> reconnect_at(100, 0);
+  for (int round = 0; round < 5; ++round) {
+    std::map<core::Time, int> count_by_slot;
+    for (std::size_t i = 0; i < routers.size(); ++i) {
+      reconnect_at[i] += discovery::reconnect_delay(routers[i]);
+      EXPECT_LE(reconnect_at[i], (round + 1) * 350'000);
+      ++count_by_slot[reconnect_at[i] / 10'000];
+    }
+    for (const auto& [slot, count] : count_by_slot) {
+      EXPECT_LE(count, 15) << "of 100 within 10 ms, round " << round;
+    }
+  }
+  std::mt19937_64 first(7);
+  std::mt19937_64 second(7);
+  EXPECT_EQ(discovery::reconnect_delay(first), discovery::reconnect_delay(second));
+}
+
+TEST_F(DiscoveryClientTest, WatchesFromLastEventAndAppliesDrainAtOnceWhenReconnected) {
+  auto watch = accept_watch();
+  ASSERT_TRUE(run_until([&] { return watch->received == "watch 1\n"; }));
+  const auto draining_event = [&](int number, const char* id, FakeCache& cache) {
+    return R"({"rev":)" + std::to_string(number) +
+           R"(,"pool":{"complete":false,"members":[{"id":")" + id + R"(","host_port":")" +
+           cache.address() +
+           "\",\"locality\":\"edge\",\"flavor\":\"small\",\"cell\":0,\"phase\":\"terminating\","
+           "\"size\":4,"
+           "\"up_since_ms\":0}]}}\n";
+  };
+  watch->write(draining_event(2, "s-a", caches[0]) + "2\nnot json\n");
+  run_briefly();
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 8; ++i) {
+    client->write(encode_request(i, "asset", {{"item", "000000000000000" + std::to_string(i)}}));
+  }
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 8; }));
+  EXPECT_EQ(caches[0].count("fetch"), 0u);
+  watch->close();
+  polled_sockets.clear();
+  polled_sockets.push_back(client.get());
+  auto again = accept_watch();
+  ASSERT_TRUE(run_until([&] { return again->received == "watch 2\n"; }));
+}
+
+// Guards against invalid events: what cannot be read or used costs one line for each kind and
+// nothing else.
+TEST_F(DiscoveryClientTest, KeepsEndpointsAndLogsOnceWhenEventsAreInvalid) {
+  std::vector<std::string> lines;
+  engine->invalid_input_log().set_sink(
+      [&](const std::string& event, const std::string&) { lines.push_back(event); });
+  auto watch = accept_watch();
+  const auto member = [](const char* id, const std::string& address, const char* phase) {
+    return R"({"id":")" + std::string(id) + R"(","host_port":")" + address +
+           R"(","locality":"edge","flavor":"small","cell":0,"phase":")" + phase +
+           R"(","size":4,"up_since_ms":0})";
+  };
+  const auto listing = [](int number, const std::string& members) {
+    return R"({"rev":)" + std::to_string(number) + R"(,"pool":{"complete":false,"members":[)" +
+           members + "]}}\n";
+  };
+  for (int i = 0; i < 500; ++i) watch->write(i % 2 ? "{\"rev\":\n" : "\x01 no json at all\n");
+  watch->write("{\"rev\":2,\"pool\":{\"complete\":true,\"members\":\"none\"}}\n");
+  watch->write(listing(2, member("s-a", "nowhere", "in_service") + ',' +
+                              member("s-a", "nowhere", "in_service") + ',' +
+                              member("s-x", "256.1.1.1:70000", "in_service")));
+  watch->write(listing(3, member("s-y", caches[0].address(), "asleep")));
+  watch->write(listing(
+      3, member("s-b", caches[1].address(), "terminated")));  // a repeated event has no effect
+  run_briefly();
+  EXPECT_EQ(std::count(lines.begin(), lines.end(), "invalid_watch_event"), 1);
+  EXPECT_EQ(std::count(lines.begin(), lines.end(), "invalid_address"), 1);
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 12; ++i) {
+    client->write(encode_request(i, "asset",
+                                 {{"txn", "00000000000000" + std::to_string(10 + i)},
+                                  {"item", "00000000000000" + std::to_string(10 + i)}}));
+  }
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 12; }));
+  EXPECT_GT(caches[0].count("fetch"), 0u) << "the valid address is kept";
+  EXPECT_GT(caches[1].count("fetch"), 0u);
+  watch->write(listing(4, member("s-a", "nowhere", "in_service")));
+  run_briefly();
+  watch->write(listing(5, member("s-a", caches[0].address(), "in_service")));
+  run_briefly();
+  EXPECT_EQ(fetch_count(), 12u) << "the same address again moves no request";
+  EXPECT_EQ(engine->counters().rejected + engine->counters().failed, 0u);
+}
+
+}  // namespace
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The program itself as a process: its start with bad input and its planned end.
+// The program as a process: start with an invalid configuration, reload and shutdown.
 #include <csignal>
 
 #include "support/router_process.h"
@@ -7,8 +7,9 @@
 
 using namespace alderspur;
 
+using loopback::config_with;
 using loopback::FakeCache;
-
+using loopback::poll_until;
 using loopback::RouterProcess;
 
 TEST(ProcessTest, ExitsWithOneLineWhenConfigurationIsInvalid) {
@@ -21,38 +22,37 @@
   }
 }
 
-using loopback::config_with;
-const std::string kRequest = loopback::encode_request(1, "asset", {}),
-                  kOther = loopback::encode_request(2, "asset", {});
-using loopback::poll_until;
+const std::string kRequest = loopback::encode_request(1, "asset", {});
+const std::string kOtherRequest = loopback::encode_request(2, "asset", {});
 
-// Guards against a reload that ends the process, drops what it holds, or leaves it watching a dead
-// board.
+// Guards against a reload that ends the process, drops requests in flight, or keeps the watch of a
+// discovery server that is gone.
 TEST(ProcessTest, WatchesNewDiscoveryServerAfterSighup) {
   FakeCache cache;
   sockaddr_in discovery_addresses[2];
   int listeners[2];
   for (int i = 0; i < 2; ++i) {
-    ::listen(listeners[i] = loopback::bind_socket(discovery_addresses[i]), 4);
+    listeners[i] = loopback::bind_socket(discovery_addresses[i]);
+    ::listen(listeners[i], 4);
   }
   RouterProcess process(config_with(cache, net::to_string(discovery_addresses[0])));
-  loopback::TestSocket old(::accept(listeners[0], nullptr, nullptr));
+  loopback::TestSocket old_watch(::accept(listeners[0], nullptr, nullptr));
   const auto client = loopback::connect_to(process.wait_for_address());
   client->write(kRequest);
   ASSERT_TRUE(poll_until([&] { return cache.count("fetch") == 1; }, cache, {}));
-  // Event 2 arrives, event 3 breaks off half-way; then the old board says nothing and stays open.
-  old.write(R"({"rev":2,"flush":{"collection":1,"ms":1}})"
-            "\n"
-            R"({"rev":3,"flu)");
+  // Event 2 arrives, event 3 in part; then the old server is silent and keeps the connection open.
+  old_watch.write(R"({"rev":2,"flush":{"collection":1,"ms":1}})"
+                  "\n"
+                  R"({"rev":3,"flu)");
   ::usleep(100'000);
   process.configure("{\"board\":");
   process.send_signal(SIGHUP);
   EXPECT_EQ(process.read_log_line().rfind("reload: ", 0), 0u);
   process.configure(config_with(cache, net::to_string(discovery_addresses[1])));
   process.send_signal(SIGHUP);
-  loopback::TestSocket renewed(::accept(listeners[1], nullptr, nullptr));
-  ASSERT_TRUE(poll_until([&] { return renewed.received == "watch 2\n"; }, cache, {&renewed}));
-  ASSERT_TRUE(poll_until([&] { return old.is_closed; }, cache, {&old}));
+  loopback::TestSocket new_watch(::accept(listeners[1], nullptr, nullptr));
+  ASSERT_TRUE(poll_until([&] { return new_watch.received == "watch 2\n"; }, cache, {&new_watch}));
+  ASSERT_TRUE(poll_until([&] { return old_watch.is_closed; }, cache, {&old_watch}));
   FakeCache::respond(cache.commands[0], "served", "bytes");
   ASSERT_TRUE(poll_until([&] { return client->received.find("bytes") != std::string::npos; }, cache,
                          {client.get()}));
@@ -62,24 +62,24 @@
   for (const int fd : listeners) ::close(fd);
 }
 
-// Guards against losing what is held, or what still comes, at a planned restart.
+// Guards against losing requests in flight, or those that still arrive, at a planned restart.
 TEST(ProcessTest, FinishesRequestsInFlightAfterSigterm) {
   FakeCache cache;
   RouterProcess process(config_with(cache));
-  const auto at = process.wait_for_address();
-  const auto held = loopback::connect_to(at);
-  held->write(kRequest);
+  const auto address = process.wait_for_address();
+  const auto in_flight = loopback::connect_to(address);
+  in_flight->write(kRequest);
   ASSERT_TRUE(poll_until([&] { return cache.count("fetch") == 1; }, cache, {}));
   process.send_signal(SIGTERM);
-  const auto later = loopback::connect_to(at);  // clients hear of it later
-  later->write(kOther);
+  const auto late_client = loopback::connect_to(address);  // clients are notified later
+  late_client->write(kOtherRequest);
   ASSERT_TRUE(poll_until([&] { return cache.count("fetch") == 2; }, cache, {}));
-  ::usleep(900'000);  // held longer than it lingers
-  for (const auto& c : cache.commands) FakeCache::respond(c, "served", "bytes");
-  ASSERT_TRUE(poll_until([&] { return held->is_closed && later->is_closed; }, cache,
-                         {held.get(), later.get()}));
-  EXPECT_NE(held->received.find("bytes"), std::string::npos);
-  EXPECT_NE(later->received.find("bytes"), std::string::npos);
+  ::usleep(900'000);  // longer than the time in which new requests are accepted
+  for (const auto& command : cache.commands) FakeCache::respond(command, "served", "bytes");
+  ASSERT_TRUE(poll_until([&] { return in_flight->is_closed && late_client->is_closed; }, cache,
+                         {in_flight.get(), late_client.get()}));
+  EXPECT_NE(in_flight->received.find("bytes"), std::string::npos);
+  EXPECT_NE(late_client->received.find("bytes"), std::string::npos);
   EXPECT_EQ(process.wait_for_exit(), 0);
 }
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,4 @@
-// The program's commands as a user meets them: exit codes, messages, and files that survive.
+// The commands of the program alderspur: exit codes, messages and the files that they change.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -47,67 +47,68 @@
     out << in.rdbuf();
     return out.str();
   }
-  // Runs it in the test's folder; what it printed on both streams is in `said`.
+  // Runs it in the test's folder; its exit code, with both streams in `output`.
   int run(const std::string& arguments) {
     const std::string command =
         "cd " + folder + " && " + test_paths::kProgram + " " + arguments + " 2>&1";
     FILE* out = ::popen(command.c_str(), "r");
-    said.clear();
+    output.clear();
     char buffer[4096];
     for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, out)) > 0;) {
-      said.append(buffer, n);
+      output.append(buffer, n);
     }
     const int status = ::pclose(out);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  bool says(const std::string& what) const { return said.find(what) != std::string::npos; }
-  std::string folder, said;
+  bool has_printed(const std::string& what) const { return output.find(what) != std::string::npos; }
+  std::string folder;
+  std::string output;
 };
 
 TEST_F(CommandLineTest, ExitsWithCodeForSuccessFindingsOrUsage) {
   EXPECT_EQ(run("version"), 0);
   EXPECT_EQ(run("--help"), 0);
   EXPECT_EQ(run("check --help"), 0);
-  EXPECT_TRUE(says("Example:"));
+  EXPECT_TRUE(has_printed("Example:"));
   for (const char* usage :
        {"", "chek a.toml", "check", "run", "diff a.toml", "check --colour a.toml"}) {
     EXPECT_EQ(run(usage), 2) << usage;
   }
-  EXPECT_EQ(run("check a.toml b.toml"), 0) << said;
+  EXPECT_EQ(run("check a.toml b.toml"), 0) << output;
   write("bad.toml", list(1, "in_sevrice", "4.0"));
   EXPECT_EQ(run("check a.toml bad.toml"), 1);
-  EXPECT_TRUE(says("bad.toml:15:9: error F003: state:")) << said;
-  EXPECT_TRUE(says("did you mean 'in_service'?")) << said;
-  EXPECT_TRUE(says("a.toml: good: 2 servers")) << said;
+  EXPECT_TRUE(has_printed("bad.toml:15:9: error F003: state:")) << output;
+  EXPECT_TRUE(has_printed("did you mean 'in_service'?")) << output;
+  EXPECT_TRUE(has_printed("a.toml: good: 2 servers")) << output;
   EXPECT_EQ(run("check absent.toml"), 1);
   EXPECT_EQ(run("check --json bad.toml"), 1);
-  EXPECT_TRUE(says(R"("code":"F003","file":"bad.toml","line":15,"column":9)")) << said;
+  EXPECT_TRUE(has_printed(R"("code":"F003","file":"bad.toml","line":15,"column":9)")) << output;
 }
 
 TEST_F(CommandLineTest, ChecksAndDescribesChangeAgainstCurrentList) {
   EXPECT_EQ(run("check --against b.toml a.toml"), 1) << "the generation goes back";
-  EXPECT_TRUE(says("L020")) << said;
-  EXPECT_EQ(run("check --against a.toml b.toml"), 0) << said;
-  EXPECT_TRUE(says("1 of another weight")) << said;
+  EXPECT_TRUE(has_printed("L020")) << output;
+  EXPECT_EQ(run("check --against a.toml b.toml"), 0) << output;
+  EXPECT_TRUE(has_printed("1 of another weight")) << output;
   EXPECT_EQ(run("diff a.toml b.toml"), 1);
-  EXPECT_TRUE(says("generation 1 to 2: 1 of another weight")) << said;
+  EXPECT_TRUE(has_printed("generation 1 to 2: 1 of another weight")) << output;
   EXPECT_EQ(run("diff --json a.toml b.toml"), 1);
-  EXPECT_TRUE(says(R"("weighted":["s-1"])")) << said;
+  EXPECT_TRUE(has_printed(R"("weighted":["s-1"])")) << output;
   write("order.toml", "# another order, the same list\n" + head(3, 2) +
                           server("s-2", 2, "in_service", "4.0") +
                           server("s-1", 1, "in_service", "4.0"));
-  EXPECT_EQ(run("diff a.toml order.toml"), 0) << said;
+  EXPECT_EQ(run("diff a.toml order.toml"), 0) << output;
 }
 
 TEST_F(CommandLineTest, SealsListWithDigestThatDetectsEdits) {
-  EXPECT_EQ(run("seal a.toml"), 0) << said;
+  EXPECT_EQ(run("seal a.toml"), 0) << output;
   EXPECT_EQ(text("a.toml").rfind("digest = \"xxh3:", 0), 0u);
-  EXPECT_EQ(run("check a.toml"), 0) << said;
+  EXPECT_EQ(run("check a.toml"), 0) << output;
   auto edited = text("a.toml");
   edited.replace(edited.find("4.0"), 3, "6.0");
   write("a.toml", edited);
   EXPECT_EQ(run("check a.toml"), 1);
-  EXPECT_TRUE(says("L006")) << said;
+  EXPECT_TRUE(has_printed("L006")) << output;
   EXPECT_EQ(run("seal a.toml"), 0);
   EXPECT_EQ(run("check a.toml"), 0);
 
@@ -119,12 +120,12 @@
             "[[piece]]\nfile = \"one.toml\"\ndigest = \"xxh3:0000000000000000\"\n"
             "[[piece]]\nfile = \"two.toml\"\ndigest = \"xxh3:0000000000000000\"\n");
   EXPECT_EQ(run("check d"), 1);
-  EXPECT_EQ(run("seal d"), 0) << said;
-  EXPECT_EQ(run("check d"), 0) << said;
+  EXPECT_EQ(run("seal d"), 0) << output;
+  EXPECT_EQ(run("check d"), 0) << output;
   EXPECT_EQ(run("diff b.toml d"), 1);
   write("d/two.toml", server("s-2", 2, "draining", "4.0"));
   EXPECT_EQ(run("check d"), 1);
-  EXPECT_TRUE(says("piece two.toml")) << said;
+  EXPECT_TRUE(has_printed("piece two.toml")) << output;
 }
 
 TEST_F(CommandLineTest, ChecksFormatsComparesAndExplainsLanguageFiles) {
@@ -134,24 +135,24 @@
   write("good.alder", good);
   write("ugly.alder", "class a{repeat=safe;deadline=1000ms}\n\nroute r{path=\"/r/{o}\";class=a}");
   write("bad.alder", "class a {\n  repeat = sage\n  deadline = 1000\n}\n");
-  EXPECT_EQ(run("check good.alder ugly.alder"), 0) << said;
+  EXPECT_EQ(run("check good.alder ugly.alder"), 0) << output;
   EXPECT_EQ(run("check bad.alder"), 1);
   EXPECT_TRUE(
-      says("bad.alder:2:12: error A019: 'sage' is no value of repeat (did you mean safe?)\n"
-           "      repeat = sage\n               ^"))
-      << said;
-  EXPECT_TRUE(says("1000 ms or 1000 s")) << said;
-  EXPECT_EQ(run("fmt --check good.alder"), 0) << said;
+      has_printed("bad.alder:2:12: error A019: 'sage' is no value of repeat (did you mean safe?)\n"
+                  "      repeat = sage\n               ^"))
+      << output;
+  EXPECT_TRUE(has_printed("1000 ms or 1000 s")) << output;
+  EXPECT_EQ(run("fmt --check good.alder"), 0) << output;
   EXPECT_EQ(run("fmt --check ugly.alder"), 1);
-  EXPECT_EQ(run("diff good.alder ugly.alder"), 0) << said;
+  EXPECT_EQ(run("diff good.alder ugly.alder"), 0) << output;
   EXPECT_EQ(run("fmt --write ugly.alder"), 0);
   EXPECT_EQ(run("fmt --check ugly.alder"), 0);
-  EXPECT_EQ(run("diff good.alder ugly.alder"), 0) << said;
+  EXPECT_EQ(run("diff good.alder ugly.alder"), 0) << output;
   write("broken.alder", "class a {\n");
   EXPECT_EQ(run("fmt --write broken.alder"), 1);
-  EXPECT_EQ(text("broken.alder"), "class a {\n") << "what does not parse is left alone";
-  EXPECT_EQ(run("explain good.alder 'GET h/r/7'"), 0) << said;
-  EXPECT_TRUE(says("route r (good.alder:6), class a (good.alder:1), o=7")) << said;
+  EXPECT_EQ(text("broken.alder"), "class a {\n") << "an invalid file is not changed";
+  EXPECT_EQ(run("explain good.alder 'GET h/r/7'"), 0) << output;
+  EXPECT_TRUE(has_printed("route r (good.alder:6), class a (good.alder:1), o=7")) << output;
   EXPECT_EQ(run("explain good.alder 'GET h/s'"), 1);
   EXPECT_EQ(run("explain good.alder nothing"), 2);
 }
@@ -160,9 +161,9 @@
   EXPECT_EQ(run("run --settings absent.toml"), 1);
   write("alderspur.toml", "[router]\nconfg = \"config.json\"\n");
   EXPECT_EQ(run("run --settings alderspur.toml"), 1);
-  EXPECT_TRUE(
-      says("alderspur.toml:2:1: error F004: the key confg is not known (did you mean config?)"))
-      << said;
+  EXPECT_TRUE(has_printed(
+      "alderspur.toml:2:1: error F004: the key confg is not known (did you mean config?)"))
+      << output;
   write("config.json",
         R"({"listen":"127.0.0.1:0","known":{"rev":0,"notices":[]},"settings":{"azs":["hub","edge"],
     "zone":1,"shapes":["small"],"classes":[{"name":"asset","points":1,"repeat":"safe"}]}})");
@@ -171,24 +172,24 @@
       "\"l.toml\"\n";
   write("alderspur.toml", good);
   EXPECT_EQ(run("run --settings alderspur.toml"), 1);
-  EXPECT_TRUE(says("no usable list of servers")) << said;
-  EXPECT_TRUE(says("l.toml: No such file")) << said;
+  EXPECT_TRUE(has_printed("no usable list of servers")) << output;
+  EXPECT_TRUE(has_printed("l.toml: No such file")) << output;
   write("l.toml", "format = 1\n");
   EXPECT_EQ(run("run --settings alderspur.toml"), 1);
-  EXPECT_TRUE(says("the key generation is missing")) << said;
+  EXPECT_TRUE(has_printed("the key generation is missing")) << output;
   EXPECT_EQ(run("check alderspur.toml"), 1) << "check reads the list that the settings name";
   write("l.toml", list(1, "in_service", "4.0"));
-  EXPECT_EQ(run("check alderspur.toml"), 0) << said;
+  EXPECT_EQ(run("check alderspur.toml"), 0) << output;
   write("alderspur.toml", good + "[routes]\nfile = \"main.alder\"\n");
   const std::string program =
       "class asset {\n  repeat = safe\n  deadline = 1 s\n}\npool p {\n  role = cache\n  point = "
       "\"edge\"\n}\n"
       "route r {\n  path = \"/r/{object}\"\n  class = asset\n  pool = p\n}\n";
   write("main.alder", program);
-  EXPECT_EQ(run("check alderspur.toml"), 0) << said;
+  EXPECT_EQ(run("check alderspur.toml"), 0) << output;
   write("main.alder", std::string(program).replace(program.find("\"edge\""), 6, "\"egde\""));
   EXPECT_EQ(run("check alderspur.toml"), 1);
-  EXPECT_TRUE(says("main.alder:5:6: error A043: pool p selects no server")) << said;
+  EXPECT_TRUE(has_printed("main.alder:5:6: error A043: pool p selects no server")) << output;
   EXPECT_EQ(run("state ."), 1);
 }
 
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -1,5 +1,5 @@
-// Routes in service over loopback: the signed front goes by a table that is swapped, and by its
-// limits.
+// The route table in service over loopback: the signed front follows a table that is replaced, and
+// its limits.
 #include "control/routes.h"
 
 #include <gtest/gtest.h>
@@ -28,30 +28,30 @@
     char name[] = "/tmp/alderspur-routes-XXXXXX";
     folder = ::mkdtemp(name);
     file = folder + "/main.alder";
-    links.enabled = true;
-    links.listen = "127.0.0.1:0";
-    links.keys = {{"k", "a secret of the tests", 0}};
+    signed_url_settings.enabled = true;
+    signed_url_settings.listen = "127.0.0.1:0";
+    signed_url_settings.keys = {{"k", "a secret of the tests", 0}};
   }
   void TearDown() override {
     clients.clear();
     front.reset();
     routes.reset();
-    node.reset();
+    router.reset();
     std::filesystem::remove_all(folder);
   }
   void write(const std::string& program) const {
     std::ofstream(file, std::ios::trunc) << kClasses << program;
   }
-  static std::string route(const std::string& name, const std::string& path, const std::string& cls,
-                           const std::string& more = "") {
-    return "route " + name + " {\n  path = \"" + path + "\"\n  class = " + cls + "\n" + more +
-           "}\n";
+  static std::string route(const std::string& name, const std::string& path,
+                           const std::string& class_name, const std::string& more = "") {
+    return "route " + name + " {\n  path = \"" + path + "\"\n  class = " + class_name + "\n" +
+           more + "}\n";
   }
   void start() {
     auto config =
         config::read(R"({"name":"n","seed":"7","listen":"127.0.0.1:0","known":{"rev":1,"notices":[
       {"rev":1,"pool":{"complete":true,"members":[{"id":"s","host_port":")" +
-                     box.address() + R"(","locality":"edge","flavor":"small","cell":0,
+                     cache.address() + R"(","locality":"edge","flavor":"small","cell":0,
         "phase":"in_service","size":4,"up_since_ms":0}]}}]},
       "settings":{"azs":["edge"],"zone":0,"shapes":["small"],"replicas-of-me":1,
       "ceilings":{"dial-timeout":5000000,"idle-close":30000000,"max-attempts":2,"may-cancel":true,
@@ -61,66 +61,67 @@
       "domain":{"lifetime-by-class":[60000000,0],"stale-for":[0,0],"uncached":[false,false]}}})");
     config.max_descriptors = 512;
     log = std::make_unique<log::Log>(log::Settings{},
-                                     [this](const std::string& l) { lines.push_back(l); });
-    node = std::make_unique<edge_router::EdgeRouter>(std::move(config), [](auto&, auto&) {});
-    routes = std::make_unique<control::Routes>(*node, file, *log);
-    front =
-        std::make_unique<signed_url::HttpFront>(node->loop(), node->deadlines(), node->engine(),
-                                                node->config(), links, net::unix_now, routes.get());
-    node->add({[this] { front->end_turn(); }, {}, {}});
-    node->loop().on_turn([this] { node->turn(); });
+                                     [this](const std::string& line) { lines.push_back(line); });
+    router = std::make_unique<edge_router::EdgeRouter>(std::move(config), [](auto&, auto&) {});
+    routes = std::make_unique<control::Routes>(*router, file, *log);
+    front = std::make_unique<signed_url::HttpFront>(
+        router->loop(), router->deadlines(), router->engine(), router->config(),
+        signed_url_settings, net::unix_now, routes.get());
+    router->add({[this] { front->end_turn(); }, {}, {}});
+    router->loop().on_turn([this] { router->turn(); });
   }
-  bool until(const std::function<bool()>& holds, core::Time most = 20'000'000) {
-    for (const core::Time end = net::unix_now() + most; net::unix_now() < end;) {
-      ev_run(node->loop().raw(), EVRUN_NOWAIT);
-      box.poll();
-      for (auto& c : clients) c->poll();
+  bool run_until(const std::function<bool()>& holds, core::Time timeout = 20'000'000) {
+    for (const core::Time end = net::unix_now() + timeout; net::unix_now() < end;) {
+      ev_run(router->loop().raw(), EVRUN_NOWAIT);
+      cache.poll();
+      for (auto& client : clients) client->poll();
       if (holds()) return true;
       ::usleep(200);
     }
     return false;
   }
-  // Asks on a connection of its own.
-  loopback::TestSocket& ask(const std::string& path, bool forged = false,
-                            const std::string& headers = "") {
+  // Sends a request on a connection of its own.
+  loopback::TestSocket& send_request(const std::string& path, bool forged = false,
+                                     const std::string& headers = "") {
     const auto text = path + "?exp=" + std::to_string(net::unix_now() / 1'000'000 + 60) + "&kid=k";
-    auto sig = signed_url::signature({"k", "a secret of the tests", 0}, text);
-    if (forged) sig[3] = sig[3] == 'A' ? 'B' : 'A';
+    auto signature = signed_url::signature({"k", "a secret of the tests", 0}, text);
+    if (forged) signature[3] = signature[3] == 'A' ? 'B' : 'A';
     clients.push_back(loopback::connect_to(front->address()));
-    clients.back()->write("GET " + text + "&sig=" + sig + " HTTP/1.1\r\nHost: h.example\r\n" +
+    clients.back()->write("GET " + text + "&sig=" + signature + " HTTP/1.1\r\nHost: h.example\r\n" +
                           headers + "\r\n");
     return *clients.back();
   }
-  static int status(const loopback::TestSocket& s) {
-    return s.received.size() > 12 ? std::stoi(s.received.substr(9, 3)) : 0;
+  static int status(const loopback::TestSocket& socket) {
+    return socket.received.size() > 12 ? std::stoi(socket.received.substr(9, 3)) : 0;
   }
-  int answered(loopback::TestSocket& s) {
-    EXPECT_TRUE(until([&] { return status(s) > 0; }));
-    return status(s);
+  int wait_for_status(loopback::TestSocket& socket) {
+    EXPECT_TRUE(run_until([&] { return status(socket) > 0; }));
+    return status(socket);
   }
-  void serve_all() {
-    for (; served < box.commands.size(); ++served) {
-      if (box.commands[served].verb == "fetch") {
-        FakeCache::respond(box.commands[served], "served", "bytes",
+  void respond_to_all() {
+    for (; responded < cache.commands.size(); ++responded) {
+      if (cache.commands[responded].verb == "fetch") {
+        FakeCache::respond(cache.commands[responded], "served", "bytes",
                            loopback::fresh_copy_fields("t"));
       }
     }
   }
-  bool logged(const std::string& what) const {
+  bool has_logged(const std::string& what) const {
     return std::any_of(lines.begin(), lines.end(),
-                       [&](auto& l) { return l.find(what) != std::string::npos; });
+                       [&](auto& line) { return line.find(what) != std::string::npos; });
   }
 
-  std::string folder, file;
-  FakeCache box;
-  signed_url::Settings links;
+  std::string folder;
+  std::string file;
+  FakeCache cache;
+  signed_url::Settings signed_url_settings;
   std::vector<std::string> lines;
   std::unique_ptr<log::Log> log;
-  std::unique_ptr<edge_router::EdgeRouter> node;
+  std::unique_ptr<edge_router::EdgeRouter> router;
   std::unique_ptr<control::Routes> routes;
   std::unique_ptr<signed_url::HttpFront> front;
   std::vector<std::unique_ptr<loopback::TestSocket>> clients;
-  std::size_t served = 0;
+  std::size_t responded = 0;
   const std::string object = "7f3a9c21e0b4d655";
 };
 
@@ -129,72 +130,75 @@
         route("beta", "/a/{object}", "video", "  header \"X-Tier\" = \"beta\"\n"));
   start();
   const struct {
-    std::string path, headers, cls, part;
+    std::string path;
+    std::string headers;
+    std::string class_name;
+    std::string part;
   } cases[] = {{"/v/" + object + "/3", "", "video", "3"},
                {"/a/" + object, "", "asset", "0"},
                {"/a/" + object, "x-tier: beta\r\n", "video", "0"}};
-  for (const auto& c : cases) {
-    const auto before = box.commands.size();
-    auto& s = ask(c.path, false, c.headers);
-    ASSERT_TRUE(until([&] { return box.commands.size() > before; }));
-    EXPECT_EQ(box.commands.back().fields["lane"], c.cls);
-    EXPECT_EQ(box.commands.back().fields["piece"], c.part);
-    serve_all();
-    EXPECT_EQ(answered(s), 200);
+  for (const auto& test_case : cases) {
+    const auto before = cache.commands.size();
+    auto& socket = send_request(test_case.path, false, test_case.headers);
+    ASSERT_TRUE(run_until([&] { return cache.commands.size() > before; }));
+    EXPECT_EQ(cache.commands.back().fields["lane"], test_case.class_name);
+    EXPECT_EQ(cache.commands.back().fields["piece"], test_case.part);
+    respond_to_all();
+    EXPECT_EQ(wait_for_status(socket), 200);
   }
-  EXPECT_EQ(answered(ask("/other/" + object)), 404);
-  EXPECT_EQ(answered(ask("/a/zz")), 404);
+  EXPECT_EQ(wait_for_status(send_request("/other/" + object)), 404);
+  EXPECT_EQ(wait_for_status(send_request("/a/zz")), 404);
 }
 
-// Three routes change their meaning while requests are under way: none is lost, each ends by the
-// table it began under, and a program that does not check changes nothing.
+// Three routes change while requests are in flight: none is lost, each ends by the table that it
+// began with, and an invalid program changes nothing.
 TEST_F(RoutesTest, ReplacesTableAtomicallyUnderLoad) {
-  const auto version = [&](const char* cls, const char* most) {
-    std::string t;
-    for (const char* n : {"x", "y", "z"}) {
-      t += route(n, std::string("/") + n + "/{object}", cls,
-                 std::string("  max-in-flight = ") + most + "\n");
+  const auto version = [&](const char* class_name, const char* max_in_flight) {
+    std::string text;
+    for (const char* name : {"x", "y", "z"}) {
+      text += route(name, std::string("/") + name + "/{object}", class_name,
+                    std::string("  max-in-flight = ") + max_in_flight + "\n");
     }
-    return t;
+    return text;
   };
   write(version("asset", "100"));
   start();
-  const auto first = routes->in_force();
-  std::vector<loopback::TestSocket*> asked;
+  const auto first_table = routes->in_force();
+  std::vector<loopback::TestSocket*> sockets;
   std::size_t swaps = 0;
   for (int round = 0; round < 12; ++round) {
-    for (const char* n : {"x", "y", "z"}) {
-      asked.push_back(&ask(std::string("/") + n + "/" + object));
+    for (const char* name : {"x", "y", "z"}) {
+      sockets.push_back(&send_request(std::string("/") + name + "/" + object));
     }
-    const auto fetches = asked.size();
-    ASSERT_TRUE(until([&] { return box.count("fetch") == fetches; }));
-    // All three of one round were decided by one table.
-    const auto& c = box.commands;
-    for (std::size_t i = c.size() - 3; i < c.size(); ++i) {
-      EXPECT_EQ(c[i].fields.at("lane"), round % 2 ? "video" : "asset") << round;
+    const auto fetches = sockets.size();
+    ASSERT_TRUE(run_until([&] { return cache.count("fetch") == fetches; }));
+    // All three of one round were routed by one table.
+    const auto& commands = cache.commands;
+    for (std::size_t i = commands.size() - 3; i < commands.size(); ++i) {
+      EXPECT_EQ(commands[i].fields.at("lane"), round % 2 ? "video" : "asset") << round;
     }
     const auto before = routes->in_force();
     write(version(round % 2 ? "asset" : "video", round % 2 ? "100" : "99"));
     routes->reload();
-    ASSERT_TRUE(until([&] { return routes->in_force() != before; }));
+    ASSERT_TRUE(run_until([&] { return routes->in_force() != before; }));
     ++swaps;
     EXPECT_EQ(routes->limits().in_flight("route x"), static_cast<std::size_t>(round + 1))
-        << "kept over the swap";
+        << "kept when the table is replaced";
   }
   EXPECT_EQ(swaps, 12u);
   const auto in_force = routes->in_force();
   write("route x {\n");
   routes->reload();
-  ASSERT_TRUE(until([&] { return logged("event=table_refused"); }));
+  ASSERT_TRUE(run_until([&] { return has_logged("event=table_refused"); }));
   write(route("x", "/x/{object}", "other"));
   lines.clear();
   routes->reload();
-  ASSERT_TRUE(until([&] { return logged("event=table_refused"); }));
+  ASSERT_TRUE(run_until([&] { return has_logged("event=table_refused"); }));
   EXPECT_EQ(routes->in_force(), in_force);
-  serve_all();
-  for (auto* s : asked) EXPECT_EQ(answered(*s), 200);
+  respond_to_all();
+  for (auto* socket : sockets) EXPECT_EQ(wait_for_status(*socket), 200);
   EXPECT_EQ(routes->limits().in_flight("route x"), 0u);
-  EXPECT_EQ(first.use_count(), 1) << "nobody holds the first table any more";
+  EXPECT_EQ(first_table.use_count(), 1) << "the first table is released";
 }
 
 TEST_F(RoutesTest, RejectsOnFullRouteAndServesTheOthers) {
@@ -202,26 +206,27 @@
         route("other", "/o/{object}", "asset"));
   start();
   for (int i = 0; i < 3; ++i) {
-    EXPECT_EQ(answered(ask("/f/" + object, true)), 403) << "a forged link takes no room";
+    EXPECT_EQ(wait_for_status(send_request("/f/" + object, true)), 403)
+        << "a forged link takes no capacity";
   }
-  auto& a = ask("/f/" + object);
-  auto& b = ask("/f/" + object);
-  ASSERT_TRUE(until([&] { return box.count("fetch") == 2; }));
-  const core::Time begun = net::unix_now();
-  auto& c = ask("/f/" + object);
-  EXPECT_EQ(answered(c), 503);
-  EXPECT_LT(net::unix_now() - begun, 2'000'000) << "not held back";
-  EXPECT_NE(c.received.find("Retry-After: 1"), std::string::npos) << c.received;
-  auto& d = ask("/o/" + object);
-  ASSERT_TRUE(until([&] { return box.count("fetch") == 3; }));
-  serve_all();
-  EXPECT_EQ(answered(a), 200);
-  EXPECT_EQ(answered(b), 200);
-  EXPECT_EQ(answered(d), 200);
-  auto& e = ask("/f/" + object);  // room has returned
-  ASSERT_TRUE(until([&] { return box.count("fetch") == 4; }));
-  e.close();  // and returns when its client leaves
-  ASSERT_TRUE(until([&] { return routes->limits().in_flight("route few") == 0; }));
+  auto& first = send_request("/f/" + object);
+  auto& second = send_request("/f/" + object);
+  ASSERT_TRUE(run_until([&] { return cache.count("fetch") == 2; }));
+  const core::Time started_at = net::unix_now();
+  auto& rejected = send_request("/f/" + object);
+  EXPECT_EQ(wait_for_status(rejected), 503);
+  EXPECT_LT(net::unix_now() - started_at, 2'000'000) << "rejected without delay";
+  EXPECT_NE(rejected.received.find("Retry-After: 1"), std::string::npos) << rejected.received;
+  auto& other_route = send_request("/o/" + object);
+  ASSERT_TRUE(run_until([&] { return cache.count("fetch") == 3; }));
+  respond_to_all();
+  EXPECT_EQ(wait_for_status(first), 200);
+  EXPECT_EQ(wait_for_status(second), 200);
+  EXPECT_EQ(wait_for_status(other_route), 200);
+  auto& next = send_request("/f/" + object);  // there is capacity again
+  ASSERT_TRUE(run_until([&] { return cache.count("fetch") == 4; }));
+  next.close();  // and when a client leaves
+  ASSERT_TRUE(run_until([&] { return routes->limits().in_flight("route few") == 0; }));
 }
 
 TEST_F(RoutesTest, ReportsReasonWhenProgramIsInvalidAtStart) {
--- a/tests/signed_test.cpp
+++ b/tests/signed_test.cpp
@@ -1,5 +1,5 @@
-// The signed front over loopback: links and tokens, one answer each across expiry, skew and a dying
-// box.
+// The signed front over loopback: links and tokens, and one response each despite expiry, clock
+// skew and a cache that stops.
 #include <algorithm>
 #include <sstream>
 
@@ -22,64 +22,64 @@
            signed_url::signature(
                {signed_url_settings.keys[key].id, signed_url_settings.keys[key].secret, 0}, text);
   }
-  std::string link(std::int64_t exp, std::int64_t nbf = 0, std::size_t key = 1) {
-    return sign(std::string(kPath) + "?set=17&ram=80&nbf=" + std::to_string(nbf) +
-                    "&exp=" + std::to_string(exp) + "&kid=" + signed_url_settings.keys[key].id,
+  std::string link(std::int64_t expires_at, std::int64_t not_before = 0, std::size_t key = 1) {
+    return sign(std::string(kPath) + "?set=17&ram=80&nbf=" + std::to_string(not_before) + "&exp=" +
+                    std::to_string(expires_at) + "&kid=" + signed_url_settings.keys[key].id,
                 key);
   }
   static std::string get(const std::string& target, const std::string& headers = {}) {
     return "GET " + target + " HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n";
   }
-  static std::size_t count_responses(const loopback::TestSocket& s) {
-    std::size_t n = 0;
-    for (auto at = s.received.find("HTTP/1.1 "); at != std::string::npos;
-         at = s.received.find("HTTP/1.1 ", at + 1)) {
-      ++n;
+  static std::size_t count_responses(const loopback::TestSocket& socket) {
+    std::size_t count = 0;
+    for (auto at = socket.received.find("HTTP/1.1 "); at != std::string::npos;
+         at = socket.received.find("HTTP/1.1 ", at + 1)) {
+      ++count;
     }
-    return n;
+    return count;
   }
-  // Sends one request on its own connection and plays the box; returns the status.
+  // Sends one request on its own connection and responds for the cache; the status.
   int status(const std::string& request, const std::string& body = "bytes") {
     auto client = connect_client(http_front->address());
     const auto before = fetch_count();
+    bool has_responded = false;
     client->write(request);
     EXPECT_TRUE(run_until([&] {
-      if (fetch_count() > before && !played_)
+      if (fetch_count() > before && !has_responded) {
         FakeCache::respond(*fetch_command(before + 1), "served", body,
-                           loopback::fresh_copy_fields("t1")),
-            played_ = true;
+                           loopback::fresh_copy_fields("t1"));
+        has_responded = true;
+      }
       return client->received.find("\r\n\r\n") != std::string::npos;
     }));
-    played_ = false;
     run_briefly();
     EXPECT_EQ(count_responses(*client), 1u);
-    last_ = client->received;
+    last_response_ = client->received;
     polled_sockets.pop_back();
     return client->received.size() > 12 ? std::stoi(client->received.substr(9, 3)) : 0;
   }
-  bool played_ = false;
-  std::string last_;
+  std::string last_response_;
 };
 
 TEST_F(SignedUrlTest, AcceptsLinkForItsPathTimeAndKeyOnly) {
   EXPECT_EQ(status(get(link(now() + 60))), 200);
-  EXPECT_NE(last_.find("\r\n\r\nbytes"), std::string::npos);
-  EXPECT_NE(last_.find("ETag: \"t1\""), std::string::npos);
+  EXPECT_NE(last_response_.find("\r\n\r\nbytes"), std::string::npos);
+  EXPECT_NE(last_response_.find("ETag: \"t1\""), std::string::npos);
   EXPECT_EQ(fetch_command()->fields["name"], "7f3a9c21e0b4d655");
   EXPECT_EQ(status(get(link(now() + 60, 0, 0))), 200) << "the key before the rotation";
   auto other = link(now() + 60);
   other.replace(other.find("d655/0"), 6, "d655/1");
   EXPECT_EQ(status(get(other)), 403);
   EXPECT_EQ(status(get(sign(std::string(kPath) + "?exp=99999999999&kid=none"))), 403);
-  EXPECT_EQ(status(get(sign(std::string(kPath) + "?kid=new"))), 403) << "without an end";
+  EXPECT_EQ(status(get(sign(std::string(kPath) + "?kid=new"))), 403) << "without an expiry";
   EXPECT_EQ(status(get(sign(std::string(kPath) + "?exp=1&exp=99999999999&kid=new"))), 403);
   EXPECT_EQ(status(get(kPath)), 401);
-  EXPECT_EQ(fetch_count(), 2u) << "what is turned away asks no box";
+  EXPECT_EQ(fetch_count(), 2u) << "nothing is forwarded for a rejected link";
 }
 
 TEST_F(SignedUrlTest, AllowsClockSkewInBothDirections) {
-  EXPECT_EQ(status(get(link(now() - 20))), 200) << "our clock runs ahead";
-  EXPECT_EQ(status(get(link(now() + 60, now() + 20))), 200) << "our clock runs behind";
+  EXPECT_EQ(status(get(link(now() - 20))), 200) << "this clock runs ahead";
+  EXPECT_EQ(status(get(link(now() + 60, now() + 20))), 200) << "this clock runs behind";
   EXPECT_EQ(status(get(link(now() - 600))), 403);
   EXPECT_EQ(status(get(link(now() + 900, now() + 600))), 403);
   clock_offset_seconds = -120;
@@ -104,12 +104,12 @@
 
 TEST_F(SignedUrlTest, RespondsOnceWhenLinkExpiresDuringFill) {
   auto client = connect_client(http_front->address());
-  client->write(get(link(now() - 20)));  // some of the skew is left
+  client->write(get(link(now() - 20)));  // within the allowed skew
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
   clock_offset_seconds = 3600;  // now it has long expired
   run_briefly();
   EXPECT_EQ(count_responses(*client), 0u);
-  FakeCache::respond(*fetch_command(), "served", "whole");
+  FakeCache::respond(*fetch_command(), "served", "complete");
   ASSERT_TRUE(run_until([&] { return count_responses(*client) == 1; }));
   FakeCache::respond(*fetch_command(), "served", "twice");
   run_briefly();
@@ -124,9 +124,9 @@
   client->write(get(link(now() + 60)));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
   const auto first = *fetch_command();
-  first.connection->write(first.id + " served sum=t1 5\r\nby");  // breaks off in the middle
+  first.connection->write(first.id + " served sum=t1 5\r\nby");  // ends in the middle
   run_briefly();
-  EXPECT_EQ(count_responses(*client), 0u) << "nothing of a broken answer is passed on";
+  EXPECT_EQ(count_responses(*client), 0u) << "nothing of a partial response is forwarded";
   cache_of(first).stop();
   FakeCache& other = &cache_of(first) == &caches[0] ? caches[1] : caches[0];
   ASSERT_TRUE(run_until([&] { return other.count("fetch") == 1; }));
@@ -172,30 +172,30 @@
   EXPECT_EQ(status(get("/asset/../deploy/signed.json")), 404);
   EXPECT_EQ(status(get(link(now() + 60), "X: " + std::string(9000, 'x') + "\r\n")), 431);
   EXPECT_EQ(status("HEAD " + link(now() + 60) + " HTTP/1.1\r\nHost: x\r\n\r\n"), 200);
-  EXPECT_TRUE(last_.ends_with("\r\n\r\n")) << "no body after HEAD";
-  EXPECT_NE(last_.find("Content-Length: 5"), std::string::npos);
+  EXPECT_TRUE(last_response_.ends_with("\r\n\r\n")) << "no body after HEAD";
+  EXPECT_NE(last_response_.find("Content-Length: 5"), std::string::npos);
 }
 
-// Guards against a client whose end is not heard behind what it has piled up: not read, it would
-// wait there.
+// Guards against a client whose end is not noticed behind its queued requests, as long as these are
+// not read.
 TEST_F(SignedUrlTest, ClosesConnectionWhenTooManyRequestsAreQueued) {
-  for (const bool much : {false, true}) {
+  for (const bool exceeds_limit : {false, true}) {
     auto client = connect_client(http_front->address());
     const auto before = fetch_count();
-    const auto withdrawn = engine->counters().cancelled;
+    const auto cancelled = engine->counters().cancelled;
     client->write(get(link(now() + 60)));
     ASSERT_TRUE(run_until([&] { return fetch_count() == before + 1; }));
-    const std::string one = get("/none");
+    const std::string request = get("/none");
     std::string all;
-    while (all.size() < (much ? 100'000u : 50'000u)) all += one;
-    ASSERT_TRUE(run_until([&] { return all.erase(0, client->write_some(all)), all.empty(); }));
-    if (!much) {
+    while (all.size() < (exceeds_limit ? 100'000u : 50'000u)) all += request;
+    ASSERT_TRUE(write_all(*client, all));
+    if (!exceeds_limit) {
       run_briefly();
-      EXPECT_FALSE(client->is_closed) << "so much may wait";
+      EXPECT_FALSE(client->is_closed) << "so many may wait";
     }
     polled_sockets.clear();
-    if (!much) client->reset();
-    ASSERT_TRUE(run_until([&] { return engine->counters().cancelled == withdrawn + 1; }));
+    if (!exceeds_limit) client->reset();
+    ASSERT_TRUE(run_until([&] { return engine->counters().cancelled == cancelled + 1; }));
     EXPECT_EQ(engine->open_request_count(), 0u);
   }
 }
--- /dev/null
+++ b/tests/upstream/upstream_test.cpp
@@ -0,0 +1,286 @@
+// The connections to caches: retries, timeouts, health checks.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+
+#include "support/edge_router_fixture.h"
+
+namespace {
+
+using namespace alderspur;
+using loopback::CacheCommand;
+using loopback::decode_responses;
+using loopback::encode_request;
+using loopback::FakeCache;
+
+const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+
+class UpstreamTest : public loopback::DiscoveryTest {};
+
+TEST_F(UpstreamTest, SendsToNextCacheWhenConnectIsRefused) {
+  auto client = connect_client(client_front->address());
+  caches[0].stop();
+  for (unsigned i = 1; i <= 4; ++i) {
+    client->write(encode_request(
+        i, "plan-accept", {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}}));
+    ASSERT_TRUE(run_until([&] { return caches[1].count("fetch") == i; }));
+    FakeCache::respond(caches[1].commands.back(), "served", "ok");
+    ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == i; }));
+  }
+  EXPECT_EQ(engine->counters().served, 4u);
+}
+
+// Guards against taking a late response to an aborted attempt for that to the next one with the
+// same id.
+TEST_F(UpstreamTest, RetriesEachAttemptOnceWhenConnectionIsLost) {
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 3; ++i) client->write(encode_request(i, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 3; }));
+  FakeCache& first = cache_of(*fetch_command());
+  FakeCache& second = &first == &caches[0] ? caches[1] : caches[0];
+  const auto before = second.count("fetch");
+  first.stop();
+  ASSERT_TRUE(run_until([&] {
+    return second.count("fetch") == 3 || engine->counters().rejected + second.count("fetch") >= 3;
+  }));
+  for (const auto& command : second.commands) FakeCache::respond(command, "served", "again");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 3; }));
+  EXPECT_GE(second.count("fetch"), before);
+  run_briefly();
+  EXPECT_EQ(decode_responses(client->received).size(), 3u);
+}
+
+// Guards against forwarding corrupted responses: lines without a length, without tag and date, with
+// lengths that do not fit, confirmations of a copy that the client never named.
+TEST_F(UpstreamTest, FailsAttemptAndClosesConnectionWhenResponseIsCorrupted) {
+  auto client = connect_client(client_front->address());
+  std::size_t earlier_fetches = 0;
+  unsigned id = 0;
+  for (const std::string corrupted :
+       {"served - twelve\r\n", "served - 0\r\n", "served sum=t,t0=1764576000000\r\n",
+        "still_good sum=t,t0=1 0\r\n", "served sum=t,t0=1 3000000000\r\n",
+        "served sum=t,t0=1 3\r\nbytes\r\n", "good\r\n"}) {
+    client->write(encode_request(++id, "asset", {}));
+    ASSERT_TRUE(run_until([&] { return fetch_count() == earlier_fetches + 1; }));
+    const auto last = [&] {
+      return caches[0].commands.empty() ? caches[1].commands.back() : caches[0].commands.back();
+    };
+    const CacheCommand got = last();
+    got.connection->write(got.id + ' ' + corrupted);
+    ASSERT_TRUE(run_until([&] {
+      got.connection->poll();
+      return got.connection->is_closed;
+    })) << corrupted;
+    ASSERT_TRUE(run_until([&] {
+      return fetch_count() == earlier_fetches + 2 ||
+             decode_responses(client->received).size() == id;
+    }));
+    for (auto& cache : caches) {
+      for (auto& command : cache.commands) {
+        if (command.id == got.id && !command.connection->is_closed) {
+          FakeCache::respond(command, "served", "good");
+        }
+      }
+    }
+    ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == id; }))
+        << corrupted;
+    EXPECT_NE(decode_responses(client->received).back().body, "bytes");
+    for (auto& cache : caches) cache.commands.clear();
+    earlier_fetches = 0;
+  }
+}
+
+// Guards against taking the second copy of a failed response for the response to the next attempt.
+TEST_F(UpstreamTest, IgnoresSecondCopyOfResponseWhenNextAttemptIsPending) {
+  EndpointUpdate gone;
+  gone.servers = {config.known_events[0].members[1].server};
+  gone.servers[0].status = ServerStatus::gone;
+  engine->update_endpoints(gone);
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {}));
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
+  FakeCache::respond(*fetch_command(), "overload");
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
+  FakeCache::respond(*fetch_command(), "served", "second copy");
+  run_briefly();
+  EXPECT_TRUE(decode_responses(client->received).empty());
+  FakeCache::respond(*fetch_command(2), "served", "its own response");
+  ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 1; }));
+  EXPECT_EQ(decode_responses(client->received)[0].body, "its own response");
+}
+
+class HealthCheckTest : public UpstreamTest {
+ protected:
+  HealthCheckTest() { allow_health_checks = true; }
+  // Runs until it holds; caches respond to health checks on all connections but that one.
+  bool run_until_except(const loopback::TestSocket* silent, const std::function<bool()>& holds) {
+    return run_until([&] {
+      for (auto* cache : {&caches[0], &caches[1], &origin}) {
+        for (auto& command : cache->commands) {
+          if ((command.verb == "alive" || command.verb == "stats") &&
+              command.connection != silent) {
+            FakeCache::respond(command, "green");
+            command.verb = "answered";
+          }
+        }
+      }
+      return holds();
+    });
+  }
+};
+
+// Guards against connections that stay open and are unresponsive: after a partial response, or
+// none.
+TEST_F(HealthCheckTest, RetriesOnSameCacheWhenConnectionFallsSilent) {
+  for (const bool is_partial : {true, false}) {
+    for (auto& cache : caches) cache.commands.clear();
+    auto client = connect_client(client_front->address());
+    for (unsigned i = 1; i <= 2; ++i) client->write(encode_request(i, "asset", {{"ram", "90"}}));
+    ASSERT_TRUE(run_until_except(nullptr, [&] { return fetch_count() == 2; }));
+    const CacheCommand first = *fetch_command(1);
+    const CacheCommand second = *fetch_command(2);
+    ASSERT_EQ(first.connection, second.connection);
+    if (is_partial) {
+      first.connection->write(first.id + " served " + loopback::fresh_copy_fields("t") +
+                              " 100\r\na part of it");
+    }
+    ASSERT_TRUE(run_until_except(first.connection, [&] { return fetch_count() == 4; }));
+    for (std::size_t i = 3; i <= 4; ++i) {
+      EXPECT_EQ(&cache_of(*fetch_command(i)), &cache_of(first));
+      FakeCache::respond(*fetch_command(i), "served", "again");
+    }
+    ASSERT_TRUE(run_until_except(first.connection,
+                                 [&] { return decode_responses(client->received).size() == 2; }));
+    polled_sockets.clear();
+  }
+  EXPECT_EQ(engine->counters().silent_upstream_connections, 2u);
+}
+
+// Guards against taking a reset during a health check for a failed server.
+TEST_F(HealthCheckTest, SendsHealthCheckAgainWhenConnectionIsReset) {
+  bool again = false;
+  for (int i = 0; i < 20 && !again;
+       ++i) {  // a probe has a quarter of a second, which a slow machine may miss
+    const auto before = caches[0].count("stats");
+    upstream_pool->send_health_check(config.known_events[0].members[0].server.id);
+    ASSERT_TRUE(run_until([&] { return caches[0].count("stats") > before; }));
+    caches[0].commands.back().connection->reset();
+    run_briefly();
+    again = caches[0].count("stats") > before + 1;
+  }
+  EXPECT_TRUE(again);
+}
+
+// Guards against taking an overloaded cache for a dead one, and against a connect for each check.
+TEST_F(HealthCheckTest, AcceptsLateHealthCheckReplyAndDialsOnceWhenCacheIsSlow) {
+  const auto id = config.known_events[0].members[0].server.id;
+  upstream_pool->send_health_check(id);
+  ASSERT_TRUE(run_until([&] { return caches[0].count("stats") == 1; }));
+  for (std::size_t i = 1; i <= 5; ++i) {
+    const auto end = net::unix_now() + 260'000;  // after the timeout of the check before
+    run_until([&] { return net::unix_now() > end; });
+    upstream_pool->send_health_check(id);
+    ASSERT_TRUE(run_until([&] { return caches[0].count("stats") == i + 1; }));
+  }
+  EXPECT_EQ(caches[0].connections.size(), 2u);
+  const auto late = engine->counters().late_responses;
+  for (auto& command : caches[0].commands) FakeCache::respond(command, "overload");
+  run_briefly();
+  EXPECT_EQ(engine->counters().late_responses, late) << "each response was expected";
+}
+
+// Guards against a check on every connection whose one request takes long, as most do where many
+// routers share the load.
+TEST_F(HealthCheckTest, SendsNoLivenessQueryWhenSilenceIsUsual) {
+  std::uint64_t early = 0;
+  for (unsigned i = 1; i <= 6; ++i) {
+    auto client = connect_client(client_front->address());
+    client->write(encode_request(1, "asset", {{"ram", "90"}}));
+    ASSERT_TRUE(run_until_except(nullptr, [&] { return fetch_count() == i; }));
+    const auto end = net::unix_now() + 450'000;
+    run_until_except(nullptr, [&] { return net::unix_now() > end; });
+    FakeCache::respond(*fetch_command(i), "served", "slow");
+    ASSERT_TRUE(
+        run_until_except(nullptr, [&] { return !decode_responses(client->received).empty(); }));
+    if (i == 2) early = engine->counters().health_checks;
+    polled_sockets.clear();
+  }
+  EXPECT_GT(early, 0u);
+  EXPECT_LE(engine->counters().health_checks, early + 1)
+      << "the other four took as long as the first";
+}
+
+// Guards against the same for a large response, which a cache sends in one piece after its transfer
+// time.
+TEST_F(HealthCheckTest, SendsNoLivenessQueryWhenLargeResponseIsDue) {
+  auto client = connect_client(client_front->address());
+  client->write(encode_request(1, "asset", {{"ram", "90000"}}));  // ten seconds at full rate
+  ASSERT_TRUE(run_until_except(nullptr, [&] { return fetch_count() == 1; }));
+  const auto end = net::unix_now() + 900'000;
+  run_until_except(nullptr, [&] { return net::unix_now() > end; });
+  EXPECT_EQ(engine->counters().health_checks, 0u);
+}
+
+// Guards against one reset that ends all requests in flight at a cache.
+TEST_F(UpstreamTest, UsesSeveralConnectionsWhenCacheIsBusy) {
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 30; ++i) {
+    client->write(encode_request(
+        i, "asset", {{"ram", "9"}, {"txn", "00000000000000" + std::to_string(10 + i)}}));
+    ASSERT_TRUE(run_until([&] { return fetch_count() == i; }));
+  }
+  std::map<loopback::TestSocket*, int> open;
+  for (auto& cache : caches) {
+    for (auto& command : cache.commands) ++open[command.connection];
+  }
+  EXPECT_LE(open.size(), 12u);
+  for (const auto& [connection, count] : open) EXPECT_LE(count, 12);
+  EXPECT_GE(open.size(), 4u);
+}
+
+// Guards against a connect that never completes: nothing ran, so the next cache is used in time.
+class ConnectTimeoutTest
+    : public UpstreamTest,
+      public ::testing::WithParamInterface<std::pair<core::Time, const char*>> {};
+
+TEST_P(ConnectTimeoutTest, SendsToNextCacheWhenConnectHangs) {
+  const auto [connect_timeout, limit] = GetParam();
+  sockaddr_in address{};
+  const int full_listener = loopback::bind_socket(address);
+  ::listen(full_listener, 0);
+  std::vector<int> fillers;
+  for (int i = 0; i < 4; ++i) {  // fill its queue: further connects hang
+    fillers.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+    (void)::connect(fillers.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  }
+  config.connect_timeout = connect_timeout;
+  auto member = config.known_events[0].members[0];
+  member.address = net::to_string(address);
+  upstream_pool->update_endpoint(member);
+  auto client = connect_client(client_front->address());
+  for (unsigned i = 1; i <= 6; ++i) {
+    client->write(encode_request(
+        i, "plan-accept",
+        {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}, {"limit", limit}}));
+  }
+  std::size_t responded = 0;
+  ASSERT_TRUE(run_until([&] {
+    for (; responded < caches[1].commands.size(); ++responded) {
+      if (caches[1].commands[responded].verb == "fetch")
+        FakeCache::respond(caches[1].commands[responded], "served", "moved");
+    }
+    return decode_responses(client->received).size() == 6;
+  }));
+  EXPECT_EQ(engine->counters().attempts_reset + engine->counters().attempts_timeout, 0u);
+  EXPECT_GE(engine->counters().attempts_connect_failed, 1u);
+  for (const int fd : fillers) ::close(fd);
+  ::close(full_listener);
+}
+
+// By the connect timeout, and, where that is too long, before half of the request's time is over.
+INSTANTIATE_TEST_SUITE_P(Limits, ConnectTimeoutTest,
+                         ::testing::Values(std::pair(core::Time{300'000}, "20000"),
+                                           std::pair(core::Time{60'000'000}, "4000")));
+
+}  // namespace
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -1,4 +1,4 @@
-// Discovery over loopback: a stand-in proxy polls for the endpoints and follows the router's
+// The discovery server over loopback: a proxy polls for the endpoints and follows the router's
 // decisions.
 #include <rapidjson/document.h>
 
@@ -25,8 +25,8 @@
            " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: " +
            std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  // The next whole response; its status, with the JSON in `body`.
-  int next() {
+  // Waits for the next complete response; its status, with the JSON in `body`.
+  int next_status() {
     std::size_t head = 0;
     std::size_t length = 0;
     EXPECT_TRUE(run_until([&] {
@@ -43,16 +43,17 @@
     return status;
   }
   std::string health(const std::string& address) {
-    for (const auto& e : body["resources"][0]["endpoints"][0]["lb_endpoints"].GetArray()) {
-      const auto& at = e["endpoint"]["address"]["socket_address"];
-      if (at["address"].GetString() + (":" + std::to_string(at["port_value"].GetInt())) ==
+    for (const auto& endpoint : body["resources"][0]["endpoints"][0]["lb_endpoints"].GetArray()) {
+      const auto& address_field = endpoint["endpoint"]["address"]["socket_address"];
+      if (address_field["address"].GetString() +
+              (":" + std::to_string(address_field["port_value"].GetInt())) ==
           address) {
-        return e["health_status"].GetString();
+        return endpoint["health_status"].GetString();
       }
     }
     return "absent";
   }
-  static constexpr const char* kAsk =
+  static constexpr const char* kDiscoveryRequest =
       R"({"type_url":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
           "resource_names":["edge-boxes"],"node":{"id":"proxy-1"}})";
   xds::Settings settings{true, "127.0.0.1:0", "edge-boxes"};
@@ -62,30 +63,30 @@
 };
 
 TEST_F(XdsServerTest, ReportsEjectedAndDrainingCaches) {
-  proxy->write(post(kAsk));
-  ASSERT_EQ(next(), 200);
+  proxy->write(post(kDiscoveryRequest));
+  ASSERT_EQ(next_status(), 200);
   EXPECT_EQ(health(caches[0].address()), "HEALTHY");
   EXPECT_EQ(health(caches[1].address()), "HEALTHY");
-  EXPECT_EQ(health(origin.address()), "absent") << "endpoints are the caches of the point";
+  EXPECT_EQ(health(origin.address()), "absent") << "endpoints are the caches of the location";
   const std::string version = body["version_info"].GetString();
-  const std::string again = R"({"version_info":")" + version + R"("})";
-  proxy->write(post(again) + post(again));  // pipelined, nothing has changed
-  EXPECT_EQ(next(), 304);
-  EXPECT_EQ(next(), 304);
+  const std::string repeated_request = R"({"version_info":")" + version + R"("})";
+  proxy->write(post(repeated_request) + post(repeated_request));  // pipelined; nothing has changed
+  EXPECT_EQ(next_status(), 304);
+  EXPECT_EQ(next_status(), 304);
 
   caches[0].stop();
-  auto client = connect_client(http_front->address());
-  for (std::uint64_t o = 1; o <= 6; ++o) {  // requests find it dead; the module puts it out
-    core::RequestView d;
-    const std::string id = "id" + std::to_string(o);
-    d.id = d.object_text = id;
-    d.object = o;
-    d.time_limit = 10'000'000;
-    engine->admit(*http_front, d);
+  for (std::uint64_t object = 1; object <= 6;
+       ++object) {  // their connects fail, and the policy ejects it
+    core::RequestView request;
+    const std::string id = "id" + std::to_string(object);
+    request.id = request.object_text = id;
+    request.object = object;
+    request.time_limit = 10'000'000;
+    engine->admit(*http_front, request);
   }
   ASSERT_TRUE(run_until([&] { return engine->counters().attempts_connect_failed >= 2; }));
-  proxy->write(post(again));
-  ASSERT_EQ(next(), 200);
+  proxy->write(post(repeated_request));
+  ASSERT_EQ(next_status(), 200);
   EXPECT_EQ(health(caches[0].address()), "UNHEALTHY");
   EXPECT_EQ(health(caches[1].address()), "HEALTHY");
 
@@ -93,20 +94,20 @@
   member.server.status = alderspur::ServerStatus::draining;
   upstream_pool->update_endpoint(member);
   engine->update_endpoints({false, false, {member.server}});
-  proxy->write(post(kAsk));
-  ASSERT_EQ(next(), 200);
+  proxy->write(post(kDiscoveryRequest));
+  ASSERT_EQ(next_status(), 200);
   EXPECT_EQ(health(caches[1].address()), "DRAINING");
 }
 
 TEST_F(XdsServerTest, RespondsWithStatusWhenRequestIsInvalid) {
   proxy->write(post(R"({"resource_names":["other"]})") + post("{}", "/v3/discovery:clusters") +
                post("not json"));
-  EXPECT_EQ(next(), 200);
+  EXPECT_EQ(next_status(), 200);
   EXPECT_EQ(body["resources"].Size(), 0u);
-  EXPECT_EQ(next(), 404);
-  EXPECT_EQ(next(), 400);
+  EXPECT_EQ(next_status(), 404);
+  EXPECT_EQ(next_status(), 400);
   proxy->write("GET /v3/discovery:endpoints HTTP/1.1\r\nHost: x\r\n\r\n");
-  EXPECT_EQ(next(), 405);
+  EXPECT_EQ(next_status(), 405);
 }
 
 }  // namespace
