--- a/src/core/engine_requests.cpp
+++ b/src/core/engine_requests.cpp
@@ -86,8 +86,8 @@
     const OpenRequest* stopped = find_request(request);
     if (!stopped) return;
     for (const AttemptId attempt : stopped->attempts) {
-      if (!was_written(attempt))
-        abandon_attempt(attempt, alderspur::AttemptResult::already_finished);
+      if (was_written(attempt)) continue;
+      abandon_attempt(attempt, alderspur::AttemptResult::already_finished);
     }
   });
 }
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -1,23 +1,23 @@
-// Discovery over loopback: a stand-in proxy polls for the endpoints and follows the router's
+// The discovery server over loopback: a proxy polls for the endpoints and follows the router's
 // decisions.
 #include <rapidjson/document.h>
 
 #include <algorithm>
 #include <sstream>
 
-#include "loopback.h"
+#include "support/edge_router_fixture.h"
 #include "xds/server.h"
 
 namespace {
 
 using namespace alderspur;
 
-class XdsServerTest : public loopback::Story {
+class XdsServerTest : public loopback::EdgeRouterTest {
  protected:
   void SetUp() override {
-    Story::SetUp();
-    server = std::make_unique<xds::Server>(loop, deadlines, *engine, *caches, settings, 4);
-    proxy = client(server->address());
+    loopback::EdgeRouterTest::SetUp();
+    server = std::make_unique<xds::Server>(loop, deadlines, *engine, *upstream_pool, settings, 4);
+    proxy = connect_client(server->address());
   }
   static std::string post(const std::string& body,
                           const std::string& path = "/v3/discovery:endpoints") {
@@ -25,88 +25,89 @@
            " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: " +
            std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  // The next whole response; its status, with the JSON in `body`.
-  int next() {
+  // Waits for the next complete response; its status, with the JSON in `body`.
+  int next_status() {
     std::size_t head = 0;
     std::size_t length = 0;
-    EXPECT_TRUE(until([&] {
+    EXPECT_TRUE(run_until([&] {
       server->end_turn();
-      head = proxy->in.find("\r\n\r\n");
+      head = proxy->received.find("\r\n\r\n");
       if (head == std::string::npos) return false;
-      const auto at = proxy->in.find("Content-Length: ");
-      length = at < head ? std::stoul(proxy->in.substr(at + 16)) : 0;
-      return proxy->in.size() >= head + 4 + length;
+      const auto at = proxy->received.find("Content-Length: ");
+      length = at < head ? std::stoul(proxy->received.substr(at + 16)) : 0;
+      return proxy->received.size() >= head + 4 + length;
     }));
-    const int status = std::stoi(proxy->in.substr(9, 3));
-    body.Parse(proxy->in.substr(head + 4, length).c_str());
-    proxy->in.erase(0, head + 4 + length);
+    const int status = std::stoi(proxy->received.substr(9, 3));
+    body.Parse(proxy->received.substr(head + 4, length).c_str());
+    proxy->received.erase(0, head + 4 + length);
     return status;
   }
   std::string health(const std::string& address) {
-    for (const auto& e : body["resources"][0]["endpoints"][0]["lb_endpoints"].GetArray()) {
-      const auto& at = e["endpoint"]["address"]["socket_address"];
-      if (at["address"].GetString() + (":" + std::to_string(at["port_value"].GetInt())) ==
+    for (const auto& endpoint : body["resources"][0]["endpoints"][0]["lb_endpoints"].GetArray()) {
+      const auto& address_field = endpoint["endpoint"]["address"]["socket_address"];
+      if (address_field["address"].GetString() +
+              (":" + std::to_string(address_field["port_value"].GetInt())) ==
           address) {
-        return e["health_status"].GetString();
+        return endpoint["health_status"].GetString();
       }
     }
     return "absent";
   }
-  static constexpr const char* kAsk =
+  static constexpr const char* kDiscoveryRequest =
       R"({"type_url":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
           "resource_names":["edge-boxes"],"node":{"id":"proxy-1"}})";
   xds::Settings settings{true, "127.0.0.1:0", "edge-boxes"};
   std::unique_ptr<xds::Server> server;
-  std::unique_ptr<loopback::Socket> proxy;
+  std::unique_ptr<loopback::TestSocket> proxy;
   rapidjson::Document body;
 };
 
 TEST_F(XdsServerTest, ReportsEjectedAndDrainingCaches) {
-  proxy->write(post(kAsk));
-  ASSERT_EQ(next(), 200);
-  EXPECT_EQ(health(box[0].address()), "HEALTHY");
-  EXPECT_EQ(health(box[1].address()), "HEALTHY");
-  EXPECT_EQ(health(origin.address()), "absent") << "endpoints are the caches of the point";
+  proxy->write(post(kDiscoveryRequest));
+  ASSERT_EQ(next_status(), 200);
+  EXPECT_EQ(health(caches[0].address()), "HEALTHY");
+  EXPECT_EQ(health(caches[1].address()), "HEALTHY");
+  EXPECT_EQ(health(origin.address()), "absent") << "endpoints are the caches of the location";
   const std::string version = body["version_info"].GetString();
-  const std::string again = R"({"version_info":")" + version + R"("})";
-  proxy->write(post(again) + post(again));  // pipelined, nothing has changed
-  EXPECT_EQ(next(), 304);
-  EXPECT_EQ(next(), 304);
+  const std::string repeated_request = R"({"version_info":")" + version + R"("})";
+  proxy->write(post(repeated_request) + post(repeated_request));  // pipelined; nothing has changed
+  EXPECT_EQ(next_status(), 304);
+  EXPECT_EQ(next_status(), 304);
 
-  box[0].stop();
-  auto c = client(http->address());
-  for (std::uint64_t o = 1; o <= 6; ++o) {  // requests find it dead; the module puts it out
-    core::RequestView d;
-    const std::string id = "id" + std::to_string(o);
-    d.id = d.object_text = id;
-    d.object = o;
-    d.time_limit = 10'000'000;
-    engine->admit(*http, d);
+  caches[0].stop();
+  for (std::uint64_t object = 1; object <= 6;
+       ++object) {  // their connects fail, and the policy ejects it
+    core::RequestView request;
+    const std::string id = "id" + std::to_string(object);
+    request.id = request.object_text = id;
+    request.object = object;
+    request.time_limit = 10'000'000;
+    engine->admit(*http_front, request);
   }
-  ASSERT_TRUE(until([&] { return engine->counters().attempts_connect_failed >= 2; }));
-  proxy->write(post(again));
-  ASSERT_EQ(next(), 200);
-  EXPECT_EQ(health(box[0].address()), "UNHEALTHY");
-  EXPECT_EQ(health(box[1].address()), "HEALTHY");
+  ASSERT_TRUE(run_until([&] { return engine->counters().attempts_connect_failed >= 2; }));
+  proxy->write(post(repeated_request));
+  ASSERT_EQ(next_status(), 200);
+  EXPECT_EQ(health(caches[0].address()), "UNHEALTHY");
+  EXPECT_EQ(health(caches[1].address()), "HEALTHY");
 
   auto member = config.known_events[0].members[1];
   member.server.status = alderspur::ServerStatus::draining;
-  caches->update_endpoint(member);
+  upstream_pool->update_endpoint(member);
   engine->update_endpoints({false, false, {member.server}});
-  proxy->write(post(kAsk));
-  ASSERT_EQ(next(), 200);
-  EXPECT_EQ(health(box[1].address()), "DRAINING");
+  proxy->write(post(kDiscoveryRequest));
+  ASSERT_EQ(next_status(), 200);
+  EXPECT_EQ(health(caches[1].address()), "DRAINING");
 }
 
 TEST_F(XdsServerTest, RespondsWithStatusWhenRequestIsInvalid) {
   proxy->write(post(R"({"resource_names":["other"]})") + post("{}", "/v3/discovery:clusters") +
                post("not json"));
-  EXPECT_EQ(next(), 200);
+  EXPECT_EQ(next_status(), 200);
   EXPECT_EQ(body["resources"].Size(), 0u);
-  EXPECT_EQ(next(), 404);
-  EXPECT_EQ(next(), 400);
+  EXPECT_EQ(next_status(), 404);
+  EXPECT_EQ(next_status(), 400);
   proxy->write("GET /v3/discovery:endpoints HTTP/1.1\r\nHost: x\r\n\r\n");
-  EXPECT_EQ(next(), 405);
+  EXPECT_EQ(next_status(), 405);
 }
 
 }  // namespace
