--- a/src/config/routing_settings.h
+++ b/src/config/routing_settings.h
@@ -1,26 +1,45 @@
 // The platform's settings of the routing policy, as JSON: codec from the platform's field names to
-// the terms of the public interface. The table below is the whole map; these names occur in
+// the terms of the public interface. The table is the whole map; these names occur in
 // routing_settings.cpp only.
 //
-//   azs                          names of the locations      shapes               names of the
-//   kinds of servers zone                         location of this router     replicas-of-me number
-//   of routers registry-mode                subscription to endpoints   weights              kind
-//   of weights load-report.fields           names of the fields of a load report classes[].name
-//   name of a request class     classes[].give-up    request timeout classes[].target latency
-//   objective           classes[].aim-stretch  its stretch by the transfer time classes[].points
-//   priority weight             classes[].repeat     idempotency classes[].dedup-scope,
-//   dedup-window                      where and how long repeats are dropped ceilings.max-attempts,
-//   may-cancel, probing, retry-after, max-retry-after    what a router may do ceilings.dial-timeout
-//   connect timeout             ceilings.idle-close  idle timeout ceilings.streams-per-conn
-//   requests on a connection obligations.cold-from, cold  slow start of a cache: first fraction,
-//   time obligations.fall             time in which an overload pushes a server over
-//   domain.upper-cold-from, upper-cold                       slow start of a parent
-//   domain.upper-kind, source-kind                           kinds that are parents, that are
-//   origins domain.instances-by-zone     routers by location         domain.uncached      by class:
-//   never cached domain.lifetime-by-class     by class: fresh time        domain.stale-for     by
-//   class: stale grace time domain.purge-settles         purge propagation time
-//   domain.stream-kb-per-s   rate of one transfer domain.merges-fills          fills can be joined
-//   domain.straight      caches can be bypassed
+//   azs                           names of the locations
+//   shapes                        names of the kinds of servers
+//   zone                          location of this router
+//   replicas-of-me                number of routers
+//   registry-mode                 subscription to endpoints
+//   weights                       kind of weights
+//   load-report.fields            names of the fields of a load report
+//   classes[].name                name of a request class
+//   classes[].give-up             request timeout
+//   classes[].target              latency objective
+//   classes[].aim-stretch         stretch of the latency objective by the transfer time
+//   classes[].points              priority weight
+//   classes[].repeat              idempotency
+//   classes[].dedup-scope         servers that drop repeats together
+//   classes[].dedup-window        time in which repeats are dropped
+//   ceilings.max-attempts         attempts of a request
+//   ceilings.may-cancel           attempts can be cancelled
+//   ceilings.probing              health checks are allowed
+//   ceilings.retry-after          rejections carry a Retry-After
+//   ceilings.max-retry-after      longest Retry-After
+//   ceilings.dial-timeout         connect timeout (read in config.cpp)
+//   ceilings.idle-close           idle timeout of servers (read in config.cpp)
+//   ceilings.streams-per-conn     requests on a connection (read in config.cpp)
+//   obligations.cold-from         slow start of a cache: first fraction of its capacity
+//   obligations.cold              slow start of a cache: duration
+//   obligations.fall              time in which an overload pushes a server over
+//   domain.upper-cold-from        slow start of a parent: first fraction of its capacity
+//   domain.upper-cold             slow start of a parent: duration
+//   domain.upper-kind             kind of servers that are parents
+//   domain.source-kind            kind of servers that are origins
+//   domain.instances-by-zone      number of routers by location
+//   domain.uncached               by class: never cached
+//   domain.lifetime-by-class      by class: fresh time
+//   domain.stale-for              by class: stale grace time
+//   domain.purge-settles          purge propagation time
+//   domain.stream-kb-per-s        rate of one transfer
+//   domain.merges-fills           fills can be joined
+//   domain.straight               caches can be bypassed
 #pragma once
 
 #include <cstdint>
