--- a/tests/config_language_test.cpp
+++ b/tests/config_language_test.cpp
@@ -1,8 +1,8 @@
 // The configuration language by its corpus, and properties of formatting.
 //
-// tests/lang/broken/*.alder say in lines "#! LINE CODE words" what must be found, all of it and
-// nothing else; tests/lang/good/*.alder must check without an error, and stand in their canonical
-// form but where a file NAME.formatted beside them says how they are to be formatted.
+// tests/config_language/broken/*.alder name in lines "#! LINE CODE text" all findings that they
+// must have; tests/config_language/good/*.alder must have no error, and are in canonical format
+// unless a file NAME.formatted beside them has it.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -52,7 +52,8 @@
 
 struct Expected {
   std::uint32_t line = 0;
-  std::string code, words;
+  std::string code;
+  std::string words;
 };
 std::vector<Expected> expectations(const std::string& text) {
   std::vector<Expected> out;
@@ -150,7 +151,10 @@
   std::optional<std::string> read(const std::string& path, std::string& error) override {
     ++reads[path];
     const auto it = files.find(path);
-    if (it == files.end()) return error = "there is no such file", std::nullopt;
+    if (it == files.end()) {
+      error = "there is no such file";
+      return std::nullopt;
+    }
     return it->second;
   }
   std::vector<std::string> match(const std::string& pattern) override {
@@ -225,8 +229,7 @@
   EXPECT_FALSE(h.good());
 }
 
-// Random edits of good files: nothing crashes, and what parses formats to a tree that is the same,
-// once and for all.
+// Random edits of good files: nothing crashes, and formatting keeps the tree and is idempotent.
 RC_GTEST_PROP(FormatTest, IsIdempotentAndKeepsTheMeaning, ()) {
   static const auto all = files("good");
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -13,8 +13,7 @@
 using loopback::decode_responses;
 using loopback::encode_request;
 using loopback::FakeCache;
-
-const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+using loopback::kIdempotencyKey;
 
 class EventRacesTest : public loopback::DiscoveryTest {
  protected:
@@ -279,7 +278,7 @@
   auto slow = connect_client(client_front->address());
   auto stops = connect_client(client_front->address());
   const std::string all =
-      encode_request(1, "plan-accept", {{"unique", kKey}}, std::string(40'000, 'w'));
+      encode_request(1, "plan-accept", {{"unique", kIdempotencyKey}}, std::string(40'000, 'w'));
   stops->write(all.substr(0, 20'000));
   for (std::size_t at = 0; at < all.size();
        at += 10'000) {  // five parts, in more than the timeout of 2 s
@@ -399,8 +398,8 @@
     clients.push_back(connect_client(client_front->address()));
     for (int i = 0; i < 30; ++i) {
       ++asked;
-      std::string all =
-          encode_request(asked, "plan-accept", {{"unique", kKey}, {"item", object(asked)}}, body);
+      std::string all = encode_request(
+          asked, "plan-accept", {{"unique", kIdempotencyKey}, {"item", object(asked)}}, body);
       ASSERT_TRUE(write_all(*clients.back(), all));
     }
     ASSERT_TRUE(run_until([&] { return engine->counters().admitted == asked; }));
@@ -432,7 +431,8 @@
   unsigned n = 0;
   while (caches[1].count("fetch") == 0) {  // until an object has this one as its first cache
     ASSERT_LT(++n, 20u);
-    client->write(encode_request(n, "plan-accept", {{"unique", kKey}, {"item", object(n)}}));
+    client->write(
+        encode_request(n, "plan-accept", {{"unique", kIdempotencyKey}, {"item", object(n)}}));
     run_until([&, end = net::unix_now() + 100'000] {
       return caches[1].count("fetch") > 0 || net::unix_now() > end;
     });
@@ -443,7 +443,8 @@
   ASSERT_TRUE(run_until([&] { return net::unix_now() > window_over; }));
   ASSERT_TRUE(let_connect_complete());
   run_briefly();
-  EXPECT_FALSE(listener.has_received("dedupe=" + kKey) && listener.has_received(object(n)));
+  EXPECT_FALSE(listener.has_received("dedupe=" + kIdempotencyKey) &&
+               listener.has_received(object(n)));
   EXPECT_EQ(engine->counters().forwarded - sent, listener.has_received("fetch") ? n - 1 : 0u);
 }
 
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -1,5 +1,5 @@
-// Mangled input to every codec: no crash, no read out of bounds, nothing taken beyond what came.
-// The same seeds each time, so that the verdict never changes.
+// Corrupted input to every codec: no crash, no read out of bounds. The seeds are fixed, so that the
+// result is always the same.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -20,41 +20,43 @@
 
 using namespace alderspur;
 
-// Calls `read` with many spoiled copies of `good`, each in memory of just its size.
-void mangle(const std::string& good, const std::function<void(std::string_view)>& read) {
+// Calls `read` with many corrupted copies of `valid`, each in memory of exactly its size.
+void read_corrupted(const std::string& valid, const std::function<void(std::string_view)>& read) {
   std::mt19937 random(7);
   for (int round = 0; round < 3000; ++round) {
-    std::string s = good;
-    for (unsigned n = random() % 4; n-- > 0;) s[random() % s.size()] = static_cast<char>(random());
-    if (random() % 3 == 0) s.resize(random() % (s.size() + 1));
+    std::string text = valid;
+    for (unsigned count = random() % 4; count-- > 0;) {
+      text[random() % text.size()] = static_cast<char>(random());
+    }
+    if (random() % 3 == 0) text.resize(random() % (text.size() + 1));
     if (random() % 5 == 0) {
-      s.insert(random() % (s.size() + 1), s.substr(0, random() % (s.size() + 1)));
+      text.insert(random() % (text.size() + 1), text.substr(0, random() % (text.size() + 1)));
     }
-    const std::vector<char> exact(s.begin(), s.end());
+    const std::vector<char> exact(text.begin(), text.end());
     read({exact.data(), exact.size()});
   }
 }
 
 TEST(InvalidInputTest, SurvivesCorruptedClientFrames) {
-  const std::string good =
+  const std::string valid =
       loopback::encode_request(1, "pay", {{"unique", std::string(32, 'a')}}, "xyz");
-  int whole = 0;
-  mangle(good, [&](std::string_view bytes) {
+  int complete_calls = 0;
+  read_corrupted(valid, [&](std::string_view bytes) {
     rpc_front::Call call;
-    core::RequestView demand;
+    core::RequestView request;
     for (auto before = bytes.size() + 1; bytes.size() < before;) {
       before = bytes.size();
       if (rpc_front::next_call(bytes, call) != core::ParseStatus::complete) break;
-      if (!rpc_front::to_request_view(call, {true, true, false}, demand)) continue;
-      ++whole;
-      EXPECT_EQ((std::string(demand.id) += demand.object_text).find_first_of(" ,=\r\n"),
+      if (!rpc_front::to_request_view(call, {true, true, false}, request)) continue;
+      ++complete_calls;
+      EXPECT_EQ((std::string(request.id) += request.object_text).find_first_of(" ,=\r\n"),
                 std::string::npos);
     }
   });
-  EXPECT_GT(whole, 100);
+  EXPECT_GT(complete_calls, 100);
 }
 
-// Guards against lengths and counts that claim what can never come: each ends at its header.
+// Guards against lengths and counts beyond the limit: the frame is rejected at its header.
 TEST(InvalidInputTest, RejectsFrameAtOnceWhenItsLengthExceedsTheLimit) {
   using namespace std::string_literals;
   for (const auto& claim :
@@ -71,16 +73,16 @@
 }
 
 TEST(InvalidInputTest, SurvivesCorruptedCacheResponses) {
-  mangle(
+  read_corrupted(
       "9b1f served sum=ab,t0=1764576000000,rep=inflight:7;x1:0.5 5\r\nbytes\r\np1 green - "
       "0\r\n\r\n",
       [](std::string_view bytes) {
-        upstream::CacheResponse a;
+        upstream::CacheResponse response;
         for (auto before = bytes.size() + 1; bytes.size() < before;) {
           before = bytes.size();
-          if (upstream::next_response(bytes, a) != core::ParseStatus::complete) break;
-          upstream::parse_load_report(a.report);
-          EXPECT_LE(a.body.size(), 240'000u);
+          if (upstream::next_response(bytes, response) != core::ParseStatus::complete) break;
+          upstream::parse_load_report(response.report);
+          EXPECT_LE(response.body.size(), 240'000u);
         }
       });
 }
@@ -92,32 +94,33 @@
   const signed_url::Checker checker({key}, 5);
   signed_url::Claims claims;
   ASSERT_EQ(checker.check("/asset/7f3a9c21e0b4d655/0", link, 100, claims), signed_url::Check::good);
-  mangle(link, [&](std::string_view bytes) {
+  read_corrupted(link, [&](std::string_view bytes) {
     if (bytes == link) return;
     EXPECT_NE(checker.check("/asset/7f3a9c21e0b4d655/0", bytes, 100, claims),
               signed_url::Check::good)
         << bytes;
     signed_url::from_base64url(bytes);
   });
-  mangle("GET " + link +
-             " HTTP/1.1\r\nHost: x\r\nCookie: a=b; alderspur=c\r\nIf-None-Match: \"t\"\r\n\r\n",
-         [](std::string_view bytes) {
-           http::Request request;
-           const auto before = bytes.size();
-           http::next_request(bytes, request);
-           EXPECT_LE(bytes.size(), before);
-           http::cookie_value(request.cookie, "alderspur");
-           http::bare_tag(request.if_none_match);
-         });
+  read_corrupted(
+      "GET " + link +
+          " HTTP/1.1\r\nHost: x\r\nCookie: a=b; alderspur=c\r\nIf-None-Match: \"t\"\r\n\r\n",
+      [](std::string_view bytes) {
+        http::Request request;
+        const auto before = bytes.size();
+        http::next_request(bytes, request);
+        EXPECT_LE(bytes.size(), before);
+        http::cookie_value(request.cookie, "alderspur");
+        http::bare_tag(request.if_none_match);
+      });
 }
 
 TEST(InvalidInputTest, SurvivesCorruptedEventsSettingsAndDiscoveryRequests) {
   const config::Names names;
-  mangle(
+  read_corrupted(
       R"({"rev":41,"pool":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:1","size":4}]},
          "flush":{"asset":"7f3a","ms":1764576000123}})",
       [&](std::string_view bytes) { config::read_watch_event(bytes, names); });
-  mangle(
+  read_corrupted(
       R"({"limits":{"sockets":64},"settings":{"classes":[{"name":"a","target":1e6}],"ceilings":{"max-attempts":3}}})",
       [](std::string_view bytes) {
         try {
@@ -125,10 +128,10 @@
         } catch (const config::Error&) {
         }
       });
-  mangle(R"({"type_url":"","version_info":"1","resource_names":["c"]})",
-         [](std::string_view bytes) {
-           xds::discover(bytes, "c", {}, [](auto) { return std::string(); });
-         });
+  read_corrupted(R"({"type_url":"","version_info":"1","resource_names":["c"]})",
+                 [](std::string_view bytes) {
+                   xds::discover(bytes, "c", {}, [](auto) { return std::string(); });
+                 });
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -27,21 +27,21 @@
   ASSERT_FALSE(c.admitted);
   EXPECT_EQ(c.gate, "route r");
   a.permit.release(400'000);
-  a.permit.release(400'000);  // once is enough
+  a.permit.release(400'000);  // a second release has no effect
   EXPECT_EQ(l.in_flight("route r"), 1u);
   auto d = l.ask({full("route r", 2)}, 400'000);
   EXPECT_TRUE(d.admitted);
   EXPECT_EQ(l.ask({full("route r", 2)}, 400'000).retry_after, 200'000)
-      << "two held for 0.4 s each: one leaves in 0.2";
+      << "two requests of 0.4 s each: one ends in 0.2 s";
   EXPECT_EQ(l.ask({full("route r", 1)}, 400'000).retry_after, 400'000)
-      << "a limit that fell: two have to leave";
+      << "the limit was lowered: two have to end";
 
   auto first = l.ask({rate("pool p", 10, 1)}, 0);
   EXPECT_TRUE(first.admitted);
   EXPECT_EQ(l.ask({rate("pool p", 10, 1)}, 40'000).retry_after, 60'000);
   EXPECT_TRUE(l.ask({rate("pool p", 10, 1)}, 100'000).admitted);
   EXPECT_FALSE(l.ask({rate("pool p", 10, 1)}, 50'000).admitted)
-      << "a clock that steps back brings no tokens";
+      << "no tokens when the clock goes back";
 }
 
 TEST(LimitsTest, ChargesNoLimitWhenOneRejects) {
@@ -62,7 +62,10 @@
   int other = 0;
   for (Time now = 0; now < kSecond; now += 100) {
     auto v = l.ask({full("route flood", 20), full("pool p", 40)}, now);
-    if (v.admitted) held.push_back(std::move(v.permit)), ++flood;
+    if (v.admitted) {
+      held.push_back(std::move(v.permit));
+      ++flood;
+    }
     if (now % 10'000 == 0) {
       auto w = l.ask({full("route other", 20), full("pool p", 40)}, now);
       EXPECT_TRUE(w.admitted) << now;
@@ -78,12 +81,12 @@
   Limits l;
   auto a = l.ask({full("route old", 5), full("pool p", 5)}, 0);
   l.keep({"pool p"});
-  EXPECT_EQ(l.gates(), 2u) << "something is still out";
+  EXPECT_EQ(l.gates(), 2u) << "something is still in flight";
   a.permit.release(1);
   l.keep({"pool p"});
   EXPECT_EQ(l.gates(), 1u);
   { const auto b = l.ask({full("pool p", 5)}, 2); }
-  EXPECT_EQ(l.in_flight("pool p"), 0u) << "a permit that goes gives back";
+  EXPECT_EQ(l.in_flight("pool p"), 0u) << "a destroyed permit is released";
 }
 
 TEST(LimitsTest, KeepsRetriesWithinTheirBudget) {
@@ -97,8 +100,8 @@
   EXPECT_GE(further, 10'000 / 10 - 20);
 }
 
-// Whatever comes and goes: never more at once than allowed, never more in any window than rate and
-// burst give, and in the end nothing is out.
+// For any traffic: never more at once than allowed, never more in any window than rate and burst
+// allow, and in the end nothing is in flight.
 RC_GTEST_PROP(LimitsTest, HoldForAnyTrafficAndReleaseWhatTheyReserve, ()) {
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   const std::uint32_t most = 1 + random() % 8;
@@ -117,7 +120,10 @@
     }
     auto v = l.ask({{"g", {most, a_second, burst}}, full("h", 1000)}, now);
     RC_ASSERT(v.admitted == (v.retry_after == 0));
-    if (v.admitted) held.push_back(std::move(v.permit)), admitted.push_back(now);
+    if (v.admitted) {
+      held.push_back(std::move(v.permit));
+      admitted.push_back(now);
+    }
     RC_ASSERT(held.size() <= most);
     RC_ASSERT(l.in_flight("g") == held.size() && l.in_flight("h") == held.size());
     for (std::size_t from = admitted.size() > 40 ? admitted.size() - 40 : 0; from < admitted.size();
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -293,37 +293,47 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(fixture.serve_request(static_cast<std::uint64_t>(i)), 1u);
 }
 
-// Guards against two processes of one router that each spend its whole slow start quota.
-TEST(SlowStartTest, LimitsBothProcessesToBudgetOfOneWhenSharesAreSet) {
-  const auto count_sends = [](std::vector<double> shares) {
-    std::size_t send_count = 0;
-    for (std::size_t i = 0; i < shares.size(); ++i) {
-      RouterFixture fixture(test_settings(), test_endpoints(), 7 + i);
-      for (std::uint64_t id = 1; id <= 4; ++id) {
-        fixture.handle(
-            EndpointUpdate{false, false, {make_cache(id, ServerStatus::ready, fixture.now)}});
-      }
-      fixture.handle(BudgetShare{shares[i], 0});
-      for (std::uint64_t object = 0; object < 800; ++object) {
-        const auto id = fixture.send_request(object, kPartClass, 200);
-        if (fixture.sends.contains(id)) {
-          ++send_count;
-          fixture.handle(fixture.outcome(id, AttemptResult::ok, FillOutcome::hit));
-        }
-        fixture.advance(5 * kMillisecond);
+// What routers together send to caches that have just started, with 800 requests each. `shares`:
+// one for each router, or none at all.
+double count_sends(const Settings& settings, std::size_t routers,
+                   const std::vector<BudgetShare>& shares) {
+  std::size_t send_count = 0;
+  for (std::size_t i = 0; i < routers; ++i) {
+    RouterFixture fixture(settings, test_endpoints(), 7 + i);
+    for (std::uint64_t id = 1; id <= 4; ++id) {
+      fixture.handle(
+          EndpointUpdate{false, false, {make_cache(id, ServerStatus::ready, fixture.now)}});
+    }
+    if (!shares.empty()) fixture.handle(shares[i]);
+    for (std::uint64_t object = 0; object < 800; ++object) {
+      const auto id = fixture.send_request(object, kPartClass, 200);
+      if (fixture.sends.contains(id)) {
+        ++send_count;
+        fixture.handle(fixture.outcome(id, AttemptResult::ok, FillOutcome::hit));
       }
+      fixture.advance(5 * kMillisecond);
     }
-    return static_cast<double>(send_count);
+  }
+  return static_cast<double>(send_count);
+}
+
+// Guards against two processes of one router that each spend its whole slow start quota.
+TEST(SlowStartTest, LimitsBothProcessesToBudgetOfOneWhenSharesAreSet) {
+  const auto sends_with_shares = [](const std::vector<double>& fractions) {
+    std::vector<BudgetShare> shares;
+    shares.reserve(fractions.size());
+    for (const double fraction : fractions) shares.push_back({fraction, 0});
+    return count_sends(test_settings(), fractions.size(), shares);
   };
-  const double one = count_sends({1});
-  const double two = count_sends({0.5, 0.5});
-  const double uneven = count_sends({0.9, 0.1});
+  const double one = sends_with_shares({1});
+  const double two = sends_with_shares({0.5, 0.5});
+  const double uneven = sends_with_shares({0.9, 0.1});
   EXPECT_GT(one, 20);
   // One send more for each cache and process: a budget may be overdrawn by one.
   EXPECT_LT(two, 1.25 * one);
   EXPECT_LT(uneven, 1.25 * one);
   EXPECT_GT(two, 0.6 * one);
-  EXPECT_GT(count_sends({1, 1}), 1.6 * one) << "without shares they would exceed it";
+  EXPECT_GT(sends_with_shares({1, 1}), 1.6 * one) << "without shares they would exceed it";
 }
 
 // Guards against relying on the configured number of routers: with half of ten lost, the five
@@ -333,32 +343,18 @@
   auto settings = test_settings();
   settings.router_count = 10;
   settings.router_count_by_location.assign(settings.location.value + 1, 10);
-  const auto count_sends = [&](std::size_t routers, const std::vector<double>& shares) {
-    std::size_t send_count = 0;
-    for (std::size_t i = 0; i < routers; ++i) {
-      RouterFixture fixture(settings, test_endpoints(), 7 + i);
-      for (std::uint64_t id = 1; id <= 4; ++id) {
-        fixture.handle(
-            EndpointUpdate{false, false, {make_cache(id, ServerStatus::ready, fixture.now)}});
-      }
-      if (!shares.empty()) fixture.handle(BudgetShare{1, 0, shares[i], shares[i]});
-      for (std::uint64_t object = 0; object < 800; ++object) {
-        const auto id = fixture.send_request(object, kPartClass, 200);
-        if (fixture.sends.contains(id)) {
-          ++send_count;
-          fixture.handle(fixture.outcome(id, AttemptResult::ok, FillOutcome::hit));
-        }
-        fixture.advance(5 * kMillisecond);
-      }
-    }
-    return static_cast<double>(send_count);
+  const auto sends_with_leases = [&](std::size_t routers, const std::vector<double>& fractions) {
+    std::vector<BudgetShare> shares;
+    shares.reserve(fractions.size());
+    for (const double fraction : fractions) shares.push_back({1, 0, fraction, fraction});
+    return count_sends(settings, routers, shares);
   };
-  const double all = count_sends(10, {});
-  const double half = count_sends(5, {});
-  const double leased = count_sends(5, {0.17, 0.17, 0.17, 0.17, 0.17});
-  const double uneven = count_sends(4, {0.5, 0.2, 0.1, 0.05});
-  const double twice = count_sends(20, {});
-  const double full_quota = count_sends(1, {1});  // what one router that is alone may send
+  const double all = sends_with_leases(10, {});
+  const double half = sends_with_leases(5, {});
+  const double leased = sends_with_leases(5, {0.17, 0.17, 0.17, 0.17, 0.17});
+  const double uneven = sends_with_leases(4, {0.5, 0.2, 0.1, 0.05});
+  const double twice = sends_with_leases(20, {});
+  const double full_quota = sends_with_leases(1, {1});  // what one router that is alone may send
   EXPECT_LT(half, 0.7 * all);
   EXPECT_GT(leased, 0.8 * all);
   EXPECT_LT(leased, full_quota);
--- a/tests/rpc_front/rpc_front_test.cpp
+++ b/tests/rpc_front/rpc_front_test.cpp
@@ -13,15 +13,14 @@
 using loopback::decode_responses;
 using loopback::encode_request;
 using loopback::FakeCache;
-
-const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+using loopback::kIdempotencyKey;
 
 class RpcFrontTest : public loopback::DiscoveryTest {};
 
 TEST_F(RpcFrontTest, ForwardsRequestUnchangedAndReturnsWholeBodyWhenBytesArriveOneByOne) {
   auto client = connect_client(client_front->address());
   const std::string all = encode_request(
-      1, "plan-accept", {{"unique", kKey}, {"slice", "3"}, {"seen", "ab"}}, "pay\r\nme");
+      1, "plan-accept", {{"unique", kIdempotencyKey}, {"slice", "3"}, {"seen", "ab"}}, "pay\r\nme");
   for (const char byte : all) {  // one byte at a time
     client->write(std::string_view(&byte, 1));
     ev_run(loop.raw(), EVRUN_NOWAIT);
@@ -32,7 +31,7 @@
   EXPECT_EQ(got.body, "pay\r\nme");
   const std::map<std::string, std::string> want{
       {"lane", "plan-accept"}, {"name", "7f3a9c21e0b4d655"},
-      {"piece", "3"},          {"dedupe", kKey},
+      {"piece", "3"},          {"dedupe", kIdempotencyKey},
       {"next", "s-o"},         {"cached", "ab"}};
   for (const auto& [name, value] : want) EXPECT_EQ(got.fields.at(name), value) << name;
   EXPECT_LT(std::stoi(got.fields.at("ttl")), 20000);
@@ -67,9 +66,10 @@
   auto good = connect_client(client_front->address());
   bad->write("\xc1garbage");
   ASSERT_TRUE(run_until([&] { return bad->is_closed; }));
-  good->write(encode_request(1, "no-such-class", {}) + encode_request(2, "asset", {}, "a body") +
-              encode_request(3, "plan-accept", {}) +
-              encode_request(4, "plan-accept", {{"unique", kKey}}, std::string(48'001, 'x')));
+  good->write(
+      encode_request(1, "no-such-class", {}) + encode_request(2, "asset", {}, "a body") +
+      encode_request(3, "plan-accept", {}) +
+      encode_request(4, "plan-accept", {{"unique", kIdempotencyKey}}, std::string(48'001, 'x')));
   unsigned id = 4;
   for (const auto& [field, values] : std::map<std::string, std::vector<std::string>>{
            {"item", {"", "not hex", "7f", "7F3A9C21E0B4D655"}},
@@ -78,7 +78,7 @@
            {"slice", {"", "-1", "1e12", "4000000000"}},
            {"set", {"", "256", "x", "-1"}},
            {"ram", {"inf", "-1", "1e300"}},
-           {"unique", {kKey}}}) {
+           {"unique", {kIdempotencyKey}}}) {
     for (const auto& value : values) good->write(encode_request(++id, "asset", {{field, value}}));
   }
   ASSERT_TRUE(run_until([&] { return decode_responses(good->received).size() == id; }));
--- a/tests/support/rpc_messages.h
+++ b/tests/support/rpc_messages.h
@@ -13,6 +13,9 @@
 
 namespace loopback {
 
+/// Of requests that may be retried with a key only.
+inline const std::string kIdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+
 /// The bytes that `pack` packs.
 inline std::string pack_message(const std::function<void(msgpack_packer*)>& pack) {
   msgpack_sbuffer buffer;
--- a/tests/upstream/upstream_test.cpp
+++ b/tests/upstream/upstream_test.cpp
@@ -13,8 +13,7 @@
 using loopback::decode_responses;
 using loopback::encode_request;
 using loopback::FakeCache;
-
-const std::string kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+using loopback::kIdempotencyKey;
 
 class UpstreamTest : public loopback::DiscoveryTest {};
 
@@ -23,7 +22,8 @@
   caches[0].stop();
   for (unsigned i = 1; i <= 4; ++i) {
     client->write(encode_request(
-        i, "plan-accept", {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}}));
+        i, "plan-accept",
+        {{"item", "000000000000000" + std::to_string(i)}, {"unique", kIdempotencyKey}}));
     ASSERT_TRUE(run_until([&] { return caches[1].count("fetch") == i; }));
     FakeCache::respond(caches[1].commands.back(), "served", "ok");
     ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == i; }));
@@ -260,9 +260,10 @@
   upstream_pool->update_endpoint(member);
   auto client = connect_client(client_front->address());
   for (unsigned i = 1; i <= 6; ++i) {
-    client->write(encode_request(
-        i, "plan-accept",
-        {{"item", "000000000000000" + std::to_string(i)}, {"unique", kKey}, {"limit", limit}}));
+    client->write(encode_request(i, "plan-accept",
+                                 {{"item", "000000000000000" + std::to_string(i)},
+                                  {"unique", kIdempotencyKey},
+                                  {"limit", limit}}));
   }
   std::size_t responded = 0;
   ASSERT_TRUE(run_until([&] {
