--- a/src/admin/admin_handler.h
+++ b/src/admin/admin_handler.h
@@ -45,7 +45,7 @@
   }
   /// The largest body that handle_versions_call() accepts, in bytes; 0: none.
   virtual std::size_t max_body_bytes() { return 0; }
-  /// Bans a server by hand, or lifts its ban.
+  /// Bans a server manually, or lifts its ban.
   virtual void change_ban(std::string_view server, bool is_banned, ReplyCallback done) = 0;
 };
 
--- a/src/cluster/gossip_queue.h
+++ b/src/cluster/gossip_queue.h
@@ -1,4 +1,4 @@
-// Updates that are still to be told to others: the latest of each member, the least often sent
+// Updates that are still to be sent to others: the latest of each member, the least often sent
 // first, each sent a bounded number of times. No I/O.
 #pragma once
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -92,8 +92,8 @@
   // An ack proves that its sender is there now; any other message of a stranger does not.
   if (message.kind == Message::Kind::ack) handle_ack(message);
   verify_sender(message, event.from);
-  // Only of a sender that is known to be there: a message kept from the time of one that has
-  // stopped would bring back others that have stopped too.
+  // Only from a sender that is known to be alive: a recorded message of one that has stopped
+  // would bring back other members that have stopped.
   const Member* sender = table_.find(message.sender.name);
   if (sender != nullptr && sender->identity().epoch == message.sender.epoch) {
     for (const auto& update : message.updates) {
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -94,7 +94,7 @@
 struct Superseded {
   Identity by;
 };
-/// The others have been told that we leave.
+/// The other members have been notified of the shutdown.
 struct LeaveCompleted {};
 using Action = std::variant<SendMessage, ExchangeFullState, MemberChanged, NameConflict, Superseded,
                             LeaveCompleted>;
@@ -187,7 +187,7 @@
   void verify_sender(const Message& message, const std::string& from);
   void handle_own_name(const Message& message, const std::string& from);
 
-  // What is told of members (membership_updates.cpp)
+  // Updates on members (membership_updates.cpp)
   GossipUpdate own_update() const;
   void merge(const GossipUpdate& update);
   void merge_own(const GossipUpdate& update);
@@ -225,7 +225,7 @@
   bool is_out_ = false;  // superseded, or has left: no more actions
   std::vector<std::string> seeds_;
   std::size_t next_seed_ = 0;
-  std::string refresh_cursor_;  // the last member that refresh() told of
+  std::string refresh_cursor_;  // the last member that refresh() sent
   Time last_exchange_at_ = 0;
   std::vector<Action>* actions_ = nullptr;  // of the event being handled
   MembershipCounters counters_;
--- a/src/cluster/membership_updates.cpp
+++ b/src/cluster/membership_updates.cpp
@@ -27,8 +27,8 @@
   if (update.identity.name == self_.name) return merge_own(update);
   Member* known = table_.find(update.identity.name);
   if (known == nullptr) {
-    // Otherwise a member that stopped long ago would be told of for ever: kept anew by each that
-    // had forgotten it.
+    // Otherwise updates on a member that stopped long ago would circulate for ever: each member
+    // that had forgotten it would add it again.
     if (!is_live(update.state)) return;
     if (table_.size() >= kMaxMembers) {
       ++counters_.rejected;
--- a/src/consensus/consensus_node.h
+++ b/src/consensus/consensus_node.h
@@ -79,7 +79,7 @@
   void run_parts_once();
   void follow_applied_state();
   void delete_unused_contents();
-  // Who is to vote: by the replicated state where it is known, else as told by the leader, else by
+  // Who is to vote: by the replicated state where it is known, else as the leader reported, else by
   // the settings.
   const std::vector<std::string>& voters() const;
   bool is_wanted_voter() const;
--- a/src/consensus/leader.cpp
+++ b/src/consensus/leader.cpp
@@ -166,8 +166,8 @@
   return {pending->number, state.accepted() ? Stage::accepted : Stage::offered};
 }
 
-// At each change all routers are told that there is news, a number of them at a time; what the news
-// is they learn by renewing their leases.
+// At each change all routers are notified, a number of them at a time; they learn what has changed
+// by renewing their leases.
 bool Leader::send_hints() {
   const Progress now_at = progress();
   if (now_at != announced_) {
--- a/src/consensus/lease_client.h
+++ b/src/consensus/lease_client.h
@@ -58,7 +58,7 @@
   /// The highest number known of a current or accepted version.
   std::uint64_t newest_number() const;
   const std::string& leader() const { return leader_; }  // empty: not known
-  /// Empty if the leader has not told it.
+  /// Empty if the leader has not reported it.
   const std::optional<std::uint64_t>& leader_protocol_version() const {
     return leader_protocol_version_;
   }
--- a/src/consensus/log_store.h
+++ b/src/consensus/log_store.h
@@ -5,7 +5,7 @@
 // What a disk may do, and how it is detected: a record that was altered, torn or lost, by its
 // checksum (XXH3 over the record and the checksum before it, so that a gap or a stale record is
 // found as well); a database restored from an earlier time, by the mark, a second small file that
-// counts the writes and is replaced after each write, before anybody is told of it. Anything that
+// counts the writes and is replaced after each write, before the write is reported. Anything that
 // does not match, and any error while writing, makes the whole log unusable: it is set aside
 // (agree.db.bad), nothing of it is used, and this voter starts as one without a log. If both files
 // are restored together, only the other voters can tell; see startup_check.h.
--- a/src/endpoints/check.h
+++ b/src/endpoints/check.h
@@ -1,4 +1,4 @@
-// Checks a list that is well formed: by itself, and as the successor of the list in force. No I/O.
+// Checks a list that is well formed: by itself, and as the successor of the active list. No I/O.
 //
 // Codes of findings: L020 the generation goes back, L021 a generation is reused with other content,
 // L022 a point or a role has no server in service, L023 too many servers leave service at once,
@@ -24,7 +24,7 @@
 /// Checks that every point has a cache in service, and every role that is listed has a server in
 /// service.
 void check_alone(const Snapshot& list, diagnostics::Findings& findings);
-/// Checks the change from the list in force; null: there is none.
+/// Checks the change from the active list; null: there is none.
 void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& limits,
                   diagnostics::Findings& findings);
 
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -2,7 +2,7 @@
 // with weights that change in steps, servers that return counted as just started, and servers that
 // flap kept out of service for a while.
 //
-// State: the list of the files in force, what the board lists, and for each known server what was
+// State: the active list of the files, what the board lists, and for each known server what was
 // last published. Lists come in by apply_list() and apply_board_update(), time by advance();
 // changes go out by take_changes(), departures first. Server ids are the key throughout.
 //
@@ -39,10 +39,10 @@
   DampingSettings damping;
 };
 
-/// A checked list, ready to be applied, with its difference from the list in force.
+/// A checked list, ready to be applied, with its difference from the active list.
 struct CandidateList {
   SnapshotPtr list;
-  SnapshotPtr base;  // the list in force that it was compared with; null: none
+  SnapshotPtr base;  // the active list that it was compared with; null: none
   Difference difference;
   LocationZones zones;
 };
@@ -97,7 +97,7 @@
   /// effect before anything is sent in the same turn.
   std::vector<EndpointChange> take_changes();
 
-  /// The list of the files in force; null: none yet.
+  /// The active list of the files; null: none yet.
   const SnapshotPtr& current_list() const { return list_; }
   std::vector<Remembered> remembered(Time now) const;
   Reason reason(ServerId id) const;
--- a/src/endpoints/list.h
+++ b/src/endpoints/list.h
@@ -61,7 +61,7 @@
 
 /// The result of reading a list or a manifest; without `list`, the findings say why.
 struct ListReadResult {
-  std::shared_ptr<Snapshot> list;     // sealed; not yet checked against the list in force
+  std::shared_ptr<Snapshot> list;     // sealed; not yet checked against the active list
   std::vector<ManifestPiece> pieces;  // of a manifest, whose `list` has no servers yet
   std::uint64_t announced_servers = 0;
 };
--- a/src/endpoints/merge.h
+++ b/src/endpoints/merge.h
@@ -43,7 +43,7 @@
   const Member* board = nullptr;
   const Member* files = nullptr;
   bool has_board_list = false;  // the board has sent a list
-  bool has_file_list = false;   // a list from files is in force
+  bool has_file_list = false;   // a list from files is active
 };
 
 /// Returns nothing if no deciding source lists the server.
--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -190,7 +190,7 @@
   result.observation = Observation::unsettled;
   if (before.identity != std::exchange(last_seen_, before.identity)) return result;
   auto read = read_contents(before);
-  // Pieces that the manifest lists anew have to settle as well.
+  // Pieces that the manifest newly lists have to be unchanged for a while as well.
   if (std::holds_alternative<std::monostate>(read)) return result;
   const Inspection after = inspect();
   if (after.identity != before.identity) {  // changed while it was read
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -78,7 +78,8 @@
   /// This process's share of the router's budgets, 0 to 1.
   double share() const { return status_.share; }
 
-  /// Bans a server by hand or lifts its ban. Takes effect here at once, even if it cannot be saved.
+  /// Bans a server manually or lifts its ban. Takes effect here at once, even if it cannot be
+  /// saved.
   void change_ban(const BanChange& change, const SaveCallback& done);
   /// The banned servers as last read from the disk.
   const std::set<std::string>& saved_bans() const { return bans_.saved_list().servers; }
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -100,7 +100,8 @@
   return true;
 }
 
-// The router is told of the outcome only: two bans and one lift that arrive together are one ban.
+// The router is notified of the outcome only: two bans and one lift that arrive together are one
+// ban.
 void Replica::join_bans(const BanSet& theirs) {
   const auto before = bans_.banned_servers();
   bans_.join(theirs);
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -308,7 +308,7 @@
   }
 }
 
-// Bytes a member sends in ten seconds, once the updates of the start have been told.
+// Bytes a member sends in ten seconds, once the updates of the start have been sent.
 double load_per_member(std::size_t size) {
   Network network(5);
   network.start_all(size);
--- a/tests/cluster/rig.h
+++ b/tests/cluster/rig.h
@@ -51,7 +51,7 @@
   std::vector<std::size_t> voters;  // of versions; none: no consensus
   bool alone = false;       // with an endpoint list as where there are voters, but without them
   std::string servers;      // the endpoint list it starts with
-  std::size_t routers = 0;  // told to each
+  std::size_t routers = 0;  // as each is configured
   std::string board;        // address of service discovery, where there is an endpoint list
   std::string obligations;  // JSON members of the platform's settings, for servers that warm up
   std::string domain;       // the same
--- a/tests/consensus/router_fleet.cpp
+++ b/tests/consensus/router_fleet.cpp
@@ -163,13 +163,13 @@
 }
 
 void RouterFleet::serve(std::size_t cache, Time now) {
-  loopback::FakeCache& box = caches.at(cache);
-  box.poll();
-  for (auto& command : box.commands) {
+  loopback::FakeCache& fake_cache = caches.at(cache);
+  fake_cache.poll();
+  for (auto& command : fake_cache.commands) {
     if (command.verb == "stats") loopback::FakeCache::respond(command, "green");
     if (command.verb == "fetch") answer_fetch(cache, command, now);
   }
-  box.commands.clear();
+  fake_cache.commands.clear();
 }
 
 void RouterFleet::answer_fetch(std::size_t cache, loopback::CacheCommand& command, Time now) {
--- a/tests/replication/simulated_replicas.h
+++ b/tests/replication/simulated_replicas.h
@@ -49,7 +49,7 @@
 
 struct Node {
   std::unique_ptr<Replica> replica;            // null while it is stopped
-  std::set<std::string> banned;                // as its router was told
+  std::set<std::string> banned;                // as its router was notified
   std::map<std::uint64_t, Time> purge_floors;  // of objects, as its router was told
   std::uint64_t epoch = 0;
 };
@@ -123,7 +123,7 @@
     }
     return true;
   }
-  /// Each running replica's copy, and what its router was told, say so.
+  /// Each running replica's copy, and what its router was notified of.
   bool all_have_banned(const std::string& server, bool is_banned) const {
     return std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
       const Node& node = entry.second;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -198,7 +198,8 @@
     rank.resize(12, -1);
     rank.push_back(static_cast<int>(!r.methods.empty()) + static_cast<int>(!r.locations.empty()));
     if (best && best_rank >= rank) continue;
-    best = &r, best_rank = rank;
+    best = &r;
+    best_rank = rank;
   }
   return best;
 }
