--- a/include/alderspur/router.h
+++ b/include/alderspur/router.h
@@ -1,18 +1,20 @@
-// alderspur: decides, for a proxy in front of tiers of caches, where each request goes.
+// The decision module of alderspur: decides, for a proxy in front of tiers of caches, which server
+// answers each request.
 //
-// Use: make one Router per proxy from Settings and a seed, hand it every event in the order in
-// which it happened, and carry out the actions that it appends, in order, at the same moment. The
-// router owns no clock, thread, socket or global; two routers share nothing. It is not thread-safe:
-// call one router from one thread at a time. The same settings, seed and events give the same
-// actions.
+// Usage: create one Router per proxy from Settings and a seed. Pass it every event in the order in
+// which the events happened. After each event, execute the actions that the router appended, in
+// their order and without delay. The router has no clock, thread, socket or global state of its
+// own, and two routers share no state. A router is not thread-safe: only one thread may call it at
+// a time. The router is deterministic: the same settings, seed and events give the same actions.
 //
-// Units: Time and durations are whole microseconds, sizes are KB. The clock may start anywhere; a
-// clock that steps back is treated as standing still. Zero means "not known" unless stated
-// otherwise.
+// Units: times and durations are whole microseconds, sizes are kilobytes (KB). The clock may start
+// at any value; if it steps back, the router treats it as standing still. Zero means "unknown"
+// unless stated otherwise.
 //
-// Errors: events that name unknown requests, servers or timers, repeated outcomes and repeated
-// request ids are ignored; sizes that are NaN, negative or infinite count as not known. With an
-// empty endpoint list each request is rejected or failed. No call throws except on lack of memory.
+// Errors: the router ignores events that name unknown requests, servers or timers, repeated
+// outcomes, and requests whose id is already in use. Sizes that are NaN, negative or infinite count
+// as unknown. While the endpoint list is empty, each request is rejected or fails. No call throws,
+// except std::bad_alloc when memory is exhausted.
 #pragma once
 
 #include <compare>
@@ -24,116 +26,130 @@
 
 namespace alderspur {
 
-/// A moment of the caller's clock, or a duration: microseconds.
+/// A point in time of the caller's clock, or a duration, in microseconds.
 using Time = std::int64_t;
 
-/// A number that cannot be mixed up with one of another kind.
+/// A strongly typed number: ids of different kinds cannot be assigned to or compared with each
+/// other.
 template <class Tag, class T>
 struct Id {
   T value{};
   constexpr auto operator<=>(const Id&) const = default;
 };
 
-/// A cache, parent or origin.
+/// Identifies a server: a cache, a parent or an origin.
 using ServerId = Id<struct ServerTag, std::uint64_t>;
-/// A client's request.
+/// Identifies a request of a client.
 using RequestId = Id<struct RequestTag, std::uint64_t>;
-/// What a request asks for.
+/// Identifies the object that a request is for.
 using ObjectId = Id<struct ObjectTag, std::uint64_t>;
-/// Servers that share a link; a router uses the caches of its own location.
+/// Identifies a location: a group of servers that share a network link. A router uses only the
+/// caches of its own location.
 using LocationId = Id<struct LocationTag, std::uint32_t>;
-/// A group of servers that drop repeats of keyed requests together.
+/// Identifies a cell: a group of servers that share the store of idempotency keys with which they
+/// drop duplicates of keyed requests.
 using CellId = Id<struct CellTag, std::uint32_t>;
-/// Index in Settings::classes.
+/// Identifies a request class, as an index into Settings::classes.
 using ClassId = Id<struct ClassTag, std::uint32_t>;
-/// A group of objects that can be purged together.
+/// Identifies a group of objects that can be purged together.
 using GroupId = Id<struct GroupTag, std::uint32_t>;
-/// Number of an attempt of a request, from 0 in the order of their Sends.
+/// The number of an attempt of a request. Attempts are numbered from 0 in the order of their Send
+/// actions.
 using AttemptNo = Id<struct AttemptTag, std::uint32_t>;
-/// A timer that the router has set.
+/// Identifies a timer that the router has set.
 using TimerId = Id<struct TimerTag, std::uint32_t>;
 
-// ---- Settings, given once at start ----
+// ---- Settings, passed once at construction ----
 
-/// Whether a request may run more than once. With an idempotency key, servers drop repeats within
-/// the class's dedup_window.
+/// Whether a request may run more than once. If requests have an idempotency key, servers drop
+/// duplicates within ClassSettings::dedup_window.
 enum class Idempotency { idempotent, idempotent_with_key, not_idempotent };
-/// Which servers drop repeats of each other's keyed requests.
+/// Which servers detect duplicates of each other's keyed requests: all servers, those of the same
+/// location, or those of the same cell.
 enum class DedupScope { all, location, cell };
-/// What Server::weight means: nothing, a nominal or rough capacity, or one that follows the load.
+/// What Server::weight stands for: nothing, a nominal or an approximate capacity, or a value that
+/// follows the current load.
 enum class WeightKind { none, nominal, rough, live };
 
-/// How requests of one class are to be treated.
+/// The settings of one class of requests.
 struct ClassSettings {
-  /// A response within this time, plus `latency_objective_stretch` times its own transfer time,
-  /// earns its full weight.
+  /// The fixed part of the latency objective. A response meets its objective, and counts with its
+  /// full priority weight, if it takes at most this time plus `latency_objective_stretch` times its
+  /// own transfer time.
   Time latency_objective = 0;
+  /// The part of the latency objective that grows with the size of the response, as a multiple of
+  /// its transfer time.
   double latency_objective_stretch = 0;
-  /// The weight of a response in time, relative to other classes.
+  /// The weight of a response that meets its objective, relative to other classes.
   double priority_weight = 1;
+  /// Whether requests of the class may run more than once.
   Idempotency idempotency = Idempotency::idempotent;
-  /// Of keyed requests.
+  /// Which servers drop duplicates of a keyed request. Used only for requests with an idempotency
+  /// key.
   DedupScope dedup_scope = DedupScope::all;
-  /// How long servers remember idempotency keys.
+  /// How long servers store idempotency keys.
   Time dedup_window = 0;
-  /// Requests run at the origin; no copy is cached.
+  /// Requests are executed at the origin, and no cache stores a copy.
   bool never_cached = false;
-  /// How long a copy is fresh; 0: until it is purged.
+  /// How long a copy is fresh. 0: until it is purged.
   Time fresh_time = 0;
-  /// How much older than `fresh_time` a stale copy may be.
+  /// How long a copy may still be served as stale after `fresh_time` has passed.
   Time stale_grace_time = 0;
 
-  /// A repeat is harmless at any server (of a keyed request: within its dedup_window).
+  /// Reports whether a request may be repeated at any server without harm. For a keyed request this
+  /// holds only within `dedup_window`.
   bool may_repeat_anywhere() const {
     return idempotency == Idempotency::idempotent ||
            (idempotency == Idempotency::idempotent_with_key && dedup_scope == DedupScope::all);
   }
 };
 
-/// Everything that a router is configured with. The defaults describe a single router whose caches
-/// offer no optional features.
+/// The configuration of a router. The defaults describe a single router whose caches support no
+/// optional features.
 struct Settings {
-  /// The location of the router: it uses the caches there.
+  /// The location of the router. The router uses only the caches there.
   LocationId location{};
-  /// Routers of this tier in all locations.
+  /// The number of routers of this tier in all locations.
   std::uint32_t router_count = 1;
-  /// Routers of this tier in each location, by LocationId; may be shorter than that.
+  /// The number of routers of this tier in each location, indexed by LocationId. For a location
+  /// beyond the end of the list `router_count` is used.
   std::vector<std::uint32_t> router_count_by_location;
-  /// By ClassId.
+  /// The request classes, indexed by ClassId.
   std::vector<ClassSettings> classes;
-  /// Attempts of one request.
+  /// The maximum number of attempts of one request.
   std::uint32_t max_attempts = 1;
-  /// The caller carries out Cancel.
+  /// The caller supports the action Cancel.
   bool can_cancel_attempts = false;
-  /// The caller carries out HealthCheck.
+  /// The caller supports the action HealthCheck.
   bool health_checks_allowed = false;
-  /// Rejected clients are asked to retry after a pause (Reject::retry_after).
+  /// A rejection asks the client to retry after a pause (Reject::retry_after).
   bool sends_retry_after = false;
-  /// The longest such pause.
+  /// The maximum of Reject::retry_after.
   Time max_retry_after = 0;
-  /// Endpoint updates come only after Subscribe.
+  /// The caller delivers endpoint updates only after the action Subscribe.
   bool must_subscribe_to_endpoints = false;
-  /// A cache that has just started has this fraction of its capacity.
+  /// The fraction of its full capacity that a cache has immediately after its start.
   double cache_slow_start_fraction = 1;
-  /// After this time a cache has its full capacity; it rises linearly until then.
+  /// How long after its start a cache reaches its full capacity. The capacity rises linearly until
+  /// then.
   Time cache_slow_start_time = 0;
-  /// An overload of this length makes a server fail that is warming up.
+  /// A server that is warming up fails if it is overloaded for this long.
   Time overload_window = 0;
-  /// As cache_slow_start_fraction, for parents.
+  /// The same as `cache_slow_start_fraction`, for parents.
   double parent_slow_start_fraction = 1;
-  /// As cache_slow_start_time, for parents.
+  /// The same as `cache_slow_start_time`, for parents.
   Time parent_slow_start_time = 0;
-  /// After this time no copy from before a purge is left in any cache.
+  /// How long after a purge a cache may still store copies from before it.
   Time purge_propagation_time = 0;
-  /// Maximum rate of one response, and the unit of weights.
+  /// The maximum transfer rate of one response, which is also the unit of Server::weight.
   double stream_kb_per_second = 0;
-  /// What Server::weight means.
+  /// What Server::weight stands for.
   WeightKind weights = WeightKind::none;
-  /// A cache can let several requests wait for one fill.
+  /// A cache can let several requests wait for the same fill.
   bool can_join_fills = false;
-  /// Parents and the origin accept attempts too.
+  /// Parents and the origin accept attempts directly.
   bool can_bypass_caches = false;
-  /// Each Send can say how the cache is to fill what it lacks (Send::fill).
+  /// Each Send can specify how the cache fills an object that it does not have (Send::fill).
   bool has_fills = false;
 };
 
@@ -141,42 +157,45 @@
 
 /// The tier of a server.
 enum class Role { cache, parent, origin };
-/// What the endpoint list says of a server. A draining one gets nothing new.
+/// The status of a server in the endpoint list. A draining server finishes its attempts and gets no
+/// new requests or fills.
 enum class ServerStatus { gone, ready, draining };
 
-/// A server, as the endpoint list has it.
+/// An entry of the endpoint list.
 struct Server {
   ServerId id{};
   Role role = Role::cache;
   LocationId location{};
   CellId cell{};
   ServerStatus status = ServerStatus::gone;
-  /// See Settings::weights.
+  /// A capacity or load value; Settings::weights defines its meaning. A value that is not positive
+  /// counts as 1.
   double weight = 1;
-  /// Last start of its process; 0: long ago.
+  /// When the process of the server last started. 0: long ago.
   Time started_at = 0;
 };
 
-/// The endpoint list, or what has changed of it.
+/// The endpoint list, or the entries of it that have changed.
 struct EndpointUpdate {
-  /// It replaces the list; else it lists the changed servers.
+  /// `servers` replaces the whole list. Otherwise it contains only the changed entries.
   bool is_complete = false;
-  /// The subscription failed; the list stays as it is.
+  /// The subscription failed; the list stays unchanged and `servers` is ignored.
   bool has_failed = false;
   std::vector<Server> servers;
 };
 
-/// A client's request. The router gives exactly one final answer within `time_budget`: the response
-/// of an attempt, Reject or Fail.
+/// A request of a client. The router gives it exactly one final answer within `time_budget`: the
+/// response of an attempt, a Reject or a Fail.
 struct Request {
   RequestId id{};
   ObjectId object{};
   GroupId group{};
   ClassId class_id{};
-  /// The part of the object that is requested.
+  /// The index of the requested part of the object.
   std::uint32_t part = 0;
+  /// The size of the response. 0: unknown.
   double size_kb = 0;
-  /// From the arrival of the request to its final answer.
+  /// The maximum time from the arrival of the request to its final answer.
   Time time_budget = 0;
   /// The request changes the object at the origin.
   bool is_write = false;
@@ -184,61 +203,85 @@
 
 /// How an attempt ended.
 enum class AttemptResult {
+  /// The server responded successfully.
   ok,
+  /// The server responded with an error. The request may have run.
   error,
+  /// The server rejected the request without executing it, because it is overloaded.
   overloaded,
+  /// The server did not respond within Send::timeout.
   timeout,
+  /// The request could not be sent, because no connection to the server was available.
   connect_failed,
+  /// The connection was lost before the response arrived. The request may have run.
   reset,
+  /// The attempt was aborted, for example by Cancel.
   cancelled,
+  /// The request had already finished, so the attempt did not run.
   already_finished,
+  /// The cache has no copy and was not allowed to fetch one.
   miss,
-  /// It waited to be sent until it was no longer allowed (see Router::may_send): nothing ran.
+  /// The caller held the attempt back until it was no longer allowed (see Router::may_send), so it
+  /// was never sent.
   not_sent
 };
 
-/// What a cache reports of its copy or of the fill. From source_refused on the fill failed.
+/// What a cache reports about its copy or about the fill. `source_refused` and all values after it
+/// mean that the fill failed.
 enum class FillOutcome {
+  /// Nothing was reported.
   none,
+  /// The cache had a usable copy.
   hit,
+  /// The cache fetched the object from its source.
   filled,
+  /// The cache fetched the object, and it came from the origin.
   filled_by_origin,
+  /// The request waited for a fill that was already in progress.
   joined_fill,
+  /// The cache served a stale copy.
   served_stale,
+  /// The source refused the request of the cache.
   source_refused,
+  /// The source did not respond to the cache.
   source_unreachable,
+  /// The source does not have the object.
   source_lacks,
+  /// A limit on concurrent fills was reached.
   fill_limit_reached,
+  /// The origin failed to deliver the object.
   origin_failed
 };
 
-/// What a server reports of its own load. Negative: not reported.
+/// The load that a server reports about itself. A negative value means that it was not reported.
 struct LoadReport {
-  /// Requests that it works on.
+  /// The number of requests that the server is processing.
   double in_flight = -1;
-  /// From 0 to 1.
+  /// The utilization of the server, from 0 to 1.
   double utilization = -1;
-  /// From 0 to 1.
+  /// The utilization of its network link or of its capacity for fills, from 0 to 1.
   double link_or_fill_utilization = -1;
 };
 
-/// The end of an attempt: exactly one for each Send.
+/// The end of an attempt. The caller reports exactly one for each Send.
 struct AttemptOutcome {
   RequestId id{};
   AttemptNo attempt{};
   ServerId server{};
   AttemptResult result = AttemptResult::ok;
   FillOutcome fill_outcome = FillOutcome::none;
-  /// The client has the response of this attempt as its final answer; else one is still due.
+  /// The client received the response of this attempt as its final answer. Otherwise the router
+  /// still has to give a final answer.
   bool response_delivered = false;
-  /// From the Send to the end.
+  /// The time from the Send to the end of the attempt.
   Time elapsed = 0;
-  /// Until the first byte from the fill source came, or until the fill failed; 0: not known.
+  /// The time until the first byte arrived from the fill source or until the fill failed. 0:
+  /// unknown.
   Time time_to_first_byte = 0;
   LoadReport report{};
 };
 
-/// The client has received a part of the response: no further attempt is possible.
+/// The client has received the first part of the response, so no further attempt is possible.
 struct ResponseStarted {
   RequestId id{};
   AttemptNo attempt{};
@@ -247,154 +290,165 @@
 /// The client has cancelled its request or closed its connection.
 struct ClientGone {
   RequestId id{};
-  /// The client is still there, but the final answer is due now: the router's process shuts down.
+  /// The client is still connected and the final answer is due now, because the process of the
+  /// router shuts down.
   bool response_owed = false;
 };
 
-/// Copies of an object, or of a whole group where `object` is absent, are invalid if they are older
-/// than `age`.
+/// Invalidates the copies of an object that are older than `age`, or those of a whole group if
+/// `object` is absent.
 struct Purge {
   std::optional<ObjectId> object;
   GroupId group{};
   Time age = 0;
-  /// Copies of all objects are meant; `object` and `group` are ignored.
+  /// The purge applies to all objects; `object` and `group` are ignored.
   bool covers_everything = false;
 };
 
-/// The end of a HealthCheck.
+/// The result of a HealthCheck.
 struct HealthCheckResult {
   ServerId server{};
   /// The server responded and is not overloaded.
   bool is_healthy = false;
+  /// The time from the HealthCheck to its result.
   Time elapsed = 0;
   LoadReport report{};
-  /// Age of the connection that the response came over; 0: not known.
+  /// The age of the connection over which the response arrived. 0: unknown.
   Time connection_age = 0;
-  /// The server responded, healthy or not.
+  /// The server responded, whether it is healthy or not.
   bool is_alive = false;
-  /// The check timed out before, and was reported as failed then.
+  /// The response arrived after the check had timed out and had already been reported as failed.
   bool is_late = false;
 };
 
-/// A timer of SetTimer is due.
+/// A timer that was set with SetTimer has expired.
 struct TimerExpired {
   TimerId timer{};
 };
 
-/// An operator bans a server, or lifts the ban, independent of the endpoint list. A banned server
-/// gets no requests, fills or health checks. Once the ban is lifted it counts as newly started.
+/// An operator bans a server or lifts its ban, independently of the endpoint list. A banned server
+/// gets no requests, fills or health checks. When its ban is lifted, the server counts as newly
+/// started.
 struct Ban {
   ServerId server{};
   bool is_banned = false;
 };
 
-/// This process's share of the budgets that several processes and routers have together.
+/// The share of this process in the budgets that several processes and routers have in common.
 struct BudgetShare {
-  /// Of the router's own budget, while a second process acts as the same router (hot restart).
+  /// The fraction of the router's own budget that this process may use while a second process acts
+  /// as the same router (hot restart).
   double process_share = 1;
-  /// The other process's concurrency limit, to start from where this one has none; 0: not known.
+  /// The concurrency limit of the other process, which is the initial limit of this process if it
+  /// has none yet. 0: unknown.
   double concurrency_limit = 0;
-  /// This router's share of what all routers may do together, in place of their number in the
-  /// settings; 0: not assigned.
+  /// The fraction of the budget of all routers that this router may use. It takes precedence over
+  /// the number of routers in the settings. 0: not assigned.
   double fleet_share = 0;
-  /// The same for the routers of its location.
+  /// The same for the budget of the routers of its location.
   double location_share = 0;
 };
 
-/// Everything that a router has to know.
+/// All inputs of a router.
 using Event = std::variant<EndpointUpdate, Request, AttemptOutcome, ResponseStarted, ClientGone,
                            Purge, HealthCheckResult, TimerExpired, Ban, BudgetShare>;
 
 // ---- Actions ----
 
-/// How a server is to fill an object that it lacks.
+/// How a server fills an object of which it has no usable copy.
 struct Fill {
-  /// The server itself: fill nothing.
+  /// The server from which the object is fetched. If it is the server of the Send itself, nothing
+  /// is filled.
   ServerId source{};
-  /// Priority at which the copy is cached, 1 (lowest) to 3; 0: it is not cached.
+  /// The priority with which the copy is cached, from 1 (lowest) to 3. 0: it is not cached.
   std::uint32_t cache_rank = 0;
-  /// Maximum age of a copy to serve; 0: the class's fresh time.
+  /// The maximum age of a copy that may be served. 0: the fresh time of the class.
   Time max_age = 0;
-  /// May wait for a fill that is already in progress.
+  /// The request may wait for a fill that is already in progress.
   bool may_join = false;
-  /// The source may only serve what it has cached.
+  /// The source may serve only objects that it has cached.
   bool cached_only = false;
-  /// Serve an old copy that is still allowed, and refresh it after the response.
+  /// The server responds with an old copy that is still allowed and refreshes it afterwards.
   bool refresh_in_background = false;
 };
 
-/// Start an attempt: send the request to a server. The caller ends the attempt with
-/// AttemptResult::timeout after `timeout`.
+/// Starts an attempt: the caller sends the request to `server`, and ends the attempt with
+/// AttemptResult::timeout if it takes longer than `timeout`.
 struct Send {
   RequestId id{};
   ServerId server{};
   Time timeout = 0;
-  /// Absent: the server decides how it fills.
+  /// How the server fills the object. Absent: the server decides.
   std::optional<Fill> fill;
 };
 
-/// Final answer: the client may retry, since nothing ran that a retry could double.
+/// Final answer: the request is rejected. The client may retry, because nothing ran that a retry
+/// would execute twice.
 struct Reject {
   RequestId id{};
-  /// The pause to ask of the client; 0: none.
+  /// How long the client is asked to wait before it retries. 0: no wait is requested.
   Time retry_after = 0;
 };
 
-/// Final answer: the request has failed, and an attempt may have run.
+/// Final answer: the request has failed, and one of its attempts may have run.
 struct Fail {
   RequestId id{};
 };
 
-/// Abort an attempt. Its AttemptOutcome is still due.
+/// Aborts an attempt. The caller still reports the AttemptOutcome.
 struct Cancel {
   RequestId id{};
   AttemptNo attempt{};
 };
 
-/// Check the health of a server; answered by a HealthCheckResult.
+/// Checks the health of a server. The caller reports a HealthCheckResult.
 struct HealthCheck {
   ServerId server{};
 };
 
-/// Set a timer; answered by TimerExpired at that time or later.
+/// Sets a timer. The caller reports TimerExpired at the time `at` or later.
 struct SetTimer {
   TimerId timer{};
   Time at = 0;
 };
 
-/// Subscribe to the endpoint list; answered by an EndpointUpdate.
+/// Subscribes to the endpoint list. The caller reports an EndpointUpdate.
 struct Subscribe {};
 
-/// Everything that a router can ask of its caller.
+/// All outputs of a router.
 using Action = std::variant<Send, Reject, Fail, Cancel, HealthCheck, SetTimer, Subscribe>;
 
-/// The router's current view of a cache, for proxies that follow its decisions.
+/// The state of a cache as this router sees it, for proxies that apply the router's decisions
+/// themselves.
 struct EndpointStatus {
   Server server;
-  /// Ready, neither banned nor ejected.
+  /// The cache is ready, not banned and not ejected.
   bool is_usable = false;
-  /// Its weight, reduced while it warms up.
+  /// The weight of the cache, reduced while it is warming up.
   double effective_weight = 0;
 };
 
-/// Decides where the requests of one proxy go. See the top of this file.
+/// Selects the server for each request of one proxy. The comment at the top of this file describes
+/// its use, units and error handling.
 class Router {
  public:
-  /// `seed` determines all random choices.
+  /// Creates a router without endpoints. `seed` determines all its random choices.
   Router(const Settings& settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  /// Handles one event and appends the actions to carry out.
+  /// Handles one event and appends the resulting actions, which the caller executes in order.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  /// Whether a Send that the caller has held back, for a connection say, may still be sent now: its
-  /// server or source may be gone or draining, or the dedup window over. If not, the caller ends
-  /// the attempt with AttemptResult::not_sent.
+  /// Reports whether a Send that the caller has held back, for example until a connection was free,
+  /// may still be sent. It may not if its server or fill source has meanwhile been removed, banned
+  /// or set to draining, or if its dedup window has ended. In that case the caller ends the attempt
+  /// with AttemptResult::not_sent.
   bool may_send(Time now, RequestId id, AttemptNo attempt) const;
-  /// The state of all caches on the list that are not gone.
+  /// Returns the state of all caches of the endpoint list whose status is not `gone`.
   std::vector<EndpointStatus> endpoint_statuses(Time now);
-  /// The limit on seconds of transfer time in flight; 0: none found yet.
+  /// Returns the limit on the transfer time in flight, in seconds. Returns 0 while no limit has
+  /// been determined.
   double concurrency_limit() const;
 
  private:
--- a/src/estimators/estimators.cpp
+++ b/src/estimators/estimators.cpp
@@ -6,9 +6,9 @@
 namespace alderspur::estimators {
 namespace {
 
-/// A limit rises to at most this many times the work in flight: room for a burst.
+/// A limit rises to at most this multiple of the work in flight, which leaves room for a burst.
 constexpr double kLimitHeadroom = 3;
-/// A limit may always rise to this many times its minimum.
+/// A limit may always rise to this multiple of its minimum, however little work is in flight.
 constexpr double kMinLimitRange = 4;
 
 }  // namespace
@@ -34,7 +34,7 @@
   window_ = window;
 }
 
-void MovingAverage::learn(double sample, double weight) {
+void MovingAverage::add_sample(double sample, double weight) {
   if (!has_samples) {
     value = sample;
     deviation = sample / 2;
--- a/src/estimators/estimators.h
+++ b/src/estimators/estimators.h
@@ -1,5 +1,6 @@
-// Small estimators and limits: a sliding sum, a moving average, an adaptive limit and a token
-// bucket. Plain values without I/O; each belongs to one thread. Times are microseconds.
+// Estimators and limits from which load balancing decisions are built: a sliding sum, a moving
+// average, an adaptive limit and a token bucket. They are plain values without I/O and without
+// locks, so each instance must be used by one thread only. Times are in microseconds.
 #pragma once
 
 #include "alderspur/router.h"
@@ -10,27 +11,28 @@
 constexpr Time kMillisecond = 1000;
 /// Microseconds in a second.
 constexpr Time kSecond = 1000 * kMillisecond;
-/// Length of the window of a SlidingSum.
+/// Length of the window of a SlidingSum, in microseconds.
 constexpr Time kWindowLength = 4 * kSecond;
-/// Weight of a new sample in a MovingAverage.
+/// Default weight of a new sample in a MovingAverage.
 constexpr double kDefaultSampleWeight = 0.05;
-/// Value of an AdaptiveLimit that has not been adjusted yet.
+/// The value of an AdaptiveLimit that has not been adjusted yet, which no work reaches.
 constexpr double kUnlimited = 1e9;
 
-/// `value` if it is finite and above 0, else 0. Values from outside that are unusable count as
-/// absent.
+/// Returns `value` if it is finite and positive, otherwise 0. With it, an invalid number in an
+/// event counts as absent.
 double positive_or_zero(double value);
 
-/// A sum over the last kWindowLength, approximated by two fixed windows: all of the current
-/// one and the part of the previous one that the last kWindowLength still covers.
+/// A sum over the last kWindowLength. It is approximated with two fixed windows: the whole current
+/// window, and the fraction of the previous window that the last kWindowLength still overlaps.
 class SlidingSum {
  public:
   /// Adds an amount at the time `now`.
   void add(Time now, double amount);
-  /// The sum at the time `now`.
+  /// Returns the sum over the kWindowLength that ends at `now`.
   double value(Time now);
 
  private:
+  /// Starts a new window if `now` is no longer in the current one.
   void advance(Time now);
 
   double current_ = 0;
@@ -38,43 +40,47 @@
   Time window_ = 0;  // index of the current window
 };
 
-/// An exponentially weighted average with its mean absolute deviation.
+/// An exponentially weighted moving average with its mean absolute deviation.
 struct MovingAverage {
   double value = 0;
   double deviation = 0;
   bool has_samples = false;
 
-  /// Takes in a sample; the first one becomes the average.
-  void learn(double sample, double weight = kDefaultSampleWeight);
+  /// Adds a sample. The first sample becomes the average, and half of it the deviation.
+  void add_sample(double sample, double weight = kDefaultSampleWeight);
 };
 
-/// A limit on work in flight that follows how far measured times are from their objective.
+/// A limit on work in flight that rises while measured times are below their objective and falls
+/// while they are above it.
 struct AdaptiveLimit {
   double value = kUnlimited;
 
-  /// Scales the limit by 1 + step * offset. `offset` is the distance from the objective, positive
-  /// where there is time to spare. The limit stays at or above `min_limit`, and below a multiple of
-  /// `in_flight`, so that it cannot grow while it is not used.
+  /// Multiplies the limit by 1 + step * offset. `offset` is the distance of a measurement from the
+  /// objective and is positive if the measurement is below it. The limit never falls below
+  /// `min_limit`. It never rises above a multiple of `in_flight`, so that it does not grow while it
+  /// is not used.
   void adjust(double step, double offset, double min_limit, double in_flight);
 };
 
-/// Work in flight under an adaptive limit of its own.
+/// An amount of work in flight together with its adaptive limit.
 struct LimitedWork {
   AdaptiveLimit limit;
   double in_flight = 0;
 
+  /// Adds work that has started.
   void begin(double amount) { in_flight += amount; }
+  /// Subtracts work that has ended.
   void end(double amount);
   bool is_over_limit() const { return in_flight > limit.value; }
 };
 
-/// A budget of whole tokens that is filled in fractions.
+/// A token bucket that is refilled in fractions of a token and from which whole tokens are taken.
 struct TokenBucket {
   double tokens = 0;
 
-  /// Adds to the bucket, up to `capacity` tokens.
+  /// Adds `amount` tokens. The bucket holds at most `capacity` tokens.
   void add(double amount, double capacity);
-  /// Takes one token. False: there is none.
+  /// Takes one token. Returns false if the bucket contains less than one.
   bool try_take();
 };
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -10,36 +10,43 @@
 
 using estimators::kMillisecond;
 
-/// Excess over the objective at which the concurrency limit neither rises nor falls. Between these
-/// bounds it is the unloaded excess and a margin.
+/// The target excess over the objective, at which the concurrency limit neither rises nor falls. It
+/// is the excess without load plus a margin, clamped to these bounds.
 constexpr double kMinTargetExcess = 0.3;
 constexpr double kMaxTargetExcess = 0.4;
 constexpr double kUnloadedExcessMargin = 0.15;
-/// The same for the limit on work that may wait for the origin.
+/// The target excess for the limit on work that may wait for the origin.
 constexpr double kOriginTargetExcess = 0.5;
-/// Each response moves a limit by this fraction of its distance from the target.
+/// The relative change of a limit per response, for a distance of 1 between the excess and its
+/// target.
 constexpr double kLimitStep = 0.03;
-/// Minimum of the concurrency limit: seconds for each cache, and a fraction of this router's share
-/// of the configured sizes.
+/// Two lower bounds of the concurrency limit: seconds of transfer time per cache, and a fraction of
+/// this router's share of the configured capacities.
 constexpr double kMinSecondsPerCache = 0.5;
-constexpr double kMinFractionOfSize = 0.25;
-/// Minimum of the origin's limit, in seconds over all routers.
+constexpr double kMinFractionOfCapacity = 0.25;
+/// The minimum of the limit on work that may wait for the origin, in seconds of transfer time of
+/// all routers together.
 constexpr double kMinOriginLimitSeconds = 4.5;
-/// Up to this multiple of its minimum the limit is low enough for responses to show the excess
-/// without load.
+/// While the limit is below this multiple of its minimum, so little work is in flight that
+/// responses show the excess without load.
 constexpr double kMaxUnloadedLimitFactor = 2;
-constexpr double kUnloadedLearningRate = 0.03;
-constexpr double kUnloadedForgettingRate = 0.002;
-/// Up to this multiple of the limit is open to requests that cost little for their weight.
+/// Weight of a new sample in the average excess without load.
+constexpr double kUnloadedSmoothingFactor = 0.03;
+/// Fraction by which the average excess without load decays per response at higher limits.
+constexpr double kUnloadedDecayRate = 0.002;
+/// The limit for requests with a low cost for their priority weight is at most this multiple of the
+/// limit for other requests.
 constexpr double kMaxLowCostFactor = 2;
-/// Guards divisions by weights and costs.
+/// Lower bound of weights and costs in divisions.
 constexpr double kMinDivisor = 1e-9;
-constexpr double kShedLearningRate = 0.05;
+/// Weight of a new sample in the average fraction of requests that are shed.
+constexpr double kShedSmoothingFactor = 0.05;
 constexpr double kRetriesPerRequest = 0.15;
 constexpr double kMaxSavedRetries = 6;
 constexpr double kInitialRetries = kMaxSavedRetries / 2;
 constexpr Time kMinRetryAfter = 400 * kMillisecond;
-/// With all requests shed, the pause grows by this multiple of kMinRetryAfter.
+/// If all requests are shed, this multiple of kMinRetryAfter is added to the time after which
+/// clients may retry.
 constexpr double kShedRetryAfterFactor = 8;
 
 }  // namespace
@@ -50,13 +57,13 @@
 bool Admission::should_shed(const Request& request) {
   const double weight = context_.class_settings(request).priority_weight;
   const double cost = context_.workload.transfer_time(request) / std::max(weight, kMinDivisor);
-  average_cost_.learn(cost);
+  average_cost_.add_sample(cost);
   const double low_cost_factor =
       std::clamp(average_cost_.value / std::max(cost, kMinDivisor), 1.0, kMaxLowCostFactor);
   const double limit = limit_.value * low_cost_factor;
   const bool has_caches = !context_.upstreams.caches().empty();
   const bool is_over_limit = has_caches && context_.upstreams.transfer_time_in_flight() > limit;
-  shed_fraction_ += kShedLearningRate * ((is_over_limit ? 1 : 0) - shed_fraction_);
+  shed_fraction_ += kShedSmoothingFactor * ((is_over_limit ? 1 : 0) - shed_fraction_);
   return is_over_limit;
 }
 
@@ -68,7 +75,7 @@
   if (fill_failed(outcome)) return;
   const bool is_overloaded = outcome.result == AttemptResult::overloaded;
   if (!is_overloaded && outcome.result != AttemptResult::ok) return;
-  // The wait for the first byte of a fill source says nothing about the load of the cache.
+  // The wait for the first byte from the fill source does not depend on the load of the cache.
   const Time own_time = std::max<Time>(0, outcome.elapsed - outcome.time_to_first_byte);
   const double excess =
       is_overloaded ? kMaxExcess : context_.workload.excess_over_objective(request, own_time);
@@ -76,7 +83,7 @@
   update_unloaded_excess(excess, min_limit);
   const double target =
       std::clamp(unloaded_excess_ + kUnloadedExcessMargin, kMinTargetExcess, kMaxTargetExcess);
-  const double step = kLimitStep * std::sqrt(context_.fleet.evidence_scale(Scope::location));
+  const double step = kLimitStep * std::sqrt(context_.fleet.observation_weight(Scope::location));
   const double in_flight = context_.upstreams.transfer_time_in_flight();
   limit_.adjust(step, target - excess, min_limit, in_flight);
 }
@@ -84,7 +91,7 @@
 void Admission::record_origin_wait(const Request& request, Time waited, bool has_failed) {
   const double excess =
       has_failed ? kMaxExcess : context_.workload.excess_over_objective(request, waited);
-  const double step = kLimitStep * std::sqrt(context_.fleet.evidence_scale(Scope::fleet));
+  const double step = kLimitStep * std::sqrt(context_.fleet.observation_weight(Scope::fleet));
   const double min_limit = kMinOriginLimitSeconds / context_.fleet.router_count(Scope::fleet);
   const double in_flight = std::max(origin_work_.in_flight, min_concurrency_limit());
   origin_work_.limit.adjust(step, kOriginTargetExcess - excess, min_limit, in_flight);
@@ -93,17 +100,17 @@
 void Admission::refill_retry_budget() { retry_budget_.add(kRetriesPerRequest, kMaxSavedRetries); }
 
 Time Admission::retry_after() {
-  const double factor = 1 + kShedRetryAfterFactor * shed_fraction_ + context_.draw();
+  const double factor = 1 + kShedRetryAfterFactor * shed_fraction_ + context_.draw_uniform();
   return static_cast<Time>(static_cast<double>(kMinRetryAfter) * factor);
 }
 
 void Admission::update_unloaded_excess(double excess, double min_limit) {
-  // Time that responses take even with little in flight is no congestion: counted as such, it would
-  // hold the limit at its minimum.
+  // Time that responses take even with little work in flight is not caused by congestion. If it
+  // counted as congestion, it would keep the limit at its minimum.
   if (limit_.value < kMaxUnloadedLimitFactor * min_limit) {
-    unloaded_excess_ += kUnloadedLearningRate * (excess - unloaded_excess_);
+    unloaded_excess_ += kUnloadedSmoothingFactor * (excess - unloaded_excess_);
   } else {
-    unloaded_excess_ -= kUnloadedForgettingRate * unloaded_excess_;
+    unloaded_excess_ -= kUnloadedDecayRate * unloaded_excess_;
   }
 }
 
@@ -114,10 +121,10 @@
     if (health_.is_usable(*cache)) usable_weight += slow_start_.effective_weight(*cache);
   }
   const double routers = context_.fleet.router_count(Scope::location);
-  const bool has_sizes = context_.workload.weights_are_sizes();
-  const double by_size = has_sizes ? kMinFractionOfSize * usable_weight / routers : 0;
-  const double scale = context_.fleet.evidence_scale(Scope::location);
-  return std::max(by_size, kMinSecondsPerCache * static_cast<double>(caches.size()) / scale);
+  const bool has_capacities = context_.workload.weights_are_capacities();
+  const double by_capacity = has_capacities ? kMinFractionOfCapacity * usable_weight / routers : 0;
+  const double scale = context_.fleet.observation_weight(Scope::location);
+  return std::max(by_capacity, kMinSecondsPerCache * static_cast<double>(caches.size()) / scale);
 }
 
 }  // namespace alderspur::policy
--- a/src/policy/attempts.cpp
+++ b/src/policy/attempts.cpp
@@ -10,15 +10,16 @@
 namespace alderspur::policy {
 namespace {
 
-/// With less time than this left no attempt can finish.
+/// The minimum remaining time for a retry. No attempt can finish in less.
 constexpr Time kMinAttemptTime = 30 * estimators::kMillisecond;
 
 bool is_first_reset(const RequestState& state, const AttemptOutcome& outcome) {
   return outcome.result == AttemptResult::reset && state.attempts.size() == 1;
 }
 
-/// The request is not to blame for the failure: the retry is not taken from the budget.
-bool is_free_retry(const RequestState& state, const AttemptOutcome& outcome) {
+/// Reports whether the retry is not taken from the retry budget, because the request did not cause
+/// the failure.
+bool is_exempt_from_retry_budget(const RequestState& state, const AttemptOutcome& outcome) {
   return outcome.result == AttemptResult::cancelled || outcome.result == AttemptResult::not_sent ||
          is_first_reset(state, outcome);
 }
@@ -38,11 +39,11 @@
     reject_or_fail(state);
     return;
   }
-  const bool is_free = is_free_retry(state, outcome);
+  const bool is_exempt = is_exempt_from_retry_budget(state, outcome);
   const Upstream* preferred =
       retry_same_server ? upstream : choose_preferred_server(state, attempt, outcome, upstream);
   const bool is_in_time = state.deadline - context_.now >= kMinAttemptTime;
-  const bool may_retry = is_in_time && (is_free || parts_.admission.try_take_retry());
+  const bool may_retry = is_in_time && (is_exempt || parts_.admission.try_take_retry());
   if (!may_retry || !send_attempt(state, preferred)) reject_or_fail(state);
 }
 
@@ -62,10 +63,10 @@
   if (!state.attempt_in_flight()) requests_.erase(state.request.id);
 }
 
-void Attempts::cancel_movable_attempts(ServerId server) {
+void Attempts::cancel_attempts_for_retry(ServerId server) {
   std::set<RequestId> movable;
   for (const auto& [id, state] : requests_) {
-    if (is_movable_from(server, state)) movable.insert(id);
+    if (is_cancellable_on(server, state)) movable.insert(id);
   }
   for (const RequestId id : movable) cancel_last_attempt(requests_.at(id));
 }
@@ -74,7 +75,7 @@
                                 const AttemptOutcome& outcome) const {
   const bool has_stale_grace = context_.class_settings(state.request).stale_grace_time > 0;
   const bool was_cached_only = attempt.has_source && !attempt.may_reach_origin;
-  // All parents get the object from the same origin.
+  // All parents fetch the object from the same origin, so another parent would fail as well.
   const bool origin_failed_finally = outcome.fill_outcome == FillOutcome::origin_failed &&
                                      (state.accepts_stale || !has_stale_grace);
   return outcome.fill_outcome == FillOutcome::source_lacks ||
@@ -96,25 +97,25 @@
   return upstream;
 }
 
-bool Attempts::is_movable_from(ServerId server, const RequestState& state) const {
+bool Attempts::is_cancellable_on(ServerId server, const RequestState& state) const {
   const AttemptState* attempt = state.attempt_in_flight();
   if (!attempt || !state.is_open || state.response_started) return false;
   const bool waits_for_source = attempt->source == server && attempt->may_reach_origin;
   if (attempt->server != server && !waits_for_source) return false;
-  return may_move(context_, state, *attempt);
+  return may_cancel_for_retry(context_, state, *attempt);
 }
 
 bool Attempts::send_attempt(RequestState& state, const Upstream* preferred) {
   ObjectState& object = parts_.selection.object(state.request.object);
   auto candidates = parts_.selection.candidates(object, state.request.object);
-  // The preferred server first, those that the request was sent to before last.
+  // The preferred server comes first, and servers that have already received the request come last.
   std::ranges::stable_sort(candidates, {}, [&](const Upstream* cache) {
     if (cache == preferred) return 0;
     return state.was_sent_to(cache->server.id) ? 2 : 1;
   });
   for (Upstream* cache : candidates) {
     if (!parts_.slow_start.has_quota(*cache)) continue;
-    const auto fill = parts_.fills.plan(state, object, *cache);
+    const auto fill = parts_.fills.plan_fill(state, object, *cache);
     if (!send(state, *cache, fill)) continue;
     parts_.selection.record_sent(object, *cache);
     return true;
@@ -148,7 +149,8 @@
   state.attempts.push_back(attempt);
   upstream.begin_transfer(attempt.transfer_time, context_.now);
   if (may_reach_origin) parts_.admission.origin_work().begin(attempt.transfer_time);
-  // All the time that is left: a shorter timeout would waste what a slow cache has done so far.
+  // The timeout is all the time that is left. A shorter one would discard the work that a slow
+  // cache has already done.
   const Time timeout = std::max<Time>(1, state.deadline - context_.now);
   context_.emit(Send{state.request.id, upstream.server.id, timeout, fill});
   return true;
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -1,4 +1,4 @@
-// The attempts of a request, from the first one to the final answer.
+// Manages the attempts of a request, from the first attempt to the final answer.
 #pragma once
 
 #include <optional>
@@ -10,52 +10,58 @@
 
 namespace alderspur::policy {
 
-/// Starts and retries attempts, and gives each request exactly one final answer. Every send passes
-/// here. Owned by the router; one thread.
+/// Starts and retries attempts, and gives each request exactly one final answer. All Send actions
+/// are emitted here. Owned by the router. Not thread-safe.
 class Attempts {
  public:
   Attempts(RoutingContext& context, RequestTable& requests, PolicyParts& parts)
       : context_(context), requests_(requests), parts_(parts) {}
 
-  /// Sends the first attempt, or rejects the request; the latter forgets `state`.
+  /// Sends the first attempt. If that is not possible, rejects the request and removes `state` from
+  /// the request table.
   void start(RequestState& state);
-  /// Retries after an attempt that brought no response, or gives the final answer. `upstream` is
-  /// the server of that attempt; null: it is not known any more. `retry_same_server`: see
-  /// FillPolicy::suspect_source.
+  /// Retries after an attempt that ended without a usable response, or gives the final answer.
+  /// `upstream` is the server of that attempt, or null if it is no longer in the table.
+  /// `retry_same_server` is the result of FillPolicy::suspect_source for the attempt.
   void on_attempt_failed(RequestState& state, const AttemptState& attempt,
                          const AttemptOutcome& outcome, const Upstream* upstream,
                          bool retry_same_server);
-  /// Gives the final answer without a response, if it is still owed: a rejection where nothing ran
-  /// that a retry by the client could double, else a failure.
+  /// Gives the final answer to a request that has none yet: a Reject if nothing ran that a retry by
+  /// the client would execute twice, otherwise a Fail.
   void reject_or_fail(RequestState& state);
-  /// Closes a request without an answer, and forgets it once its last attempt has ended.
+  /// Closes a request without giving an answer. Removes it from the request table unless an attempt
+  /// is still in flight.
   void close(RequestState& state);
-  /// Cancels what waits for an unresponsive server and may run elsewhere. It is retried when the
-  /// outcomes of the cancelled attempts arrive.
-  void cancel_movable_attempts(ServerId server);
+  /// Cancels the attempts that wait for an unresponsive server and may be retried elsewhere. The
+  /// requests are retried when the outcomes of the cancelled attempts arrive.
+  void cancel_attempts_for_retry(ServerId server);
 
  private:
-  /// A retry would end in the same way.
+  /// Reports whether a retry would end in the same way as the failed attempt.
   bool is_retry_useless(const RequestState& state, const AttemptState& attempt,
                         const AttemptOutcome& outcome) const;
-  /// The server to retry first, if the failure was not its own; null: another one. Excludes a fill
-  /// source that has failed from the further attempts of the request.
+  /// Returns the server to retry first, which is the server of the failed attempt if another part
+  /// of the path failed. Returns null if the retry should go to another server. Excludes a failed
+  /// fill source from further attempts of the request.
   const Upstream* choose_preferred_server(RequestState& state, const AttemptState& attempt,
                                           const AttemptOutcome& outcome,
                                           const Upstream* upstream) const;
-  /// The request waits for that server, and may be retried elsewhere.
-  bool is_movable_from(ServerId server, const RequestState& state) const;
-  /// Tries the caches of the object in order of preference, then the servers behind the caches.
-  /// False: nothing could be sent.
+  /// Reports whether the request waits for `server` and may be retried elsewhere.
+  bool is_cancellable_on(ServerId server, const RequestState& state) const;
+  /// Sends an attempt to the first cache that may get it, or else to a server behind the caches.
+  /// Tries the caches in order of preference, starting with `preferred` unless it is null. Returns
+  /// false if nothing was sent.
   bool send_attempt(RequestState& state, const Upstream* preferred);
-  /// Sends to a parent or the origin. False: nothing was sent.
+  /// Sends an attempt to a parent or the origin. Returns false if nothing was sent.
   bool send_bypassing_caches(RequestState& state);
-  /// Sends if all rules allow it. False: nothing was sent.
+  /// Sends an attempt if all rules allow it. Returns false if nothing was sent.
   bool send(RequestState& state, Upstream& upstream, std::optional<Fill> fill);
+  /// Reports whether the request, its idempotency and the state of the server allow an attempt.
   bool may_send_to(const RequestState& state, Upstream& upstream);
-  /// Cancels the attempt in flight, if any, and counts it as a failure of a server that has not
-  /// responded in time.
+  /// Cancels the attempt in flight, if there is one. If its server has not responded in time,
+  /// counts a failure of the server.
   void abandon_attempt(const RequestState& state);
+  /// Emits a Cancel for the last attempt, if the caller supports it.
   void cancel_last_attempt(const RequestState& state) const;
 
   RoutingContext& context_;
--- a/src/policy/cache_selection.cpp
+++ b/src/policy/cache_selection.cpp
@@ -12,31 +12,38 @@
 
 /// Share of a cache's load above which an object is hot, for a cache of average load.
 constexpr double kBaseThreshold = 0.25;
-/// Requests in a window below which an object is not hot.
+/// Minimum number of served requests in a window for an object to be hot.
 constexpr double kMinServedRequests = 6;
-/// Minimum time between two expansions of a replica set, for the counts to follow.
+/// Minimum time between two expansions of a replica set, so that the counts reflect the first
+/// expansion before the second one.
 constexpr Time kMinExpansionInterval = kSecond;
-/// A replica set shrinks when the object stays below this fraction of the threshold for a window.
+/// A replica set shrinks if the object stays below this fraction of the threshold for a whole
+/// window.
 constexpr double kShrinkFraction = 0.25;
-/// Fraction of a full share that a new replica starts at; it rises over a window.
+/// The initial share of a new replica, as a fraction of a full share. It rises to 1 within a
+/// window.
 constexpr double kInitialReplicaShare = 0.25;
-/// Guards divisions by loads.
+/// Lower bound of loads in divisions.
 constexpr double kMinLoad = 1e-9;
+/// The state of an object is removed after this time without a request.
 constexpr Time kObjectIdleTimeout = 30 * kSecond;
-/// Attempts in flight for each cache and router below which no cache is crowded.
+/// Number of attempts in flight per cache below which no cache counts as congested. It applies in
+/// proportion to the load that this router does not observe, because a few attempts of one router
+/// among many do not show how the load is distributed.
 constexpr double kMinInFlightPerCache = 0.4;
-/// A cache is crowded with more than this multiple of the average work in flight.
-constexpr double kCrowdedFactor = 1.5;
-/// A cache with up to so many seconds of work in flight is never crowded.
-constexpr double kMaxUncrowdedSeconds = 1;
+/// A cache is congested if its work in flight exceeds this multiple of the average.
+constexpr double kCongestedFactor = 1.5;
+/// A cache with at most this many seconds of transfer time in flight is never congested.
+constexpr double kMaxUncongestedSeconds = 1;
 
 }  // namespace
 
 std::vector<Upstream*> CacheSelection::candidates(ObjectState& object, ObjectId id) const {
   const auto is_unusable = [&](const Upstream* cache) { return !health_.is_usable(*cache); };
   auto order = rendezvous_order(context_.upstreams.caches(), id, context_.workload);
-  // Without health checks, unusable caches are the last resort. With them, requests to caches of an
-  // unreachable location would only lose time for other ways.
+  // Without health checks, unusable caches are the last resort if no cache is usable. With health
+  // checks they are never used: if the whole location is unreachable, an attempt there would only
+  // take time from attempts at other servers.
   if (context_.settings.health_checks_allowed || !std::ranges::all_of(order, is_unusable)) {
     std::erase_if(order, is_unusable);
   }
@@ -47,7 +54,7 @@
       return replica_load(object, *left) < replica_load(object, *right);
     });
   }
-  move_crowded_last(order);
+  move_congested_last(order);
   return order;
 }
 
@@ -110,7 +117,7 @@
   return sent / context_.workload.weight(cache.server) / share;
 }
 
-void CacheSelection::move_crowded_last(std::vector<Upstream*>& order) const {
+void CacheSelection::move_congested_last(std::vector<Upstream*>& order) const {
   double transfer_time = 0;
   double weight = 0;
   double in_flight = 0;
@@ -119,13 +126,13 @@
     weight += context_.workload.weight(cache->server);
     in_flight += cache->attempts_in_flight;
   }
-  const double unseen_scale = context_.fleet.evidence_scale(Scope::location) - 1;
+  const double unseen_load_factor = context_.fleet.observation_weight(Scope::location) - 1;
   const auto caches = static_cast<double>(order.size());
-  if (in_flight < kMinInFlightPerCache * unseen_scale * caches) return;
+  if (in_flight < kMinInFlightPerCache * unseen_load_factor * caches) return;
   std::stable_partition(order.begin(), order.end(), [&](const Upstream* cache) {
     const double own_weight = context_.workload.weight(cache->server);
-    const double crowded = kCrowdedFactor * transfer_time / weight * own_weight;
-    return cache->transfer_time_in_flight <= std::max(kMaxUncrowdedSeconds, crowded);
+    const double congested = kCongestedFactor * transfer_time / weight * own_weight;
+    return cache->transfer_time_in_flight <= std::max(kMaxUncongestedSeconds, congested);
   });
 }
 
--- a/src/policy/fill_policy.cpp
+++ b/src/policy/fill_policy.cpp
@@ -10,14 +10,16 @@
 
 using estimators::kMillisecond;
 
-/// Consecutive failed fills that eject their source.
+/// Number of consecutive failed fills after which their source is ejected.
 constexpr int kFailedFillsToEject = 3;
-/// An object larger than this multiple of the average of its class is cached at the lowest rank.
+/// An object larger than this multiple of the average size of its class is cached only after
+/// repeated requests, and then at the lowest rank.
 constexpr double kLargeObjectFactor = 8;
-/// A rejection that comes sooner is the cache's own, since no source is that near.
-constexpr Time kMaxOwnRejectionTime = 3 * kMillisecond;
+/// A rejection within this time comes from the cache itself, because no source is near enough to
+/// respond that fast.
+constexpr Time kMaxLocalRejectionTime = 3 * kMillisecond;
 
-/// Values of Fill::cache_rank.
+/// The values of Fill::cache_rank.
 enum CacheRank : std::uint32_t { kNotCached = 0, kLow = 1, kMedium = 2, kHigh = 3 };
 
 }  // namespace
@@ -28,7 +30,8 @@
   };
   Upstream* origin = context_.upstreams.origin();
   if (origin && has_failed(*origin)) origin = nullptr;
-  // A request that is never cached runs at the origin: a parent's queue would only delay it.
+  // Requests of a class that is never cached are executed at the origin. The queue of a parent
+  // would only delay them.
   if (context_.class_settings(state.request).never_cached && origin) return origin;
   const auto& parents = context_.upstreams.parents();
   for (Upstream* parent : rendezvous_order(parents, state.request.object, context_.workload)) {
@@ -39,20 +42,20 @@
   return origin;
 }
 
-std::optional<Fill> FillPolicy::plan(RequestState& state, const ObjectState& object,
-                                     const Upstream& cache) {
+std::optional<Fill> FillPolicy::plan_fill(RequestState& state, const ObjectState& object,
+                                          const Upstream& cache) {
   if (!context_.settings.has_fills) return std::nullopt;
   const ClassSettings& settings = context_.class_settings(state.request);
   const Upstream* source = choose_source(state);
   const bool is_cacheable = !settings.never_cached && !state.request.is_write;
-  // Fills that wait for a slow origin occupy the servers on their way: over the limit, parents give
-  // only what they have.
+  // Fills that wait for a slow origin occupy all servers on their path. Over the limit, parents
+  // therefore serve only objects that they have cached.
   const bool avoids_origin = is_cacheable && must_wait_for_origin(state);
   Fill fill;
-  fill.cache_rank = choose_rank(state.request, object);
+  fill.cache_rank = choose_cache_rank(state.request, object);
   fill.may_join = is_cacheable && context_.settings.can_join_fills;
   fill.refresh_in_background =
-      is_cacheable && settings.fresh_time > 0 && object.was_repeated && !avoids_origin;
+      is_cacheable && settings.fresh_time > 0 && object.has_repeated_requests && !avoids_origin;
   fill.cached_only = avoids_origin && source && source->is_parent();
   const bool fills_nothing = !source || (avoids_origin && !fill.cached_only);
   fill.source = fills_nothing ? cache.server.id : source->server.id;
@@ -83,7 +86,7 @@
                                 const AttemptOutcome& outcome) const {
   const bool is_overloaded = outcome.result == AttemptResult::overloaded;
   if (outcome.result != AttemptResult::error && !is_overloaded) return false;
-  if (is_overloaded && outcome.elapsed <= kMaxOwnRejectionTime) return false;
+  if (is_overloaded && outcome.elapsed <= kMaxLocalRejectionTime) return false;
   if (context_.fill_outcomes_are_reported || !attempt.has_source) return false;
   if (state.retried_cache == attempt.server) return false;
   if (context_.class_settings(state.request).never_cached) return false;
@@ -93,7 +96,7 @@
   return true;
 }
 
-void FillPolicy::record_source_fault(ServerId suspected_source) {
+void FillPolicy::record_source_failure(ServerId suspected_source) {
   Upstream* source = context_.upstreams.find(suspected_source);
   if (!source || !source->is_parent()) return;
   ++source->consecutive_failures;
@@ -101,15 +104,16 @@
   health_.eject(*source);
 }
 
-std::uint32_t FillPolicy::choose_rank(const Request& request, const ObjectState& object) const {
+std::uint32_t FillPolicy::choose_cache_rank(const Request& request,
+                                            const ObjectState& object) const {
   if (context_.class_settings(request).never_cached || request.is_write) return kNotCached;
   const MovingAverage& average_size = context_.workload.estimates(request).size_kb;
   const double size = estimators::positive_or_zero(request.size_kb);
   if (average_size.has_samples && size > kLargeObjectFactor * average_size.value) {
-    return object.was_repeated ? kLow : kNotCached;
+    return object.has_repeated_requests ? kLow : kNotCached;
   }
   if (object.replica_count > 1) return kHigh;
-  return object.was_repeated ? kMedium : kLow;
+  return object.has_repeated_requests ? kMedium : kLow;
 }
 
 bool FillPolicy::must_wait_for_origin(const RequestState& state) const {
@@ -129,15 +133,16 @@
         was_filled(outcome) && (is_origin || outcome.fill_outcome == FillOutcome::filled_by_origin);
     was_delayed = attempt.may_reach_origin && result == AttemptResult::timeout;
   } else if (attempt.may_reach_origin && context_.purges.is_purged(request)) {
-    // Only a purged object had to be fetched: the times of hits would hide those of fetches.
+    // Only a purged object certainly had to be fetched. If hits were included, their short times
+    // would hide the times of fetches.
     was_fetched = result == AttemptResult::ok;
-    was_delayed = result == AttemptResult::overloaded && outcome.elapsed > kMaxOwnRejectionTime;
+    was_delayed = result == AttemptResult::overloaded && outcome.elapsed > kMaxLocalRejectionTime;
   }
   const bool has_failed = outcome.fill_outcome == FillOutcome::origin_failed ||
                           outcome.fill_outcome == FillOutcome::fill_limit_reached ||
                           (source_failed(outcome) && is_origin) || was_delayed;
   if (!was_fetched && !has_failed) return;
-  // Where the time to the first byte is reported, the transfer does not count.
+  // If the time to the first byte is reported, the transfer time is excluded.
   const Time waited = outcome.time_to_first_byte > 0 ? outcome.time_to_first_byte : outcome.elapsed;
   admission_.record_origin_wait(request, waited, has_failed);
 }
@@ -145,13 +150,13 @@
 void FillPolicy::record_parent_outcome(Upstream& parent, const AttemptState& attempt,
                                        const AttemptOutcome& outcome) {
   const AttemptResult result = outcome.result;
-  const bool shows_parent = !context_.fill_outcomes_are_reported && attempt.may_reach_origin;
-  if (shows_parent && (result == AttemptResult::ok || result == AttemptResult::error)) {
+  const bool reflects_parent = !context_.fill_outcomes_are_reported && attempt.may_reach_origin;
+  if (reflects_parent && (result == AttemptResult::ok || result == AttemptResult::error)) {
     const bool has_failed = result == AttemptResult::error;
     parent.count_response(context_.now, has_failed);
     if (has_failed && !parent.on_probation && health_.is_outlier(parent)) health_.eject(parent);
   }
-  if (was_filled(outcome) || (shows_parent && result == AttemptResult::ok)) {
+  if (was_filled(outcome) || (reflects_parent && result == AttemptResult::ok)) {
     parent.consecutive_failures = 0;
     parent.consecutive_ejections = 0;
     parent.on_probation = false;
@@ -162,8 +167,9 @@
 void FillPolicy::record_failed_fill(Upstream& parent, const AttemptOutcome& outcome) {
   const bool is_unreachable = outcome.fill_outcome == FillOutcome::source_unreachable &&
                               outcome.result == AttemptResult::overloaded;
-  // Many routers at once connect to a parent that starts: a refused connection counts for all.
-  const double scale = context_.fleet.evidence_scale(Scope::location);
+  // Many routers connect at the same time to a parent that is starting, so a refused connection
+  // counts for all of them.
+  const double scale = context_.fleet.observation_weight(Scope::location);
   parent.consecutive_failures += is_unreachable ? static_cast<int>(scale) : 1;
   if (parent.consecutive_failures < kFailedFillsToEject) return;
   health_.eject(parent);
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -12,30 +12,34 @@
 using estimators::kMillisecond;
 using estimators::kSecond;
 
-/// Consecutive connection failures or missing responses that eject a server.
+/// Number of consecutive connection failures or missing responses after which a server is ejected.
 constexpr int kHardFailuresToEject = 2;
-/// Errors in a window below which a server is no outlier.
+/// Minimum number of errors in a window for a server to be an outlier.
 constexpr double kMinErrors = 3;
-/// Fraction of errors in its responses below which a server is no outlier.
+/// Minimum fraction of errors among its responses for a server to be an outlier.
 constexpr double kMinErrorRate = 0.25;
-/// An outlier's error rate is more than this multiple of its peers'.
+/// The error rate of an outlier is more than this multiple of the error rate of its peers.
 constexpr double kPeerErrorRateFactor = 2;
-/// An outlier's error rate where little is known of its peers.
+/// A server is an outlier above this error rate if its peers have sent too few responses to
+/// compare.
 constexpr double kMaxErrorRateWithoutPeers = 0.5;
-/// Ejection time of the first ejection; it doubles with each further one in a row.
+/// Duration of the first ejection. It doubles with each further consecutive ejection.
 constexpr Time kFirstEjectionTime = kSecond;
 constexpr Time kMaxEjectionTime = 8 * kSecond;
 constexpr int kMaxEjectionDoublings = 5;
 constexpr int kMaxCountedEjections = 10;
-/// Unanswered health checks that eject a parent. More than one: behind a long queue a parent looks
-/// dead to all routers, which would all move to the next one and overload it.
+/// Number of unanswered health checks after which a parent is ejected. It is more than one because
+/// a parent with a long queue looks dead to all routers at once. If they all ejected it after one
+/// check, they would all switch to the next parent and overload that one too.
 constexpr int kUnansweredChecksToEjectParent = 4;
-/// Minimum time between two health checks of a parent, for many routers check it.
+/// Minimum time between two health checks of a parent. It limits the load, because many routers
+/// check the same parent.
 constexpr Time kMinParentCheckInterval = kSecond;
-/// A cache is not checked earlier than this after a response is due.
+/// Minimum time after a response of a cache was due before the cache gets a health check.
 constexpr Time kMinUnresponsiveTime = 300 * kMillisecond;
-/// Response times and intervals are unusual by so many mean deviations above their average.
-constexpr double kUnusualDeviations = 3;
+/// Response times and intervals are unusual if they exceed their average by more than this multiple
+/// of their mean deviation.
+constexpr double kMaxUsualDeviations = 3;
 /// Minimum response timeout, as a fraction of the latency objective.
 constexpr double kMinTimeoutFraction = 0.4;
 
@@ -61,7 +65,7 @@
   auto& workload = context_.workload;
   const MovingAverage& slowness = workload.estimates(request).slowness;
   const double max_slowness =
-      slowness.has_samples ? slowness.value + kUnusualDeviations * slowness.deviation : 1;
+      slowness.has_samples ? slowness.value + kMaxUsualDeviations * slowness.deviation : 1;
   const auto objective = static_cast<double>(workload.latency_objective(request));
   return std::max(static_cast<Time>(kMinTimeoutFraction * objective),
                   static_cast<Time>(workload.usual_response_time(request) * max_slowness));
@@ -108,7 +112,7 @@
   ++upstream.consecutive_failures;
   if (upstream.consecutive_failures < kHardFailuresToEject && !upstream.on_probation) return;
   if (is_unresponsive && !upstream.was_unresponsive) {
-    upstream.unresponsive_since = std::max(upstream.last_heard_at, upstream.busy_since);
+    upstream.unresponsive_since = std::max(upstream.last_alive_at, upstream.busy_since);
   }
   upstream.was_unresponsive |= is_unresponsive;
   eject(upstream);
@@ -122,7 +126,7 @@
   upstream->health_check_passed = result.is_healthy;
   if (result.is_healthy) return false;
   if (!result.is_alive) return on_unanswered_health_check(*upstream);
-  // Overloaded: it gets nothing new for a while, and keeps its attempts.
+  // The server is overloaded: it gets no new attempts for a while and keeps those in flight.
   if (upstream->is_parent() || upstream->on_probation) eject(*upstream);
   return false;
 }
@@ -168,14 +172,14 @@
   if (upstream.is_cache()) {
     const Time previous = std::exchange(upstream.last_response_at, context_.now);
     const Time since = std::max(upstream.busy_since, previous);
-    response_interval_.learn(static_cast<double>(context_.now - since));
+    response_interval_.add_sample(static_cast<double>(context_.now - since));
   }
-  upstream.last_heard_at = context_.now;
+  upstream.last_alive_at = context_.now;
   upstream.responses.add(context_.now, 1);
 }
 
 void Health::record_success(Upstream& upstream) {
-  // A server that responds again may have restarted meanwhile, with nothing cached.
+  // A server that responds again after it was unresponsive may have restarted with an empty cache.
   if (upstream.was_unresponsive && upstream.server.role != Role::origin) {
     slow_start_.begin(upstream, context_.now, StartEvidence::suspected);
   }
@@ -183,9 +187,10 @@
 }
 
 void Health::record_health_check_response(Upstream& upstream, const HealthCheckResult& result) {
-  upstream.last_heard_at = context_.now;
+  upstream.last_alive_at = context_.now;
   upstream.unanswered_health_checks = 0;
-  // An older connection proves that the process has not restarted.
+  // A connection that is older than the unresponsive period proves that the process has not
+  // restarted.
   const Time unresponsive_time = context_.now - upstream.unresponsive_since;
   if (result.connection_age > unresponsive_time) upstream.was_unresponsive = false;
   const bool was_tested = upstream.is_parent() && upstream.on_probation;
@@ -202,7 +207,7 @@
     record_hard_failure(upstream, false);
     return;
   }
-  // One lost connection does not prove that the server is faulty: a health check decides.
+  // A single reset connection does not prove that the server is faulty, so a health check decides.
   if (!upstream.health_check_pending) send_health_check(upstream);
   if (std::exchange(upstream.last_connection_reset, context_.now) == context_.now) return;
   upstream.count_response(context_.now, true);
@@ -210,26 +215,26 @@
 }
 
 bool Health::on_unanswered_health_check(Upstream& upstream) {
-  const bool was_trusted = !upstream.on_probation;
-  if (was_trusted && upstream.last_heard_at >= upstream.health_check_sent_at) return false;
+  const bool was_in_rotation = !upstream.on_probation;
+  if (was_in_rotation && upstream.last_alive_at >= upstream.health_check_sent_at) return false;
   if (!upstream.was_unresponsive && upstream.unanswered_health_checks == 0) {
     upstream.unresponsive_since = upstream.health_check_sent_at;
   }
-  if (was_trusted && upstream.is_parent()) {
+  if (was_in_rotation && upstream.is_parent()) {
     ++upstream.unanswered_health_checks;
     if (upstream.unanswered_health_checks < kUnansweredChecksToEjectParent) {
       send_health_check(upstream);
       return false;
     }
   }
-  upstream.was_unresponsive |= was_trusted;
+  upstream.was_unresponsive |= was_in_rotation;
   eject(upstream);
-  return was_trusted;
+  return was_in_rotation;
 }
 
 void Health::check_unresponsive_cache(Upstream& cache, Time max_interval) {
   if (cache.attempts_in_flight == 0 || cache.health_check_pending || cache.on_probation) return;
-  const Time expected_at = std::max(cache.first_response_due, cache.last_heard_at);
+  const Time expected_at = std::max(cache.first_response_due, cache.last_alive_at);
   if (context_.now > expected_at + max_interval) send_health_check(cache);
 }
 
@@ -239,13 +244,13 @@
   Upstream* source = context_.upstreams.find(attempt.source);
   if (!source || !source->is_parent()) return;
   if (source->health_check_pending || source->on_probation) return;
-  const Time last_check = std::max(source->health_check_sent_at, source->last_heard_at);
+  const Time last_check = std::max(source->health_check_sent_at, source->last_alive_at);
   if (context_.now >= last_check + kMinParentCheckInterval) send_health_check(*source);
 }
 
 Time Health::max_response_interval() const {
   const double unusual =
-      response_interval_.value + kUnusualDeviations * response_interval_.deviation;
+      response_interval_.value + kMaxUsualDeviations * response_interval_.deviation;
   return std::max(kMinUnresponsiveTime, static_cast<Time>(unusual));
 }
 
--- a/src/policy/policy_parts.h
+++ b/src/policy/policy_parts.h
@@ -1,4 +1,4 @@
-// The parts of the routing policy, assembled.
+// Constructs the parts of the routing policy and connects them.
 #pragma once
 
 #include "policy/admission.h"
@@ -10,8 +10,8 @@
 
 namespace alderspur::policy {
 
-/// One of each part, wired together over a shared context that must outlive them. Owned by the
-/// router; one thread.
+/// One instance of each part of the policy. All parts share a context, which must outlive them.
+/// Owned by the router. Not thread-safe.
 struct PolicyParts {
   explicit PolicyParts(RoutingContext& context)
       : slow_start(context),
--- a/src/policy/send_rules.cpp
+++ b/src/policy/send_rules.cpp
@@ -8,15 +8,16 @@
 namespace alderspur::policy {
 namespace {
 
-/// Time that a request takes to the server: a retry has to arrive within the dedup window.
-constexpr Time kTravelTime = 20 * estimators::kMillisecond;
-/// Subtracted from the age that copies may have after a purge.
+/// Time that a request takes to reach a server. A retry must arrive there, not only be sent, within
+/// the dedup window.
+constexpr Time kRequestTransitTime = 20 * estimators::kMillisecond;
+/// Safety margin that is subtracted from the maximum age of copies after a purge.
 constexpr Time kClockMargin = 2 * estimators::kMillisecond;
 
-/// Whether a server drops a repeat of an earlier attempt that may have run.
+/// Reports whether a server drops a new attempt as a duplicate of an earlier one that may have run.
 bool drops_repeat(const RoutingContext& context, const ClassSettings& settings,
                   const AttemptState& earlier, const Server& server) {
-  if (context.now - earlier.sent_at >= settings.dedup_window - kTravelTime) return false;
+  if (context.now - earlier.sent_at >= settings.dedup_window - kRequestTransitTime) return false;
   const DedupScope scope = settings.dedup_scope;
   if (scope != DedupScope::all && earlier.location != server.location) return false;
   return scope != DedupScope::cell || earlier.cell == server.cell;
@@ -41,8 +42,8 @@
   return std::ranges::all_of(state.attempts, &AttemptState::never_ran);
 }
 
-bool may_move(const RoutingContext& context, const RequestState& state,
-              const AttemptState& attempt) {
+bool may_cancel_for_retry(const RoutingContext& context, const RequestState& state,
+                          const AttemptState& attempt) {
   const ClassSettings& settings = context.class_settings(state.request);
   if (!settings.may_repeat_anywhere()) return false;
   return settings.idempotency == Idempotency::idempotent ||
@@ -54,7 +55,7 @@
   const Time purged_at = context.purges.last_purge(state.request);
   if (purged_at < 0) return;
   if (!fill) fill = Fill{server};
-  // At least 1, since an age of 0 would stand for any age.
+  // The maximum age is at least 1, because 0 would remove the limit.
   const Time max_age = std::max<Time>(1, context.now - purged_at - kClockMargin);
   fill->max_age = fill->max_age > 0 ? std::min(fill->max_age, max_age) : max_age;
   const Time fresh_time = context.class_settings(state.request).fresh_time;
--- a/src/policy/send_rules.h
+++ b/src/policy/send_rules.h
@@ -1,4 +1,5 @@
-// The rules that every send obeys. Pure functions of the context and the state of a request.
+// The rules that each Send must satisfy: idempotency, retries at other servers, and purges. The
+// functions depend only on the context and the state of the request.
 #pragma once
 
 #include <cstddef>
@@ -10,20 +11,22 @@
 
 namespace alderspur::policy {
 
-/// Whether the attempt with that number may go to a server: none of the earlier ones is in flight,
-/// and the class's idempotency allows one more.
+/// Reports whether attempt `number` of a request may be sent to `server`. It may if none of the
+/// earlier attempts is in flight and the idempotency of the class allows another attempt there.
 bool may_attempt(const RoutingContext& context, const RequestState& state, const Server& server,
                  std::size_t number);
 
-/// Whether the request may be rejected: nothing ran that a retry by the client could double.
+/// Reports whether the request may be rejected, that is, whether nothing ran that a retry by the
+/// client would execute twice.
 bool may_reject(const RoutingContext& context, const RequestState& state);
 
-/// Whether the attempt in flight may be cancelled in favour of one at another server.
-bool may_move(const RoutingContext& context, const RequestState& state,
-              const AttemptState& attempt);
+/// Reports whether the attempt in flight may be cancelled and retried at another server.
+bool may_cancel_for_retry(const RoutingContext& context, const RequestState& state,
+                          const AttemptState& attempt);
 
-/// Adapts the fill of a send to the last purge of the object, if any: no copy from before it, and
-/// no fill that may have begun before it. `server` is where the request goes.
+/// Restricts the fill of a Send after a purge of the object: the request must not be answered with
+/// a copy from before the purge, nor join a fill that may have begun before it. `server` is the
+/// server of the Send. Does nothing if no purge of the object is stored.
 void limit_age_after_purge(const RoutingContext& context, const RequestState& state,
                            ServerId server, std::optional<Fill>& fill);
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,13 +5,15 @@
 namespace alderspur::policy {
 namespace {
 
-/// Fraction of the configured size that is used: sizes may be upper bounds.
-constexpr double kUsableSizeFraction = 0.75;
-/// Warm servers are rarely full, so the observed peak is exceeded by this factor.
+/// Fraction of the configured capacity that is used, because that capacity may be an upper bound.
+constexpr double kUsableCapacityFraction = 0.75;
+/// Factor from the observed peak to the assumed capacity. It is above 1 because warmed-up servers
+/// are rarely at full capacity.
 constexpr double kObservedCapacityFactor = 1.1;
-/// Concurrent transfers of a server at full capacity, before anything was observed.
+/// Assumed number of concurrent transfers of a server at full capacity before the first
+/// observation.
 constexpr double kInitialCapacity = 1;
-/// Fraction of Settings::overload_window for which unused quota may be saved up.
+/// Unused quota may accumulate for this fraction of Settings::overload_window.
 constexpr double kMaxSavedQuotaFraction = 0.25;
 
 }  // namespace
@@ -21,8 +23,9 @@
   upstream.start_is_reported = evidence == StartEvidence::reported || was_reported;
   upstream.is_warming_up = true;
   upstream.warming_up_since = std::min(since, context_.now);
-  // Random debts spread the first requests of many routers, which would overload it all at once.
-  upstream.quota = -context_.draw() * context_.workload.longest_class_transfer_time();
+  // Each router starts with a random debt. Otherwise many routers would send their first requests
+  // at the same time and overload the server.
+  upstream.quota = -context_.draw_uniform() * context_.workload.longest_class_transfer_time();
   upstream.quota_refilled_at = context_.now;
 }
 
@@ -34,7 +37,7 @@
 bool SlowStart::has_quota(Upstream& upstream) {
   update(upstream);
   if (!upstream.is_warming_up || is_implausible_start(upstream)) return true;
-  // While it is on probation it counts as not started yet.
+  // A server on probation counts as not started yet.
   if (upstream.on_probation) upstream.warming_up_since = context_.now;
   const double rate = allowed_transfers(upstream);
   const auto window = static_cast<double>(context_.settings.overload_window);
@@ -94,8 +97,8 @@
   const Scope scope = upstream.is_parent() ? Scope::fleet : Scope::location;
   const double process_share = context_.fleet.budget().process_share;
   const double sharing_processes = context_.fleet.router_count(scope) / process_share;
-  if (context_.workload.weights_are_sizes()) {
-    return kUsableSizeFraction * fraction * upstream.server.weight / sharing_processes;
+  if (context_.workload.weights_are_capacities()) {
+    return kUsableCapacityFraction * fraction * upstream.server.weight / sharing_processes;
   }
   const double peak = (upstream.is_parent() ? parent_capacity_ : cache_capacity_).peak();
   if (peak > 0) return fraction * (kObservedCapacityFactor * peak);
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,4 +1,4 @@
-// Slow start: what a server that has just started may be sent.
+// Slow start: limits how much work is sent to a server that has just started.
 #pragma once
 
 #include "alderspur/router.h"
@@ -7,45 +7,50 @@
 
 namespace alderspur::policy {
 
-/// How it is known that a server has started: reported by the endpoint list, or suspected after it
-/// was unresponsive for a while.
+/// The evidence that a server has started: the endpoint list reported the start, or the router
+/// suspects it because the server was unresponsive for a while.
 enum class StartEvidence { reported, suspected };
 
-/// Gives each server that warms up a quota of transfer time. The quota grows at this router's share
-/// of the capacity that the server is promised to have by then. Owned by PolicyParts; one thread.
+/// Gives each server that is warming up a quota of transfer time. The quota is refilled at this
+/// router's share of the capacity that the server is configured to have at that moment. Owned by
+/// PolicyParts. Not thread-safe.
 class SlowStart {
  public:
   explicit SlowStart(RoutingContext& context) : context_(context) {}
 
-  /// The server has started at the time `since`; it warms up from then on.
+  /// Begins the slow start of a server that started at `since`, or now if `since` is in the future.
   void begin(Upstream& upstream, Time since, StartEvidence evidence);
-  /// Ends the slow start of a server whose time is over.
+  /// Ends the slow start of a server after its duration has passed.
   void update(Upstream& upstream) const;
-  /// False while a server that warms up has had all that it may be sent by now.
+  /// Refills the quota of a server. Returns false while the server is warming up and its quota is
+  /// used up.
   bool has_quota(Upstream& upstream);
-  /// Takes the cost of a request from the quota of a server that warms up.
+  /// Takes the cost of a request from the quota of a server that is warming up.
   void charge(Upstream& upstream, const Request& request) const;
-  /// Gives the cost of a request back, which has turned out not to use the server.
+  /// Returns the cost of a request to the quota of a server, because the request did not use it.
   void refund(Upstream& upstream, const Request& request) const;
-  /// Drops the quotas and debts of all servers.
+  /// Sets the quotas and debts of all servers to 0.
   void clear_quotas();
-  /// Takes in what warm servers carry now. To be called once a second.
+  /// Updates the capacity estimates from the current load of the servers. Must be called once a
+  /// second.
   void update_capacity();
 
-  /// The weight of a server, reduced while it warms up.
+  /// Returns the weight of a server, reduced while it is warming up.
   double effective_weight(const Upstream& upstream) const;
 
  private:
-  /// What a request takes from a quota: seconds of transfer time.
+  /// Returns the cost of a request, in seconds of transfer time.
   double cost(const Request& request) const;
-  /// How long a slow start lasts, microseconds.
+  /// Returns how long the slow start of a server lasts, in microseconds.
   Time duration(const Upstream& upstream) const;
-  /// Fraction of its full capacity that a server that warms up is promised to have by now.
+  /// Returns the fraction of its full capacity that a server is configured to have at this point of
+  /// its slow start.
   double capacity_fraction(const Upstream& upstream) const;
-  /// A wave of connection resets makes all caches look restarted. If all of them were held back,
-  /// none would be left to serve.
+  /// Reports whether the suspected start of a cache should be ignored, because all caches seem to
+  /// be warming up. A wave of connection resets makes all caches look restarted; if all of them
+  /// were limited, none would be left to serve requests.
   bool is_implausible_start(const Upstream& upstream) const;
-  /// Concurrent transfers that this router may send to a server that warms up.
+  /// Returns how many concurrent transfers this router may send to a server that is warming up.
   double allowed_transfers(const Upstream& upstream) const;
 
   RoutingContext& context_;
--- a/src/policy_state/capacity_estimate.cpp
+++ b/src/policy_state/capacity_estimate.cpp
@@ -7,9 +7,10 @@
 namespace alderspur::policy {
 namespace {
 
-/// Weight of a new sample, which comes once a second: small, since samples of one router are noisy.
-constexpr double kLearningRate = 0.1;
-/// Fraction that the peak loses with each sample.
+/// Weight of a new sample in the average. It is small because one sample per second, from a single
+/// router, is noisy.
+constexpr double kSmoothingFactor = 0.1;
+/// Fraction by which the peak decays with each sample.
 constexpr double kPeakDecay = 0.01;
 
 }  // namespace
@@ -24,7 +25,7 @@
     ++warm_servers;
   }
   if (warm_servers <= 0) return;
-  average_ += kLearningRate * (transfers / warm_servers - average_);
+  average_ += kSmoothingFactor * (transfers / warm_servers - average_);
   peak_ = std::max(average_, peak_ * (1 - kPeakDecay));
 }
 
--- a/src/policy_state/capacity_estimate.h
+++ b/src/policy_state/capacity_estimate.h
@@ -1,4 +1,5 @@
-// How much work a warm server of one role does for this router.
+// Estimates how much work a warmed-up server of one role does for this router. Slow start derives
+// the capacity of a new server from it where the endpoint list reports no capacities.
 #pragma once
 
 #include <vector>
@@ -8,13 +9,14 @@
 
 namespace alderspur::policy {
 
-/// Tracks the work in flight for each warm server as a slow moving average with a decaying peak.
-/// Owned by SlowStart, one for each role; one thread.
+/// Tracks the average number of concurrent transfers per warmed-up server as a moving average with
+/// a decaying peak. SlowStart owns one instance for each role. Not thread-safe.
 class CapacityEstimate {
  public:
-  /// Takes in the work of the servers that are warm and not suspect. To be called once a second.
+  /// Adds a sample: the average load of those `upstreams` that are neither warming up nor suspect.
+  /// Must be called once a second.
   void update(const std::vector<Upstream*>& upstreams, Time now);
-  /// Concurrent transfers for each server; 0: nothing was observed yet.
+  /// Returns the peak number of concurrent transfers per server, or 0 before the first observation.
   double peak() const { return peak_; }
 
  private:
--- a/src/policy_state/fleet_share.cpp
+++ b/src/policy_state/fleet_share.cpp
@@ -14,7 +14,7 @@
   return std::max(1U, has_own_count ? counts[location] : settings_.router_count);
 }
 
-double FleetShare::evidence_scale(Scope scope) const {
+double FleetShare::observation_weight(Scope scope) const {
   constexpr double kReferenceRouters = 2;
   return std::max(1.0, router_count(scope) / kReferenceRouters);
 }
--- a/src/policy_state/object_state.cpp
+++ b/src/policy_state/object_state.cpp
@@ -17,7 +17,7 @@
   constexpr std::uint32_t kTrackedParts = 64;
   const std::uint64_t bit = 1ULL << (part % kTrackedParts);
   const bool was_requested = (requested_parts & bit) != 0;
-  was_repeated = was_repeated || was_requested;
+  has_repeated_requests = has_repeated_requests || was_requested;
   requested_parts |= bit;
   return was_requested;
 }
--- a/src/policy_state/outcome.h
+++ b/src/policy_state/outcome.h
@@ -1,21 +1,23 @@
-// What the end of an attempt says, independent of the request and the server. Pure functions.
+// Classifies the outcome of an attempt without regard to the request and the server. All functions
+// are pure.
 #pragma once
 
 #include "alderspur/router.h"
 
 namespace alderspur::policy {
 
-/// The server itself responded, with success or not.
+/// Reports whether the server itself responded, successfully or not.
 bool is_response(AttemptResult result);
-/// The server did nothing for the request.
+/// Reports whether the result proves that the server did not execute the request.
 bool never_ran(AttemptResult result);
-/// The fill failed; the cache that reported it is healthy.
+/// Reports whether the fill failed. The cache that reported the failure is healthy.
 bool fill_failed(const AttemptOutcome& outcome);
-/// The source of the fill did not respond to the cache.
+/// Reports whether the fill failed because its source refused the cache's request or was
+/// unreachable.
 bool source_failed(const AttemptOutcome& outcome);
-/// The object came from the source.
+/// Reports whether the response was filled from the source.
 bool was_filled(const AttemptOutcome& outcome);
-/// The cache had the object, or the fill of another request brought it.
+/// Reports whether the cache already had the object, or joined the fill of another request.
 bool needed_no_fill(const AttemptOutcome& outcome);
 
 }  // namespace alderspur::policy
--- a/src/policy_state/purge_table.cpp
+++ b/src/policy_state/purge_table.cpp
@@ -7,7 +7,7 @@
 void PurgeTable::record(const Purge& purge, Time now) {
   const Time purged_at = now - std::max<Time>(0, purge.age);
   if (purge.covers_everything) {
-    latest_of_everything_ = std::max(latest_of_everything_, purged_at);
+    latest_full_purge_ = std::max(latest_full_purge_, purged_at);
     return;
   }
   const Key key = purge.object ? Key{true, purge.object->value} : Key{false, purge.group.value};
@@ -16,7 +16,7 @@
 }
 
 Time PurgeTable::last_purge(const Request& request) const {
-  Time latest = latest_of_everything_;
+  Time latest = latest_full_purge_;
   for (const Key& key : {Key{true, request.object.value}, Key{false, request.group.value}}) {
     if (const auto found = latest_.find(key); found != latest_.end()) {
       latest = std::max(latest, found->second);
@@ -25,9 +25,9 @@
   return latest;
 }
 
-void PurgeTable::forget_before(Time time) {
+void PurgeTable::remove_before(Time time) {
   std::erase_if(latest_, [time](const auto& entry) { return entry.second < time; });
-  if (latest_of_everything_ < time) latest_of_everything_ = -1;
+  if (latest_full_purge_ < time) latest_full_purge_ = -1;
 }
 
 }  // namespace alderspur::policy
--- a/src/policy_state/purge_table.h
+++ b/src/policy_state/purge_table.h
@@ -1,4 +1,5 @@
-// The purges that a router has received lately.
+// Stores the purges that a router has received recently, so that no copy from before a purge is
+// served.
 #pragma once
 
 #include <compare>
@@ -9,27 +10,29 @@
 
 namespace alderspur::policy {
 
-/// The latest purge of each object and group, and of everything. No decisions. Owned by
-/// RoutingContext; one thread.
+/// The times of the latest purge of each object, of each group and of everything. Owned by
+/// RoutingContext. Not thread-safe.
 class PurgeTable {
  public:
-  /// Records a purge that was received at `now`.
+  /// Records a purge that was received at `now`. The purge itself happened Purge::age earlier.
   void record(const Purge& purge, Time now);
-  /// When the object of a request, its group or everything was last purged; -1: not lately.
+  /// Returns when the object of a request, its group or everything was last purged, or -1 if no
+  /// such purge is stored.
   Time last_purge(const Request& request) const;
+  /// Reports whether a purge that applies to a request is stored.
   bool is_purged(const Request& request) const { return last_purge(request) >= 0; }
-  /// Forgets the purges from before `time`.
-  void forget_before(Time time);
+  /// Removes the purges from before `time`.
+  void remove_before(Time time);
 
  private:
   struct Key {
-    bool is_object = false;  // else a group
+    bool is_object = false;  // false: `id` is a GroupId
     std::uint64_t id = 0;
     auto operator<=>(const Key&) const = default;
   };
 
   std::map<Key, Time> latest_;
-  Time latest_of_everything_ = -1;  // -1: not lately
+  Time latest_full_purge_ = -1;  // -1: none is stored
 };
 
 }  // namespace alderspur::policy
--- a/src/policy_state/rendezvous.h
+++ b/src/policy_state/rendezvous.h
@@ -1,4 +1,5 @@
-// Rendezvous hashing (highest random weight, Thaler and Ravishankar 1998) with weights. Pure.
+// Weighted rendezvous hashing (highest random weight, Thaler and Ravishankar 1998). A pure function
+// that keeps no state.
 #pragma once
 
 #include <vector>
@@ -9,7 +10,8 @@
 
 namespace alderspur::policy {
 
-/// The servers in their order of preference for an object: the same at every router.
+/// Returns `upstreams` in their order of preference for an object. All routers with the same
+/// servers and weights compute the same order.
 std::vector<Upstream*> rendezvous_order(const std::vector<Upstream*>& upstreams, ObjectId object,
                                         const WorkloadModel& workload);
 
--- a/src/policy_state/request_state.cpp
+++ b/src/policy_state/request_state.cpp
@@ -5,7 +5,7 @@
 namespace alderspur::policy {
 
 bool is_unresponsive_since(const Upstream& upstream, const AttemptState& attempt) {
-  return upstream.last_heard_at < attempt.sent_at;
+  return upstream.last_alive_at < attempt.sent_at;
 }
 
 AttemptState make_attempt(const Upstream& upstream, const Upstream* source, Time now) {
--- a/src/policy_state/request_state.h
+++ b/src/policy_state/request_state.h
@@ -1,5 +1,6 @@
-// What a router remembers of a request until its final answer is given and its last attempt has
-// ended. Plain state; times are microseconds of the router's clock.
+// The state that a router keeps for a request until its final answer has been given and its last
+// attempt has ended. It is plain data: src/policy makes the decisions. Times are in microseconds of
+// the router's clock.
 #pragma once
 
 #include <vector>
@@ -9,58 +10,65 @@
 
 namespace alderspur::policy {
 
-/// One sending of a request to a server.
+/// One attempt of a request.
 struct AttemptState {
   ServerId server;
-  /// Where the server is to fill from; the default id: from nowhere else.
+  /// The fill source of the attempt, or the default id if `has_source` is false.
   ServerId source;
-  /// Of the server.
+  /// The location of `server`.
   LocationId location;
-  /// Of the server.
+  /// The cell of `server`.
   CellId cell;
   Time sent_at = 0;
-  /// Expected, in seconds.
+  /// The expected transfer time of the response, in seconds.
   double transfer_time = 0;
+  /// The server fills the object from another server.
   bool has_source = false;
-  /// It was charged to the slow start quota of its source.
+  /// The attempt was charged to the slow start quota of its source.
   bool charged_to_source = false;
-  /// The object may have to come from the origin, through the source.
+  /// The object may have to be fetched from the origin, through the source.
   bool may_reach_origin = false;
+  /// The end of the attempt has not been reported yet.
   bool in_flight = true;
-  /// It ended in a way that shows that the server did nothing for it.
+  /// The outcome of the attempt proves that the server did not execute it.
   bool never_ran = false;
 };
 
-/// Nothing was received from the server since the attempt was sent to it.
+/// Reports whether nothing was received from the server since the attempt was sent.
 bool is_unresponsive_since(const Upstream& upstream, const AttemptState& attempt);
 
-/// An attempt that is about to be sent. `source` is null where the server fills from nowhere else.
+/// Creates the state of an attempt that is about to be sent. `source` is null if the server does
+/// not fill from another server.
 AttemptState make_attempt(const Upstream& upstream, const Upstream* source, Time now);
 
-/// One request, owned by the RequestTable.
+/// The state of one request. Owned by the RequestTable.
 struct RequestState {
   Request request;
   Time deadline = 0;
-  /// The final answer is still owed.
+  /// The router still has to give the final answer.
   bool is_open = true;
-  /// No cache is likely to have a current copy: never requested here, out of date or purged.
+  /// Probably no cache has a current copy, because this router has received no recent request for
+  /// the same part of the object, or because the copies are stale or purged.
   bool is_likely_miss = true;
-  /// The client has part of the response: no further attempt.
+  /// The client has received a part of the response, so no further attempt is possible.
   bool response_started = false;
-  /// A stale copy will do, since the source has failed or is overloaded.
+  /// The request may be answered with a stale copy, because the source has failed or is overloaded.
   bool accepts_stale = false;
+  /// The attempts in the order in which they were sent.
   std::vector<AttemptState> attempts;
-  /// Sources that are not to be used for this request any more.
+  /// Sources that further attempts of this request must not use.
   std::vector<ServerId> failed_sources;
-  /// A source that may have caused the failure of an attempt (see FillPolicy::suspect_source).
+  /// The source that may have caused the failure of an attempt (see FillPolicy::suspect_source).
   ServerId suspected_source;
   /// The cache that is retried without `suspected_source`.
   ServerId retried_cache;
 
+  /// Reports whether an attempt was sent to `server`.
   bool was_sent_to(ServerId server) const;
-  /// The attempt in flight, null if there is none. At most one is in flight at a time: the last.
+  /// Returns the attempt in flight, or null if there is none. Only the last attempt can be in
+  /// flight.
   const AttemptState* attempt_in_flight() const;
-  /// The number of the last attempt; there must be one.
+  /// Returns the number of the last attempt. There must be at least one attempt.
   AttemptNo last_attempt() const { return {static_cast<std::uint32_t>(attempts.size() - 1)}; }
 };
 
--- a/src/policy_state/request_table.h
+++ b/src/policy_state/request_table.h
@@ -1,5 +1,5 @@
-// Hash tables by strong ids. Their order depends on the ids alone, so that the same events lead to
-// the same actions in the same order.
+// Hash tables of requests and objects by id. The hash depends only on the id, so that the iteration
+// order, and with it the order of the actions, is the same for the same events.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace alderspur::policy {
 
-/// Hashes any alderspur::Id.
+/// Hashes an alderspur::Id of any kind.
 struct IdHash {
   template <class IdType>
   std::size_t operator()(const IdType& id) const {
@@ -20,9 +20,9 @@
   }
 };
 
-/// The requests that are owed a final answer or have an attempt in flight.
+/// The requests that have no final answer yet or have an attempt in flight.
 using RequestTable = std::unordered_map<RequestId, RequestState, IdHash>;
-/// The objects that were requested lately.
+/// The objects that were requested recently.
 using ObjectTable = std::unordered_map<ObjectId, ObjectState, IdHash>;
 
 }  // namespace alderspur::policy
--- a/src/policy_state/routing_context.h
+++ b/src/policy_state/routing_context.h
@@ -1,4 +1,5 @@
-// What all parts of the routing policy share.
+// The state that all parts of the routing policy share. The router sets the time and the list of
+// actions for each event; the parts read and update the tables.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +15,10 @@
 
 namespace alderspur::policy {
 
-/// Settings, the time of the current event, the shared tables of state, and the actions that are
-/// being collected. Owned by the router, which outlives all parts of the policy; one thread.
+/// The settings, the time of the current event, the shared tables, and the list that collects the
+/// actions. Owned by the router, and must outlive all parts of the policy. Not thread-safe.
 struct RoutingContext {
-  /// `seed` starts the sequence of draw().
+  /// `seed` determines the sequence of numbers that draw_uniform() returns.
   RoutingContext(Settings router_settings, std::uint64_t seed)
       : settings(std::move(router_settings)),
         upstreams(settings.location),
@@ -28,26 +29,30 @@
   RoutingContext& operator=(const RoutingContext&) = delete;
 
   const Settings settings;
-  /// The time of the event that is being handled, microseconds. Never steps back.
+  /// The time of the event that is being handled, in microseconds. It never decreases.
   Time now = 0;
   UpstreamTable upstreams;
   WorkloadModel workload;
   FleetShare fleet;
   PurgeTable purges;
   std::uint64_t random_counter;
-  /// Some response has reported what became of its fill: such reports replace guesses.
+  /// At least one outcome has reported a FillOutcome. From then on the policy uses these reports
+  /// and no longer infers the outcome of fills from the results of attempts.
   bool fill_outcomes_are_reported = false;
-  /// Where emit() appends; set while an event is being handled.
+  /// The list to which emit() appends. Set only while an event is being handled.
   std::vector<Action>* actions = nullptr;
 
-  /// Appends an action for the caller of the router.
+  /// Appends an action to the list that the caller of the router receives.
   void emit(const Action& action) const { actions->push_back(action); }
-  /// The settings of the class of a request.
+  /// Returns the settings of the class of a request.
   const ClassSettings& class_settings(const Request& request) const {
     return settings.classes[request.class_id.value];
   }
-  /// A number drawn from (0, 1); the same seed draws the same sequence.
-  double draw() { return estimators::unit_interval(estimators::mix_bits(random_counter++)); }
+  /// Returns a pseudorandom number, uniformly distributed in the open interval (0, 1). The same
+  /// seed gives the same sequence.
+  double draw_uniform() {
+    return estimators::unit_interval(estimators::mix_bits(random_counter++));
+  }
 };
 
 }  // namespace alderspur::policy
--- a/src/policy_state/timer_table.h
+++ b/src/policy_state/timer_table.h
@@ -1,4 +1,4 @@
-// The timers that a router has set and that have not expired yet.
+// Stores the purpose of each timer that a router has set, until the timer expires.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,22 @@
 
 namespace alderspur::policy {
 
-/// What is due when a timer expires.
+/// The action to take when a timer expires.
 enum class TimerKind { housekeeping, unresponsive_check, request_deadline, resubscribe };
 
-/// A timer that has been set.
+/// The purpose of a timer.
 struct Timer {
   TimerKind kind{};
-  /// Of TimerKind::request_deadline.
+  /// The request whose deadline the timer marks. Used only with TimerKind::request_deadline.
   RequestId request{};
 };
 
-/// Assigns ids to timers. Owned by the router; one thread.
+/// Assigns ids to timers and stores the timers by id. Owned by the router. Not thread-safe.
 class TimerTable {
  public:
-  /// Stores a timer under a new id.
+  /// Stores a timer and returns its new id.
   TimerId add(const Timer& timer);
-  /// Removes an expired timer; absent where the id is not known.
+  /// Removes an expired timer and returns it. Returns std::nullopt if the id is unknown.
   std::optional<Timer> take(TimerId id);
 
  private:
--- a/src/policy_state/upstream.h
+++ b/src/policy_state/upstream.h
@@ -1,5 +1,6 @@
-// What a router remembers of one server. Plain state: src/policy decides on it. Times are
-// microseconds of the router's clock; 0 where something has not happened yet.
+// The state that a router keeps for each server. It is plain data: src/policy makes the decisions.
+// Times are in microseconds of the router's clock; unless stated otherwise, 0 means that the event
+// has not happened yet.
 #pragma once
 
 #include "alderspur/router.h"
@@ -9,44 +10,48 @@
 
 using estimators::SlidingSum;
 
-/// One server, owned by the UpstreamTable.
+/// The state of one server. Owned by the UpstreamTable.
 struct Upstream {
-  /// As the endpoint list has it.
+  /// The latest entry of the endpoint list for the server.
   Server server;
   /// Banned by an operator.
   bool is_banned = false;
 
   // ---- Load ----
 
-  /// KB that were served, or requests where sizes are not known.
+  /// The load of the served requests: their KB, or 1 for a request of unknown size.
   SlidingSum served_load;
-  /// Transfer time of what was served, seconds.
+  /// The transfer time of the served responses, in seconds.
   SlidingSum served_transfer_time;
   int attempts_in_flight = 0;
-  /// Seconds.
+  /// The expected transfer time of the attempts in flight, in seconds.
   double transfer_time_in_flight = 0;
   /// When the number of attempts in flight last rose from 0.
   Time busy_since = 0;
-  /// When the first response in flight can be complete, by its size.
+  /// The earliest time at which one of the responses in flight can be complete, given its transfer
+  /// time.
   Time first_response_due = 0;
 
   // ---- Health ----
 
+  /// The number of error responses and connection resets.
   SlidingSum errors;
+  /// The number of all responses and connection resets.
   SlidingSum responses;
   int consecutive_failures = 0;
   int consecutive_ejections = 0;
   Time ejected_until = 0;
-  /// Ejected, or tested by one attempt at a time after that.
+  /// The server is ejected, or its ejection has ended and one attempt at a time tests it.
   bool on_probation = false;
-  /// It was ejected as unresponsive: its process may have restarted.
+  /// The server was ejected as unresponsive, so its process may have restarted.
   bool was_unresponsive = false;
   Time unresponsive_since = 0;
-  /// The last response or successful health check.
-  Time last_heard_at = -1;
-  /// The last response to an attempt.
+  /// When the server last responded to an attempt or a health check. -1: never.
+  Time last_alive_at = -1;
+  /// When the server last responded to an attempt.
   Time last_response_at = 0;
-  /// One reset ends all attempts of a connection at once, and counts once.
+  /// When a connection to the server was last reset. A reset ends all attempts of the connection at
+  /// the same time and counts as one failure.
   Time last_connection_reset = 0;
 
   // ---- Health checks ----
@@ -59,31 +64,37 @@
   // ---- Slow start ----
 
   bool is_warming_up = false;
-  /// The endpoint list reported the start; else it is suspected after an unresponsive period.
+  /// The endpoint list reported the start of the server. Otherwise the start is only suspected,
+  /// because the server was unresponsive for a while.
   bool start_is_reported = false;
   Time warming_up_since = 0;
-  /// Seconds of transfer time that may be sent now; negative: a debt.
+  /// The transfer time that may be sent to the server now, in seconds. A negative quota is a debt
+  /// that refills have to cover first.
   double quota = 0;
   Time quota_refilled_at = 0;
 
-  /// Forgets all failures and ejections: the server is trusted again.
+  /// Ends the probation and resets the counts of failures, ejections and unanswered health checks.
+  /// The ejection time and the error rate stay unchanged.
   void clear_failures();
-  /// Ejects the server until then, and puts it on probation after that.
+  /// Ejects the server until `until`, and puts it on probation from then on.
   void begin_ejection(Time until);
   /// Counts a response to an attempt.
   void count_response(Time now, bool is_error);
-  /// Adds `rate` (seconds of transfer time a second) since the last refill, up to `max_quota`.
+  /// Refills the quota for the time since the last refill at `rate` seconds of transfer time per
+  /// second. The quota never exceeds `max_quota`.
   void refill_quota(Time now, double rate, double max_quota);
-  /// An attempt of so many seconds of transfer time was sent.
+  /// Adds a sent attempt to the work in flight. `transfer_time` is in seconds.
   void begin_transfer(double transfer_time, Time now);
-  /// An attempt of so many seconds of transfer time has ended.
+  /// Removes an attempt that has ended from the work in flight. `transfer_time` is in seconds and
+  /// must be the value that was passed to begin_transfer().
   void end_transfer(double transfer_time);
 
-  /// May be sent to, as far as the endpoint list and the operators are concerned.
+  /// Reports whether the endpoint list and the operators allow new attempts to the server.
   bool is_ready() const { return server.status == ServerStatus::ready && !is_banned; }
   bool is_parent() const { return server.role == Role::parent; }
   bool is_cache() const { return server.role == Role::cache; }
-  /// Failing or recovering: its measured load is not representative.
+  /// Reports whether the server is failing or recovering from failures, so that its measured load
+  /// is not representative.
   bool is_suspect(Time now) const {
     return on_probation || now < ejected_until || consecutive_failures > 0;
   }
--- a/src/policy_state/upstream_table.cpp
+++ b/src/policy_state/upstream_table.cpp
@@ -25,7 +25,7 @@
   return change;
 }
 
-void UpstreamTable::retain(const std::vector<Server>& servers) {
+void UpstreamTable::mark_unlisted_as_gone(const std::vector<Server>& servers) {
   std::set<ServerId> listed;
   for (const auto& server : servers) listed.insert(server.id);
   for (auto& [id, upstream] : upstreams_) {
--- a/src/policy_state/upstream_table.h
+++ b/src/policy_state/upstream_table.h
@@ -1,4 +1,5 @@
-// The servers that a router knows.
+// The table of the servers from the endpoint list. It applies endpoint updates and bans and groups
+// the ready servers by role; it makes no routing decisions.
 #pragma once
 
 #include <map>
@@ -10,46 +11,48 @@
 
 namespace alderspur::policy {
 
-/// All known servers by id, with those that may be used grouped by role. No decisions and no I/O.
-/// Owned by RoutingContext; one thread. Pointers to servers stay valid until remove_gone() removes
-/// them.
+/// All listed servers by id, with the ready servers grouped by role. A pointer to a server stays
+/// valid until remove_gone() removes that server. Owned by RoutingContext. Not thread-safe.
 class UpstreamTable {
  public:
+  /// `own_location` is the location of the router.
   explicit UpstreamTable(LocationId own_location) : own_location_(own_location) {}
 
-  /// What an update of one server changed.
+  /// The effect of an update of one server.
   struct Change {
     Upstream& upstream;
     bool is_new = false;
-    /// It was gone and is ready again.
+    /// The status of the server was `gone` and is `ready` again.
     bool has_returned = false;
-    /// Its process started anew; its failures are forgotten.
+    /// The process of the server has restarted. The update reset its consecutive failures, its
+    /// ejection and its probation.
     bool has_restarted = false;
   };
 
   /// Adds or updates a server. Call regroup() afterwards.
   Change apply(const Server& server);
-  /// Marks all servers as gone that are not among these. Call regroup() afterwards.
-  void retain(const std::vector<Server>& servers);
-  /// Groups the servers by role again, after updates, bans and removals.
+  /// Sets the status of all servers that are not in `servers` to `gone`. Call regroup() afterwards.
+  void mark_unlisted_as_gone(const std::vector<Server>& servers);
+  /// Rebuilds the groups of ready servers. Must be called after updates, bans and removals.
   void regroup();
-  /// Forgets the servers that are gone and have no attempt in flight. Call regroup() afterwards.
+  /// Removes the servers that are gone and have no attempt in flight. Call regroup() afterwards.
   void remove_gone();
-  /// Bans a server, listed or not, or lifts the ban; apply() takes it over. False: nothing changed.
+  /// Stores or lifts the ban of a server, whether the server is listed or not. The ban takes effect
+  /// with the next apply() for the server. Returns false if the ban was already in that state.
   bool set_ban(const Ban& ban);
 
-  /// Null: not known.
+  /// Returns the server with that id, or null if it is not in the table.
   Upstream* find(ServerId id);
-  /// Ready caches of the own location.
+  /// Returns the ready caches of the router's location.
   const std::vector<Upstream*>& caches() const { return caches_; }
-  /// Ready parents of all locations.
+  /// Returns the ready parents of all locations.
   const std::vector<Upstream*>& parents() const { return parents_; }
-  /// The ready origin; null: there is none.
+  /// Returns the ready origin, or null if there is none.
   Upstream* origin() const { return origin_; }
-  /// All servers, ready or not.
+  /// Returns all servers, ready or not.
   std::map<ServerId, Upstream>& all() { return upstreams_; }
 
-  /// Seconds of transfer time that the caches() have in flight.
+  /// Returns the transfer time of the attempts in flight at caches(), in seconds.
   double transfer_time_in_flight() const;
 
  private:
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,5 +1,5 @@
-// The router: takes events in, keeps the state of each request, and asks the parts of the policy
-// what to do.
+// Implements the Router: dispatches events, maintains the state of each request, and calls the
+// parts of the routing policy for decisions.
 #include "alderspur/router.h"
 
 #include <algorithm>
@@ -25,17 +25,18 @@
 
 constexpr Time kHousekeepingPeriod = kSecond;
 constexpr Time kResubscribeDelay = kSecond;
-/// Purges are remembered longer than Settings::purge_propagation_time by this: a fill that began
-/// before a purge may end after it.
+/// Purges are stored for this long in addition to Settings::purge_propagation_time, because a fill
+/// that began before a purge may end after it.
 constexpr Time kPurgeRetention = 4 * kSecond;
 /// Minimum share of the router's budget for one of its processes.
 constexpr double kMinProcessShare = 0.01;
-/// Below this number of attempts in flight at a cache the time of a hit is its own transfer time.
-constexpr int kMinDisturbingAttempts = 2;
+/// With fewer attempts than this in flight at a cache, the time of a hit is its transfer time
+/// alone.
+constexpr int kMinConcurrentAttempts = 2;
 
 }  // namespace
 
-/// The state of a router, and the handlers of its events.
+/// Holds the state of a router and handles its events.
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed) : context_(settings, seed) {}
@@ -46,8 +47,9 @@
   double concurrency_limit() const { return parts_.admission.concurrency_limit(); }
 
  private:
+  /// Sets the current time. The clock of the router never steps back.
   void advance(Time now) { context_.now = std::max(context_.now, now); }
-  /// Sets the periodic timers. Due before the first event.
+  /// Sets the periodic timers and subscribes to endpoints. Must be called before the first event.
   void start();
   void set_timer(Time at, const policy::Timer& timer);
 
@@ -56,18 +58,21 @@
   void on(const BudgetShare& budget);
   void on(const HealthCheckResult& result);
   void on(const Purge& purge) { context_.purges.record(purge, context_.now); }
+  /// Applies an endpoint list entry and begins the slow start of a server that has started.
   void apply(const Server& server);
 
   void on(const Request& request);
   void on(const ResponseStarted& event);
   void on(const ClientGone& event);
   void on(const AttemptOutcome& outcome);
-  /// Records a request for its object. True: no cache is likely to have a current copy.
+  /// Records a request for its object. Returns true if probably no cache has a current copy.
   bool record_object_request(const Request& request);
-  /// Hands the end of an attempt to all parts of the policy. `upstream` is null where the server is
-  /// not known any more. `is_ambiguous`: the cache or the source may have failed.
+  /// Reports the outcome of an attempt to all parts of the policy. `upstream` is null if the server
+  /// is no longer in the table. `is_ambiguous` is true if either the cache or its source may have
+  /// caused the failure.
   void record_outcome(const RequestState& state, const AttemptState& attempt,
                       const AttemptOutcome& outcome, Upstream* upstream, bool is_ambiguous);
+  /// Records a successful response in the load statistics and the averages of its class.
   void record_response(const Request& request, const AttemptOutcome& outcome, Upstream& upstream);
 
   void on(const TimerExpired& event);
@@ -131,7 +136,7 @@
     set_timer(context_.now + kResubscribeDelay, {TimerKind::resubscribe});
     return;
   }
-  if (update.is_complete) context_.upstreams.retain(update.servers);
+  if (update.is_complete) context_.upstreams.mark_unlisted_as_gone(update.servers);
   for (const auto& server : update.servers) apply(server);
   context_.upstreams.regroup();
 }
@@ -141,7 +146,7 @@
   const Upstream* upstream = context_.upstreams.find(ban.server);
   if (!upstream) return;
   Server server = upstream->server;
-  // It may have been restarted while it was banned: it counts as newly started.
+  // The server may have restarted during the ban, so it counts as newly started.
   if (!ban.is_banned) server.started_at = context_.now;
   apply(server);
   context_.upstreams.regroup();
@@ -151,7 +156,8 @@
   if (budget.concurrency_limit > 0 && concurrency_limit() <= 0) {
     parts_.admission.set_concurrency_limit(budget.concurrency_limit);
   }
-  // Slow start debts spread the first sends of a router, and the other process has done these.
+  // Slow start debts spread the first requests of a router. The other process of this router has
+  // already sent those, so this process starts without debts.
   const bool is_reduced = budget.process_share < context_.fleet.budget().process_share;
   if (is_reduced && !parts_.selection.has_objects()) parts_.slow_start.clear_quotas();
   BudgetShare bounded = budget;
@@ -161,7 +167,7 @@
 
 void Router::Impl::on(const HealthCheckResult& result) {
   const bool became_unresponsive = parts_.health.on_health_check_result(result);
-  if (became_unresponsive) attempts_.cancel_movable_attempts(result.server);
+  if (became_unresponsive) attempts_.cancel_attempts_for_retry(result.server);
 }
 
 void Router::Impl::apply(const Server& server) {
@@ -187,7 +193,7 @@
   state.deadline = context_.now + std::max<Time>(request.time_budget, 0);
   parts_.admission.refill_retry_budget();
   if (estimators::positive_or_zero(request.size_kb) > 0) {
-    context_.workload.estimates(request).size_kb.learn(request.size_kb);
+    context_.workload.estimates(request).size_kb.add_sample(request.size_kb);
   }
   state.is_likely_miss = record_object_request(request);
   set_timer(state.deadline, {TimerKind::request_deadline, request.id});
@@ -256,7 +262,7 @@
   if (!is_ambiguous) parts_.admission.record_outcome(request, outcome);
   if (outcome.result != AttemptResult::ok) return;
   if (attempt.server == state.retried_cache) {
-    parts_.fills.record_source_fault(state.suspected_source);
+    parts_.fills.record_source_failure(state.suspected_source);
   }
   if (upstream) record_response(request, outcome, *upstream);
 }
@@ -266,12 +272,12 @@
   parts_.selection.record_served(request, upstream);
   auto& estimates = context_.workload.estimates(request);
   const auto elapsed = static_cast<double>(outcome.elapsed);
-  const bool is_undisturbed = upstream.attempts_in_flight < kMinDisturbingAttempts;
-  if (outcome.fill_outcome == FillOutcome::hit && is_undisturbed) {
-    estimates.hit_time.learn(elapsed / kSecond);
+  const bool is_uncontended = upstream.attempts_in_flight < kMinConcurrentAttempts;
+  if (outcome.fill_outcome == FillOutcome::hit && is_uncontended) {
+    estimates.hit_time.add_sample(elapsed / kSecond);
   }
   const double usual = context_.workload.usual_response_time(request);
-  estimates.slowness.learn(elapsed / std::max(1.0, usual));
+  estimates.slowness.add_sample(elapsed / std::max(1.0, usual));
 }
 
 // ---- Timers ----
@@ -301,7 +307,7 @@
   parts_.slow_start.update_capacity();
   parts_.selection.clean_up();
   const Time memory = context_.settings.purge_propagation_time + kPurgeRetention;
-  context_.purges.forget_before(context_.now - memory);
+  context_.purges.remove_before(context_.now - memory);
   context_.upstreams.remove_gone();
   context_.upstreams.regroup();
   parts_.health.check_ejected();
--- a/src/upstream/upstream_requests.cpp
+++ b/src/upstream/upstream_requests.cpp
@@ -187,7 +187,7 @@
   const core::Time oldest = connection.earliest_of_attempts(&PendingResponse::sent_at, now);
   if (oldest < now) {
     const core::Time interval = now - std::max(oldest, connection.last_response_at);
-    response_interval_.learn(static_cast<double>(interval));
+    response_interval_.add_sample(static_cast<double>(interval));
   }
   connection.last_response_at = now;
 }
--- a/tests/embed/embed.cpp
+++ b/tests/embed/embed.cpp
@@ -1,4 +1,5 @@
-// The README's example: a router from settings, a fleet, a request, its outcome, and the actions.
+// The example of the README: creates a router, passes it the endpoint list, a request and the
+// outcome of its attempt, and prints the actions.
 #include <alderspur/router.h>
 
 #include <cstdio>
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,4 +1,4 @@
-// Limits on work in flight, and the budget of retries.
+// Tests the limits on work in flight and the retry budget.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -53,8 +53,8 @@
   EXPECT_LT(run_requests(100 * kMillisecond), 30);
 }
 
-// Guards against rejecting everything because fetches take long even at low load: the caches
-// behind the limit would never fill again.
+// Guards against rejecting all requests because fills take long even at low load. The caches would
+// then never be filled.
 TEST(AdmissionTest, AdmitsRequestsWhenFillsAreSlowAtLowLoad) {
   RouterFixture fixture;
   std::multimap<Time, RequestId> due;
@@ -66,7 +66,8 @@
                              310 * kMillisecond);
       due.erase(due.begin());
     }
-    // Takes 100 ms to send, within an objective of 700: 310 ms leave two thirds of the limit.
+    // The response takes 100 ms to send and has an objective of 700 ms. A response time of 310 ms
+    // leaves two thirds of the remaining 600 ms unused.
     const auto id = fixture.send_request(object);
     if (fixture.sends[id].empty()) continue;
     due.emplace(fixture.now + 310 * kMillisecond, id);
@@ -75,8 +76,8 @@
   EXPECT_GE(served, 950);
 }
 
-// Guards against a concurrency limit that a few slow responses lower: each router knows its part
-// of a location's capacity, and load far below that is no overload.
+// Guards against a concurrency limit that a few slow responses lower too far. Each router has a
+// share of the capacity of its location, and a load far below that share is not an overload.
 TEST(AdmissionTest, AdmitsRequestsWhenFewFillsAreSlowInAnIdleLocation) {
   auto settings = test_settings();
   settings.router_count = 100;
@@ -87,7 +88,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RouterFixture fixture(settings, servers, seed);
     for (std::uint64_t object = 1; object <= 200; ++object) {
-      // Of 48 transfers at a time, 6 are this router's.
+      // The location can send 48 transfers at a time, and this router's share is 6 of them.
       const auto id = fixture.send_request(object, kPartClass, object % 10 == 0 ? 1200 : 200);
       rejected += fixture.final_responses[id];
       fixture.advance(120 * kMillisecond);
@@ -100,8 +101,8 @@
   EXPECT_LE(rejected, 40) << "of 4,000";
 }
 
-// Guards against overloading the origin after a purge of everything: all routers together fetch
-// no more than the origin can serve, whatever each of them sees of it.
+// Guards against overloading the origin after a purge of everything. All routers together must not
+// fetch more than the origin can serve, although each of them observes only a part of the fetches.
 TEST(AdmissionTest, LimitsFetchesOfAllRoutersWhenEverythingWasPurged) {
   for (const std::uint32_t routers : {3u, 100u}) {
     auto settings = test_settings();
@@ -120,7 +121,8 @@
         fixture.finish_attempt(id, is_cached_only ? AttemptResult::miss : AttemptResult::overloaded,
                                FillOutcome::none, 0, 60 * kMillisecond);
         if (is_cached_only) {
-          EXPECT_EQ(fixture.sends[id].size(), 1u) << "no other cache has a copy either";
+          EXPECT_EQ(fixture.sends[id].size(), 1u)
+              << "a retry would be useless, because no other cache has a copy either";
         }
       }
       for (std::uint64_t object = 100; object < 140; ++object) {
@@ -131,12 +133,12 @@
       }
     }
     EXPECT_LE(fetch_count * 0.2, 60)
-        << "seconds of fetches in flight, of " << routers << " routers";
+        << "transfer time of the fetches in flight in seconds, with " << routers << " routers";
     EXPECT_GT(cached_only_count, 0);
   }
 }
 
-// Guards against taking the transfer time of large objects for overload.
+// Guards against treating the transfer time of large objects as overload.
 TEST(AdmissionTest, AdmitsLargeObjectsWhenTheyAreSentAtFullRate) {
   RouterFixture fixture;
   int rejected = 0;
@@ -154,9 +156,10 @@
   EXPECT_EQ(rejected, 0);
 }
 
-// The sends of all routers of a location after a time of slow responses. Guards against a lower
-// bound for one router that, kept by each of many, would admit too much.
-std::size_t sends_admitted_together(std::uint32_t routers) {
+// Returns the number of requests that all routers of a location together send after a period of
+// slow responses. Guards against a lower bound of the concurrency limit that is meant for one
+// router: if each of many routers applied it, they would admit too much together.
+std::size_t count_sends_of_all_routers(std::uint32_t routers) {
   auto settings = test_settings();
   settings.router_count = routers;
   settings.router_count_by_location = {0, 0, 0, routers};
@@ -177,9 +180,9 @@
 }
 
 TEST(AdmissionTest, AdmitsAboutAsMuchAsOneRouterWhenLocationHasMany) {
-  EXPECT_GE(sends_admitted_together(1), 3u);
-  // Each keeps capacity for a request or two, not for the lower bound of one router.
-  EXPECT_LE(sends_admitted_together(12), 12 * 2u);
+  EXPECT_GE(count_sends_of_all_routers(1), 3u);
+  // Each router keeps capacity for one or two requests, not for the lower bound of a single router.
+  EXPECT_LE(count_sends_of_all_routers(12), 12 * 2u);
 }
 
 TEST(AdmissionTest, LimitsFillsButNotHitsWhenOriginIsSlow) {
@@ -193,7 +196,7 @@
     is_cached_only = fixture.sends[id][0].fill->cached_only;
     waiting.push_back(id);
     if (waiting.size() < 20) continue;
-    // A response from the origin, long after its request.
+    // The origin responds long after the request.
     AttemptOutcome outcome = fixture.outcome(waiting.front(), AttemptResult::ok,
                                              FillOutcome::filled_by_origin, 0, 4 * kSecond);
     outcome.time_to_first_byte = 3800 * kMillisecond;
@@ -201,13 +204,13 @@
     waiting.erase(waiting.begin());
   }
   EXPECT_TRUE(is_cached_only);
-  const auto known = fixture.send_request(1);  // requested before: likely in its home cache
+  const auto known = fixture.send_request(1);  // requested before: its home cache probably has it
   ASSERT_FALSE(fixture.sends[known].empty());
   EXPECT_FALSE(fixture.sends[known][0].fill->cached_only);
 }
 
-// Guards against lost responses that stop fills for good where no fill outcome is reported:
-// every new object would be requested in vain first.
+// Guards against lost responses that stop fills permanently if no fill outcomes are reported. Each
+// new object would then be requested without success first.
 TEST(AdmissionTest, AllowsFillsWhenResponsesAreLostAndFillsNotReported) {
   RouterFixture fixture;
   for (std::uint64_t object = 1; object <= 300; ++object) {
--- a/tests/policy/attempts_test.cpp
+++ b/tests/policy/attempts_test.cpp
@@ -1,4 +1,4 @@
-// The attempts of a request and its one final response.
+// Tests the attempts of a request, and that each request gets exactly one final answer.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -69,7 +69,7 @@
   const auto home = fixture.sends[slow][0].server;
   std::uint64_t other = object + 1;
   while (fixture.sends[fixture.send_request(other)][0].server != home) ++other;
-  // The same cache responds to another request.
+  // The same cache responds to the other request.
   fixture.finish_attempt(RequestId{fixture.next_request_id - 1}, AttemptResult::ok,
                          FillOutcome::hit);
   fixture.advance(3 * kSecond);
@@ -78,7 +78,7 @@
 
 TEST(AttemptsTest, KeepsAttemptWhenCachesAreUsuallySlow) {
   RouterFixture fixture;
-  // Every response takes more than twice its objective: this is usual.
+  // Each response takes more than twice its objective, so that this is the usual response time.
   for (std::uint64_t object = 1; object < 60; ++object) {
     const auto id = fixture.send_request(object);
     fixture.advance(1400 * kMillisecond);
--- a/tests/policy/cache_selection_test.cpp
+++ b/tests/policy/cache_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which caches serve an object.
+// Tests which caches serve an object.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -20,7 +20,8 @@
   }
   EXPECT_EQ(used.size(), 4u);
   for (std::uint64_t object = 1; object <= 60; ++object) {
-    EXPECT_EQ(fixture.serve_request(object, 100, 99), home[object]) << "parts share the home";
+    EXPECT_EQ(fixture.serve_request(object, 100, 99), home[object])
+        << "all parts of an object have the same home";
   }
   RouterFixture without_fourth(test_settings(),
                                {make_cache(1), make_cache(2), make_cache(3),
@@ -32,7 +33,7 @@
   }
 }
 
-TEST(CacheSelectionTest, WidensToHalfTheLocationWhileObjectIsHot) {
+TEST(CacheSelectionTest, ReplicatesToHalfOfTheCachesWhileObjectIsHot) {
   RouterFixture fixture;
   std::map<std::uint64_t, int> requests_by_server;
   for (int i = 0; i < 240; ++i) {
@@ -53,13 +54,14 @@
   EXPECT_EQ(requests_by_server.size(), 1u);
 }
 
-// Four caches with a base weight BW of 3000 each; an object adds x to that of its home. S =
-// (3000 + x) / 3000, W = 1 - a = 3000 / (3000 + x), T = 0.25 W; the share x / (3000 + x) exceeds
-// T above x = 750.
+// Checks the threshold. Each of four caches has a base load of 3000 KB, and the hot object adds x
+// KB to the load of its home. The loads relative to the base are then S = (3000 + x) / 3000 at the
+// home and 1 elsewhere, so W = 1 - a = 3000 / (3000 + x) and the threshold is T = 0.25 W. The share
+// of the object, x / (3000 + x), exceeds T if x > 750.
 TEST(CacheSelectionTest, AddsReplicaWhenShareExceedsThreshold) {
   RouterFixture fixture;
   std::map<std::uint64_t, int> filled;
-  // Each object is served three times, so that none has a share that counts.
+  // Each object is served only three times, which is too few for it to be hot.
   for (std::uint64_t object = 1; object < 4000; ++object) {
     const auto id = fixture.send_request(object);
     const auto home = fixture.sends[id][0].server.value;
@@ -80,7 +82,8 @@
   for (int i = 2; i <= 8; ++i) {
     EXPECT_EQ(fixture.serve_request(hot), home) << "x is at most 700 before request " << i;
   }
-  EXPECT_NE(fixture.serve_request(hot), home) << "x = 800: the set has its second cache";
+  EXPECT_NE(fixture.serve_request(hot), home)
+      << "at x = 800 the replica set contains a second cache";
 }
 
 TEST(CacheSelectionTest, KeepsOneHomeWhenObjectIsNotHot) {
--- a/tests/policy/fill_policy_test.cpp
+++ b/tests/policy/fill_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which source a cache fills from.
+// Tests from which source a cache fills an object.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -35,8 +35,8 @@
   EXPECT_EQ(fixture.sends[fixture.send_request(1)].at(0).fill->source.value, 30u);
 }
 
-// Guards against writes that wait and fail in the queue of an overloaded parent, which can only
-// forward them.
+// Guards against sending writes through an overloaded parent. The parent could only forward them to
+// the origin, and they would wait and fail in its queue.
 TEST(FillPolicyTest, FillsFromOriginWhenClassIsNeverCached) {
   auto settings = test_settings();
   settings.classes[kKeyedClass].never_cached = true;
--- a/tests/policy/health_test.cpp
+++ b/tests/policy/health_test.cpp
@@ -1,4 +1,4 @@
-// When a server is ejected, checked, tested and used again.
+// Tests when a server is ejected, checked, tested and used again.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -36,7 +36,7 @@
   EXPECT_NE(fixture.sends[id][1].fill->source, first.fill->source);
 }
 
-TEST(HealthTest, BlamesSourceWhenItRefusedWhateverTheResult) {
+TEST(HealthTest, CountsRefusedFillAgainstSourceWhateverTheResult) {
   for (const auto result : {AttemptResult::overloaded, AttemptResult::error, AttemptResult::miss}) {
     RouterFixture fixture;
     std::uint64_t home = 0;
@@ -44,7 +44,7 @@
       const auto id = fixture.send_request(1);
       ASSERT_FALSE(fixture.sends[id].empty());
       if (home == 0) home = fixture.sends[id][0].server.value;
-      EXPECT_EQ(fixture.sends[id][0].server.value, home) << "the cache stays in use";
+      EXPECT_EQ(fixture.sends[id][0].server.value, home) << "the cache must stay in use";
       for (std::uint32_t k = 0; k < fixture.sends[id].size(); ++k) {
         fixture.finish_attempt(id, result, FillOutcome::source_refused, k);
       }
@@ -87,10 +87,10 @@
     fixture.advance(10 * kMillisecond);
   }
   EXPECT_LE(fills_from_parent, 1)
-      << "300 routers may test it with no more than its slow start quota";
+      << "together, 300 routers may test the parent only within its slow start quota";
 }
 
-TEST(HealthTest, FindsFailedSourceByRetryWhenFillsAreNotReported) {
+TEST(HealthTest, DetectsFailedSourceByRetryWhenFillsAreNotReported) {
   RouterFixture fixture;
   int late_requests_to_failed = 0;
   int rejected = 0;
@@ -113,8 +113,9 @@
   EXPECT_LE(late_requests_to_failed, 6);
 }
 
-// Guards against a cache or parent that fails half of its requests and hides behind the other
-// end of its fills: each error might be the other end's, and a retry succeeds often enough.
+// Guards against not ejecting a cache or parent that fails half of its requests. Each error might
+// have been caused by the server at the other end of the fill, and retries succeed often enough to
+// reset the failure counts.
 TEST(HealthTest, EjectsCacheOrParentWhenItFailsHalfOfItsRequests) {
   for (const ServerId failing : {ServerId{2}, ServerId{20}}) {
     RouterFixture fixture;
@@ -138,32 +139,35 @@
       rejected += fixture.final_responses[id];
     }
     EXPECT_LE(requests_to_failing, 45)
-        << failing.value << ": of some 300 requests it gets only those of its probation";
+        << "server " << failing.value
+        << " must get only the test attempts of its probation, of about 300 requests";
     EXPECT_GE(requests_to_others, 280);
     EXPECT_LE(rejected, 3);
   }
 }
 
-// Guards against an unresponsive cache or parent that delays its requests to their deadlines, as
-// no hedged request may be sent.
+// Guards against an unresponsive cache or parent that delays its requests until their deadlines.
+// The router sends no hedged requests, so only a health check can end the wait earlier.
 TEST(HealthTest, ChecksUnresponsiveCacheAndRetriesElsewhereWhenCheckFails) {
   RouterFixture fixture(test_settings_with_health_checks());
   const auto id = fixture.send_request(1);
-  const auto silent = fixture.sends[id][0].server;
-  fixture.advance(550 * kMillisecond);  // 100 of them are the transfer time
-  ASSERT_EQ(fixture.health_checks[silent], 1);
-  const auto actions = fixture.handle(HealthCheckResult{silent, false, 250 * kMillisecond, {}});
+  const auto unresponsive = fixture.sends[id][0].server;
+  fixture.advance(550 * kMillisecond);  // includes 100 ms of transfer time
+  ASSERT_EQ(fixture.health_checks[unresponsive], 1);
+  const auto actions =
+      fixture.handle(HealthCheckResult{unresponsive, false, 250 * kMillisecond, {}});
   ASSERT_EQ(std::count_if(actions.begin(), actions.end(),
                           [](auto& action) { return std::holds_alternative<Cancel>(action); }),
             1);
-  EXPECT_EQ(fixture.sends[id].size(), 1u) << "the next leaves only after the first has ended";
+  EXPECT_EQ(fixture.sends[id].size(), 1u)
+      << "the second attempt must not be sent before the first has ended";
   fixture.finish_attempt(id, AttemptResult::cancelled);
   ASSERT_EQ(fixture.sends[id].size(), 2u);
-  EXPECT_NE(fixture.sends[id][1].server, silent);
+  EXPECT_NE(fixture.sends[id][1].server, unresponsive);
 }
 
-// Guards against ejecting all caches of a location for lost connections, which corrupted
-// responses cause. The request is retried on the same cache.
+// Guards against ejecting all caches of a location because of connection resets, which corrupted
+// responses cause. The request is retried at the same cache.
 TEST(HealthTest, EjectsCacheAfterResetsOnlyWhenTheyRecur) {
   RouterFixture fixture(test_settings_with_health_checks());
   ServerId home{};
@@ -182,8 +186,8 @@
     fixture.handle(HealthCheckResult{home, true, kMillisecond, {}});
     fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::none, 1);
   }
-  // Where it happens to one cache only, again and again, that one is ejected though its health
-  // checks succeed.
+  // If the resets recur at one cache only, that cache is ejected although its health checks
+  // succeed.
   for (int i = 0; i < 40; ++i) {
     fixture.advance(20 * kMillisecond);
     fixture.serve_request(100 + static_cast<std::uint64_t>(i));
@@ -209,8 +213,9 @@
   EXPECT_NE(fixture.sends[fixture.send_request(1)][0].server, home);
 }
 
-// A parent is checked while a fill from it is late, and is ejected after four failed checks.
-RouterFixture router_with_late_fill(ServerId& parent) {
+// Returns a router that has sent a health check to a parent because a fill from it is overdue. Sets
+// `parent` to that parent.
+RouterFixture router_with_overdue_fill(ServerId& parent) {
   RouterFixture fixture(test_settings_with_health_checks());
   const auto id = fixture.send_request(1);
   parent = fixture.sends[id][0].fill->source;
@@ -220,6 +225,8 @@
   return fixture;
 }
 
+// Requests the objects from `from` to `to` (exclusive). Returns how many of the requests were to be
+// filled from `parent`.
 int fills_from(RouterFixture& fixture, ServerId parent, std::uint64_t from, std::uint64_t to) {
   int total = 0;
   for (std::uint64_t object = from; object < to; ++object) {
@@ -232,7 +239,7 @@
 
 TEST(HealthTest, EjectsParentWhenFourHealthChecksFail) {
   ServerId parent;
-  auto fixture = router_with_late_fill(parent);
+  auto fixture = router_with_overdue_fill(parent);
   ASSERT_EQ(fixture.health_checks[parent], 1);
   EXPECT_GT(fills_from(fixture, parent, 100, 140), 0);
   for (int i = 0; i < 4; ++i) {
@@ -242,7 +249,8 @@
   EXPECT_EQ(fills_from(fixture, parent, 200, 240), 0);
 }
 
-// Guards against health checks in proportion to routers times parents.
+// Guards against a number of health checks that grows with the number of routers times the number
+// of parents.
 TEST(HealthTest, SendsNoChecksToParentsWhenNoFillIsLate) {
   auto settings = test_settings_with_health_checks();
   settings.router_count = 100;
@@ -258,9 +266,9 @@
   EXPECT_EQ(health_checks, 0);
 }
 
-// Guards against a health check for each slow response where a router has one request at a cache
-// at a time; a cache that is silent for longer than usual is still found.
-TEST(HealthTest, ChecksCacheOnlyWhenItsSilenceIsUnusual) {
+// Guards against a health check for each slow response if a router has only one request at a time
+// at a cache. A cache that does not respond for longer than usual must still be detected.
+TEST(HealthTest, ChecksCacheOnlyWhenItsResponseIntervalIsUnusual) {
   auto settings = test_settings_with_health_checks();
   int health_checks = 0;
   int found = 0;
@@ -285,12 +293,14 @@
     fixture.advance(1500 * kMillisecond);
     found += checks_of_caches(fixture) > usual;
   }
-  EXPECT_LE(health_checks, 400) << "of 4,000 requests; a check at 300 ms would be one for each";
+  EXPECT_LE(health_checks, 400)
+      << "for 4,000 requests; a check 300 ms after each request would be 4,000 checks";
   EXPECT_EQ(found, 100);
 }
 
-// Guards against a health check for every large response: caches send theirs in one piece, and
-// where a router has one request at a cache at a time nothing else shows that it is alive.
+// Guards against a health check for every large response. A cache sends a response in one piece, so
+// if a router has only one request at a time at a cache, nothing else shows that the cache is
+// alive.
 TEST(HealthTest, SendsNoCheckWhileLargeResponseIsBeingSent) {
   RouterFixture fixture(test_settings_with_health_checks());
   const auto id = fixture.send_request(1, kPartClass, 3000);  // three seconds at full rate
@@ -298,18 +308,20 @@
   fixture.advance(3200 * kMillisecond);
   EXPECT_EQ(fixture.health_checks[server], 0);
   fixture.advance(300 * kMillisecond);
-  EXPECT_EQ(fixture.health_checks[server], 1) << "then its silence counts";
+  EXPECT_EQ(fixture.health_checks[server], 1)
+      << "the response is overdue once its transfer time has passed";
 }
 
-// Guards against treating a parent with a full queue as lost: it gets no fills for a while and,
-// being the same process, its full part again as soon as it reports that it is well.
-TEST(HealthTest, SparesOverloadedParentAndReturnsItWithoutSlowStart) {
+// Guards against treating a parent with a full queue as failed. The parent gets no fills for a
+// while. As its process has not restarted, it gets its full share again as soon as it reports that
+// it is healthy.
+TEST(HealthTest, KeepsAttemptsOfOverloadedParentAndReturnsItWithoutSlowStart) {
   ServerId parent;
-  auto fixture = router_with_late_fill(parent);
+  auto fixture = router_with_overdue_fill(parent);
   const auto in_flight = fixture.send_request(1);
   const auto actions =
       fixture.handle(HealthCheckResult{parent, false, 250 * kMillisecond, {}, 20 * kSecond, true});
-  EXPECT_TRUE(actions.empty()) << "its requests are not cancelled";
+  EXPECT_TRUE(actions.empty()) << "the attempts that wait for the parent must not be cancelled";
   fixture.finish_attempt(in_flight, AttemptResult::ok);
   EXPECT_EQ(fills_from(fixture, parent, 100, 140), 0);
   fixture.advance(2100 * kMillisecond);
@@ -321,7 +333,7 @@
 TEST(HealthTest, ReturnsParentWithoutSlowStartWhenItHasNotRestarted) {
   for (const Time process_age : {Time{0}, kSecond, 30 * kSecond}) {
     ServerId parent;
-    auto fixture = router_with_late_fill(parent);
+    auto fixture = router_with_overdue_fill(parent);
     for (int i = 0; i < 4; ++i) {
       fixture.handle(HealthCheckResult{parent, false, 250 * kMillisecond, {}});
     }
@@ -331,13 +343,14 @@
     if (process_age > 10 * kSecond) {
       EXPECT_GT(fills_from(fixture, parent, 200, 300), 30);
     } else {
-      EXPECT_LT(fills_from(fixture, parent, 200, 300), 20) << "it may have restarted: slow start";
+      EXPECT_LT(fills_from(fixture, parent, 200, 300), 20)
+          << "the parent may have restarted, so it must return in slow start";
     }
   }
 }
 
-// Guards against keeping requests for a location whose caches are all known to be down: health
-// checks find them again.
+// Guards against holding requests while all caches of the location are ejected. Health checks
+// detect when the caches have recovered.
 TEST(HealthTest, RejectsAtOnceWhenAllCachesAreEjected) {
   RouterFixture fixture(test_settings_with_health_checks());
   for (std::uint64_t object = 1; object <= 40; ++object) {
--- a/tests/policy/send_rules_test.cpp
+++ b/tests/policy/send_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules of every send: retries, drains, bans, purges.
+// Tests the rules that each Send must satisfy: retries, drains, bans and purges.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -37,7 +37,8 @@
   }
 }
 
-// Sends wait for connections, so each decision is checked again at the moment of writing.
+// A Send may wait for a connection, so the caller checks again immediately before it writes the
+// request whether the Send is still allowed.
 TEST(SendRulesTest, RefusesQueuedSendWhenDedupWindowIsOver) {
   RouterFixture fixture;
   const auto id = fixture.send_request(7, kKeyedClass);
@@ -45,11 +46,11 @@
   ASSERT_EQ(fixture.sends[id].size(), 2u);
   EXPECT_TRUE(fixture.router.may_send(fixture.now + 4900 * kMillisecond, id, {1}));
   EXPECT_FALSE(fixture.router.may_send(fixture.now + 5 * kSecond, id, {1}));
-  EXPECT_FALSE(fixture.router.may_send(fixture.now, id, {2})) << "there is no such attempt";
+  EXPECT_FALSE(fixture.router.may_send(fixture.now, id, {2})) << "attempt 2 does not exist";
   EXPECT_FALSE(fixture.router.may_send(fixture.now, {12345}, {0}));
 }
 
-TEST(SendRulesTest, RefusesQueuedSendWithoutBlameWhenServerOrSourceDrains) {
+TEST(SendRulesTest, RefusesQueuedSendWithoutCountingFailureWhenServerOrSourceDrains) {
   RouterFixture fixture;
   const auto id = fixture.send_request(7);
   const Send first = fixture.sends[id].at(0);
@@ -59,7 +60,7 @@
   auto draining_source = source;
   draining_source.status = ServerStatus::draining;
   fixture.handle(EndpointUpdate{false, false, {draining_source}});
-  EXPECT_FALSE(fixture.router.may_send(fixture.now, id, {0})) << "its source drains";
+  EXPECT_FALSE(fixture.router.may_send(fixture.now, id, {0})) << "the fill source is draining";
   fixture.handle(EndpointUpdate{false, false, {source}});
   EXPECT_TRUE(fixture.router.may_send(fixture.now, id, {0}));
   fixture.handle(Ban{first.server, true});
@@ -69,22 +70,22 @@
     fixture.finish_attempt(fixture.send_request(7), AttemptResult::not_sent);
   }
   fixture.finish_attempt(id, AttemptResult::not_sent);
-  EXPECT_EQ(fixture.sends[id].size(), 2u) << "it is retried outside the budget of retries";
+  EXPECT_EQ(fixture.sends[id].size(), 2u) << "the retry must not depend on the retry budget";
   for (const auto& status : fixture.router.endpoint_statuses(fixture.now)) {
     EXPECT_TRUE(status.is_usable) << status.server.id.value;
   }
 }
 
-TEST(SendRulesTest, SendsNothingNewWhenCacheOrSourceDrains) {
+TEST(SendRulesTest, StartsNoAttemptWhenCacheOrSourceDrains) {
   RouterFixture fixture;
-  const auto in_flight = fixture.send_request(1);  // in flight while the drain arrives
+  const auto in_flight = fixture.send_request(1);  // in flight when the drain begins
   const auto home = fixture.sends[in_flight][0].server.value;
   auto parent = make_upstream(20, Role::parent);
   parent.status = ServerStatus::draining;
   fixture.handle(EndpointUpdate{false, false, {make_cache(home, ServerStatus::draining), parent}});
   fixture.finish_attempt(in_flight, AttemptResult::error);
   for (std::uint64_t object = 1; object < 60; ++object) fixture.send_request(object);
-  fixture.advance(2 * kSecond);  // time for hedged requests, if there were any
+  fixture.advance(2 * kSecond);  // long enough for hedged requests, if the router sent any
   for (auto& [id, sends] : fixture.sends) {
     for (std::size_t i = id == in_flight ? 1 : 0; i < sends.size(); ++i) {
       EXPECT_NE(sends[i].server.value, home);
@@ -93,7 +94,7 @@
   }
 }
 
-TEST(SendRulesTest, SendsNothingWhenListIsEmptied) {
+TEST(SendRulesTest, SendsNothingWhenEndpointListBecomesEmpty) {
   RouterFixture fixture;
   fixture.handle(EndpointUpdate{true, false, {}});
   const auto id = fixture.send_request(1);
@@ -101,7 +102,7 @@
   EXPECT_EQ(fixture.final_responses[id], 1);
 }
 
-TEST(SendRulesTest, LimitsAgeAndForbidsJoinsUntilPurgeHasSettled) {
+TEST(SendRulesTest, LimitsAgeAndForbidsJoinsUntilPurgeHasPropagated) {
   RouterFixture fixture;
   for (int i = 0; i < 3; ++i) fixture.send_request(9, kPageClass);
   fixture.handle(Purge{ObjectId{9}, {5}, 100 * kMillisecond});
@@ -116,19 +117,20 @@
   EXPECT_GE(fill->max_age, kSecond);
   EXPECT_LE(fill->max_age, 2100 * kMillisecond);
   EXPECT_FALSE(fixture.sends[fixture.send_request(10, kPartClass)].at(0).fill->max_age)
-      << "other objects may have any age";
+      << "the purge must not limit the age of other objects";
   fixture.advance(30 * kSecond);
   EXPECT_TRUE(fixture.sends[fixture.send_request(9, kPartClass)].at(0).fill->may_join);
 }
 
-TEST(SendRulesTest, LimitsAgeWhenGroupIsPurgedAtThisMoment) {
+TEST(SendRulesTest, LimitsAgeWhenGroupIsPurgedAtTheSameTime) {
   RouterFixture fixture;
   fixture.handle(Purge{std::nullopt, {5}, 0});
   EXPECT_EQ(fixture.sends[fixture.send_request(33)].at(0).fill->max_age, 1);
 }
 
-// Guards against copies from before a purge of everything: a peer has folded older purges into it.
-TEST(SendRulesTest, LimitsAgeOfAllObjectsUntilPurgeOfEverythingHasSettled) {
+// Guards against serving copies from before a purge of everything, into which a peer has merged
+// older purges.
+TEST(SendRulesTest, LimitsAgeOfAllObjectsUntilPurgeOfEverythingHasPropagated) {
   RouterFixture fixture;
   fixture.handle(Purge{std::nullopt, {}, 100 * kMillisecond, true});
   for (const std::uint64_t object : {9, 10}) {
@@ -139,14 +141,14 @@
     EXPECT_FALSE(fill->may_join);
   }
   fixture.handle(Purge{ObjectId{9}, {5}, 50 * kMillisecond});
-  fixture.handle(Purge{std::nullopt, {}, 500 * kMillisecond, true});  // an earlier one
+  fixture.handle(Purge{std::nullopt, {}, 500 * kMillisecond, true});  // older than the others
   const auto fill = fixture.sends[fixture.send_request(9, kPartClass)].at(0).fill;
-  EXPECT_LE(fill->max_age, 50 * kMillisecond) << "the latest purge counts";
+  EXPECT_LE(fill->max_age, 50 * kMillisecond) << "the latest purge must limit the age";
   fixture.advance(40 * kSecond);
   EXPECT_TRUE(fixture.sends[fixture.send_request(9, kPartClass)].at(0).fill->may_join);
 }
 
-TEST(SendRulesTest, AppliesPurgeToRetryWhenRequestCameBeforeIt) {
+TEST(SendRulesTest, AppliesPurgeToRetryOfEarlierRequest) {
   RouterFixture fixture;
   const auto id = fixture.send_request(9);
   fixture.handle(Purge{ObjectId{9}, {5}, 50 * kMillisecond});
@@ -156,8 +158,8 @@
   EXPECT_FALSE(fixture.sends[id][1].fill->may_join);
 }
 
-// Guards against a ban that the next list, a new address or a restart lifts, and against full
-// load at its end.
+// Guards against a ban that is lifted by an endpoint update, a new address or a restart, and
+// against full load on the server as soon as the ban is lifted.
 TEST(SendRulesTest, KeepsBanWhenListChangesAndEndsItInSlowStart) {
   RouterFixture fixture;
   fixture.handle(Ban{{1}, true});
@@ -182,9 +184,9 @@
   send_requests(100);
   fixture.handle(EndpointUpdate{true, false, test_endpoints()});
   fixture.handle(EndpointUpdate{false, false, {make_cache(1, ServerStatus::gone)}});
-  fixture.advance(3 * kSecond);  // the list has forgotten it
+  fixture.advance(3 * kSecond);  // the router has removed the server from its table
   fixture.handle(EndpointUpdate{false, false, {make_cache(1, ServerStatus::ready, fixture.now)}});
-  fixture.handle(Ban{{1}, true});  // the call may come twice
+  fixture.handle(Ban{{1}, true});  // a repeated ban has no effect
   send_requests(200);
   EXPECT_EQ(count_sends(1) + count_sends(20), 0u);
   EXPECT_EQ(fixture.health_checks[ServerId{1}] + fixture.health_checks[ServerId{20}], 0);
@@ -197,7 +199,8 @@
   fixture.handle(Ban{{20}, false});
   EXPECT_EQ(unusable_count(), 0);
   const auto all = fixture.router.endpoint_statuses(fixture.now);
-  EXPECT_LT(all[0].effective_weight, all[1].effective_weight) << "it returns in slow start";
+  EXPECT_LT(all[0].effective_weight, all[1].effective_weight)
+      << "the server must return in slow start";
   for (int i = 0; i < 5; ++i) send_requests(300 + 100 * static_cast<std::uint64_t>(i));
   EXPECT_GT(count_sends(1), 0u);
   EXPECT_GT(count_sends(20), 0u);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What all routers together send to a server that has just started.
+// Tests how much work all routers together send to a server that has just started.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,8 +13,9 @@
 
 using namespace router_fixture;
 
-// The work sent to a server or to a source, in seconds of transfer: 100 KB take 0.1 s.
-double sum_of_sends(RouterFixture& fixture, std::uint64_t server, bool as_source) {
+// Returns the work that was sent to a server, or that was to be filled from it if `as_source`, in
+// seconds of transfer time. Each request has 100 KB, which take 0.1 s.
+double sent_work(RouterFixture& fixture, std::uint64_t server, bool as_source) {
   double total = 0;
   for (auto& [id, sends] : fixture.sends) {
     for (auto& send : sends) {
@@ -35,22 +36,27 @@
     }
     fixture.advance(10 * kMillisecond);
   }
-  // 2 x 0.2..0.26 x 4 transfers x 1.5 s = 2.4 at the least.
-  EXPECT_LT(sum_of_sends(fixture, 1, false), 2.4);
-  EXPECT_GT(sum_of_sends(fixture, 1, false), 0.3);
+  // The limit is 2 x 0.2 x 4 transfers x 1.5 s = 2.4 s, and rises as the fraction of the capacity
+  // rises from 0.2 to 0.26.
+  EXPECT_LT(sent_work(fixture, 1, false), 2.4);
+  EXPECT_GT(sent_work(fixture, 1, false), 0.3);
 }
 
-// The most that all notified routers together send to a server that restarts, over all overload
-// windows.
-struct SlowStartSum {
+// The largest amount of work that all notified routers together sent within one overload window to
+// a server that had restarted.
+struct PeakWork {
+  // The work as a fraction of the limit, which is twice the capacity of the server in the window.
   double fraction_of_limit = 0;
+  // The number of requests above the capacity of the server and a margin for random variation.
   double calls_over_budget = -1e9;
 };
 
-// What the routers go through while the server restarts.
+// What happens to the routers while the server restarts: nothing; most of them restart too, and
+// their load is uneven; or they are notified of the restart at different times.
 enum class Scenario { plain, uneven_with_restarts, notified_late };
 
-// Many routers, of which each sees a small part of the load, and one server that restarts.
+// Simulates many routers, each of which gets a small part of the load, and one server that
+// restarts.
 class SlowStartTrial {
  public:
   SlowStartTrial(std::size_t routers, bool sizes_known, bool is_parent, double capacity,
@@ -70,7 +76,7 @@
       fixtures_.emplace_back(settings_, servers_, 1000 + 77 * i);
     }
   }
-  SlowStartSum run() {
+  PeakWork run() {
     for (Time t = 0; t < 40 * kSecond; t += kStep) {
       for (auto& fixture : fixtures_) fixture.advance(kStep);
       if (t == kRestart) restarted_at_ = fixtures_[0].now;
@@ -80,7 +86,7 @@
       }
       for (requests_due_ += rate() * 0.005; requests_due_ >= 1; --requests_due_) send_request(t);
     }
-    return largest_sum();
+    return peak_work();
   }
 
  private:
@@ -93,7 +99,8 @@
 
   std::uint64_t restarted_server() const { return is_parent_ ? 20 : 1; }
   double work() const { return sizes_known_ ? 0.2 : 0.1; }
-  // Of all routers, in requests per second: six tenths of what warm servers can serve.
+  // The request rate of all routers together, in requests per second: 0.6 times the capacity of the
+  // servers when they are warmed up.
   double rate() const { return 0.6 * capacity_ * (is_parent_ ? 2 : 4) / work(); }
   Time notified_at(std::size_t router) const {
     return kRestart + (scenario_ == Scenario::notified_late
@@ -129,7 +136,7 @@
   std::size_t draw_router() {
     random_state_ = random_state_ * 6364136223846793005ULL + 1442695040888963407ULL;
     if (scenario_ != Scenario::uneven_with_restarts) return (random_state_ >> 33) % routers_;
-    // Squared: a tenth of the routers see a third of the load.
+    // The square of a uniform number gives a tenth of the routers about a third of the load.
     const double uniform = static_cast<double>(random_state_ >> 33) / 2147483648.0;
     return static_cast<std::size_t>(uniform * uniform * static_cast<double>(routers_));
   }
@@ -147,8 +154,8 @@
     }
     fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::filled);
   }
-  SlowStartSum largest_sum() const {
-    SlowStartSum largest;
+  PeakWork peak_work() const {
+    PeakWork largest;
     for (std::size_t i = 0; i < sent_.size(); ++i) {
       const Time begin = sent_[i].at;
       double sum = 0;
@@ -156,11 +163,11 @@
            ++k) {
         sum += sent_[k].work;
       }
-      const double from =
+      const double initial_fraction =
           is_parent_ ? settings_.parent_slow_start_fraction : settings_.cache_slow_start_fraction;
       const double ramp =
           static_cast<double>(begin - restarted_at_) / static_cast<double>(20 * kSecond);
-      const double budget = (from + (1 - from) * ramp) * capacity_ * 1.5;
+      const double budget = (initial_fraction + (1 - initial_fraction) * ramp) * capacity_ * 1.5;
       const double calls = budget / work();
       largest.fraction_of_limit = std::max(largest.fraction_of_limit, sum / (2 * budget));
       largest.calls_over_budget =
@@ -183,8 +190,8 @@
   Time restarted_at_ = 0;
 };
 
-SlowStartSum run_slow_start_trial(std::size_t routers, bool sizes_known, bool is_parent,
-                                  double capacity, Scenario scenario = Scenario::plain) {
+PeakWork run_slow_start_trial(std::size_t routers, bool sizes_known, bool is_parent,
+                              double capacity, Scenario scenario = Scenario::plain) {
   return SlowStartTrial(routers, sizes_known, is_parent, capacity, scenario).run();
 }
 
@@ -206,7 +213,7 @@
   }
 }
 
-TEST(SlowStartTest, LimitsUnevenRoutersWhenMostOfThemRestart) {
+TEST(SlowStartTest, LimitsUnevenlyLoadedRoutersWhenMostOfThemRestart) {
   for (const bool sizes_known : {true, false}) {
     const double parent_fraction =
         run_slow_start_trial(300, sizes_known, true, 40, Scenario::uneven_with_restarts)
@@ -220,25 +227,27 @@
   }
 }
 
-// Guards against routers that each round a small share up, from twenty or thirty of them on;
-// with known sizes, and where the budget is estimated from what warm servers carry.
-class SlowStartSumTest : public ::testing::TestWithParam<std::tuple<std::size_t, Scenario>> {};
+// Guards against routers that each round up a small share, which exceeds the budget with twenty or
+// thirty of them. Covers known sizes and capacities, and a budget that is estimated from the load
+// of warmed-up servers.
+class SlowStartPeakTest : public ::testing::TestWithParam<std::tuple<std::size_t, Scenario>> {};
 
-TEST_P(SlowStartSumTest, StaysWithinBudgetWhenServerHasJustStarted) {
+TEST_P(SlowStartPeakTest, StaysWithinBudgetWhenServerHasJustStarted) {
   const auto [routers, scenario] = GetParam();
   for (const bool is_parent : {true, false}) {
     for (const auto& [sizes_known, capacity] :
          {std::pair{true, 40}, {true, 6}, {false, 40}, {false, 6}}) {
       SCOPED_TRACE((is_parent ? "parent of " : "cache of ") + std::to_string(capacity) +
                    (sizes_known ? ", sizes known" : ""));
-      const auto sum = run_slow_start_trial(routers, sizes_known, is_parent, capacity, scenario);
-      EXPECT_LE(sum.calls_over_budget, 0);
-      EXPECT_GT(sum.fraction_of_limit, capacity > 10 ? 0.1 : 0.04) << "the budget is used";
+      const auto peak = run_slow_start_trial(routers, sizes_known, is_parent, capacity, scenario);
+      EXPECT_LE(peak.calls_over_budget, 0);
+      EXPECT_GT(peak.fraction_of_limit, capacity > 10 ? 0.1 : 0.04)
+          << "the routers must use a part of the budget";
     }
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(RouterCounts, SlowStartSumTest,
+INSTANTIATE_TEST_SUITE_P(RouterCounts, SlowStartPeakTest,
                          ::testing::Combine(::testing::Values(3, 20, 30, 300),
                                             ::testing::Values(Scenario::plain,
                                                               Scenario::uneven_with_restarts,
@@ -254,15 +263,16 @@
     }
     fixture.advance(10 * kMillisecond);
   }
-  // 2 x 0.1 x 10 x 1.5 s over two routers = 1.5 for this one.
-  EXPECT_LT(sum_of_sends(fixture, 20, true), 1.5);
+  // The limit of this router is half of 2 x 0.1 x 10 transfers x 1.5 s, because there are two
+  // routers.
+  EXPECT_LT(sent_work(fixture, 20, true), 1.5);
 }
 
-TEST(SlowStartTest, AppliesToCacheWhenItReturnsFromSilence) {
+TEST(SlowStartTest, AppliesToCacheWhenItRespondsAfterBeingUnresponsive) {
   RouterFixture fixture;
   std::uint64_t object = 1;
   while (fixture.serve_request(object) != 1) ++object;
-  for (int i = 0; i < 3; ++i) {  // unreachable, though it is on the list
+  for (int i = 0; i < 3; ++i) {  // the cache is listed but unreachable
     const auto id = fixture.send_request(object);
     if (fixture.sends[id][0].server.value == 1) {
       fixture.finish_attempt(id, AttemptResult::connect_failed);
@@ -272,15 +282,15 @@
   fixture.advance(9 * kSecond);
   bool tested = false;
   for (int i = 0; i < 5 && !tested; ++i) {
-    tested = fixture.serve_request(object) == 1;  // on probation
+    tested = fixture.serve_request(object) == 1;  // the cache is on probation
     EXPECT_TRUE(tested);
   }
   fixture.sends.clear();
   for (int i = 0; i < 400; ++i) fixture.send_request(5000 + static_cast<std::uint64_t>(i));
-  EXPECT_LT(sum_of_sends(fixture, 1, false), 2.4);
+  EXPECT_LT(sent_work(fixture, 1, false), 2.4);
 }
 
-TEST(SlowStartTest, YieldsWhenRestartIsSuspectedAndNoOtherCacheCanServe) {
+TEST(SlowStartTest, IsSkippedWhenRestartIsSuspectedAndNoOtherCacheCanServe) {
   auto settings = test_settings();
   settings.weights = WeightKind::none;
   RouterFixture fixture(
@@ -289,12 +299,12 @@
     fixture.finish_attempt(fixture.send_request(1), AttemptResult::connect_failed);
   }
   fixture.advance(9 * kSecond);
-  fixture.serve_request(1);  // passes its probation; it may have restarted unnoticed
+  fixture.serve_request(1);  // the cache passes its probation, but may have restarted meanwhile
   for (int i = 0; i < 20; ++i) EXPECT_EQ(fixture.serve_request(static_cast<std::uint64_t>(i)), 1u);
 }
 
-// What routers together send to caches that have just started, with 800 requests each. `shares`:
-// one for each router, or none at all.
+// Returns how many of 800 requests per router all routers together send to caches that have just
+// started. `shares` contains one budget share for each router, or is empty.
 double count_sends(const Settings& settings, std::size_t routers,
                    const std::vector<BudgetShare>& shares) {
   std::size_t send_count = 0;
@@ -317,8 +327,9 @@
   return static_cast<double>(send_count);
 }
 
-// Guards against two processes of one router that each spend its whole slow start quota.
-TEST(SlowStartTest, LimitsBothProcessesToBudgetOfOneWhenSharesAreSet) {
+// Guards against two processes of one router that each use the whole slow start quota of the
+// router.
+TEST(SlowStartTest, LimitsTwoProcessesToBudgetOfOneWhenSharesAreSet) {
   const auto sends_with_shares = [](const std::vector<double>& fractions) {
     std::vector<BudgetShare> shares;
     shares.reserve(fractions.size());
@@ -329,16 +340,17 @@
   const double two = sends_with_shares({0.5, 0.5});
   const double uneven = sends_with_shares({0.9, 0.1});
   EXPECT_GT(one, 20);
-  // One send more for each cache and process: a budget may be overdrawn by one.
+  // Each process may overdraw the quota of each cache by one request.
   EXPECT_LT(two, 1.25 * one);
   EXPECT_LT(uneven, 1.25 * one);
   EXPECT_GT(two, 0.6 * one);
-  EXPECT_GT(sends_with_shares({1, 1}), 1.6 * one) << "without shares they would exceed it";
+  EXPECT_GT(sends_with_shares({1, 1}), 1.6 * one)
+      << "two processes without reduced shares must exceed the budget, or the test shows nothing";
 }
 
-// Guards against relying on the configured number of routers: with half of ten lost, the five
-// that are left would use half of the quota, and with ten unknown ones beside them twice as
-// much.
+// Guards against relying on the configured number of routers. If five of ten routers are lost, the
+// other five would use only half of the quota. If ten unknown routers are added, the twenty routers
+// would use twice the quota.
 TEST(SlowStartTest, UsesLeasedSharesWhenConfiguredRouterCountIsWrong) {
   auto settings = test_settings();
   settings.router_count = 10;
@@ -354,16 +366,16 @@
   const double leased = sends_with_leases(5, {0.17, 0.17, 0.17, 0.17, 0.17});
   const double uneven = sends_with_leases(4, {0.5, 0.2, 0.1, 0.05});
   const double twice = sends_with_leases(20, {});
-  const double full_quota = sends_with_leases(1, {1});  // what one router that is alone may send
+  const double full_quota = sends_with_leases(1, {1});  // a single router may use the whole quota
   EXPECT_LT(half, 0.7 * all);
   EXPECT_GT(leased, 0.8 * all);
   EXPECT_LT(leased, full_quota);
   EXPECT_LT(uneven, full_quota);
-  EXPECT_GT(twice, full_quota) << "a wrong configured number exceeds the quota";
+  EXPECT_GT(twice, full_quota) << "with a wrong configured number, routers exceed the quota";
 }
 
-// Guards against forgiving the debts that spread the first sends of many routers where no other
-// process has had them.
+// Guards against clearing the initial debts when there is no other process. The debts spread the
+// first requests of many routers, and another process of the router would have served its own.
 TEST(SlowStartTest, KeepsInitialDebtWhenProcessIsAlone) {
   const auto sends_first_request = [](const std::vector<Event>& events, std::uint64_t seed) {
     RouterFixture fixture(test_settings(), {}, seed);
@@ -380,7 +392,7 @@
     EXPECT_EQ(sends_first_request({BudgetShare{1, 0}}, seed), sends_first_request({}, seed))
         << seed;
     EXPECT_TRUE(sends_first_request({BudgetShare{0.5, 0}}, seed))
-        << "another process has had the debt, seed " << seed;
+        << "another process already had the debt, seed " << seed;
     refused_count += !sends_first_request({}, seed);
   }
   EXPECT_GT(refused_count, 10u);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// Unusual endpoint lists, and determinism.
+// Tests that the router handles unusual endpoint lists and is deterministic.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -12,29 +12,30 @@
 
 using namespace router_fixture;
 
-// Whatever the endpoint list, each request has one final response by its deadline.
+// Checks that each request gets exactly one final answer by its deadline, whatever the endpoint
+// list contains.
 void expect_responses(RouterFixture& fixture) {
   for (std::uint64_t object = 1; object <= 30; ++object) {
     const auto id = fixture.send_request(object);
     if (!fixture.sends[id].empty()) {
       fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::hit);
     } else {
-      EXPECT_EQ(fixture.final_responses[id], 1) << "rejected at once";
+      EXPECT_EQ(fixture.final_responses[id], 1) << "a request without an attempt is rejected";
     }
     fixture.advance(20 * kMillisecond);
   }
-  const auto silent = fixture.send_request(99);
+  const auto unanswered = fixture.send_request(99);
   fixture.advance(6 * kSecond);
-  EXPECT_EQ(fixture.final_responses[silent], 1);
+  EXPECT_EQ(fixture.final_responses[unanswered], 1);
 }
 
-TEST(RouterTest, RespondsToEveryRequestWhenCachesAreNoneOneOrThousands) {
+TEST(RouterTest, RespondsToEveryRequestWithNoneOneOrThousandsOfCaches) {
   for (const std::uint64_t cache_count : {0, 1, 3000}) {
     std::vector<Server> servers;
     for (std::uint64_t i = 1; i <= cache_count; ++i) servers.push_back(make_cache(i));
     auto settings = test_settings();
     settings.router_count = 5000;
-    settings.router_count_by_location.clear();  // number of routers of the location is unknown
+    settings.router_count_by_location.clear();  // the number of routers per location is unknown
     RouterFixture fixture(settings, servers);
     expect_responses(fixture);
   }
@@ -43,24 +44,24 @@
 TEST(RouterTest, UsesNewServersWhenCompleteListReplacesAll) {
   RouterFixture fixture;
   for (std::uint64_t object = 1; object <= 60; ++object) fixture.serve_request(object);
-  std::vector<Server> later;
+  std::vector<Server> new_servers;
   for (std::uint64_t i = 101; i <= 104; ++i) {
-    later.push_back(make_cache(i, ServerStatus::ready, fixture.now));
+    new_servers.push_back(make_cache(i, ServerStatus::ready, fixture.now));
   }
-  later.push_back(make_upstream(30, Role::origin));
-  fixture.handle(EndpointUpdate{true, false, later});
+  new_servers.push_back(make_upstream(30, Role::origin));
+  fixture.handle(EndpointUpdate{true, false, new_servers});
   fixture.sends.clear();
-  int answered = 0;
+  int sent_count = 0;
   for (std::uint64_t object = 1; object <= 400; ++object) {
     const auto id = fixture.send_request(object, kPartClass, 20);
     for (auto& send : fixture.sends[id]) EXPECT_GT(send.server.value, 100u);
-    answered += !fixture.sends[id].empty();
+    sent_count += !fixture.sends[id].empty();
     if (!fixture.sends[id].empty()) {
       fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::filled_by_origin);
     }
     fixture.advance(20 * kMillisecond);
   }
-  EXPECT_GT(answered, 100);
+  EXPECT_GT(sent_count, 100);
   expect_responses(fixture);
 }
 
@@ -74,7 +75,7 @@
   for (std::uint64_t object = 1; object <= 200; ++object) {
     used.insert(fixture.serve_request(object));
   }
-  EXPECT_EQ(used.size(), 4u) << "each is used";
+  EXPECT_EQ(used.size(), 4u) << "an invalid weight must not exclude a cache";
 }
 
 TEST(RouterTest, BypassesCachesWhenThereAreNoneAndItIsAllowed) {
--- a/tests/support/router_fixture.h
+++ b/tests/support/router_fixture.h
@@ -1,5 +1,5 @@
-// The routing policy alone: a Router with settings, servers and a clock of the test, without
-// sockets.
+// A fixture for tests of the routing policy: it drives a Router with the test's own settings,
+// servers and clock, and without sockets.
 #pragma once
 
 #include <algorithm>
@@ -17,15 +17,17 @@
 
 constexpr Time kMillisecond = 1'000;
 constexpr Time kSecond = 1'000'000;
+/// The start time of the clock.
 constexpr Time kStart = 100 * kSecond;
 
-/// Classes of requests in test_settings(), by index.
+/// The request classes of test_settings(), by index.
 constexpr std::uint32_t kPartClass = 0;   // idempotent
-constexpr std::uint32_t kPageClass = 1;   // idempotent, with stale copies allowed
-constexpr std::uint32_t kKeyedClass = 2;  // idempotent with a key, within a cell
+constexpr std::uint32_t kPageClass = 1;   // idempotent; stale copies are allowed
+constexpr std::uint32_t kKeyedClass = 2;  // idempotent with a key, deduplicated within a cell
 constexpr std::uint32_t kNonIdempotentClass = 3;
 
-/// One of two routers of location 3, with fills and reports and without health checks.
+/// Returns the settings of a router in location 3, which is one of two routers in different
+/// locations. Fills, joined fills and cancellation are supported; health checks are not.
 inline Settings test_settings() {
   ClassSettings part_class;
   part_class.latency_objective = 500 * kMillisecond;
@@ -62,25 +64,26 @@
   return settings;
 }
 
+/// The same settings with health checks.
 inline Settings test_settings_with_health_checks() {
   Settings settings = test_settings();
   settings.health_checks_allowed = true;
   return settings;
 }
 
-/// A cache of location 3, in cell 0 or 1 by its id.
+/// Returns a cache of location 3. Its cell is 0 if the id is even, otherwise 1.
 inline Server make_cache(std::uint64_t id, ServerStatus status = ServerStatus::ready,
                          Time started_at = 0) {
   return {{id}, Role::cache, {3}, {static_cast<std::uint32_t>(id % 2)}, status, 4, started_at};
 }
 
-/// A parent or an origin.
+/// Returns a parent or an origin.
 inline Server make_upstream(std::uint64_t id, Role role, Time started_at = 0) {
   return {{id}, role,      {static_cast<std::uint32_t>(id % 3)}, {0}, ServerStatus::ready,
           10,   started_at};
 }
 
-/// Caches 1 to 4, parents 20 and 21, origin 30.
+/// Returns caches 1 to 4, parents 20 and 21, and origin 30.
 inline std::vector<Server> test_endpoints() {
   return {make_cache(1),
           make_cache(2),
@@ -91,8 +94,8 @@
           make_upstream(30, Role::origin)};
 }
 
-/// A router, its clock and timers, and a record of all that it has asked for. Knows nothing of how
-/// the router decides.
+/// A router with a simulated clock and timers, and a record of its actions. It does not depend on
+/// how the router makes its decisions.
 class RouterFixture {
  public:
   explicit RouterFixture(const Settings& settings = test_settings(),
@@ -109,7 +112,7 @@
     return actions;
   }
 
-  /// Moves the clock, and fires the timers that become due on the way.
+  /// Advances the clock, and passes the timers that expire meanwhile to the router.
   void advance(Time duration) {
     const Time end = now + duration;
     while (!timers_.empty() && timers_.begin()->first <= end) {
@@ -121,7 +124,7 @@
     now = end;
   }
 
-  /// A request with 5 s to its deadline.
+  /// Passes a request to the router whose deadline is in 5 s. Returns its id.
   RequestId send_request(std::uint64_t object, std::uint32_t class_id = kPartClass,
                          double size_kb = 100, std::uint32_t part = 0, std::uint32_t group = 5) {
     const RequestId id{next_request_id++};
@@ -129,7 +132,8 @@
     return id;
   }
 
-  /// The outcome of one of the request's attempts, which the test may change.
+  /// Returns an outcome for an attempt of a request, which the test may change before it passes it
+  /// to the router.
   AttemptOutcome outcome(RequestId id, AttemptResult result,
                          FillOutcome fill_outcome = FillOutcome::none, std::uint32_t attempt = 0,
                          Time elapsed = 100 * kMillisecond) {
@@ -144,13 +148,15 @@
     return outcome;
   }
 
+  /// Ends an attempt of a request with that outcome. Returns the resulting actions.
   std::vector<Action> finish_attempt(RequestId id, AttemptResult result,
                                      FillOutcome fill_outcome = FillOutcome::none,
                                      std::uint32_t attempt = 0, Time elapsed = 100 * kMillisecond) {
     return handle(outcome(id, result, fill_outcome, attempt, elapsed));
   }
 
-  /// Sends a request and has it answered from a copy; the server's id, or 0 if nothing was sent.
+  /// Sends a request and ends its first attempt as a cache hit. Returns the id of the server, or 0
+  /// if nothing was sent.
   std::uint64_t serve_request(std::uint64_t object, double size_kb = 100, std::uint32_t part = 0) {
     const auto id = send_request(object, kPartClass, size_kb, part);
     if (sends[id].empty()) return 0;
@@ -162,7 +168,7 @@
   Router router;
   Time now = kStart;
   std::map<RequestId, std::vector<Send>> sends;  // in the order of the attempts
-  std::map<RequestId, int> final_responses;      // rejects and failures; one at most is right
+  std::map<RequestId, int> final_responses;      // number of Rejects and Fails; must not exceed 1
   std::map<ServerId, int> health_checks;
   std::uint64_t next_request_id = 1;
 
