--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -76,9 +76,9 @@
   const bool is_overloaded = outcome.result == AttemptResult::overloaded;
   if (!is_overloaded && outcome.result != AttemptResult::ok) return;
   // The wait for the first byte from the fill source does not depend on the load of the cache.
-  const Time own_time = std::max<Time>(0, outcome.elapsed - outcome.time_to_first_byte);
+  const Time cache_time = std::max<Time>(0, outcome.elapsed - outcome.time_to_first_byte);
   const double excess =
-      is_overloaded ? kMaxExcess : context_.workload.excess_over_objective(request, own_time);
+      is_overloaded ? kMaxExcess : context_.workload.excess_over_objective(request, cache_time);
   const double min_limit = min_concurrency_limit();
   update_unloaded_excess(excess, min_limit);
   const double target =
--- a/src/policy/attempts.cpp
+++ b/src/policy/attempts.cpp
@@ -168,7 +168,7 @@
   const AttemptState* attempt = state.attempt_in_flight();
   if (!attempt) return;
   Upstream* upstream = context_.upstreams.find(attempt->server);
-  if (upstream && is_unresponsive_since(*upstream, *attempt) &&
+  if (upstream && has_not_responded_since(*upstream, *attempt) &&
       context_.now - attempt->sent_at >= parts_.health.response_timeout(state.request)) {
     parts_.health.record_hard_failure(*upstream, true);
   }
--- a/src/policy/cache_selection.cpp
+++ b/src/policy/cache_selection.cpp
@@ -47,9 +47,9 @@
   if (context_.settings.health_checks_allowed || !std::ranges::all_of(order, is_unusable)) {
     std::erase_if(order, is_unusable);
   }
-  const std::size_t width = std::min({object.replica_count, max_replicas(), order.size()});
-  if (width >= 2) {
-    const auto replicas_end = order.begin() + static_cast<std::ptrdiff_t>(width);
+  const std::size_t replica_count = std::min({object.replica_count, max_replicas(), order.size()});
+  if (replica_count >= 2) {
+    const auto replicas_end = order.begin() + static_cast<std::ptrdiff_t>(replica_count);
     std::stable_sort(order.begin(), replicas_end, [&](Upstream* left, Upstream* right) {
       return replica_load(object, *left) < replica_load(object, *right);
     });
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -98,7 +98,7 @@
       on_reset(upstream);
       break;
     case AttemptResult::timeout:
-      if (is_unresponsive_since(upstream, attempt) &&
+      if (has_not_responded_since(upstream, attempt) &&
           outcome.elapsed >= response_timeout(request)) {
         record_hard_failure(upstream, true);
       }
--- a/src/policy_state/load_view.cpp
+++ b/src/policy_state/load_view.cpp
@@ -10,18 +10,18 @@
 std::vector<double> relative_loads(const RoutingContext& context) {
   std::vector<double> loads;
   double sum = 0;
-  double known = 0;
+  double loaded_caches = 0;
   for (Upstream* cache : context.upstreams.caches()) {
     const double load = cache->served_load.value(context.now);
     const double weight = context.workload.weight(cache->server);
     loads.push_back(cache->is_suspect(context.now) ? 0 : load / weight);
     if (loads.back() <= 0) continue;
     sum += loads.back();
-    ++known;
+    ++loaded_caches;
   }
-  if (known <= 0) return loads;
+  if (loaded_caches <= 0) return loads;
   std::ranges::replace_if(
-      loads, [](double load) { return !(load > 0); }, sum / known);
+      loads, [](double load) { return !(load > 0); }, sum / loaded_caches);
   return loads;
 }
 
--- a/src/policy_state/request_state.cpp
+++ b/src/policy_state/request_state.cpp
@@ -4,7 +4,7 @@
 
 namespace alderspur::policy {
 
-bool is_unresponsive_since(const Upstream& upstream, const AttemptState& attempt) {
+bool has_not_responded_since(const Upstream& upstream, const AttemptState& attempt) {
   return upstream.last_alive_at < attempt.sent_at;
 }
 
--- a/src/policy_state/request_state.h
+++ b/src/policy_state/request_state.h
@@ -35,7 +35,7 @@
 };
 
 /// Reports whether nothing was received from the server since the attempt was sent.
-bool is_unresponsive_since(const Upstream& upstream, const AttemptState& attempt);
+bool has_not_responded_since(const Upstream& upstream, const AttemptState& attempt);
 
 /// Creates the state of an attempt that is about to be sent. `source` is null if the server does
 /// not fill from another server.
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -306,8 +306,8 @@
   set_timer(context_.now + kHousekeepingPeriod, {TimerKind::housekeeping});
   parts_.slow_start.update_capacity();
   parts_.selection.clean_up();
-  const Time memory = context_.settings.purge_propagation_time + kPurgeRetention;
-  context_.purges.remove_before(context_.now - memory);
+  const Time retention = context_.settings.purge_propagation_time + kPurgeRetention;
+  context_.purges.remove_before(context_.now - retention);
   context_.upstreams.remove_gone();
   context_.upstreams.regroup();
   parts_.health.check_ejected();
--- a/tests/policy/fill_policy_test.cpp
+++ b/tests/policy/fill_policy_test.cpp
@@ -51,16 +51,16 @@
 
 TEST(FillPolicyTest, RetriesAfterOriginFailureOnlyWhenStaleCopyIsAllowed) {
   RouterFixture fixture;
-  const auto parts = fixture.send_request(1, kPartClass);
-  const auto pages = fixture.send_request(2, kPageClass);
-  fixture.finish_attempt(parts, AttemptResult::overloaded, FillOutcome::origin_failed);
-  EXPECT_EQ(fixture.sends[parts].size(), 1u);
-  EXPECT_EQ(fixture.final_responses[parts], 1);
-  fixture.finish_attempt(pages, AttemptResult::overloaded, FillOutcome::origin_failed);
-  ASSERT_EQ(fixture.sends[pages].size(), 2u);
-  EXPECT_EQ(fixture.sends[pages][1].fill->max_age, 38 * kSecond);
-  fixture.finish_attempt(pages, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
-  EXPECT_EQ(fixture.sends[pages].size(), 2u);
+  const auto part_request = fixture.send_request(1, kPartClass);
+  const auto page_request = fixture.send_request(2, kPageClass);
+  fixture.finish_attempt(part_request, AttemptResult::overloaded, FillOutcome::origin_failed);
+  EXPECT_EQ(fixture.sends[part_request].size(), 1u);
+  EXPECT_EQ(fixture.final_responses[part_request], 1);
+  fixture.finish_attempt(page_request, AttemptResult::overloaded, FillOutcome::origin_failed);
+  ASSERT_EQ(fixture.sends[page_request].size(), 2u);
+  EXPECT_EQ(fixture.sends[page_request][1].fill->max_age, 38 * kSecond);
+  fixture.finish_attempt(page_request, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
+  EXPECT_EQ(fixture.sends[page_request].size(), 2u);
 }
 
 }  // namespace
--- a/tests/policy/health_test.cpp
+++ b/tests/policy/health_test.cpp
@@ -271,7 +271,7 @@
 TEST(HealthTest, ChecksCacheOnlyWhenItsResponseIntervalIsUnusual) {
   auto settings = test_settings_with_health_checks();
   int health_checks = 0;
-  int found = 0;
+  int detected = 0;
   const auto checks_of_caches = [](RouterFixture& fixture) {
     int total = 0;
     for (const auto& [id, count] : fixture.health_checks) total += id.value <= 4 ? count : 0;
@@ -287,15 +287,15 @@
         fixture.handle(HealthCheckResult{{cache_id}, true, kMillisecond, {}});
       }
     }
-    const int usual = checks_of_caches(fixture);
-    health_checks += usual;
+    const int usual_checks = checks_of_caches(fixture);
+    health_checks += usual_checks;
     fixture.send_request(1);
     fixture.advance(1500 * kMillisecond);
-    found += checks_of_caches(fixture) > usual;
+    detected += checks_of_caches(fixture) > usual_checks;
   }
   EXPECT_LE(health_checks, 400)
       << "for 4,000 requests; a check 300 ms after each request would be 4,000 checks";
-  EXPECT_EQ(found, 100);
+  EXPECT_EQ(detected, 100);
 }
 
 // Guards against a health check for every large response. A cache sends a response in one piece, so
--- a/tests/policy/send_rules_test.cpp
+++ b/tests/policy/send_rules_test.cpp
@@ -198,8 +198,8 @@
   fixture.handle(Ban{{1}, false});
   fixture.handle(Ban{{20}, false});
   EXPECT_EQ(unusable_count(), 0);
-  const auto all = fixture.router.endpoint_statuses(fixture.now);
-  EXPECT_LT(all[0].effective_weight, all[1].effective_weight)
+  const auto statuses = fixture.router.endpoint_statuses(fixture.now);
+  EXPECT_LT(statuses[0].effective_weight, statuses[1].effective_weight)
       << "the server must return in slow start";
   for (int i = 0; i < 5; ++i) send_requests(300 + 100 * static_cast<std::uint64_t>(i));
   EXPECT_GT(count_sends(1), 0u);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -48,7 +48,7 @@
   // The work as a fraction of the limit, which is twice the capacity of the server in the window.
   double fraction_of_limit = 0;
   // The number of requests above the capacity of the server and a margin for random variation.
-  double calls_over_budget = -1e9;
+  double requests_over_budget = -1e9;
 };
 
 // What happens to the routers while the server restarts: nothing; most of them restart too, and
@@ -77,14 +77,16 @@
     }
   }
   PeakWork run() {
-    for (Time t = 0; t < 40 * kSecond; t += kStep) {
+    for (Time elapsed = 0; elapsed < 40 * kSecond; elapsed += kStep) {
       for (auto& fixture : fixtures_) fixture.advance(kStep);
-      if (t == kRestart) restarted_at_ = fixtures_[0].now;
-      if (t >= kRestart && t <= kRestart + 2 * kSecond) notify_of_restart(t);
-      if (scenario_ == Scenario::uneven_with_restarts && t == kRestart + kSecond) {
+      if (elapsed == kRestart) restarted_at_ = fixtures_[0].now;
+      if (elapsed >= kRestart && elapsed <= kRestart + 2 * kSecond) notify_of_restart(elapsed);
+      if (scenario_ == Scenario::uneven_with_restarts && elapsed == kRestart + kSecond) {
         restart_seven_in_ten_routers();
       }
-      for (requests_due_ += rate() * 0.005; requests_due_ >= 1; --requests_due_) send_request(t);
+      for (requests_due_ += rate() * 0.005; requests_due_ >= 1; --requests_due_) {
+        send_request(elapsed);
+      }
     }
     return peak_work();
   }
@@ -98,40 +100,41 @@
   static constexpr Time kRestart = 30 * kSecond;
 
   std::uint64_t restarted_server() const { return is_parent_ ? 20 : 1; }
-  double work() const { return sizes_known_ ? 0.2 : 0.1; }
+  // The transfer time of a request in seconds.
+  double work_per_request() const { return sizes_known_ ? 0.2 : 0.1; }
   // The request rate of all routers together, in requests per second: 0.6 times the capacity of the
   // servers when they are warmed up.
-  double rate() const { return 0.6 * capacity_ * (is_parent_ ? 2 : 4) / work(); }
+  double rate() const { return 0.6 * capacity_ * (is_parent_ ? 2 : 4) / work_per_request(); }
   Time notified_at(std::size_t router) const {
     return kRestart + (scenario_ == Scenario::notified_late
                            ? static_cast<Time>(router * 7919 % 400) * 5 * kMillisecond
                            : 0);
   }
-  void notify_of_restart(Time t) {
+  void notify_of_restart(Time elapsed) {
     for (std::size_t i = 0; i < routers_; ++i) {
       for (auto server : servers_) {
-        if (server.id.value != restarted_server() || notified_at(i) != t) continue;
+        if (server.id.value != restarted_server() || notified_at(i) != elapsed) continue;
         server.started_at = restarted_at_;
         fixtures_[i].handle(EndpointUpdate{false, false, {server}});
       }
     }
   }
   void restart_seven_in_ten_routers() {
-    auto known = servers_;
-    for (auto& server : known) {
+    auto servers = servers_;
+    for (auto& server : servers) {
       if (server.id.value == restarted_server()) server.started_at = restarted_at_;
     }
-    std::vector<RouterFixture> after;
+    std::vector<RouterFixture> fixtures;
     for (std::size_t i = 0; i < routers_; ++i) {
       if (i % 10 < 3) {
-        after.push_back(std::move(fixtures_[i]));
+        fixtures.push_back(std::move(fixtures_[i]));
         continue;
       }
-      after.emplace_back(settings_, std::vector<Server>{}, 5000 + 31 * i).now = fixtures_[i].now;
-      after.back().next_request_id = 1'000'000;
-      after.back().handle(EndpointUpdate{true, false, known});
+      fixtures.emplace_back(settings_, std::vector<Server>{}, 5000 + 31 * i).now = fixtures_[i].now;
+      fixtures.back().next_request_id = 1'000'000;
+      fixtures.back().handle(EndpointUpdate{true, false, servers});
     }
-    fixtures_.swap(after);
+    fixtures_.swap(fixtures);
   }
   std::size_t draw_router() {
     random_state_ = random_state_ * 6364136223846793005ULL + 1442695040888963407ULL;
@@ -140,17 +143,17 @@
     const double uniform = static_cast<double>(random_state_ >> 33) / 2147483648.0;
     return static_cast<std::size_t>(uniform * uniform * static_cast<double>(routers_));
   }
-  void send_request(Time t) {
+  void send_request(Time elapsed) {
     const std::size_t router = draw_router();
     RouterFixture& fixture = fixtures_[router];
-    const auto id =
-        fixture.send_request(random_state_ >> 20, kPartClass, sizes_known_ ? 1000 * work() : 0);
+    const auto id = fixture.send_request(random_state_ >> 20, kPartClass,
+                                         sizes_known_ ? 1000 * work_per_request() : 0);
     if (fixture.sends[id].empty()) return;
     const Send first = fixture.sends[id][0];
     const bool reaches_server =
         (is_parent_ ? first.fill->source : first.server).value == restarted_server();
-    if (restarted_at_ && reaches_server && t >= notified_at(router)) {
-      sent_.push_back({fixture.now, work()});
+    if (restarted_at_ && reaches_server && elapsed >= notified_at(router)) {
+      sent_.push_back({fixture.now, work_per_request()});
     }
     fixture.finish_attempt(id, AttemptResult::ok, FillOutcome::filled);
   }
@@ -168,10 +171,11 @@
       const double ramp =
           static_cast<double>(begin - restarted_at_) / static_cast<double>(20 * kSecond);
       const double budget = (initial_fraction + (1 - initial_fraction) * ramp) * capacity_ * 1.5;
-      const double calls = budget / work();
+      const double requests = budget / work_per_request();
       largest.fraction_of_limit = std::max(largest.fraction_of_limit, sum / (2 * budget));
-      largest.calls_over_budget =
-          std::max(largest.calls_over_budget, sum / work() - (calls + 2 * std::sqrt(calls) + 2));
+      largest.requests_over_budget =
+          std::max(largest.requests_over_budget,
+                   sum / work_per_request() - (requests + 2 * std::sqrt(requests) + 2));
     }
     return largest;
   }
@@ -240,7 +244,7 @@
       SCOPED_TRACE((is_parent ? "parent of " : "cache of ") + std::to_string(capacity) +
                    (sizes_known ? ", sizes known" : ""));
       const auto peak = run_slow_start_trial(routers, sizes_known, is_parent, capacity, scenario);
-      EXPECT_LE(peak.calls_over_budget, 0);
+      EXPECT_LE(peak.requests_over_budget, 0);
       EXPECT_GT(peak.fraction_of_limit, capacity > 10 ? 0.1 : 0.04)
           << "the routers must use a part of the budget";
     }
