--- a/src/policy_state/request_state.cpp
+++ b/src/policy_state/request_state.cpp
@@ -4,8 +4,8 @@
 
 namespace alderspur::policy {
 
-bool is_unresponsive_since(const Upstream& upstream, const AttemptState& attempt) {
-  return upstream.last_heard_at < attempt.sent_at;
+bool has_not_responded_since(const Upstream& upstream, const AttemptState& attempt) {
+  return upstream.last_alive_at < attempt.sent_at;
 }
 
 AttemptState make_attempt(const Upstream& upstream, const Upstream* source, Time now) {
--- a/tests/policy/fill_policy_test.cpp
+++ b/tests/policy/fill_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which source a cache fills from.
+// Tests from which source a cache fills an object.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -35,8 +35,8 @@
   EXPECT_EQ(fixture.sends[fixture.send_request(1)].at(0).fill->source.value, 30u);
 }
 
-// Guards against writes that wait and fail in the queue of an overloaded parent, which can only
-// forward them.
+// Guards against sending writes through an overloaded parent. The parent could only forward them to
+// the origin, and they would wait and fail in its queue.
 TEST(FillPolicyTest, FillsFromOriginWhenClassIsNeverCached) {
   auto settings = test_settings();
   settings.classes[kKeyedClass].never_cached = true;
@@ -51,16 +51,16 @@
 
 TEST(FillPolicyTest, RetriesAfterOriginFailureOnlyWhenStaleCopyIsAllowed) {
   RouterFixture fixture;
-  const auto parts = fixture.send_request(1, kPartClass);
-  const auto pages = fixture.send_request(2, kPageClass);
-  fixture.finish_attempt(parts, AttemptResult::overloaded, FillOutcome::origin_failed);
-  EXPECT_EQ(fixture.sends[parts].size(), 1u);
-  EXPECT_EQ(fixture.final_responses[parts], 1);
-  fixture.finish_attempt(pages, AttemptResult::overloaded, FillOutcome::origin_failed);
-  ASSERT_EQ(fixture.sends[pages].size(), 2u);
-  EXPECT_EQ(fixture.sends[pages][1].fill->max_age, 38 * kSecond);
-  fixture.finish_attempt(pages, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
-  EXPECT_EQ(fixture.sends[pages].size(), 2u);
+  const auto part_request = fixture.send_request(1, kPartClass);
+  const auto page_request = fixture.send_request(2, kPageClass);
+  fixture.finish_attempt(part_request, AttemptResult::overloaded, FillOutcome::origin_failed);
+  EXPECT_EQ(fixture.sends[part_request].size(), 1u);
+  EXPECT_EQ(fixture.final_responses[part_request], 1);
+  fixture.finish_attempt(page_request, AttemptResult::overloaded, FillOutcome::origin_failed);
+  ASSERT_EQ(fixture.sends[page_request].size(), 2u);
+  EXPECT_EQ(fixture.sends[page_request][1].fill->max_age, 38 * kSecond);
+  fixture.finish_attempt(page_request, AttemptResult::overloaded, FillOutcome::origin_failed, 1);
+  EXPECT_EQ(fixture.sends[page_request].size(), 2u);
 }
 
 }  // namespace
