--- a/src/consensus/applied_state.cpp
+++ b/src/consensus/applied_state.cpp
@@ -10,7 +10,7 @@
 
 constexpr const char* kInForce = "in force";
 
-// Combines lambdas into one visitor.
+// A visitor that combines several lambdas.
 template <class... Visitors>
 struct Overloaded : Visitors... {
   using Visitors::operator()...;
@@ -54,7 +54,7 @@
   if (results_.size() > kMaxRememberedResults) results_.pop_front();
 }
 
-std::string AppliedState::reason_against(const OfferVersion& command) const {
+std::string AppliedState::reason_to_reject(const OfferVersion& command) const {
   if (const Version* other = pending()) {
     return "version " + std::to_string(other->number) + " by " + other->author + " is under way";
   }
@@ -71,7 +71,7 @@
 
 void AppliedState::offer(const OfferVersion& command) {
   if (find_result(command.nonce)) return;  // repeated
-  const std::string reason = reason_against(command);
+  const std::string reason = reason_to_reject(command);
   if (!reason.empty()) {
     const std::uint64_t newest = accepted_ ? accepted_->number : current_.number;
     record_result({command.nonce, false, true, newest, reason});
@@ -86,8 +86,8 @@
 void AppliedState::accept(const AcceptVersion& command) {
   if (!offered_ || offered_->number != command.number) return;
   accepted_ = std::exchange(offered_, std::nullopt);
-  // For a canary rollout this is the proposal's final result; how the rollout ends is recorded in
-  // the history.
+  // The proposal of a canary rollout gets its final result here. The outcome of the rollout is
+  // recorded in the history.
   const bool is_canary = accepted_->is_canary();
   record_result(
       {pending_nonce_, true, is_canary, command.number, is_canary ? "on trial" : "agreed"});
@@ -105,7 +105,8 @@
   if (record_canary_decision(command.nonce, command.number)) is_promoted_ = true;
 }
 
-// Version numbers never decrease: the current content is activated again under the next number.
+// Version numbers never decrease, so the current content becomes a new version under the next
+// number.
 void AppliedState::roll_back(const RollBackCanary& command) {
   if (!record_canary_decision(command.nonce, command.number)) return;
   Version restored = current_;
--- a/src/consensus/applied_state.h
+++ b/src/consensus/applied_state.h
@@ -1,21 +1,22 @@
-// The replicated state machine: the state that results from applying the log's commands in order.
-// The same commands give the same state at every voter, so there is no I/O, no clock and no
-// randomness here.
+// The replicated state machine: the state that results from applying the commands of the Raft log
+// in their order. The same commands must give the same state at every voter, so this code does no
+// I/O and uses neither a clock nor randomness. Its texts are part of the state and must not differ
+// between builds. Not thread-safe.
 //
-// The life of a version:
-//   OfferVersion     A content as the next version. Rejected if it was not derived from the newest
-//                    accepted version (its base is outdated) or while another change is pending, so
-//                    that of two concurrent changes only one succeeds.
-//   AcceptVersion    Enough voters have checked and stored it. From here on it cannot be lost.
-//   ActivateVersion  Every router has stored it or has lost its lease on the older version.
-//   PromoteCanary    A version in a canary rollout is to apply to all routers, as any other.
-//   RollBackCanary   It is taken back: the previous content becomes the next version.
-//   WithdrawVersion  It is dropped (rejected by a voter, or its content could not be had). Only
-//                    before AcceptVersion.
-//   ChangeVoters     The voters from now on, by name.
+// The commands, in the order of a version's life:
+//   OfferVersion     Offers a content as the next version. It is rejected if it is not based on the
+//                    current version, or while another version is pending, so only one of two
+//                    concurrent changes succeeds.
+//   AcceptVersion    Enough voters have checked and stored the version. It can no longer be lost.
+//   ActivateVersion  Every router has stored the version or has lost its lease on the older one.
+//   PromoteCanary    The version in a canary rollout is to apply to all routers.
+//   RollBackCanary   The canary rollout has ended; the previous content becomes the next version.
+//   WithdrawVersion  The version is dropped, because a voter rejected it or its content did not
+//                    reach enough voters. Possible only before AcceptVersion.
+//   ChangeVoters     Sets the names of the voters.
 //
-// A proposer that does not hear the result repeats its proposal under the same nonce; a result that
-// was recorded for a nonce stands.
+// A proposer that receives no result repeats its proposal under the same nonce. A result that is
+// recorded for a nonce does not change when the proposal is repeated.
 #pragma once
 
 #include <cstddef>
@@ -37,9 +38,11 @@
 namespace alderspur::consensus {
 
 constexpr std::size_t kMaxRememberedResults = 128;
-constexpr std::size_t kMaxHistory = 64;
+constexpr std::size_t kMaxHistory = 64;  // versions
 constexpr std::size_t kMaxVoters = 7;
 
+// ---- Commands; see the head of this file
+
 struct OfferVersion {
   std::uint64_t nonce = 0;
   Version version;  // its number is assigned when the command is applied
@@ -69,48 +72,60 @@
 };
 using Command = std::variant<OfferVersion, AcceptVersion, ActivateVersion, WithdrawVersion,
                              ChangeVoters, PromoteCanary, RollBackCanary>;
+/// Encodes a command for the log.
 std::string encode(const Command& command);
+/// Decodes a command of the log; empty if it is invalid or of a kind that this build does not
+/// support.
 std::optional<Command> decode_command(std::string_view bytes);
 
-/// What became of a proposal.
+/// The result of a proposal so far.
 struct ProposalResult {
   std::uint64_t nonce = 0;
   bool is_accepted = false;
-  bool is_final = false;  // false: accepted and not yet decided
+  bool is_final = false;  // false: the proposal was accepted, and its version is still pending
   std::uint64_t version_number = 0;
   std::string reason;
 };
 constexpr std::size_t kProposalResultFields = 5;
-/// The fields without an array around them.
+/// Write and read the fields of a result without an array around them.
 void pack_fields(msgpack_codec::Writer& writer, const ProposalResult& result);
 ProposalResult read_proposal_result_fields(msgpack_codec::Reader& reader);
 
+/// A version and how it ended.
 struct HistoryEntry {
   Version version;
   std::string outcome;  // "in force", "replaced", or why it was withdrawn
 };
 
+/// The versions, the voters, the history and the results of proposals, as of the last command.
 class AppliedState {
  public:
+  /// Applies the next command of the log. A command that does not fit the state has no effect
+  /// beyond its recorded result.
   void apply(const Command& command);
 
-  /// Offered and not yet accepted. At most one of offered() and accepted() is set.
+  /// Returns the version that is offered and not yet accepted. At most one of offered() and
+  /// accepted() is set.
   const std::optional<Version>& offered() const { return offered_; }
-  /// Accepted and not yet active at all routers.
+  /// Returns the version that is accepted and not yet active at all routers.
   const std::optional<Version>& accepted() const { return accepted_; }
-  /// The version that applies to all routers; number 0: none yet.
+  /// Returns the version that applies to all routers; its number is 0 if there is none yet.
   const Version& current() const { return current_; }
-  /// The accepted version while it applies to its canary routers only; otherwise null.
+  /// Returns the accepted version while it applies to its canary routers only; otherwise null.
   const Version* canary() const;
-  /// The accepted or the offered version; null if there is neither.
+  /// Returns the accepted or the offered version; null if there is neither.
   const Version* pending() const;
+  /// Returns the voters set by the last ChangeVoters command; empty if there was none.
   const std::vector<std::string>& voters() const { return voters_; }
+  /// Returns the last versions and how they ended, oldest first.
   const std::deque<HistoryEntry>& history() const { return history_; }
-  /// The result recorded for a nonce; null if there is none.
+  /// Returns the result recorded for a nonce; null if there is none.
   const ProposalResult* find_result(std::uint64_t nonce) const;
 
+  /// Encodes the whole state.
   std::string snapshot() const;
-  /// False if the bytes are no snapshot; nothing is changed then.
+  /// Replaces the state by a snapshot's. Returns false, and changes nothing, if the bytes are not a
+  /// valid snapshot.
   bool restore(std::string_view bytes);
   bool operator==(const AppliedState& other) const { return snapshot() == other.snapshot(); }
 
@@ -123,22 +138,22 @@
   void promote(const PromoteCanary& command);
   void roll_back(const RollBackCanary& command);
 
-  // Why an offer is not possible; empty: it is.
-  std::string reason_against(const OfferVersion& command) const;
+  // Returns why an offer must be rejected; empty if it is valid.
+  std::string reason_to_reject(const OfferVersion& command) const;
   void record_result(ProposalResult result);
-  // Records the result of a decision on a canary rollout. True if it is to be carried out.
+  // Records the result of a decision on a canary rollout. Returns true if the decision applies.
   bool record_canary_decision(std::uint64_t nonce, std::uint64_t number);
   // Records the end of a pending version.
   void finish(const Version& version, bool is_accepted, const std::string& outcome);
   void add_history(const Version& version, const std::string& outcome);
   void mark_current_as_replaced();
 
-  std::uint64_t last_number_ = 0;  // last version number assigned
+  std::uint64_t last_number_ = 0;  // the last version number assigned
   std::optional<Version> offered_;
   std::optional<Version> accepted_;
   Version current_;
   bool is_promoted_ = false;  // the accepted version was in a canary rollout and was promoted
-  std::uint64_t pending_nonce_ = 0;
+  std::uint64_t pending_nonce_ = 0;  // of the proposal of the pending version; 0: none
   std::vector<std::string> voters_;
   std::deque<ProposalResult> results_;
   std::deque<HistoryEntry> history_;
--- a/src/consensus/applied_state_codec.cpp
+++ b/src/consensus/applied_state_codec.cpp
@@ -1,5 +1,5 @@
-// The stored forms of the replicated state machine: its commands, as they are in the log, and its
-// snapshot. Both are read by later programs and stay as they are.
+// The encodings of the replicated state machine: the commands in the log and the snapshot. Later
+// builds must be able to read both, so existing fields do not change.
 #include <utility>
 
 #include "consensus/applied_state.h"
@@ -12,7 +12,7 @@
 using msgpack_codec::Writer;
 
 enum class CommandKind : std::uint64_t {
-  offer = 1,
+  offer = 1,  // stored; kinds are only appended
   accept,
   activate,
   withdraw,
@@ -21,11 +21,12 @@
   roll_back
 };
 
-constexpr std::uint64_t kSnapshotForm = 1;
+constexpr std::uint64_t kSnapshotFormatVersion = 1;
 constexpr std::size_t kSnapshotFields = 9;
 constexpr std::size_t kHistoryFields = 2;
-constexpr std::size_t kRequiredSnapshotFields = 8;  // earlier programs have no promoted flag
+constexpr std::size_t kRequiredSnapshotFields = 8;  // earlier builds wrote no `is_promoted_` flag
 
+// A visitor that writes a command as the array [kind, fields...].
 struct CommandWriter {
   Writer& writer;
 
@@ -117,7 +118,7 @@
     case CommandKind::roll_back:
       return read_rollback(reader);
   }
-  return {};  // a kind of a later program
+  return {};  // a kind that a later build added
 }
 
 HistoryEntry read_history_entry(Reader& reader) {
@@ -161,7 +162,7 @@
 
 std::string AppliedState::snapshot() const {
   Writer writer;
-  writer.array(kSnapshotFields).number(kSnapshotForm);
+  writer.array(kSnapshotFields).number(kSnapshotFormatVersion);
   writer.number(last_number_).number(pending_nonce_);
   pack(writer, offered_);
   pack(writer, accepted_);
@@ -187,7 +188,7 @@
   if (!unpacked.is_valid()) return false;
   Reader reader(unpacked.root(), kRequiredSnapshotFields);
   AppliedState restored;
-  if (reader.number() != kSnapshotForm) return false;
+  if (reader.number() != kSnapshotFormatVersion) return false;
   restored.last_number_ = reader.number();
   restored.pending_nonce_ = reader.number();
   restored.offered_ = read_optional_version(reader);
--- a/src/consensus/codec.cpp
+++ b/src/consensus/codec.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kVersionFields = 6;  // without a canary rollout
+constexpr std::size_t kVersionFields = 6;  // without the canary rollout
 constexpr std::size_t kCanaryFields = 4;
 constexpr std::size_t kServerFields = 2;
 constexpr std::size_t kConfigurationFields = 2;
--- a/src/consensus/codec.h
+++ b/src/consensus/codec.h
@@ -1,10 +1,10 @@
-// Codec of the values that messages, log commands, snapshots of the replicated state and stored
-// files share: versions, lists of names and Raft configurations, as MessagePack. No I/O and no
-// state.
+// MessagePack codec of the values that messages, log commands, snapshots of the replicated state
+// and stored files have in common: versions, lists of names and Raft configurations. Stateless;
+// does no I/O.
 //
-// Every `pack` appends one value to the writer. Every `read_...` takes one value from the reader,
-// which fails if the value does not fit its form or its limits; the result is meaningless then.
-// Fields that a later version added at the end are ignored.
+// Every `pack` appends one value to the writer. Every `read_...` reads the next value from the
+// reader. If the value has the wrong type or exceeds a limit, the reader fails and the result must
+// not be used. Fields that later builds append to a value are ignored.
 #pragma once
 
 #include <cstddef>
@@ -21,22 +21,23 @@
 
 namespace alderspur::consensus {
 
-constexpr std::size_t kMaxResultText = 600;  // bytes of a proposal's result
-constexpr std::size_t kMaxRaftServers = 64;  // of one Raft configuration
+constexpr std::size_t kMaxResultText = 600;  // bytes of the reason in a proposal's result
+constexpr std::size_t kMaxRaftServers = 64;  // in one Raft configuration
 
-/// A canary rollout is a further field, which programs without canary rollouts ignore.
+/// A version. Its canary rollout is an additional last field, which builds without canary rollouts
+/// ignore.
 void pack(msgpack_codec::Writer& writer, const Version& version);
 Version read_version(msgpack_codec::Reader& reader);
 
-/// An array of one version, or of none.
+/// An optional version, as an array of one version or of none.
 void pack(msgpack_codec::Writer& writer, const std::optional<Version>& version);
 std::optional<Version> read_optional_version(msgpack_codec::Reader& reader);
 
-/// Names of voters: kMaxVoters at most.
+/// A list of at most kMaxVoters router names.
 void pack(msgpack_codec::Writer& writer, const std::vector<std::string>& names);
 std::vector<std::string> read_names(msgpack_codec::Reader& reader);
 
-/// Servers of a Raft configuration: kMaxRaftServers at most.
+/// The servers of a Raft configuration, at most kMaxRaftServers.
 void pack(msgpack_codec::Writer& writer, const std::vector<RaftServer>& servers);
 std::vector<RaftServer> read_servers(msgpack_codec::Reader& reader);
 
--- a/src/consensus/consensus_node.cpp
+++ b/src/consensus/consensus_node.cpp
@@ -7,9 +7,10 @@
 namespace alderspur::consensus {
 namespace {
 
-// Messages of this router to itself lead to further ones; what is left waits for the next event.
+// Messages of this router to itself can cause further ones. After this many rounds, the remaining
+// ones wait for the next event.
 constexpr int kMaxRounds = 8;
-constexpr std::size_t kMaxRoutersBehind = 16;  // in the status
+constexpr std::size_t kMaxRoutersBehind = 16;  // names in the status
 
 }  // namespace
 
@@ -106,8 +107,8 @@
   lease_client_.on_version_query(from);
 }
 
-void ConsensusNode::on_message(const std::string& /*from*/, const VersionNews& message) {
-  lease_client_.on_version_news(message);
+void ConsensusNode::on_message(const std::string& /*from*/, const VersionResponse& message) {
+  lease_client_.on_version_response(message);
 }
 
 void ConsensusNode::on_message(const std::string& /*from*/, const RenewHint& /*message*/) {
@@ -118,7 +119,7 @@
   leader_.on_canary_decision(from, message);
 }
 
-// ---- What has become due, and what follows from the event
+// ---- Work that is due, and work that follows from the event
 
 void ConsensusNode::run_due_work() {
   for (int round = 0; round < kMaxRounds; ++round) {
@@ -150,7 +151,8 @@
   voter_.leave_if_unwanted(is_wanted);
 }
 
-// Only under a lease: a router that has just started has yet to hear which versions were accepted.
+// Contents are deleted only under a lease: a router that has just started does not know yet which
+// versions have been accepted.
 void ConsensusNode::delete_unused_contents() {
   if (contents_.size() <= kMaxStoredContents || !lease_client_.has_lease()) return;
   contents_.delete_unused([this](const std::string& digest) {
--- a/src/consensus/consensus_node.h
+++ b/src/consensus/consensus_node.h
@@ -1,18 +1,20 @@
-// One router's part in agreeing on versions of the configuration: it passes events to its parts and
-// collects the actions that they ask for.
+// The state machine with which a router takes part in agreeing on versions of the configuration. It
+// passes events to its parts and collects the actions that they request.
 //
-// Values in, values out: no I/O, no clock, no thread. Every call is given the time of a monotonic
-// clock; actions are to be carried out in their order. Not thread-safe.
+// It does no I/O, reads no clock and starts no threads. Every call gets the time of a monotonic
+// clock; the caller must carry out the actions in their order. Not thread-safe.
 //
 // The parts:
-//   ContentStore   contents by digest, checked by the existing checkers, fetched from other routers
-//   LeaseClient    asks the leader for a lease and decides which version this router acts on
-//   ProposalQueue  the open proposals of this router's operators
-//   Voter          a few routers hold the log (Raft) and the replicated state
-//   Leader         the voter that leads grants the leases (LeaseTable). It has an offered version
-//                  accepted once a majority of the voters, and every voter that holds a lease and
-//                  answers in time, has stored it and found it valid (VersionRollout); an accepted
-//                  version becomes current once every router has stored it or has lost its lease
+//   ContentStore   stores contents by digest, has them checked, and fetches them from other routers
+//   LeaseClient    requests leases from the leader and decides which version this router acts on
+//   ProposalQueue  sends the open proposals of this router's operators
+//   Voter          maintains the Raft log and the replicated state; only a few routers are voters
+//   Leader         acts at the voter that leads: it grants leases (LeaseTable) and moves the
+//   pending
+//                  version forward (VersionRollout). An offered version is accepted once a majority
+//                  of the voters, and every voter that has a lease and answers in time, has stored
+//                  it and found it valid. An accepted version becomes current once every router has
+//                  stored it or has lost its lease.
 #pragma once
 
 #include <cstdint>
@@ -29,25 +31,31 @@
 
 namespace alderspur::consensus {
 
+/// One router of the agreement.
 class ConsensusNode {
  public:
+  /// `seed` starts the random number generator.
   ConsensusNode(ConsensusSettings settings, std::uint64_t seed);
   ConsensusNode(const ConsensusNode&) = delete;
   ConsensusNode& operator=(const ConsensusNode&) = delete;
 
-  /// Appends to `actions`.
+  /// Handles an event and appends the resulting actions to `actions`.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  /// When a TimerFired event is due; the maximum before the start.
+  /// Returns the time at which a TimerFired event is due; the maximum before the Start event.
   Time next_deadline() const;
 
+  /// Returns the version that this router acts on.
   const ActiveVersion& active() const { return lease_client_.active(); }
+  /// Returns the status for operators.
   NodeStatus status(Time now) const;
-  /// True if this router leads and all that was committed before its term is applied.
+  /// Returns true if this router holds the leader lease and has applied all entries that were
+  /// committed before its term.
   bool is_leader(Time now) const { return voter_.is_leader(now); }
   const LeaseTable& lease_table() const { return leader_.lease_table(); }
   const AppliedState& applied_state() const { return voter_.applied_state(); }
-  const Raft* raft() const { return voter_.raft(); }  // null unless this router votes
-  /// The content of a version, where it is still stored; otherwise null.
+  /// Returns the Raft instance; null if this router does not take part in Raft now.
+  const Raft* raft() const { return voter_.raft(); }
+  /// Returns the content of a version if it is still stored, and null otherwise.
   ContentPtr content(std::uint64_t number) const;
 
  private:
@@ -71,7 +79,7 @@
   void on_message(const std::string& from, const ProposeResponse& message);
   void on_message(const std::string& from, const LogStatus& message);
   void on_message(const std::string& from, const VersionQuery& message);
-  void on_message(const std::string& from, const VersionNews& message);
+  void on_message(const std::string& from, const VersionResponse& message);
   void on_message(const std::string& from, const RenewHint& message);
   void on_message(const std::string& from, const CanaryDecision& message);
 
@@ -79,13 +87,14 @@
   void run_parts_once();
   void follow_applied_state();
   void delete_unused_contents();
-  // Who is to vote: by the replicated state where it is known, else as the leader reported, else by
-  // the settings.
+  // Returns the list of voters: that of the replicated state if it is available here, otherwise the
+  // one that the leader last reported, otherwise that of the settings.
   const std::vector<std::string>& voters() const;
+  // Returns true if the list of voters contains this router.
   bool is_wanted_voter() const;
 
-  // Members are destroyed last to first; the callbacks of a Raft instance that ends use the parts
-  // declared before it.
+  // Members are destroyed in reverse order. `voter_` must be last, because the callbacks of its
+  // Raft instance use the other parts while the instance is destroyed.
   NodeContext context_;
   ContentStore contents_;
   LeaseClient lease_client_;
--- a/src/consensus/conservative_merge.cpp
+++ b/src/consensus/conservative_merge.cpp
@@ -14,24 +14,25 @@
 using endpoints::Snapshot;
 using endpoints::SnapshotPtr;
 
-// Servers of one role at one location can replace each other.
+// Servers with the same role at the same location can replace each other.
 struct RoleAtLocation {
   Role role;
   std::string location;
   auto operator<=>(const RoleAtLocation&) const = default;
 };
 
-RoleAtLocation place_of(const Snapshot& list, const ListedServer& server) {
+RoleAtLocation role_and_location(const Snapshot& list, const ListedServer& server) {
   return {server.role, list.location_name(server)};
 }
 
 bool is_same_server(const Snapshot& list, const ListedServer& server, const Snapshot& other_list,
                     const ListedServer& other) {
-  return place_of(list, server) == place_of(other_list, other) && server.address == other.address &&
-         server.cell == other.cell;
+  return role_and_location(list, server) == role_and_location(other_list, other) &&
+         server.address == other.address && server.cell == other.cell;
 }
 
-// The strictest entry for a server of the newest list; empty if a list lacks it or contradicts.
+// Returns the strictest entry for a server of the newest list; empty if a list lacks the server or
+// has a different server under its id.
 std::optional<ListedServer> merge_server(const Snapshot& newest, const ListedServer& server,
                                          const std::vector<SnapshotPtr>& lists) {
   ListedServer merged = server;
@@ -44,7 +45,7 @@
   return merged;
 }
 
-// With a decimal point or an exponent, as the list's format wants it.
+// Formats a weight with a decimal point or an exponent, as the format of lists requires.
 std::string format_weight(double weight) {
   char text[40];
   std::snprintf(text, sizeof text, "%.9g", weight);
@@ -72,7 +73,8 @@
   Snapshot result = newest;
   result.servers.clear();
   std::set<RoleAtLocation> served;
-  std::vector<ListedServer> fallbacks;  // used where their place has no server in service otherwise
+  // Used only if no other server of their role is in service at their location.
+  std::vector<ListedServer> fallbacks;
   for (const ListedServer& server : newest.servers) {
     auto merged = merge_server(newest, server, lists);
     if (!merged) {
@@ -80,14 +82,14 @@
       continue;
     }
     if (merged->state == ServerState::in_service) {
-      served.insert(place_of(newest, server));
+      served.insert(role_and_location(newest, server));
     } else if (server.state == ServerState::in_service) {
-      fallbacks.push_back(server);  // draining in an older list only
+      fallbacks.push_back(server);  // draining only in an older list
     }
     result.servers.push_back(std::move(*merged));
   }
   for (const ListedServer& server : fallbacks) {
-    if (served.contains(place_of(newest, server))) continue;
+    if (served.contains(role_and_location(newest, server))) continue;
     std::erase_if(result.servers, [&](const ListedServer& other) { return other.id == server.id; });
     result.servers.push_back(server);
   }
@@ -116,7 +118,7 @@
     if (!findings.is_ok() || !read.list) {
       const bool has_finding = !findings.list().empty();
       return MergedListText::failure(has_finding ? diagnostics::to_string(findings.list()[0])
-                                                 : "no list of servers");
+                                                 : "the text is not a list of servers");
     }
     lists.push_back(read.list);
   }
--- a/src/consensus/conservative_merge.h
+++ b/src/consensus/conservative_merge.h
@@ -1,11 +1,11 @@
-// The conservative merge of endpoint lists: what a router without a lease acts on, because it
+// The conservative merge of endpoint lists, on which a router without a lease acts because it
 // cannot know which of the lists applies. Pure functions.
 //
-// Field by field, the stricter value: a removed server is not used, draining wins over in service,
-// and the smaller weight over the greater. A server that is missing in one list, or has different
-// locations or addresses in two of them, is not used. A location that would be left without a
-// server in service keeps what the newest list has there, because the other routers act on that by
-// then.
+// For each server, the merge takes the stricter value of each field: draining over in service, and
+// the smaller weight. It does not use a server that is missing in one of the lists, or whose role,
+// location, address or cell differs between two of them. A location that would be left without a
+// server in service keeps the servers that the newest list has there, because the other routers are
+// acting on that list by then.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +17,14 @@
 
 namespace alderspur::consensus {
 
-/// `lists` in the order of their versions, at least one.
+/// Merges lists, at least one, which must be in the order of their versions.
 endpoints::Snapshot merge_conservatively(const std::vector<endpoints::SnapshotPtr>& lists);
 
-/// A text that reads as that list, with this generation, which the text also confirms: it is meant
-/// as it is, however much smaller than the list before.
+/// Returns the TOML text of a list with the given generation. The text also confirms this
+/// generation, so that a reader accepts the list even if it is much smaller than the previous one.
 std::string to_text(const endpoints::Snapshot& list, std::uint64_t generation);
 
-/// The text of a merged list, or why there is none.
+/// The text of a merged list, or the error why the lists could not be merged.
 class MergedListText {
  public:
   static MergedListText success(std::string text) { return {std::move(text), {}}; }
@@ -40,8 +40,8 @@
   std::string error_;
 };
 
-/// The merge of lists given as texts, the newest last. Fails if one of them cannot be read. No
-/// lists give an empty text.
+/// Merges lists given as texts, the newest one last. Fails if one of them is not a valid list.
+/// Returns an empty text if there are no lists.
 MergedListText merge_list_texts(const std::vector<std::string>& texts, std::uint64_t generation);
 
 }  // namespace alderspur::consensus
--- a/src/consensus/content_store.cpp
+++ b/src/consensus/content_store.cpp
@@ -7,11 +7,12 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr Time kChunkTimeout = 400'000;     // then the next source is asked
-constexpr Time kNextSourceDelay = 20'000;   // after a source that does not have the content
-constexpr Time kRewriteInterval = 500'000;  // after a disk has refused a content
+constexpr Time kChunkTimeout = 400'000;     // then the chunk is requested from the next source
+constexpr Time kNextSourceDelay = 20'000;   // after a source without the content
+constexpr Time kRewriteInterval = 500'000;  // after a failed write
 constexpr Time kNever = std::numeric_limits<Time>::max();
-constexpr std::uint64_t kSourceOffsets = 4;  // fetches begin at a random one of the first sources
+// A fetch starts at a random one of this many first sources.
+constexpr std::uint64_t kSourceOffsets = 4;
 
 }  // namespace
 
@@ -67,8 +68,10 @@
   if (event.is_ok) {
     entry.rewrite_at = 0;
   } else {
-    if (entry.rewrite_at == 0) context_.log("not_kept", "a content did not reach the disk");
-    // A full disk refuses at once; retrying as fast would take the process's time for nothing.
+    if (entry.rewrite_at == 0) {
+      context_.log("not_kept", "the content " + event.digest + " could not be written to the disk");
+    }
+    // A write to a full disk fails at once. Without a delay, the retries would waste CPU time.
     entry.rewrite_at = context_.now() + kRewriteInterval;
   }
   on_state_changed_(event.digest);
@@ -77,7 +80,7 @@
 void ContentStore::retry_writes() {
   for (auto& [digest, entry] : entries_) {
     if (entry.rewrite_at == 0 || context_.now() < entry.rewrite_at) continue;
-    entry.rewrite_at = kNever;  // until the disk has answered
+    entry.rewrite_at = kNever;  // until the result of the write arrives
     context_.add_action(WriteContent{digest, entry.bytes});
   }
 }
@@ -131,7 +134,8 @@
   Fetch finished = std::move(*fetch_);
   fetch_.reset();
   if (content_digest(finished.bytes) != finished.digest) {
-    context_.log("content_spoilt", "from " + from);  // it is requested again
+    // The content is requested again at the next opportunity.
+    context_.log("content_spoilt", "a fetched content does not match its digest, from " + from);
     return;
   }
   add(finished.digest, std::move(finished.bytes));
--- a/src/consensus/leader.cpp
+++ b/src/consensus/leader.cpp
@@ -7,11 +7,11 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr Time kProposeAgainAfter = 1'000'000;
+constexpr Time kReproposeInterval = 1'000'000;
 constexpr Time kHintInterval = 5'000;
-constexpr std::size_t kHintsAtOnce = 32;
+constexpr std::size_t kMaxHintsPerRound = 32;
 
-// What tells two commands of one kind apart.
+// Identifies a command among the commands of its kind: its nonce, or else its version number.
 std::uint64_t proposal_id(const Command& command) {
   return std::visit(
       [](const auto& alternative) -> std::uint64_t {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-bool Leader::leads() {
+bool Leader::check_leadership() {
   if (!voter_.is_leader(context_.now())) return false;
   begin_term_if_new();
   return true;
@@ -71,11 +71,11 @@
 
 void Leader::on_lease_request(const std::string& from, const LeaseRequest& request,
                               const std::vector<std::string>& voters) {
-  if (!leads()) return redirect(from);
+  if (!check_leadership()) return redirect(from);
   LeaseGrant grant = make_grant(from, request);
   grant.voters = voters;
   lease_table_.renew(context_.now(), from, request, grant);
-  if (grant.id == 0) return;  // from an earlier process of that router
+  if (grant.id == 0) return;  // the request is outdated or the table is full
   Raft& raft = *voter_.raft();
   const bool is_wanted = std::find(voters.begin(), voters.end(), from) != voters.end();
   if (request.learner_id != 0 && is_wanted &&
@@ -89,13 +89,13 @@
 // ---- Proposals
 
 void Leader::on_propose_request(const std::string& from, const ProposeRequest& request) {
-  if (!leads()) return redirect(from);
+  if (!check_leadership()) return redirect(from);
   if (const auto* result = voter_.applied_state().find_result(request.nonce)) {
     return context_.send(from, ProposeResponse{*result});
   }
   if (!request.voters.empty()) return propose(ChangeVoters{request.nonce, request.voters});
   if (request.version.is_canary()) {
-    const std::string voter = voter_without_canaries();
+    const std::string voter = voter_without_canary_support();
     if (!voter.empty()) {
       const std::string reason = "the program of " + voter + ", which votes, knows no trials";
       return context_.send(from, ProposeResponse{{request.nonce, false, true, 0, reason}});
@@ -104,7 +104,7 @@
   propose(OfferVersion{request.nonce, request.version});
 }
 
-bool Leader::knows_canaries(const std::string& voter) const {
+bool Leader::supports_canaries(const std::string& voter) const {
   if (voter == context_.name()) {
     return context_.settings().protocol_version >= kProtocolWithCanaries;
   }
@@ -112,17 +112,17 @@
   return holder && holder->protocol_version >= kProtocolWithCanaries;
 }
 
-// A voter that ignores commands that it does not know would derive another state from the same log.
-// Empty: all voters know canary rollouts.
-std::string Leader::voter_without_canaries() const {
+// Returns the name of a voter that does not support canary rollouts; empty if all do. Such a voter
+// ignores their commands and would derive a different state from the same log.
+std::string Leader::voter_without_canary_support() const {
   for (const auto& [name, role] : voter_.raft()->roles()) {
-    if (!knows_canaries(name)) return name;
+    if (!supports_canaries(name)) return name;
   }
   return {};
 }
 
 void Leader::on_canary_decision(const std::string& from, const CanaryDecision& decision) {
-  if (!leads()) return redirect(from);
+  if (!check_leadership()) return redirect(from);
   if (const auto* result = voter_.applied_state().find_result(decision.nonce)) {
     return context_.send(from, ProposeResponse{*result});
   }
@@ -133,14 +133,14 @@
   }
 }
 
-// The same command is not proposed twice within kProposeAgainAfter; one that is lost with its
-// leader is asked for again.
+// Appends a command to the log, unless the same command was proposed less than kReproposeInterval
+// ago. A command that is lost with its leader is requested again from the next one.
 void Leader::propose(const Command& command) {
   const std::uint64_t id = proposal_id(command);
   const std::size_t kind = command.index();
   const Time now = context_.now();
   const bool is_repeated = proposed_id_ == id && proposed_kind_ == kind;
-  if (is_repeated && now < proposed_at_ + kProposeAgainAfter) return;
+  if (is_repeated && now < proposed_at_ + kReproposeInterval) return;
   proposed_id_ = id;
   proposed_kind_ = kind;
   proposed_at_ = now;
@@ -150,7 +150,7 @@
 // ---- Leading
 
 bool Leader::lead(const std::vector<std::string>& voters) {
-  if (!leads()) return false;
+  if (!check_leadership()) return false;
   Raft& raft = *voter_.raft();
   const Time now = context_.now();
   lease_table_.remove_expired(now);
@@ -169,17 +169,17 @@
   return {pending->number, state.accepted() ? Stage::accepted : Stage::offered};
 }
 
-// At each change all routers are notified, a number of them at a time; they learn what has changed
-// by renewing their leases.
+// Notifies all routers of each change, at most kMaxHintsPerRound of them per kHintInterval. The
+// routers receive the change itself in the grant when they renew their leases.
 bool Leader::send_hints() {
-  const Progress now_at = progress();
-  if (now_at != announced_) {
-    announced_ = now_at;
+  const Progress current_progress = progress();
+  if (current_progress != announced_) {
+    announced_ = current_progress;
     routers_to_hint_.assign(context_.peers().begin(), context_.peers().end());
     send_hints_at_ = context_.now();
   }
   if (context_.now() < send_hints_at_) return false;
-  for (std::size_t i = 0; i < kHintsAtOnce && !routers_to_hint_.empty(); ++i) {
+  for (std::size_t i = 0; i < kMaxHintsPerRound && !routers_to_hint_.empty(); ++i) {
     context_.send(routers_to_hint_.front(), RenewHint{});
     routers_to_hint_.pop_front();
   }
--- a/src/consensus/leader.h
+++ b/src/consensus/leader.h
@@ -1,5 +1,6 @@
-// What a voter does while it leads: it grants leases, takes proposals, decides on the pending
-// version and changes the Raft configuration, and tells the routers that there is news. Not
+// The part of a ConsensusNode that acts while this router is the Raft leader: it grants leases,
+// appends proposals to the log, moves the pending version forward, changes the Raft configuration,
+// and notifies the routers of changes. Without leadership it only redirects requests. Not
 // thread-safe.
 #pragma once
 
@@ -16,26 +17,29 @@
 
 namespace alderspur::consensus {
 
+/// The leader's work. `context` and `voter` must outlive this object. Every public call that needs
+/// leadership checks it first.
 class Leader {
  public:
   Leader(NodeContext& context, Voter& voter)
       : context_(context), voter_(voter), lease_table_(context.settings().lease) {}
 
-  // Requests of routers. If this router does not lead, the answer is a redirect.
+  // Handle requests of routers. A router that is not the leader answers with a Redirect.
   void on_lease_request(const std::string& from, const LeaseRequest& request,
                         const std::vector<std::string>& voters);
   void on_propose_request(const std::string& from, const ProposeRequest& request);
   void on_canary_decision(const std::string& from, const CanaryDecision& decision);
 
-  /// Does what has become due, if this router leads. True in the rounds in which renew hints are
-  /// due: this router renews its own lease then as well.
+  /// Does the work that is due, if this router is the leader. Returns true if it sent renew hints;
+  /// this router should then renew its own lease as well.
   bool lead(const std::vector<std::string>& voters);
 
   const LeaseTable& lease_table() const { return lease_table_; }
-  Time next_deadline() const;  // the maximum if there is none
+  /// Returns the time of the next renew hints; the maximum if none are pending.
+  Time next_deadline() const;
 
  private:
-  // How far the newest version is; a change of it is news for all routers.
+  // The stage that the newest version has reached. Routers are notified when it changes.
   enum class Stage { none, offered, accepted, current, canary };
   struct Progress {
     std::uint64_t number = 0;
@@ -43,13 +47,14 @@
     bool operator==(const Progress&) const = default;
   };
 
-  /// Whether this router leads. What was kept of an earlier term is forgotten first.
-  bool leads();
+  // Returns true if this router is the leader. At the first call in a term, discards the state of
+  // earlier terms.
+  bool check_leadership();
   void redirect(const std::string& to);
   void begin_term_if_new();
   LeaseGrant make_grant(const std::string& router, const LeaseRequest& request) const;
-  std::string voter_without_canaries() const;
-  bool knows_canaries(const std::string& voter) const;
+  std::string voter_without_canary_support() const;
+  bool supports_canaries(const std::string& voter) const;
   void propose(const Command& command);
   Progress progress() const;
   bool send_hints();
@@ -60,12 +65,12 @@
   Membership membership_;
   VersionRollout version_rollout_;
 
-  // The last proposal.
-  std::uint64_t proposed_id_ = 0;  // its nonce or its version number
-  std::size_t proposed_kind_ = 0;
+  // The last command proposed.
+  std::uint64_t proposed_id_ = 0;  // its nonce or version number
+  std::size_t proposed_kind_ = 0;  // its index in the Command variant
   Time proposed_at_ = 0;
 
-  Progress announced_;
+  Progress announced_;  // the last progress that routers were notified of
   std::deque<std::string> routers_to_hint_;
   Time send_hints_at_ = 0;
 };
--- a/src/consensus/lease_client.cpp
+++ b/src/consensus/lease_client.cpp
@@ -5,9 +5,9 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr Time kShortDelay = 20'000;  // before a repeated request
+constexpr Time kShortDelay = 20'000;  // before a lease request is repeated early
 constexpr std::size_t kMaxUnansweredRequests = 8;
-constexpr int kRandomSources = 2;  // peers asked for a content, besides leader and voters
+constexpr int kRandomSources = 2;  // random peers to fetch from, besides the leader and the voters
 
 }  // namespace
 
@@ -31,24 +31,24 @@
   failure_ratio_ = load.failure_ratio;
 }
 
-// ---- News of versions
+// ---- Versions reported by other routers
 
 void LeaseClient::on_version_query(const std::string& from) {
-  context_.send(from, VersionNews{target_, persisted_.accepted});
+  context_.send(from, VersionResponse{target_, persisted_.accepted});
 }
 
-void LeaseClient::on_version_news(const VersionNews& news) {
-  learn_current(news.current);
-  if (news.accepted) learn_accepted(*news.accepted);
+void LeaseClient::on_version_response(const VersionResponse& response) {
+  update_target(response.current);
+  if (response.accepted) update_accepted(*response.accepted);
 }
 
-// A version in a canary rollout at other routers only does not concern this one.
+// Returns false for a version in a canary rollout that does not include this router.
 bool LeaseClient::applies_here(const Version& version) const {
   return !version.is_canary() || version.canary.includes(context_.name());
 }
 
-// News may arrive late and in any order: the number never decreases.
-void LeaseClient::learn_current(const Version& version) {
+// Reports of versions may arrive late and in any order, so a smaller number is ignored.
+void LeaseClient::update_target(const Version& version) {
   if (!applies_here(version)) return;
   const bool was_promoted =
       version.number == target_.number && target_.is_canary() && !version.is_canary();
@@ -62,7 +62,7 @@
   if (version.number > target_.number) target_ = version;
 }
 
-void LeaseClient::learn_accepted(const Version& version) {
+void LeaseClient::update_accepted(const Version& version) {
   if (!applies_here(version) || version.number <= target_.number) return;
   if (!persisted_.accepted || version.number > persisted_.accepted->number) {
     persisted_.accepted = version;
@@ -70,12 +70,12 @@
 }
 
 void LeaseClient::follow_applied_state(const AppliedState& state) {
-  learn_current(state.current());
+  update_target(state.current());
   const Version* pending = state.pending();
   const bool is_accepted = state.accepted().has_value();
   if (is_accepted && pending->canary.includes(context_.name())) {
-    // It applies here already.
-    learn_current(*pending);
+    // The canary rollout includes this router, so the version is already current here.
+    update_target(*pending);
     pending = nullptr;
   }
   if (!pending) {
@@ -86,7 +86,7 @@
   is_pending_accepted_ = is_accepted && !state.canary();
   if (!is_pending_accepted_) return;
   pending_->canary = {};
-  learn_accepted(*pending_);
+  update_accepted(*pending_);
 }
 
 // ---- The lease
@@ -107,8 +107,8 @@
   const Time interval = context_.settings().renew_interval;
   renew_at_ = now + interval;
   if (voters.empty()) return;
-  // The leader may be gone: ask all voters in turn.
-  if (now > heard_from_leader_at_ + 2 * interval + kShortDelay) set_leader("");
+  // The leader may have failed, so the requests go to the voters in turn, which redirect them.
+  if (now > last_leader_message_at_ + 2 * interval + kShortDelay) set_leader("");
   if (is_leader) set_leader(context_.name());
   const std::string receiver = leader_.empty() ? voters[next_voter_++ % voters.size()] : leader_;
   unanswered_requests_.insert(now);
@@ -158,31 +158,32 @@
   if (from != leader_ && !leader_.empty()) return;
   set_leader(redirect.leader == from ? "" : redirect.leader);
   if (leader_.empty()) return;
-  heard_from_leader_at_ = context_.now();
+  last_leader_message_at_ = context_.now();
   renew_within(kShortDelay);
 }
 
 bool LeaseClient::on_grant(const std::string& from, const LeaseGrant& grant) {
-  // A grant to an earlier process of this name, or one overtaken by a later grant, must not count:
-  // its lease would run from a moment at which this process did not ask.
+  // A grant to an earlier process of this router, or one that a later grant has overtaken, is
+  // ignored: its lease would be counted from a time at which this process sent no request.
   if (grant.id <= last_grant_id_) return false;
   if (unanswered_requests_.erase(grant.sent_at) == 0) return false;
   last_grant_id_ = grant.id;
   leader_ = from;
   leader_protocol_version_ = grant.protocol_version;
-  heard_from_leader_at_ = context_.now();
+  last_leader_message_at_ = context_.now();
   if (!grant.voters.empty()) persisted_.voters = grant.voters;
-  learn_current(grant.current);
+  update_target(grant.current);
   pending_ = grant.pending;
   is_pending_accepted_ = grant.is_pending_accepted;
-  if (grant.pending && grant.is_pending_accepted) learn_accepted(*grant.pending);
+  if (grant.pending && grant.is_pending_accepted) update_accepted(*grant.pending);
   activate_target();
   const bool acts_on_current = active_.version.number == grant.current.number;
   const Time until = acts_on_current ? grant.sent_at + grant.duration : 0;
   lease_until_ = until > context_.now() ? until : 0;
   total_share_ = grant.total_share;
   location_share_ = grant.location_share;
-  // No lease, because the leader did not know yet that this router acts on the current version.
+  // The leader granted no lease because this router had not yet reported that it acts on the
+  // current version. The next request reports it.
   if (acts_on_current && grant.duration == 0) renew_within(kShortDelay);
   return true;
 }
@@ -253,7 +254,7 @@
     persisted_.accepted.reset();
   }
   if (pending_ && pending_->number <= target_.number) pending_.reset();
-  lease_until_ = 0;  // it was granted on the older version
+  lease_until_ = 0;  // the lease was granted on the older version
   renew_within(0);
 }
 
@@ -287,7 +288,7 @@
   }
 }
 
-// ---- What others need to know
+// ---- Queries
 
 std::uint64_t LeaseClient::newest_number() const {
   const std::uint64_t accepted = persisted_.accepted ? persisted_.accepted->number : 0;
--- a/src/consensus/lease_table.cpp
+++ b/src/consensus/lease_table.cpp
@@ -5,10 +5,10 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr std::size_t kMaxGrantedShares = 8;  // of one router, not yet confirmed or run out
+constexpr std::size_t kMaxGrantedShares = 8;  // per router, neither confirmed nor expired
 constexpr std::size_t kMaxHolders = 4096;
-constexpr double kMaxRequestRate = 1e9;
-constexpr double kNoRequestRate = 1e-9;  // below: only rounding is left
+constexpr double kMaxRequestRate = 1e9;          // per second
+constexpr double kNegligibleRequestRate = 1e-9;  // a smaller sum is only a rounding error
 
 double proportional_share(double request_rate, double rate_of_others) {
   return kLeasedFraction * request_rate / (rate_of_others + request_rate);
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-// By the leader's clock, which may be slower than the router's by the drift of both.
+// Returns the time after which a lease has expired at the router for certain, as measured by the
+// leader's clock, which may be slower than the router's by the drift of both clocks.
 Time LeaseTable::max_lease_duration() const {
   return static_cast<Time>(static_cast<double>(settings_.duration) * (1 + 3 * kMaxClockDrift));
 }
@@ -53,8 +54,9 @@
   if (holder.may_hold_lease) stored_numbers_.erase(stored_numbers_.find(holder.stored_number));
 }
 
-// The shares that may still be in use: the one confirmed and those granted after it, which may yet
-// arrive. An earlier process of the router may go on beside the new one until its lease runs out.
+// Updates the shares that the router may be using: the share of the confirmed grant, and the shares
+// of later grants, which may still be on their way. An earlier process of the router may run beside
+// the current one until its lease expires, so its shares are added.
 void LeaseTable::update_shares_in_use(Time now, Holder& holder, std::uint64_t confirmed_grant_id) {
   std::erase_if(holder.granted, [&](const GrantedShare& share) {
     return share.expires_at <= now ||
@@ -78,7 +80,9 @@
 void LeaseTable::remove(Holders::iterator position) {
   const Holder& holder = position->second;
   subtract_from_totals(holder);
-  if (locations_[holder.location].request_rate < kNoRequestRate) locations_.erase(holder.location);
+  if (locations_[holder.location].request_rate < kNegligibleRequestRate) {
+    locations_.erase(holder.location);
+  }
   holders_.erase(position);
 }
 
@@ -89,7 +93,7 @@
     if (position != holders_.end()) remove(position);
   }
   if (!holders_.empty()) return;
-  // What rounding has left.
+  // Clears accumulated rounding errors.
   total_shares_ = 0;
   total_request_rate_ = 0;
   total_failure_rate_ = 0;
@@ -100,8 +104,8 @@
   Holder& holder = holders_[router];
   holder.location = request.location;
   holder.epoch = request.epoch;
-  // What an earlier leader granted, by the router's own account. Once those leases have run out, it
-  // can hold nothing that is not in this table.
+  // The router may still use a share that an earlier leader granted, and reports it in its request.
+  // Once the leases of earlier leaders have expired, every share in use is in this table.
   const bool reports_share = request.total_share + request.location_share > 0;
   if (now < earlier_leases_expired_at_ && reports_share) {
     holder.granted.push_back({request.last_grant_id, request.epoch, request.total_share,
@@ -144,7 +148,8 @@
   expirations_.insert({holder.expires_at, router});
 }
 
-// Nothing is free while leases of an earlier leader may run.
+// Returns the share that is not in use by any router. No share is free while leases of an earlier
+// leader may be valid.
 double LeaseTable::free_share(Time now, double shares_of_others, double share_of_holder) const {
   if (now < earlier_leases_expired_at_) return 0;
   return std::max(0.0, kLeasedFraction - shares_of_others - share_of_holder);
@@ -154,19 +159,19 @@
                              LeaseGrant& grant) {
   ++last_grant_;
   grant.id = (term_ << 32) | last_grant_;
-  // A router that cannot act on the current version must not count as one that does. And once a
-  // later version is accepted, a router that has not stored it gets no lease: otherwise that lease
-  // would be renewed for ever and the version could never be activated.
+  // A router that cannot act on the current version gets no lease on it. Once a later version is
+  // accepted, a router that has not stored it gets no lease either: otherwise the router could
+  // renew its lease indefinitely and the accepted version would never be activated.
   const std::uint64_t current = grant.current.number;
   const bool can_use_current = request.active_number == current || request.stored_number == current;
   const bool is_up_to_date =
       !grant.is_pending_accepted || request.stored_number >= grant.pending->number;
-  // Too many unconfirmed grants: the router takes none of them over, so they must run out.
+  // A router with too many unconfirmed grants does not receive them, so they have to expire first.
   const bool has_room = holder.granted.size() < kMaxGrantedShares;
   if (!can_use_current || !is_up_to_date || !has_room) return;
   grant.duration = settings_.duration;
   const LocationTotals& location = locations_[holder.location];
-  // Each router gets its proportional part, but no more than it has already plus what is free.
+  // Each router gets its proportional share, but at most its present share plus what is free.
   grant.total_share =
       std::min(proportional_share(holder.request_rate, total_request_rate_),
                holder.own_total_share + free_share(now, total_shares_, holder.total_share));
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -46,7 +46,7 @@
 constexpr std::uint64_t kSnapshotSeed = 2;
 constexpr std::uint64_t kNumberSeed = 0x616c6472;
 
-// A prepared statement whose parameters are bound in their order.
+// A prepared statement. Its parameters are bound in the order of the calls; errors show in step().
 class Statement {
  public:
   Statement(sqlite3* database, const char* sql) {
@@ -94,7 +94,7 @@
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
-// Covers the entry, its index and the checksum of the entry before it.
+// Computes a checksum over the entry, its index and the checksum of the entry before it.
 std::uint64_t entry_checksum(const LogEntry& entry, std::uint64_t index,
                              std::uint64_t checksum_before) {
   const std::array<std::uint64_t, 4> head = {index, entry.term, entry.type, checksum_before};
@@ -131,7 +131,7 @@
 LogStoreStatus corrupt(const std::string& message) { return {LogStoreErrorCode::corrupt, message}; }
 
 LogStoreStatus unreadable() {
-  return {LogStoreErrorCode::database_error, "agree.db cannot be read"};
+  return {LogStoreErrorCode::database_error, "reading agree.db failed"};
 }
 
 }  // namespace
@@ -164,7 +164,7 @@
 }
 
 LogStoreStatus LogStore::execute(const char* sql) {
-  if (!database_) return {LogStoreErrorCode::database_error, "there is no database"};
+  if (!database_) return {LogStoreErrorCode::database_error, "the database agree.db is not open"};
   if (sqlite3_exec(database_.get(), sql, nullptr, nullptr, nullptr) == SQLITE_OK) return {};
   return last_database_error();
 }
@@ -195,17 +195,18 @@
   if (auto status = open(); !status.is_ok()) return status;
   if (auto status = read_log(log); !status.is_ok()) return status;
   if (!mark.payload) {
-    // Nothing written and nothing marked: a first start that was interrupted.
+    // Without writes and without a mark, this is the first start, or one that was interrupted.
     if (mark.is_absent && write_count_ == 0) return replace_mark();
     return {LogStoreErrorCode::mark_unusable,
             mark.is_absent ? "agree.mark is missing" : to_string(*mark.error)};
   }
-  // A process killed between a write and its mark leaves the database one ahead.
+  // If the process was killed after a write and before the mark was replaced, the database has one
+  // write more than the mark.
   const std::uint64_t marked_count = std::strtoull(mark.payload->c_str(), nullptr, 10);
   if (write_count_ < marked_count || write_count_ > marked_count + 1) {
-    return {LogStoreErrorCode::mark_mismatch, "agree.db holds " + std::to_string(write_count_) +
-                                                  " stores, " + std::to_string(marked_count) +
-                                                  " were told"};
+    return {LogStoreErrorCode::mark_mismatch, "agree.db has " + std::to_string(write_count_) +
+                                                  " writes, but agree.mark counts " +
+                                                  std::to_string(marked_count)};
   }
   return {};
 }
@@ -224,7 +225,7 @@
 LogStoreStatus LogStore::check_integrity() {
   Statement check(database_.get(), "PRAGMA integrity_check(1)");
   if (check.has_row() && check.bytes(0) == "ok") return {};
-  return corrupt("agree.db is not whole");
+  return corrupt("agree.db fails the integrity check of SQLite");
 }
 
 LogStoreStatus LogStore::read_numbers(StoredNumbers& numbers) {
@@ -234,7 +235,7 @@
     const std::string key = rows.bytes(0);
     const std::uint64_t value = rows.number(1);
     if (rows.number(2) != number_checksum(key, value)) {
-      return corrupt("agree.db: " + key + " is spoilt");
+      return corrupt("agree.db: the value of " + key + " does not match its checksum");
     }
     if (key == kTermKey) numbers.term = value;
     if (key == kVoteKey) numbers.vote = value;
@@ -254,7 +255,7 @@
   const std::string data = row.bytes(0);
   log.snapshot = decode_snapshot(data);
   if (!log.snapshot || row.number(1) != checksum(data, kSnapshotSeed)) {
-    return corrupt("agree.db: its snapshot is spoilt");
+    return corrupt("agree.db: the snapshot is corrupt");
   }
   return {};
 }
@@ -268,14 +269,14 @@
     LogEntry entry{rows.number(1), rows.number(2), rows.bytes(3)};
     last_checksum = entry_checksum(entry, index, last_checksum);
     if (rows.number(0) != index || rows.number(4) != last_checksum) {
-      return corrupt("agree.db: record " + std::to_string(index) + " is spoilt or missing");
+      return corrupt("agree.db: log entry " + std::to_string(index) + " is corrupt or missing");
     }
     log.entries.push_back(std::move(entry));
     ++index;
   }
   if (step != SQLITE_DONE) return unreadable();
   if (write_count_ != 0 && index != numbers.last_index + 1) {
-    return corrupt("agree.db: the end of the log is missing");
+    return corrupt("agree.db: entries at the end of the log are missing");
   }
   return {};
 }
@@ -284,11 +285,14 @@
 
 LogStoreStatus LogStore::apply(const LogWrite& write) {
   if (std::holds_alternative<ResetLog>(write)) return reset();
-  if (is_out_of_service_) return {LogStoreErrorCode::out_of_service, "an earlier store failed"};
+  if (is_out_of_service_) {
+    return {LogStoreErrorCode::out_of_service,
+            "an earlier write failed; the log accepts only a reset"};
+  }
   auto status = write_in_transaction(write);
   if (status.is_ok()) status = replace_mark();
   if (!status.is_ok()) {
-    // What a failed sync has left on the disk is unknown.
+    // After a failed sync, the state of the files on the disk is unknown.
     is_out_of_service_ = true;
     database_.reset();
   }
@@ -368,7 +372,7 @@
   return entry.bind_number(index).has_row() ? entry.number(0) : 0;
 }
 
-// The checksum that the entry at that index is chained to.
+// Returns the checksum of the entry before `index`, which the checksum at `index` covers.
 std::uint64_t LogStore::checksum_before(std::uint64_t index) const {
   Statement entry(database_.get(), "SELECT code FROM log WHERE at = ?");
   if (entry.bind_number(index - 1).has_row()) return entry.number(0);
@@ -386,7 +390,7 @@
   return put_number(kFirstIndexKey, index + 1);
 }
 
-// The log goes on after `last_index`.
+// Deletes all entries. The next entry to be appended is the one after `last_index`.
 LogStoreStatus LogStore::drop_all_entries(std::uint64_t last_index) {
   Statement removal(database_.get(), "DELETE FROM log");
   if (!removal.run()) return last_database_error();
@@ -403,7 +407,8 @@
     if (!std::filesystem::exists(file, error)) continue;
     std::filesystem::rename(file, file + kSetAsideSuffix, error);
     if (error) {
-      return {LogStoreErrorCode::file_error, "cannot set aside " + file + ": " + error.message()};
+      return {LogStoreErrorCode::file_error,
+              "cannot rename " + file + " to " + file + kSetAsideSuffix + ": " + error.message()};
     }
   }
   write_count_ = 0;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -8,7 +8,7 @@
 using Change = Raft::MembershipChange;
 
 void begin_change(Time now, Change change, const std::string& server, Raft& raft) {
-  // The outcome shows in the configuration, which is compared again in the next round.
+  // The result is not needed here: the next round compares the configuration again.
   raft.change_membership(now, change, server, [](bool /*is_committed*/) {});
 }
 
@@ -44,7 +44,8 @@
       return begin_change(now, Change::promote_to_voter, name, raft);
     }
   }
-  // Servers are removed once the new ones vote, and the leader last.
+  // Servers are removed only after all wanted voters have been added, and the leader is removed
+  // last.
   const bool has_all = std::all_of(wanted.begin(), wanted.end(),
                                    [&](const std::string& name) { return roles.contains(name); });
   if (!has_all) return;
--- a/src/consensus/messages.cpp
+++ b/src/consensus/messages.cpp
@@ -11,13 +11,13 @@
 using msgpack_codec::Reader;
 using msgpack_codec::Writer;
 
-constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;
+constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;  // microseconds
 
 void pack_time(Writer& writer, Time time) { writer.number(static_cast<std::uint64_t>(time)); }
 Time read_time(Reader& reader) { return static_cast<Time>(reader.number(kMaxTime)); }
 
-// For each message: the number of its fields, then writing and reading them in the same order.
-// `required_field_count` is smaller where earlier programs send fewer fields.
+// Each message has a function for the number of its fields, and functions that write and read them
+// in the same order. `required_field_count` is smaller if earlier builds send fewer fields.
 
 constexpr std::size_t field_count(const RaftFrame&) { return 1; }
 void write(Writer& writer, const RaftFrame& message) { writer.bytes(message.bytes); }
@@ -145,12 +145,12 @@
 void write(Writer&, const VersionQuery&) {}
 void read(Reader&, VersionQuery&) {}
 
-constexpr std::size_t field_count(const VersionNews&) { return 2; }
-void write(Writer& writer, const VersionNews& message) {
+constexpr std::size_t field_count(const VersionResponse&) { return 2; }
+void write(Writer& writer, const VersionResponse& message) {
   pack(writer, message.current);
   pack(writer, message.accepted);
 }
-void read(Reader& reader, VersionNews& message) {
+void read(Reader& reader, VersionResponse& message) {
   message.current = read_version(reader);
   message.accepted = read_optional_version(reader);
 }
@@ -177,7 +177,7 @@
 template <std::size_t Index = 0>
 std::optional<Message> read_message(std::uint64_t kind, std::size_t array_size, Reader& reader) {
   if constexpr (Index == std::variant_size_v<Message>) {
-    return {};  // a kind of a later program
+    return {};  // a kind that a later build added
   } else {
     if (kind != Index + 1) return read_message<Index + 1>(kind, array_size, reader);
     std::variant_alternative_t<Index, Message> message;
@@ -206,7 +206,7 @@
   if (!unpacked.is_valid()) return {};
   Reader reader(unpacked.root(), 1);
   const auto kind = reader.number();
-  // Not an array: the reader is bad, and the size below is never read.
+  // The reader fails if the root is not an array, in which case `via.array` below is not valid.
   if (!reader.ok()) return {};
   return read_message(kind, unpacked.root().via.array.size, reader);
 }
--- a/src/consensus/persisted_log.h
+++ b/src/consensus/persisted_log.h
@@ -1,5 +1,5 @@
-// What a voter keeps on its disk: term, vote, log entries and the newest snapshot, and the writes
-// that change them. Values only; class LogStore puts them on the disk.
+// The persistent state of a voter (term, vote, log entries and the newest snapshot) and the writes
+// that change it, as plain values. LogStore keeps them on the disk.
 #pragma once
 
 #include <cstdint>
@@ -10,39 +10,42 @@
 
 namespace alderspur::consensus {
 
-/// Term and index of a log entry. Of two logs, the one with the greater position of its last entry
-/// is more up to date.
+/// The term and index of a log entry. Of two logs, the one whose last entry has the greater
+/// position is more up to date.
 struct LogPosition {
   std::uint64_t term = 0;
   std::uint64_t index = 0;
   auto operator<=>(const LogPosition&) const = default;
 };
 
+/// An entry of the Raft log.
 struct LogEntry {
   std::uint64_t term = 0;
-  std::uint64_t type = 0;  // the Raft library's: command, barrier or change of the configuration
+  std::uint64_t type = 0;  // the library's code: RAFT_COMMAND, RAFT_BARRIER or RAFT_CHANGE
   std::string data;
 };
 
 /// A server of a Raft configuration.
 struct RaftServer {
   std::string name;
-  int role = 0;  // the Raft library's: RAFT_STANDBY, RAFT_VOTER or RAFT_SPARE
+  int role = 0;  // the library's code: RAFT_STANDBY, RAFT_VOTER or RAFT_SPARE
 };
 
+/// A Raft configuration.
 struct Configuration {
   std::uint64_t index = 0;  // of the log entry that set it
   std::vector<RaftServer> servers;
 };
 
+/// A snapshot of the replicated state machine.
 struct Snapshot {
-  std::uint64_t index = 0;
-  std::uint64_t term = 0;
+  std::uint64_t index = 0;  // of the last log entry that it covers
+  std::uint64_t term = 0;   // of this entry
   Configuration configuration;
-  std::string data;  // of the replicated state machine
+  std::string data;  // see AppliedState::snapshot()
 };
 
-/// The content of a voter's disk.
+/// The persistent state of a voter.
 struct PersistedLog {
   std::uint64_t term = 0;
   std::uint64_t vote = 0;  // id of the candidate voted for in that term; 0: none
@@ -50,39 +53,44 @@
   std::optional<Snapshot> snapshot;
   std::vector<LogEntry> entries;
 
-  /// True if nothing was ever written.
+  /// Returns true if nothing has ever been written.
   bool is_empty() const { return term == 0 && !snapshot && entries.empty(); }
+  /// Returns the index of the last entry; `first_index` - 1 if there are no entries.
   std::uint64_t last_index() const { return first_index + entries.size() - 1; }
+  /// Returns the term of the last entry, or of the snapshot if there are no entries.
   std::uint64_t last_term() const {
     if (!entries.empty()) return entries.back().term;
     return snapshot ? snapshot->term : 0;
   }
 };
 
-// ---- Writes, each of which reaches the disk as a whole or not at all
+// ---- Writes; each is atomic
 
-/// Also clears the vote, which belongs to the earlier term.
+/// Sets the term and clears the vote, which belongs to the earlier term.
 struct SetTerm {
   std::uint64_t term = 0;
 };
+/// Records the vote in the current term.
 struct SetVote {
-  std::uint64_t candidate_id = 0;
+  std::uint64_t candidate_id = 0;  // see raft_id_of()
 };
+/// Appends entries; `first_index` is the index of the first of them.
 struct AppendEntries {
   std::uint64_t first_index = 0;
   std::vector<LogEntry> entries;
 };
-/// Removes the entry at that index and all after it.
+/// Removes the entry at `index` and all entries after it.
 struct TruncateFrom {
   std::uint64_t index = 0;
 };
-/// Replaces the snapshot and drops the entries that it covers, except for the last
-/// `trailing_entries` of them. 0: drops all entries; the log goes on after the snapshot.
+/// Replaces the snapshot and removes the entries that it covers, except for the last
+/// `trailing_entries` of them. With 0, removes all entries; the next entry is the one after the
+/// snapshot.
 struct SaveSnapshot {
   Snapshot snapshot;
   std::uint64_t trailing_entries = 0;
 };
-/// Sets the whole log aside and starts with an empty one.
+/// Renames the files of the log and starts with an empty log.
 struct ResetLog {};
 
 using LogWrite =
--- a/src/consensus/persisted_state.cpp
+++ b/src/consensus/persisted_state.cpp
@@ -7,11 +7,11 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr std::uint64_t kForm = 1;
-constexpr std::size_t kFields = 4;
+constexpr std::uint64_t kFormatVersion = 1;
+constexpr std::size_t kFieldCount = 4;
 
 PersistedState read_state(msgpack_codec::Reader& reader) {
-  if (reader.number() != kForm) reader.fail();
+  if (reader.number() != kFormatVersion) reader.fail();
   PersistedState state;
   state.current = read_version(reader);
   state.accepted = read_optional_version(reader);
@@ -23,7 +23,7 @@
 
 std::string encode(const PersistedState& state) {
   msgpack_codec::Writer writer;
-  writer.array(kFields).number(kForm);
+  writer.array(kFieldCount).number(kFormatVersion);
   pack(writer, state.current);
   pack(writer, state.accepted);
   pack(writer, state.voters);
@@ -31,7 +31,7 @@
 }
 
 std::optional<PersistedState> decode_persisted_state(std::string_view bytes) {
-  return msgpack_codec::decode_array(bytes, kFields, read_state);
+  return msgpack_codec::decode_array(bytes, kFieldCount, read_state);
 }
 
 }  // namespace alderspur::consensus
--- a/src/consensus/proposal_queue.cpp
+++ b/src/consensus/proposal_queue.cpp
@@ -18,20 +18,22 @@
 
 }  // namespace
 
-void ProposalQueue::finish(std::uint64_t nonce, const std::string& reason) {
+void ProposalQueue::reject(std::uint64_t nonce, const std::string& reason) {
   context_.add_action(ProposalFinished{{nonce, false, true, 0, reason}});
 }
 
-std::string ProposalQueue::reason_against_content(const OperatorProposal& proposal,
-                                                  const std::string& encoded) {
+std::string ProposalQueue::reason_to_reject_content(const OperatorProposal& proposal,
+                                                    const std::string& encoded) {
   if (proposal.content.empty() || proposal.content.size() > kMaxDocuments) {
-    return "a content has 1 to 64 documents";
+    return "a version must have 1 to 64 documents";
   }
-  if (encoded.size() > kMaxContentBytes) return "over 16 MB";
+  if (encoded.size() > kMaxContentBytes) return "the documents exceed 16 MiB in total";
   const CanaryRollout& canary = proposal.canary;
-  if (canary.routers.size() > kMaxVoters) return "a trial has 7 first routers at most";
+  if (canary.routers.size() > kMaxVoters) return "a trial may name at most 7 first routers";
   const bool has_valid_duration = canary.duration > 0 && canary.duration <= kMaxCanaryDuration;
-  if (canary.is_active() && !has_valid_duration) return "a trial takes a second to a day";
+  if (canary.is_active() && !has_valid_duration) {
+    return "the duration of a trial must be above 0 and at most one day";
+  }
   return {};
 }
 
@@ -51,7 +53,7 @@
 
 void ProposalQueue::add(const OperatorProposal& proposal) {
   if (proposals_.size() >= kMaxOpenProposals) {
-    return finish(proposal.nonce, "too many proposals are under way here");
+    return reject(proposal.nonce, "too many proposals are open at this router; try again later");
   }
   OpenProposal open;
   open.request.nonce = proposal.nonce;
@@ -61,15 +63,15 @@
     open.request.voters = proposal.voters;
     const std::size_t count = proposal.voters.size();
     if (count > kMaxVoters || count % 2 == 0) {
-      return finish(proposal.nonce, "take 1, 3, 5 or 7 voters");
+      return reject(proposal.nonce, "the number of voters must be 1, 3, 5 or 7");
     }
   } else if (proposal.canary_decision) {
     open.decision = proposal.canary_decision;
     open.decision->nonce = proposal.nonce;
   } else {
     std::string encoded = encode(proposal.content);
-    const std::string reason = reason_against_content(proposal, encoded);
-    if (!reason.empty()) return finish(proposal.nonce, reason);
+    const std::string reason = reason_to_reject_content(proposal, encoded);
+    if (!reason.empty()) return reject(proposal.nonce, reason);
     open.request.version = make_version(proposal, encoded);
     const std::string& digest = open.request.version.digest;
     if (!contents_.contains(digest)) contents_.add(digest, std::move(encoded));
@@ -77,21 +79,22 @@
   proposals_.push_back(std::move(open));
 }
 
-// Empty: it goes on.
+// Empty: the proposal stays open.
 std::string ProposalQueue::reason_to_give_up(const OpenProposal& proposal) const {
   const Version& version = proposal.request.version;
   const auto& leader_protocol = lease_client_.leader_protocol_version();
-  // For a leader of an earlier program it would be a version like any other and apply to all
-  // routers at once.
+  // A leader whose build does not support canary rollouts would treat the version as an ordinary
+  // one, which applies to all routers at once.
   if (version.is_canary() && leader_protocol && *leader_protocol < kProtocolWithCanaries) {
-    return "the program of " + lease_client_.leader() + ", which leads, knows no trials";
+    return "the program of the leader " + lease_client_.leader() + " knows no trials";
   }
   const ContentStore::Entry* entry = contents_.find(version.digest);
   if (proposal.has_content() && entry && entry->is_rejected()) {
     return "refused here: " + entry->rejection_reason;
   }
   if (context_.now() >= proposal.give_up_at) {
-    return "no answer from the voters; it may still come into force, ask which versions there are";
+    return "no answer from the voters in time; the proposal may still succeed, check the list of "
+           "versions";
   }
   return {};
 }
@@ -117,7 +120,7 @@
   for (auto proposal = proposals_.begin(); proposal != proposals_.end();) {
     const std::string reason = reason_to_give_up(*proposal);
     if (!reason.empty()) {
-      finish(proposal->request.nonce, reason);
+      reject(proposal->request.nonce, reason);
       proposal = proposals_.erase(proposal);
       continue;
     }
--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -8,7 +8,7 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr Time kMillisecond = 1000;
+constexpr Time kMillisecond = 1000;  // in microseconds
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   set_snapshot_functions();
   set_state_machine_functions();
   if (raft_init(&raft_, &io_, &fsm_, raft_id_of(name), name.c_str())) {
-    throw std::runtime_error("consensus cannot start");
+    throw std::runtime_error("Raft cannot be initialized for " + name);
   }
   raft_set_election_timeout(&raft_,
                             static_cast<unsigned>(settings_.election_timeout / kMillisecond));
@@ -45,8 +45,8 @@
   log_ = {};
 }
 
-// Requests that are under way hold memory of the library; each must be cancelled before it closes,
-// or that memory leaks.
+// Requests in progress own memory of the library. Each must be cancelled before the library closes,
+// or its memory leaks.
 Raft::~Raft() {
   raft_close(&raft_, nullptr);
   for (auto& write : std::exchange(pending_writes_, {})) {
@@ -63,12 +63,12 @@
 void Raft::bootstrap(const std::vector<std::string>& voters) {
   Configuration configuration;
   for (const auto& voter : voters) configuration.servers.push_back({voter, RAFT_VOTER});
-  raft_configuration raft_form = to_raft_configuration(configuration);
-  raft_bootstrap(&raft_, &raft_form);
-  raft_configuration_close(&raft_form);
+  raft_configuration library_configuration = to_raft_configuration(configuration);
+  raft_bootstrap(&raft_, &library_configuration);
+  raft_configuration_close(&library_configuration);
 }
 
-// ---- Writes and the messages that wait for them
+// ---- Writes and deferred output
 
 std::uint64_t Raft::store(LogWrite write) {
   ++writes_begun_;
@@ -91,7 +91,7 @@
   release_deferred_output();
 }
 
-// Sends what waited for the writes that are done by now, in its order.
+// Sends, in order, the deferred output whose preceding writes are done.
 void Raft::release_deferred_output() {
   while (!has_failed_ && !deferred_output_.empty() &&
          deferred_output_.front().after_write <= writes_done_) {
@@ -140,8 +140,8 @@
   struct ApplyRequest : ::raft_apply {};
   auto* request = new ApplyRequest{};
   const raft_buffer buffer = to_raft_buffer(command);
-  // The result is not needed: it shows in the replicated state, and a command that is lost with its
-  // leader is proposed again.
+  // The result of the request is not needed: a committed command changes the replicated state, and
+  // a command that is lost with its leader is proposed again.
   const int error = ::raft_apply(&raft_, request, &buffer, 1,
                                  [](struct raft_apply* finished, int /*status*/, void* /*result*/) {
                                    delete static_cast<ApplyRequest*>(finished);
@@ -195,7 +195,8 @@
 
 // ---- Leadership
 
-// The latest time at which a majority, this server included, had confirmed this leader.
+// Returns the latest time by which a majority of the voters, including this server, had confirmed
+// this leader.
 Time Raft::majority_confirmed_at() const {
   std::vector<Time> times;
   for (unsigned i = 0; i < raft_.configuration.n; ++i) {
@@ -215,8 +216,8 @@
 
 bool Raft::has_leader_lease(Time now) const {
   if (has_failed_ || !is_leader()) return false;
-  // A single voter counts its own vote before that is on the disk, so it must wait for its writes:
-  // otherwise it might lead twice in one term after a crash.
+  // A single voter counts its own vote before the vote is on the disk. It must wait for its writes,
+  // or it could lead twice in one term after a crash.
   if (raft_.configuration.n == 1) return writes_done_ == writes_begun_;
   const auto lease =
       static_cast<Time>(static_cast<double>(settings_.election_timeout) * (1 - 2 * kMaxClockDrift));
@@ -228,7 +229,8 @@
   std::uint64_t term = 0;
 };
 
-// Entries of an earlier leader count as committed only behind an entry of this leader's term.
+// Appends a barrier entry at the start of a term: entries of earlier leaders are committed only
+// once an entry of this leader's term that follows them is committed.
 void Raft::begin_term_if_leader() {
   if (!is_leader() || barrier_term_ == raft_.current_term) return;
   barrier_term_ = raft_.current_term;
@@ -277,7 +279,7 @@
   return {acknowledged.term, std::min<std::uint64_t>(acknowledged.index, raft_.commit_index)};
 }
 
-// The library has no call for it; its log is a ring buffer.
+// The library has no function for this; its log is a ring buffer.
 std::uint64_t Raft::last_term() const {
   const auto& log = raft_.log;
   const auto count = log.size ? (log.back + log.size - log.front) % log.size : 0;
@@ -308,8 +310,9 @@
   return now_ < vote_floor_until_ && last_entry < vote_floor_;
 }
 
-// A voter that has just started has forgotten which leader it has heard. If it voted at once, it
-// could help to elect a second leader while the first still counts on its confirmation.
+// A voter that has just started does not know when it last confirmed a leader. If it voted at once,
+// a second leader could be elected while the lease of the first, to which the voter's confirmation
+// contributed, is still valid.
 bool Raft::may_vote_on(const raft_request_vote& request) const {
   return now_ >= started_at_ + settings_.election_timeout && !is_below_vote_floor(request);
 }
@@ -331,7 +334,7 @@
   }
 }
 
-// The next frame to that leader echoes it.
+// Records the newest message of a leader; the next frame to that leader echoes it.
 void Raft::record_leader_contact(const std::string& leader, const raft_message& message,
                                  Time sent_at) {
   std::uint64_t leader_term = 0;
--- a/src/consensus/raft_callbacks.cpp
+++ b/src/consensus/raft_callbacks.cpp
@@ -1,12 +1,12 @@
-// The functions that the Raft library calls for its I/O and its state machine: they turn its
-// requests into numbered writes, deferred messages and calls of Raft's callbacks.
+// The functions that the Raft library calls for its I/O and its state machine. They convert the
+// library's requests into numbered writes, deferred messages and calls of Raft's callbacks.
 #include "consensus/raft.h"
 #include "consensus/raft_conversions.h"
 
 namespace alderspur::consensus {
 namespace {
 
-constexpr Time kMillisecond = 1000;
+constexpr Time kMillisecond = 1000;  // in microseconds
 
 }  // namespace
 
@@ -115,7 +115,7 @@
 int Raft::append(raft_io_append* request, const raft_entry* entries, unsigned count,
                  raft_io_append_cb done) {
   request->cb = done;
-  // The library has these in its log already; so the first of them is the last but count - 1.
+  // The library has already appended these entries to its log, so last_index() includes them.
   const std::uint64_t first_index = last_index() + 1 - count;
   const auto number = store(AppendEntries{first_index, from_raft_entries(entries, count)});
   pending_writes_.push_back({number, request, nullptr});
--- a/src/consensus/raft_conversions.cpp
+++ b/src/consensus/raft_conversions.cpp
@@ -10,7 +10,7 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr std::size_t kEntryAlignment = 8;
+constexpr std::size_t kEntryAlignment = 8;  // bytes
 
 void* allocate(std::size_t size) {
   void* memory = raft_malloc(size);
--- a/src/consensus/raft_frame.cpp
+++ b/src/consensus/raft_frame.cpp
@@ -13,10 +13,10 @@
 using msgpack_codec::Writer;
 
 constexpr std::size_t kEntryFields = 3;
-constexpr std::size_t kMaxEntries = 4096;
+constexpr std::size_t kMaxEntries = 4096;  // of one message
 constexpr std::size_t kMaxEntryBytes = 64 << 10;
 constexpr std::size_t kMaxSnapshotBytes = 1 << 20;
-constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;
+constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;  // microseconds
 
 void write(Writer& writer, const raft_append_entries& message) {
   writer.array(5).number(message.term);
@@ -59,7 +59,8 @@
   return entry;
 }
 
-// Memory for the library is allocated last, when nothing can be rejected any more.
+// The functions below allocate memory for the library only after all fields have been validated, so
+// a rejected message leaks nothing.
 void read(Reader& reader, raft_append_entries& message) {
   message.term = reader.number();
   message.prev_log_index = reader.number();
@@ -115,8 +116,8 @@
     case RAFT_IO_REQUEST_VOTE: {
       const raft_request_vote& request = message.request_vote;
       read(reader, message.request_vote);
-      // `disrupt_leader` is set by a candidate to which a leader has handed over its leadership;
-      // that never happens here, and it would break the leader's lease.
+      // `disrupt_leader` is set by a candidate to which the leader has transferred its leadership.
+      // That is never done here, and such a vote would violate the leader lease.
       return reader.ok() && request.candidate_id == raft_id_of(sender) && !request.disrupt_leader;
     }
     case RAFT_IO_REQUEST_VOTE_RESULT:
@@ -155,7 +156,7 @@
       write(writer, message.install_snapshot);
       break;
     default:
-      break;  // RAFT_IO_TIMEOUT_NOW is never sent; nobody could read it
+      break;  // RAFT_IO_TIMEOUT_NOW is never sent, and decode_raft_frame() rejects it
   }
   return writer.str();
 }
--- a/src/consensus/version_rollout.cpp
+++ b/src/consensus/version_rollout.cpp
@@ -7,22 +7,23 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr Time kMaxOfferTime = 15'000'000;
-// For voters beyond a majority that may still reject. Together with the end of a lease it stays
-// below the time within which a version must be active.
+constexpr Time kMaxOfferTime = 15'000'000;  // then an offered version is withdrawn
+// How long to wait for voters beyond a majority that may still reject the version. The sum of this
+// time and the duration of a lease must stay below the time within which a version has to become
+// active.
 constexpr Time kVoterGraceTime = 500'000;
-constexpr Time kMinHarmfulTime = 2'000'000;  // until a canary rollout is rolled back
-// Requests per second at the canary routers; fewer are no evidence. Each router's rate counts one
-// more than there are.
+constexpr Time kMinHarmfulTime = 2'000'000;  // of continuous harm, before a rollback
+// Requests per second at the canary routers; a lower rate is not enough evidence. Each router
+// reports a rate that is one higher than measured.
 constexpr double kMinCanaryRequestRate = 1;
-constexpr double kNoRequestRate = 1e-9;
+constexpr double kNegligibleRequestRate = 1e-9;  // a smaller difference is only a rounding error
 
-// What the voters of the Raft configuration say of an offered version.
+// The answers of the voters in the Raft configuration on an offered version.
 struct OfferVotes {
   std::size_t voters = 0;
-  std::size_t stored = 0;
+  std::size_t stored = 0;   // voters that have stored the version
   bool may_reject = false;  // a voter with a lease has not answered yet
-  std::string rejection;    // empty: none has rejected it
+  std::string rejection;    // empty: no voter has rejected the version
 };
 
 OfferVotes count_votes(std::uint64_t number, const std::map<std::string, int>& roles,
@@ -48,6 +49,7 @@
 
 int percent(double ratio) { return static_cast<int>(ratio * 100); }
 
+// The failure ratios at the canary routers and at all other routers.
 struct CanaryComparison {
   bool has_evidence = false;
   double canary_failure_ratio = 0;
@@ -62,8 +64,8 @@
   }
 };
 
-// Failure ratios weighted by request rates, of the canary routers that act on the version and of
-// all others.
+// Computes the failure ratios of the canary routers that act on the version and of all other
+// routers, weighted by their request rates.
 CanaryComparison compare_canary(const Version& version, const LeaseTable& leases) {
   double canary_rate = 0;
   double canary_failures = 0;
@@ -79,7 +81,7 @@
   comparison.has_evidence = true;
   comparison.canary_failure_ratio = canary_failures / canary_rate;
   const double other_rate = leases.total_request_rate() - canary_rate;
-  if (other_rate > kNoRequestRate) {
+  if (other_rate > kNegligibleRequestRate) {
     comparison.other_failure_ratio =
         std::max(0.0, leases.total_failure_rate() - canary_failures) / other_rate;
   }
@@ -115,8 +117,8 @@
   if (!votes.rejection.empty()) {
     return WithdrawVersion{version.number, to_printable(votes.rejection, kMaxNoteLength)};
   }
-  // A voter whose disk hangs keeps its lease and never stores anything. It must not block the
-  // version for ever; once the version is accepted, it loses its lease.
+  // A voter whose disk hangs keeps its lease and never stores the version. It must not block the
+  // version indefinitely; once the version is accepted, this voter gets no further lease.
   const bool is_grace_over = now > offered_since_ + kVoterGraceTime;
   const bool has_majority = votes.stored > votes.voters / 2;
   if (has_majority && (!votes.may_reject || is_grace_over)) return AcceptVersion{version.number};
--- a/src/consensus/version_rollout.h
+++ b/src/consensus/version_rollout.h
@@ -1,6 +1,6 @@
-// The leader's decisions on the pending version: when it is accepted, activated or withdrawn, and
-// whether a canary rollout is promoted or rolled back. Decides only; the caller proposes the
-// command. Not thread-safe.
+// The leader's decisions on the pending version: when to accept, activate or withdraw it, and
+// whether to promote or roll back its canary rollout. This class only decides; the caller proposes
+// the command. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,15 @@
 
 namespace alderspur::consensus {
 
+/// Decides on the pending version from the replicated state and the reports in lease requests.
 class VersionRollout {
  public:
-  /// Forgets what was observed in an earlier term. How long an earlier leader has watched a canary
-  /// rollout is unknown: its time counts anew.
+  /// Discards the observations of earlier terms. A canary rollout starts its duration again,
+  /// because the new leader does not know how long an earlier leader has observed it.
   void begin_term();
 
-  /// The command that is due for the pending version, if any. `roles`: of the Raft configuration.
+  /// Returns the command that is due for the pending version, if any. `roles` are the roles by
+  /// server name in the Raft configuration.
   std::optional<Command> next_command(Time now, const AppliedState& state,
                                       const std::map<std::string, int>& roles, LeaseTable& leases);
 
@@ -29,11 +31,11 @@
                                         const LeaseTable& leases);
   std::optional<Command> watch_canary(Time now, const Version& version, const LeaseTable& leases);
 
-  std::uint64_t offered_number_ = 0;  // since offered_since_
-  Time offered_since_ = 0;
-  std::uint64_t canary_number_ = 0;  // since canary_since_
-  Time canary_since_ = 0;
-  Time harmful_since_ = 0;  // 0: the canary does no harm
+  std::uint64_t offered_number_ = 0;  // the offered version observed last
+  Time offered_since_ = 0;            // when this leader first observed it
+  std::uint64_t canary_number_ = 0;   // the canary version observed last
+  Time canary_since_ = 0;             // when this leader first observed it
+  Time harmful_since_ = 0;            // 0: the canary is not harmful; see is_harmful()
 };
 
 }  // namespace alderspur::consensus
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Time kLogStatusInterval = 300'000;
-constexpr Time kMaxStartTime = 3'000'000;        // for voters that do not answer
-constexpr Time kResetRetryInterval = 5'000'000;  // after the disk has refused a reset
+constexpr Time kMaxStartupWait = 3'000'000;      // for log statuses of the other voters
+constexpr Time kResetRetryInterval = 5'000'000;  // after a failed reset of the log
 constexpr Time kVoteRestrictionTime = 10'000'000;
 
 }  // namespace
@@ -33,24 +33,24 @@
   if (done.raft_instance == 0) {
     if (role_ != NodeRole::learner) return false;
     is_log_reset_ = event.is_ok;
-    fault_ = event.is_ok ? "" : "the disk takes no log";
+    fault_ = event.is_ok ? "" : "the empty log could not be written to the disk";
     if (!event.is_ok) retry_reset_at_ = context_.now() + kResetRetryInterval;
     return true;
   }
   if (done.raft_instance != raft_instance_ || !raft_) return false;
   if (!is_in_order) {
-    // A write that the worker did not even take is reported ahead of those before it.
-    abandon_log("the disk takes no more stores");
+    // A write that the worker's queue rejects is reported before the writes queued ahead of it.
+    abandon_log("the disk worker rejected a write of the log");
     return false;
   }
   raft_->on_write_done(context_.now(), done.raft_number, event.is_ok);
-  if (raft_->has_failed()) abandon_log("a store did not reach the disk");
+  if (raft_->has_failed()) abandon_log("a write of the log to the disk failed");
   return false;
 }
 
-// What a disk has lost or made up, a vote above all, must not be continued as if nothing had
-// happened: this voter could vote twice in one term. The other voters remove the former self from
-// the voters before the new one counts.
+// A voter must not continue from a log that has lost or corrupt records: without a record of its
+// vote it could vote twice in one term. The leader removes its previous identity from the Raft
+// configuration before the new learner is added.
 void Voter::abandon_log(const std::string& reason) {
   raft_.reset();
   role_ = NodeRole::learner;
@@ -69,9 +69,9 @@
   has_no_disk_ = start.has_no_disk;
   if (!is_voter) return;
   role_ = NodeRole::joining;
-  start_began_at_ = context_.now();
+  started_at_ = context_.now();
   send_log_status_at_ = context_.now();
-  if (start.is_log_corrupt) abandon_log("the disk holds a log that cannot be believed");
+  if (start.is_log_corrupt) abandon_log("the log on the disk is corrupt");
 }
 
 LogStatus Voter::log_status_for(const std::string& peer, bool wants_reply) const {
@@ -105,14 +105,14 @@
   if (status.wants_reply) context_.send(from, log_status_for(from, false));
   const bool is_starting = !raft_ && role_ == NodeRole::joining;
   startup_check_.add(from, status, is_starting);
-  // Checked also after a start that did not wait for this voter's answer.
+  // This also covers statuses that arrive after startup, which does not wait for every voter.
   const std::uint64_t last_index = raft_ ? raft_->last_index() : log_.last_index();
   const std::uint64_t term = raft_ ? raft_->term() : log_.term;
   const bool uses_log =
       role_ == NodeRole::voter || (role_ == NodeRole::joining && !log_.is_empty());
   if (!uses_log || learner_id_ != 0 || status.wants_reply) return;
   if (status.acknowledged_index > last_index || status.acknowledged_term > term) {
-    abandon_log("it holds less than it has acknowledged to " + from);
+    abandon_log("the log lacks an entry or a term that this voter has acknowledged to " + from);
   }
 }
 
@@ -124,7 +124,7 @@
   }
   if (role_ != NodeRole::joining) return;
   send_log_status(voters);
-  const bool has_waited = context_.now() >= start_began_at_ + kMaxStartTime;
+  const bool has_waited = context_.now() >= started_at_ + kMaxStartupWait;
   const auto result = startup_check_.decide(log_, context_.name(), voters, has_waited);
   switch (result.decision) {
     case StartupCheck::Decision::wait:
@@ -137,7 +137,8 @@
       return begin_raft({}, founding_voters);
     }
     case StartupCheck::Decision::log_is_lost:
-      return abandon_log("the log of this voter is lost: " + result.evidence + " has one");
+      return abandon_log("the log of this voter is lost, but the cluster has a log at " +
+                         result.evidence);
     case StartupCheck::Decision::use_log:
       begin_raft(std::exchange(log_, {}), {});
       raft_->restrict_votes(result.vote_floor, context_.now() + kVoteRestrictionTime);
@@ -186,7 +187,8 @@
 
 std::uint64_t Voter::learner_id_to_announce() const {
   if (role_ == NodeRole::learner && is_log_reset_) return learner_id_;
-  // Until it sees itself in the configuration: the leader that admitted it may be gone.
+  // The id is sent until this router is in the configuration, because the leader that admitted it
+  // may have failed.
   const bool is_admitted = raft_ && raft_->has_server(context_.name());
   if (role_ == NodeRole::voter && raft_ && !is_admitted) return learner_id_;
   return 0;
@@ -201,20 +203,23 @@
 }
 
 void Voter::join_if_wanted(bool is_wanted) {
-  if (role_ == NodeRole::follower && is_wanted && !has_no_disk_) abandon_log("made a voter");
+  if (role_ == NodeRole::follower && is_wanted && !has_no_disk_) {
+    abandon_log("this router has become a voter");
+  }
 }
 
 void Voter::leave_if_unwanted(bool is_wanted) {
   const bool is_in_configuration = raft_->has_server(context_.name());
   if (is_in_configuration) learner_id_ = 0;
-  // The voter's own log does not tell of its removal, because it ends there: the leader does.
+  // A removed voter does not receive the log entry of its removal, so the leader's grants report
+  // it.
   const bool was_removed = !is_in_configuration || !is_member_;
   if (is_wanted || !was_removed || role_ != NodeRole::voter) return;
   raft_.reset();
   role_ = NodeRole::follower;
   learner_id_ = 0;
   reset_log();
-  context_.log("no_voter", "it was taken out of the voters");
+  context_.log("no_voter", "this router was removed from the voters");
 }
 
 Time Voter::next_deadline() const {
--- a/tests/consensus/mangled_messages_test.cpp
+++ b/tests/consensus/mangled_messages_test.cpp
@@ -30,7 +30,7 @@
   grant.current = some_version();
   grant.pending = some_version();
   grant.voters = {"r1", "r2"};
-  VersionNews news;
+  VersionResponse news;
   news.current = some_version();
   news.accepted = some_version();
   ProposeRequest proposal;
