--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -408,7 +408,7 @@
     std::filesystem::rename(file, file + kSetAsideSuffix, error);
     if (error) {
       return {LogStoreErrorCode::file_error,
-              "cannot rename " + file + " to " + file + kSetAsideSuffix + ": " + error.message()};
+              "cannot rename " + file + " to reset the log: " + error.message()};
     }
   }
   write_count_ = 0;
--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr Time kLogStatusInterval = 300'000;
-constexpr Time kMaxStartupWait = 3'000'000;      // for log statuses of the other voters
-constexpr Time kResetRetryInterval = 5'000'000;  // after a failed reset of the log
-constexpr Time kVoteRestrictionTime = 10'000'000;
+constexpr Time kMaxStartupWait = 3'000'000;        // for log statuses of the other voters
+constexpr Time kResetRetryInterval = 5'000'000;    // after a failed reset of the log
+constexpr Time kVoteRestrictionTime = 10'000'000;  // from the start of the Raft instance
 
 }  // namespace
 
@@ -204,7 +204,7 @@
 
 void Voter::join_if_wanted(bool is_wanted) {
   if (role_ == NodeRole::follower && is_wanted && !has_no_disk_) {
-    abandon_log("this router has become a voter");
+    abandon_log("this router becomes a voter with an empty log");
   }
 }
 
