--- a/src/consensus/voter.cpp
+++ b/src/consensus/voter.cpp
@@ -71,7 +71,7 @@
   role_ = NodeRole::joining;
   started_at_ = context_.now();
   send_log_status_at_ = context_.now();
-  if (start.is_log_corrupt) abandon_log("the log on the disk is corrupt");
+  if (start.is_log_corrupt) abandon_log("the log on the disk is corrupt or outdated");
 }
 
 LogStatus Voter::log_status_for(const std::string& peer, bool wants_reply) const {
