--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -7,19 +7,21 @@
 namespace {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kDefaultBurstsPerSecond = 10;
-constexpr double kHoldTimeLearningRate = 0.1;
-constexpr double kInitialHoldTime = 100'000;  // microseconds
-constexpr double kMaxDelay = 1e12;            // microseconds; fits into Time
-constexpr Time kMinRetryAfter = 1'000;
-constexpr Time kMaxRetryAfter = 60'000'000;
+constexpr double kDefaultBurstsPerSecond = 10;  // the default burst is 1 / 10 of the rate
+constexpr double kHoldTimeLearningRate = 0.1;   // weight of a new value in the moving average
+constexpr double kInitialHoldTime = 100'000;    // microseconds; assumed before the first release
+constexpr double kMaxDelay = 1e12;              // microseconds; can be converted to Time
+constexpr Time kMinRetryAfter = 1'000;          // microseconds
+constexpr Time kMaxRetryAfter = 60'000'000;     // microseconds
 
+/// Returns the capacity of the token bucket, at least 1.
 double max_tokens(const Rule& rule) {
   const double burst = rule.burst ? static_cast<double>(*rule.burst)
                                   : rule.max_rate.value_or(0) / kDefaultBurstsPerSecond;
   return std::max(1.0, burst);
 }
 
+/// Rounds a delay in microseconds up and clamps it to the bounds of a retry-after time.
 Time to_retry_after(double delay) {
   const auto rounded = static_cast<Time>(std::ceil(std::min(delay, kMaxDelay)));
   return std::clamp(rounded, kMinRetryAfter, kMaxRetryAfter);
@@ -39,8 +41,9 @@
   refilled_at_ = std::max(*refilled_at_, now);
 }
 
-// By Little's law, of n requests held for a mean time each, one ends every mean / n. As many have
-// to end as stand over the limit.
+// Estimates when the number in flight falls below the limit. By Little's law, if n requests are in
+// flight and each lasts `mean` on average, one of them ends every mean / n. `excess` of them have
+// to end before another is admitted.
 Time Limiter::expected_release(std::size_t max_in_flight) const {
   const double mean = mean_hold_time_ > 0 ? mean_hold_time_ : kInitialHoldTime;
   const auto excess = static_cast<double>(in_flight_ - max_in_flight + 1);
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -29,8 +29,8 @@
   std::swap(acquired_at_, other.acquired_at_);
 }
 
-// All limits are checked before any is acquired: a request that one of them rejects must not cost
-// another a token.
+// All limits are checked before any is acquired, so that a request that one limit rejects does not
+// take a token from another.
 Admission Limits::acquire(const std::vector<Claim>& claims, Time now) {
   Admission admission;
   for (const auto& claim : claims) {
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -4,14 +4,14 @@
 
 namespace alderspur::limits {
 
-RetryBudget::RetryBudget(double ratio, double max_saved)
-    : ratio_(ratio), max_saved_(max_saved), saved_(max_saved / 2) {}
+RetryBudget::RetryBudget(double ratio, double max_balance)
+    : ratio_(ratio), max_balance_(max_balance), balance_(max_balance / 2) {}
 
-void RetryBudget::on_request() { saved_ = std::min(saved_ + ratio_, max_saved_); }
+void RetryBudget::on_request() { balance_ = std::min(balance_ + ratio_, max_balance_); }
 
 bool RetryBudget::try_retry() {
-  if (saved_ < 1) return false;
-  saved_ -= 1;
+  if (balance_ < 1) return false;
+  balance_ -= 1;
   return true;
 }
 
--- a/src/limits/retry_budget.h
+++ b/src/limits/retry_budget.h
@@ -1,27 +1,30 @@
-// A budget for retries, as in the published design "Retry budgets" of the Finagle library: a
-// service that fails every request gets 1 + ratio times as many, however patient its clients are.
+// A retry budget, as in the Finagle library ("Retry budgets"). It limits the load that retries
+// cause: a service that fails every request receives at most 1 + ratio times as many requests,
+// however often its clients would retry.
 #pragma once
 
 namespace alderspur::limits {
 
-/// Every request earns `ratio` of a retry, up to `max_saved`. Not thread-safe.
+/// Each request adds `ratio` retries to the balance, up to `max_balance`; each retry takes one. Not
+/// thread-safe.
 class RetryBudget {
  public:
-  static constexpr double kDefaultMaxSaved = 20;
+  /// The default of `max_balance`, in retries.
+  static constexpr double kDefaultMaxBalance = 20;
 
-  /// Begins with half of `max_saved`.
-  explicit RetryBudget(double ratio, double max_saved = kDefaultMaxSaved);
+  /// The initial balance is half of `max_balance`.
+  explicit RetryBudget(double ratio, double max_balance = kDefaultMaxBalance);
 
-  /// Counts the first attempt of a request.
+  /// Adds to the balance for the first attempt of a request.
   void on_request();
 
-  /// Takes one retry off the budget; false if there is none left.
+  /// Takes one retry from the balance. Returns false if the balance is below one retry.
   bool try_retry();
 
  private:
   double ratio_;
-  double max_saved_;
-  double saved_;
+  double max_balance_;
+  double balance_;
 };
 
 }  // namespace alderspur::limits
--- a/src/routing/compile.cpp
+++ b/src/routing/compile.cpp
@@ -16,17 +16,19 @@
 using config_language::Declaration;
 using config_language::Settings;
 
+/// Returns the texts of a field; empty if the field is absent.
 std::vector<std::string> texts(const Settings& settings, const std::string& key) {
   const auto it = settings.find(key);
   return it == settings.end() ? std::vector<std::string>{} : it->second.texts;
 }
 
-/// The only text, or the first one; empty if the field is absent.
+/// Returns the first text of a field; empty if the field is absent.
 std::string first_text(const Settings& settings, const std::string& key) {
   const auto all = texts(settings, key);
   return all.empty() ? "" : all[0];
 }
 
+/// Returns the number of a field; nothing if the field is absent or is not a number.
 template <class Number>
 std::optional<Number> number(const Settings& settings, const std::string& key) {
   const auto it = settings.find(key);
@@ -34,6 +36,7 @@
   return static_cast<Number>(*it->second.number);
 }
 
+/// Returns the value of a yes-or-no field.
 bool flag(const Settings& settings, const std::string& key, bool default_value) {
   const std::string word = first_text(settings, key);
   return word.empty() ? default_value : word == "yes";
@@ -55,7 +58,7 @@
   return limits;
 }
 
-/// The locations of the field and those of the blocks around the declaration.
+/// Returns the locations in the field `point` and those of the blocks around the declaration.
 std::vector<std::string> locations(const Declaration& declaration) {
   auto names = texts(declaration.settings, "point");
   names.insert(names.end(), declaration.locations.begin(), declaration.locations.end());
@@ -118,6 +121,7 @@
   return conditions;
 }
 
+/// Compiles one program. To be used once.
 class Compiler {
  public:
   explicit Compiler(const config_language::Sources& sources) : sources_(sources) {}
@@ -127,7 +131,8 @@
       if (declaration.kind->name == "pool") add_pool(declaration);
       if (declaration.kind->name == "policy") add_policy(declaration);
     }
-    // A pool or policy may be declared after what refers to it.
+    // Pools and policies come first, because they may be declared after the routes and pools that
+    // refer to them.
     for (const auto& declaration : declarations) {
       if (declaration.kind->name == "pool") add_fallbacks(declaration);
       if (declaration.kind->name == "route") add_route(declaration);
@@ -168,7 +173,7 @@
   void add_route(const Declaration& declaration) {
     const Settings& settings = declaration.settings;
     auto path = config_language::parse_path(first_text(settings, "path"));
-    if (!path.is_valid() || texts(settings, "class").empty()) return;  // the check reports these
+    if (!path.is_valid() || texts(settings, "class").empty()) return;  // reported by the check
     Route route;
     route.name = declaration.name;
     route.class_name = first_text(settings, "class");
@@ -186,11 +191,13 @@
     program_.routes.push_back(std::move(route));
   }
 
-  Split compile_split(const config_language::Split& split, const Destination& of_route) const {
-    Destination of_split = destination(split.settings);
-    if (!of_split.pool) of_split.pool = of_route.pool;
-    if (!of_split.policy) of_split.policy = of_route.policy;
-    return {split.fraction, of_split};
+  /// Compiles a split. A pool or policy that it does not name is that of the route.
+  Split compile_split(const config_language::Split& split,
+                      const Destination& route_destination) const {
+    Destination split_destination = destination(split.settings);
+    if (!split_destination.pool) split_destination.pool = route_destination.pool;
+    if (!split_destination.policy) split_destination.policy = route_destination.policy;
+    return {split.fraction, split_destination};
   }
 
   Destination destination(const Settings& settings) const {
--- a/src/routing/compile.h
+++ b/src/routing/compile.h
@@ -1,5 +1,5 @@
-// From the declarations of a checked program to routes, pools and policies that refer to each other
-// by index.
+// Compiles the declarations of a checked configuration program to routes, pools and policies that
+// refer to each other by index. Used by Table (table.h). No I/O.
 #pragma once
 
 #include <vector>
@@ -9,14 +9,16 @@
 
 namespace alderspur::routing {
 
+/// The routes, pools and policies of a program. An index in one of them refers to the vectors here.
 struct CompiledProgram {
   std::vector<Route> routes;
   std::vector<Pool> pools;
   std::vector<Policy> policies;
 };
 
-/// The program must have been checked without an error. Of declarations that share a kind and a
-/// name, for different locations, references by name lead to the first.
+/// Compiles a program, which must have been checked without an error. Several declarations of the
+/// same kind may share a name if they are for different locations; references by name are then
+/// resolved to the first one.
 CompiledProgram compile(const config_language::Meaning& meaning,
                         const config_language::Sources& sources);
 
--- a/src/routing/lower_case.cpp
+++ b/src/routing/lower_case.cpp
@@ -4,8 +4,8 @@
 
 std::string to_lower_case(std::string_view text) {
   std::string result(text);
-  for (char& c : result) {
-    if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+  for (char& letter : result) {
+    if (letter >= 'A' && letter <= 'Z') letter = static_cast<char>(letter - 'A' + 'a');
   }
   return result;
 }
--- a/src/routing/lower_case.h
+++ b/src/routing/lower_case.h
@@ -1,4 +1,4 @@
-// Host names are compared in lower case.
+// Converts host names to lower case, in which they are compared.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace alderspur::routing {
 
-/// Maps the letters A to Z; other bytes stay.
+/// Converts the ASCII letters A to Z to lower case. Other bytes are unchanged.
 std::string to_lower_case(std::string_view text);
 
 }  // namespace alderspur::routing
--- a/src/routing/path_tree.cpp
+++ b/src/routing/path_tree.cpp
@@ -5,20 +5,22 @@
 namespace alderspur::routing {
 namespace {
 
+/// A route in a node, with its priority among routes of the same path.
 struct Entry {
   RouteIndex route = 0;
   std::size_t priority = 0;
 };
 
+/// Inserts the entry after all entries of the same or a higher priority.
 void insert_by_priority(std::vector<Entry>& entries, const Entry& entry) {
-  const auto at = std::find_if(entries.begin(), entries.end(), [&entry](const Entry& other) {
+  const auto position = std::find_if(entries.begin(), entries.end(), [&entry](const Entry& other) {
     return other.priority < entry.priority;
   });
-  entries.insert(at, entry);
+  entries.insert(position, entry);
 }
 
 std::optional<RouteIndex> first_accepted(const std::vector<Entry>& entries,
-                                         const PathTree::Accepts& accepts) {
+                                         const PathTree::RoutePredicate& accepts) {
   for (const auto& entry : entries) {
     if (accepts(entry.route)) return entry.route;
   }
@@ -31,14 +33,15 @@
   std::unordered_map<std::string, std::unique_ptr<Node>> literals;
   std::unique_ptr<Node> capture;
   std::vector<Entry> ends;   // routes whose path ends here
-  std::vector<Entry> rests;  // routes that take the rest of the path
+  std::vector<Entry> rests;  // routes with `*`, which match the rest of the path
 
   std::optional<RouteIndex> find(const std::vector<std::string_view>& segments, std::size_t depth,
-                                 const Accepts& accepts) const;
+                                 const RoutePredicate& accepts) const;
 };
 
 std::optional<RouteIndex> PathTree::Node::find(const std::vector<std::string_view>& segments,
-                                               std::size_t depth, const Accepts& accepts) const {
+                                               std::size_t depth,
+                                               const RoutePredicate& accepts) const {
   if (depth == segments.size()) return first_accepted(ends, accepts);
   const std::string_view segment = segments[depth];
   if (!literals.empty()) {
@@ -47,7 +50,7 @@
       if (const auto route = it->second->find(segments, depth + 1, accepts)) return route;
     }
   }
-  // A capture takes no empty segment: "/a/" does not match "/a/{x}".
+  // A capture does not match an empty segment: "/a/" does not match "/a/{x}".
   if (capture && !segment.empty()) {
     if (const auto route = capture->find(segments, depth + 1, accepts)) return route;
   }
@@ -75,7 +78,7 @@
 }
 
 std::optional<RouteIndex> PathTree::find(const std::vector<std::string_view>& segments,
-                                         const Accepts& accepts) const {
+                                         const RoutePredicate& accepts) const {
   return root_->find(segments, 0, accepts);
 }
 
--- a/src/routing/path_tree.h
+++ b/src/routing/path_tree.h
@@ -1,5 +1,5 @@
-// An index of routes by path, one node a segment: the cost of a search grows with the path's length
-// and with the captures on its way, not with the number of routes.
+// Indexes routes by path in a tree with one node per segment. The cost of a search depends on the
+// length of the path and on the number of captures along it, not on the number of routes.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +18,27 @@
 /// The index of a route in Table::routes.
 using RouteIndex = std::uint32_t;
 
-/// Immutable once all routes are inserted; then any thread may search.
+/// The routes for one host pattern, or for any host. After all routes are inserted the tree is
+/// immutable, and any thread may search it.
 class PathTree {
  public:
-  /// Whether a route with a matching path also takes the request.
-  using Accepts = std::function<bool(RouteIndex)>;
+  /// Reports whether a route with a matching path also accepts the rest of the request, such as its
+  /// method.
+  using RoutePredicate = std::function<bool(RouteIndex)>;
 
   PathTree();
   ~PathTree();
   PathTree(PathTree&&) noexcept;
   PathTree& operator=(PathTree&&) noexcept;
 
-  /// Of routes with equal paths those with a higher priority come first, then the earlier ones.
+  /// Inserts a route. Among routes with equal paths, a higher priority comes first, and then the
+  /// route that was inserted earlier.
   void insert(const config_language::Path& path, RouteIndex route, std::size_t priority);
 
-  /// The first route that is accepted. Segment by segment from the left, a literal comes before a
-  /// capture and a capture before the rest of the path.
+  /// Returns the first matching route that `accepts` accepts. Segment by segment from the left, a
+  /// literal comes before a capture, and a capture before `*`, which matches the rest of the path.
   std::optional<RouteIndex> find(const std::vector<std::string_view>& segments,
-                                 const Accepts& accepts) const;
+                                 const RoutePredicate& accepts) const;
 
  private:
   struct Node;
--- a/src/routing/route.cpp
+++ b/src/routing/route.cpp
@@ -6,7 +6,7 @@
 namespace alderspur::routing {
 namespace {
 
-/// A number from 0 up to 1, from the 53 highest bits, which a double holds exactly.
+/// Maps the 53 highest bits, which a double represents exactly, to a number in [0, 1).
 double to_fraction(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
 
 }  // namespace
@@ -19,7 +19,8 @@
 
 std::optional<std::size_t> select_split(const Route& route, std::uint64_t hash) {
   if (route.splits.empty()) return std::nullopt;
-  // Mixed with the route's name, so that splits of two routes do not take the same users.
+  // The hash is mixed with the route's name, so that splits of different routes do not select the
+  // same users.
   const std::uint64_t seed = core::stable_hash(route.name);
   const double position = to_fraction(estimators::finalize_bits(hash ^ seed));
   double end = 0;
--- a/src/routing/route.h
+++ b/src/routing/route.h
@@ -1,5 +1,5 @@
-// Routes, and the pools and policies that they lead to: plain values, compiled from a program of
-// the configuration language. Durations in microseconds.
+// Routes, and the pools and policies to which they refer. These are plain values, compiled from a
+// program in the configuration language (compile.h). Durations are in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,15 @@
 
 namespace alderspur::routing {
 
-/// Limits on the requests of a route, pool or policy. Absent: no limit.
+/// Limits on the requests of a route, pool or policy. An absent value means no limit.
 struct Limits {
   std::optional<std::uint32_t> max_in_flight;
-  std::optional<std::uint32_t> burst;
-  std::optional<double> max_rate;  // requests a second
+  std::optional<std::uint32_t> burst;  // requests that may exceed the rate for a short time
+  std::optional<double> max_rate;      // requests per second
   std::optional<std::int64_t> queue_time;
 };
 
-/// Servers, selected from the endpoint list. An empty selector takes all servers of the role.
+/// Selects servers from the endpoint list. An empty selector matches all servers of the role.
 struct Pool {
   std::string name;
   Role role = Role::cache;
@@ -31,12 +31,12 @@
   std::vector<std::string> hubs;
   std::vector<std::uint32_t> cells;
   double min_weight = 0;
-  std::vector<std::uint32_t> fallback;  // indices in Table::pools, in the order of preference
+  std::vector<std::uint32_t> fallback;  // indexes in Table::pools, in order of preference
   Limits limits;
   diagnostics::Location declared_at;
 };
 
-/// How requests are sent.
+/// Parameters for sending a request: attempts, deadlines, hedging, freshness, fills and limits.
 struct Policy {
   std::string name;
   std::uint32_t attempts = 1;
@@ -47,16 +47,16 @@
   std::optional<std::int64_t> fresh_time;
   std::optional<std::int64_t> stale_grace_time;
   std::optional<std::int64_t> retry_after;
-  double retry_budget = 0;  // retries for each first attempt
-  double hedge_budget = 0;  // hedged requests for each first attempt
+  double retry_budget = 0;  // retries per first attempt
+  double hedge_budget = 0;  // hedged requests per first attempt
   bool renews_stale_copies = true;
   bool joins_fetches = true;
   bool purges_strictly = true;
-  std::vector<std::string> fill;  // in the order of preference
+  std::vector<std::string> fill;  // in order of preference
   Limits limits;
 };
 
-/// A header or query parameter that must have a value.
+/// Requires that a header or query parameter has this value.
 struct Condition {
   enum class Kind { header, query };
   Kind kind = Kind::header;
@@ -64,38 +64,41 @@
   std::string value;
 };
 
-/// Where requests go. Absent: as the router's configuration says.
+/// The pool and policy for requests. If one is absent, the router's configuration applies.
 struct Destination {
   std::optional<std::uint32_t> pool;    // index in Table::pools
   std::optional<std::uint32_t> policy;  // index in Table::policies
 };
 
-/// A fraction of a route's requests, from 0 to 1, that goes elsewhere.
+/// Sends a fraction of a route's requests, from 0 to 1, to another destination.
 struct Split {
   double fraction = 0;
   Destination destination;
 };
 
-/// Which requests a route takes, and where they go. An empty list takes any.
+/// The conditions for the requests that a route accepts, and their destination. An empty list
+/// accepts any value.
 struct Route {
   std::string name;
   std::string class_name;
-  std::vector<std::string> hosts;  // in lower case; "*.example" stands for all below example
+  std::vector<std::string> hosts;  // in lower case; "*.example" matches all subdomains of example
   std::vector<std::string> methods;
-  std::vector<std::string> locations;  // of the router
+  std::vector<std::string> locations;  // the locations of routers to which the route applies
   config_language::Path path;
   std::vector<Condition> conditions;
-  Destination destination;    // of the requests that no split takes
-  std::vector<Split> splits;  // in the order of the program
+  Destination destination;    // for requests that no split selects
+  std::vector<Split> splits;  // in program order
   Limits limits;
   diagnostics::Location declared_at;
 };
 
-/// Whether a host pattern ("a.example", "*.example") takes a host in lower case.
+/// Reports whether a host pattern ("a.example", "*.example") matches a host, which must be in lower
+/// case.
 bool host_matches(std::string_view pattern, std::string_view host);
 
-/// The index of the split that takes requests with this hash; nothing if none does. The hash is
-/// core::stable_hash of what must always be treated alike, such as the object or the user.
+/// Returns the index of the split that selects requests with this hash, or nothing if none does.
+/// The hash is core::stable_hash of the key whose requests must always get the same destination,
+/// such as the object or the user.
 std::optional<std::size_t> select_split(const Route& route, std::uint64_t hash);
 
 }  // namespace alderspur::routing
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -5,12 +5,14 @@
 namespace alderspur::routing {
 namespace {
 
-/// An empty list takes any value.
+/// Reports whether the list contains the value. An empty list accepts any value.
 template <class Element>
 bool accepts_value(const std::vector<Element>& accepted, const Element& value) {
   return accepted.empty() || std::find(accepted.begin(), accepted.end(), value) != accepted.end();
 }
 
+/// Reports whether the server belongs to the pool. `min_weight`, locations, hubs and cells restrict
+/// it.
 bool selects(const Pool& pool, const endpoints::Snapshot& list,
              const endpoints::ListedServer& server) {
   if (server.role != pool.role) return false;
--- a/src/routing/server_selection.h
+++ b/src/routing/server_selection.h
@@ -1,4 +1,4 @@
-// Which servers of an endpoint list belong to a pool.
+// Selects the servers of an endpoint list that belong to a pool. No I/O.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace alderspur::routing {
 
-/// The servers in service that the pool selects, in the list's order.
+/// Returns the servers in service that the pool selects, in the order of the list.
 std::vector<ServerId> select_servers(const Pool& pool, const endpoints::Snapshot& list);
 
 }  // namespace alderspur::routing
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -9,34 +9,38 @@
 namespace alderspur::routing {
 namespace {
 
-constexpr std::size_t kMaxSegments = 64;
+constexpr std::size_t kMaxSegments = 64;  // a path with more segments matches no route
 
-/// An empty list takes any value.
+/// Reports whether the list contains the value. An empty list accepts any value.
 bool accepts_value(const std::vector<std::string>& accepted, std::string_view value) {
   return accepted.empty() || std::find(accepted.begin(), accepted.end(), value) != accepted.end();
 }
 
-bool holds(const Condition& condition, const RequestAttributes& request) {
+/// Reports whether the request meets a condition on a header or query parameter.
+bool is_met(const Condition& condition, const RequestAttributes& request) {
   const auto& lookup = condition.kind == Condition::Kind::header ? request.header : request.query;
   const auto value = lookup ? lookup(condition.name) : std::nullopt;
   return value && *value == condition.value;
 }
 
-/// Whether a route whose path matches takes the request.
+/// Reports whether a route whose host and path match also accepts the method, the location and the
+/// other attributes of the request.
 bool accepts_request(const Route& route, const RequestAttributes& request) {
   if (!accepts_value(route.methods, request.method)) return false;
   if (!accepts_value(route.locations, request.location)) return false;
   return std::all_of(route.conditions.begin(), route.conditions.end(),
-                     [&request](const auto& condition) { return holds(condition, request); });
+                     [&request](const auto& condition) { return is_met(condition, request); });
 }
 
-/// The number of a route's conditions; all methods count as one, as do all locations.
+/// Returns the number of a route's conditions. A list of methods counts as one condition, and so
+/// does a list of locations.
 std::size_t count_conditions(const Route& route) {
   return route.conditions.size() + (route.methods.empty() ? 0 : 1) +
          (route.locations.empty() ? 0 : 1);
 }
 
-/// Empty if the path does not begin with a slash or has too many segments for any route.
+/// Splits a path into its segments. Returns an empty vector if the path does not begin with a slash
+/// or has more than kMaxSegments segments.
 std::vector<std::string_view> split_path(std::string_view path) {
   if (!path.starts_with('/')) return {};
   std::vector<std::string_view> segments;
@@ -50,6 +54,7 @@
   }
 }
 
+/// Returns the values of the route's captures in a path that matches it.
 std::vector<Capture> captures(const Route& route, std::string_view path,
                               const std::vector<std::string_view>& segments) {
   using Kind = config_language::Segment::Kind;
@@ -88,7 +93,7 @@
 
 std::optional<RouteIndex> Table::find_route(std::string_view host,
                                             const std::vector<std::string_view>& segments,
-                                            const PathTree::Accepts& accepts) const {
+                                            const PathTree::RoutePredicate& accepts) const {
   const std::string name = to_lower_case(host);
   if (const auto it = exact_hosts_.find(name); it != exact_hosts_.end()) {
     if (const auto route = it->second.find(segments, accepts)) return route;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,5 +1,5 @@
-// The table of routes: precedence by a table of cases, and against a plain linear matcher on random
-// programs.
+// Tests the table of routes: precedence in single cases, and in comparison with a linear matcher on
+// random programs. Also tests splits and the selection of a pool's servers.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -17,50 +17,66 @@
 using namespace alderspur;
 using routing::RequestAttributes;
 
-class One : public config_language::Loader {
+/// Loads a program that consists of one file.
+class SingleFileLoader : public config_language::Loader {
  public:
-  explicit One(std::string text) : text_(std::move(text)) {}
+  explicit SingleFileLoader(std::string text) : text_(std::move(text)) {}
   config_language::ReadResult read(const std::string&) override { return text_; }
   std::vector<std::string> match(const std::string&) override { return {}; }
 
  private:
   std::string text_;
 };
-std::unique_ptr<routing::Table> table(const std::string& routes) {
-  One loader("class a {\n  repeat = safe\n  deadline = 1 s\n}\n" + routes);
-  diagnostics::Findings f;
-  const auto program = config_language::load("main.alder", loader, f);
-  const auto meaning = config_language::check(program, f);
-  for (const auto& x : f.list()) {
-    if (x.severity == diagnostics::Severity::error) ADD_FAILURE() << program.sources.render(x);
+
+/// Compiles a program with the class `a` and these declarations. The test fails if it has an error.
+std::unique_ptr<routing::Table> compile_table(const std::string& declarations) {
+  SingleFileLoader loader("class a {\n  repeat = safe\n  deadline = 1 s\n}\n" + declarations);
+  diagnostics::Findings findings;
+  const auto program = config_language::load("main.alder", loader, findings);
+  const auto meaning = config_language::check(program, findings);
+  for (const auto& finding : findings.list()) {
+    if (finding.severity == diagnostics::Severity::error) {
+      ADD_FAILURE() << program.sources.render(finding);
+    }
   }
   return std::make_unique<routing::Table>(meaning, program.sources);
 }
-std::string route(const std::string& name, const std::string& path, const std::string& more = "") {
-  return "route " + name + " {\n  path = \"" + path + "\"\n  class = a\n" + more + "}\n";
+
+/// Returns the declaration of a route with the class `a`. `fields` contains further lines.
+std::string route_text(const std::string& name, const std::string& path,
+                       const std::string& fields = "") {
+  return "route " + name + " {\n  path = \"" + path + "\"\n  class = a\n" + fields + "}\n";
 }
-RequestAttributes ask(std::string_view host, std::string_view path, std::string_view method = "GET",
-                      std::string_view point = "p") {
+
+RequestAttributes request_for(std::string_view host, std::string_view path,
+                              std::string_view method = "GET", std::string_view point = "p") {
   return {host, path, method, point, {}, {}, 0};
 }
-std::string name(const routing::Table& t, const RequestAttributes& q) {
-  const auto m = t.match(q);
-  return m ? m->route->name : "none";
+
+/// Returns the name of the route that the table finds for a request, or "none".
+std::string matched_name(const routing::Table& table, const RequestAttributes& request) {
+  const auto match = table.match(request);
+  return match ? match->route->name : "none";
 }
 
 TEST(RoutingTest, PrefersTheMoreSpecificRoute) {
-  const auto t =
-      table(route("all", "/*") + route("item", "/v/{o}/{part}") + route("first", "/v/{o}/0") +
-            route("fixed", "/v/x/{part}") + route("below", "/v/*") +
-            route("posted", "/v/{o}/{part}", "  method = POST\n") +
-            route("beta", "/v/{o}/{part}", "  header \"x-tier\" = \"beta\"\n") +
-            route("here", "/v/x/{part}", "  host = \"a.example\"\n") +
-            route("sub", "/s", "  host = \"*.example\"\n") +
-            route("deep", "/s", "  host = \"*.b.example\"\n") + "when point \"q\" {\n" +
-            route("at-q", "/v/{o}/{part}") + "}\n");
-  const struct {
-    const char *host, *path, *method, *point, *wanted;
-  } cases[] = {
+  const auto table = compile_table(
+      route_text("all", "/*") + route_text("item", "/v/{o}/{part}") +
+      route_text("first", "/v/{o}/0") + route_text("fixed", "/v/x/{part}") +
+      route_text("below", "/v/*") + route_text("posted", "/v/{o}/{part}", "  method = POST\n") +
+      route_text("beta", "/v/{o}/{part}", "  header \"x-tier\" = \"beta\"\n") +
+      route_text("here", "/v/x/{part}", "  host = \"a.example\"\n") +
+      route_text("sub", "/s", "  host = \"*.example\"\n") +
+      route_text("deep", "/s", "  host = \"*.b.example\"\n") + "when point \"q\" {\n" +
+      route_text("at-q", "/v/{o}/{part}") + "}\n");
+  struct Case {
+    const char* host;
+    const char* path;
+    const char* method;
+    const char* point;
+    const char* expected_route;
+  };
+  const Case cases[] = {
       {"h", "/v/y/7", "GET", "p", "item"},
       {"h", "/v/y/0", "GET", "p", "first"},
       {"h", "/v/x/0", "GET", "p", "fixed"},
@@ -82,123 +98,130 @@
       {"h", "", "GET", "p", "none"},
       {"h", "/v/y/", "GET", "p", "below"},
   };
-  for (const auto& c : cases) {
-    EXPECT_EQ(name(*t, ask(c.host, c.path, c.method, c.point)), c.wanted) << c.host << c.path;
+  for (const auto& test_case : cases) {
+    const auto request =
+        request_for(test_case.host, test_case.path, test_case.method, test_case.point);
+    EXPECT_EQ(matched_name(*table, request), test_case.expected_route)
+        << test_case.host << test_case.path;
   }
-  auto q = ask("h", "/v/y/7");
-  q.header = [](std::string_view n) {
-    return n == "x-tier" ? std::optional<std::string_view>("beta") : std::nullopt;
+  auto beta_request = request_for("h", "/v/y/7");
+  beta_request.header = [](std::string_view header_name) {
+    return header_name == "x-tier" ? std::optional<std::string_view>("beta") : std::nullopt;
   };
-  EXPECT_EQ(name(*t, q), "beta");
-  const auto m = t->match(ask("h", "/v/obj/7"));
-  ASSERT_EQ(m->captures.size(), 2u);
-  EXPECT_EQ(m->captures[0], (routing::Capture{"o", "obj"}));
-  EXPECT_EQ(t->match(ask("h", "/v/a/b/c"))->captures[0].value, "a/b/c");
-  EXPECT_FALSE(t->match(ask("h", "/" + std::string(10'000, '/'))));
+  EXPECT_EQ(matched_name(*table, beta_request), "beta");
+  const auto match = table->match(request_for("h", "/v/obj/7"));
+  ASSERT_EQ(match->captures.size(), 2u);
+  EXPECT_EQ(match->captures[0], (routing::Capture{"o", "obj"}));
+  EXPECT_EQ(table->match(request_for("h", "/v/a/b/c"))->captures[0].value, "a/b/c");
+  EXPECT_FALSE(table->match(request_for("h", "/" + std::string(10'000, '/'))));
 }
 
-TEST(RoutingTest, SplitsStablyByTheirWeights) {
-  const auto t = table("pool near {\n  role = cache\n}\npool far {\n  role = cache\n}\n" +
-                       route("r", "/r", "  pool = near\n  split 20% {\n    pool = far\n  }\n"));
-  int far = 0;
-  for (std::uint64_t h = 0; h < 10'000; ++h) {
-    auto q = ask("h", "/r");
-    q.hash = h;
-    const auto pool = *t->match(q)->destination.pool;
-    EXPECT_EQ(pool, *t->match(q)->destination.pool);
-    far += t->pools()[pool].name == "far";
+TEST(RoutingTest, SplitsRequestsStablyByFraction) {
+  const auto table =
+      compile_table("pool near {\n  role = cache\n}\npool far {\n  role = cache\n}\n" +
+                    route_text("r", "/r", "  pool = near\n  split 20% {\n    pool = far\n  }\n"));
+  int sent_to_far = 0;
+  for (std::uint64_t hash = 0; hash < 10'000; ++hash) {
+    auto request = request_for("h", "/r");
+    request.hash = hash;
+    const auto pool = *table->match(request)->destination.pool;
+    EXPECT_EQ(pool, *table->match(request)->destination.pool);
+    sent_to_far += table->pools()[pool].name == "far";
   }
-  EXPECT_NEAR(far, 2000, 200);
+  EXPECT_NEAR(sent_to_far, 2000, 200);
 }
 
 TEST(RoutingTest, ResolvesPoolsToServersInService) {
-  const auto t = table(
-      "pool edge {\n  role = cache\n  point = [\"e1\", \"e2\"]\n  weight-least = 2\n}\npool one "
-      "{\n  role = "
-      "cache\n"
-      "  cell = [1, 2]\n}\npool mid {\n  role = parent\n  hub = \"n\"\n}\n" +
-      route("r", "/r", "  pool = edge\n") + route("s", "/s", "  pool = one\n") +
-      route("u", "/u", "  pool = mid\n"));
+  const auto table = compile_table(
+      "pool edge {\n  role = cache\n  point = [\"e1\", \"e2\"]\n  weight-least = 2\n}\n"
+      "pool one {\n  role = cache\n  cell = [1, 2]\n}\npool mid {\n  role = parent\n  hub = "
+      "\"n\"\n}\n" +
+      route_text("r", "/r", "  pool = edge\n") + route_text("s", "/s", "  pool = one\n") +
+      route_text("u", "/u", "  pool = mid\n"));
   int port = 0;
   std::string text =
       "format = 1\ngeneration = 1\nservers = 6\n[[hub]]\nname = \"n\"\n[[hub]]\nname = \"s\"\n";
-  for (const char* p : {"e1", "e2", "e3"}) {
-    text += std::string("[[point]]\nname = \"") + p + "\"\nhub = \"n\"\n";
+  for (const char* point : {"e1", "e2", "e3"}) {
+    text += std::string("[[point]]\nname = \"") + point + "\"\nhub = \"n\"\n";
   }
-  const auto server = [&](const char* id, const char* role, const char* place, const char* weight,
-                          const char* state, int cell) {
+  const auto add_server = [&](const char* id, const char* role, const char* location,
+                              const char* weight, const char* state, int cell) {
     text += std::string("[[server]]\nid = \"") + id + "\"\nrole = \"" + role + "\"\n" +
-            (std::string(role) == "cache" ? "point" : "hub") + " = \"" + place +
+            (std::string(role) == "cache" ? "point" : "hub") + " = \"" + location +
             "\"\naddress = \"127.0.0.1:" + std::to_string(++port) + "\"\nweight = " + weight +
             "\nstate = \"" + state + "\"\ncell = " + std::to_string(cell) + "\n";
   };
-  server("a", "cache", "e1", "4", "in_service", 1);
-  server("light", "cache", "e2", "1", "in_service", 0);
-  server("drained", "cache", "e2", "4", "draining", 2);
-  server("c", "cache", "e3", "4", "in_service", 2);
-  server("m", "parent", "n", "4", "in_service", 0);
-  server("other", "parent", "s", "4", "in_service", 0);
-  diagnostics::Findings f;
-  const auto list = endpoints::read_list(text, "l", 0, {}, f).list;
-  ASSERT_TRUE(list) << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
-  const auto ids = [&](std::size_t pool) {
-    std::vector<std::string> out;
-    for (const auto id : routing::select_servers(t->pools()[pool], *list)) {
-      out.push_back(list->find(id)->name);
+  add_server("a", "cache", "e1", "4", "in_service", 1);
+  add_server("light", "cache", "e2", "1", "in_service", 0);
+  add_server("drained", "cache", "e2", "4", "draining", 2);
+  add_server("c", "cache", "e3", "4", "in_service", 2);
+  add_server("m", "parent", "n", "4", "in_service", 0);
+  add_server("other", "parent", "s", "4", "in_service", 0);
+  diagnostics::Findings findings;
+  const auto list = endpoints::read_list(text, "l", 0, {}, findings).list;
+  ASSERT_TRUE(list) << (findings.list().empty() ? "" : diagnostics::to_string(findings.list()[0]));
+  const auto server_names = [&](std::size_t pool) {
+    std::vector<std::string> names;
+    for (const auto id : routing::select_servers(table->pools()[pool], *list)) {
+      names.push_back(list->find(id)->name);
     }
-    std::sort(out.begin(), out.end());
-    return out;
+    std::sort(names.begin(), names.end());
+    return names;
   };
-  EXPECT_EQ(ids(0), (std::vector<std::string>{"a"}));
-  EXPECT_EQ(ids(1), (std::vector<std::string>{"a", "c"}));
-  EXPECT_EQ(ids(2), (std::vector<std::string>{"m"}));
+  EXPECT_EQ(server_names(0), (std::vector<std::string>{"a"}));
+  EXPECT_EQ(server_names(1), (std::vector<std::string>{"a", "c"}));
+  EXPECT_EQ(server_names(2), (std::vector<std::string>{"m"}));
 }
 
-// What the table finds is what a walk over all routes finds that compares them by the stated
-// precedence.
-const routing::Route* linear(const routing::Table& t, const RequestAttributes& q) {
+/// Finds the route for a request by comparing all routes according to the documented precedence.
+/// Serves as the reference for the table.
+const routing::Route* match_linearly(const routing::Table& table,
+                                     const RequestAttributes& request) {
   std::vector<std::string> parts;
-  for (std::size_t at = 1; at <= q.path.size();) {
-    const auto slash = std::min(q.path.find('/', at), q.path.size());
-    parts.emplace_back(q.path.substr(at, slash - at));
-    at = slash + 1;
+  for (std::size_t begin = 1; begin <= request.path.size();) {
+    const auto slash = std::min(request.path.find('/', begin), request.path.size());
+    parts.emplace_back(request.path.substr(begin, slash - begin));
+    begin = slash + 1;
   }
   const routing::Route* best = nullptr;
   std::vector<int> best_rank;
-  for (const auto& r : t.routes()) {
-    std::vector<int> rank;
-    int host = r.hosts.empty() ? 1 : 0;
-    for (const auto& h : r.hosts) {
-      if (routing::host_matches(h, q.host)) {
-        host = std::max(host, h.starts_with("*.") ? 1 + static_cast<int>(h.size()) : 1000);
+  for (const auto& route : table.routes()) {
+    std::vector<int> rank;  // of two matching routes, the one with the greater rank is preferred
+    int host_rank = route.hosts.empty() ? 1 : 0;
+    for (const auto& pattern : route.hosts) {
+      if (routing::host_matches(pattern, request.host)) {
+        host_rank = std::max(
+            host_rank, pattern.starts_with("*.") ? 1 + static_cast<int>(pattern.size()) : 1000);
       }
     }
-    bool fits = host > 0;
-    rank.push_back(host);
-    std::size_t i = 0;
-    bool rest = false;
-    for (const auto& s : r.path) {
-      if (s.kind == config_language::Segment::Kind::rest) {
-        rest = true;
-        fits &= i < parts.size();
+    bool matches = host_rank > 0;
+    rank.push_back(host_rank);
+    std::size_t index = 0;
+    bool has_rest = false;
+    for (const auto& segment : route.path) {
+      if (segment.kind == config_language::Segment::Kind::rest) {
+        has_rest = true;
+        matches &= index < parts.size();
         rank.push_back(0);
         break;
       }
-      const bool literal = s.kind == config_language::Segment::Kind::literal;
-      fits &= i < parts.size() && (literal ? parts[i] == s.text : !parts[i].empty());
-      rank.push_back(literal ? 2 : 1);
-      ++i;
+      const bool is_literal = segment.kind == config_language::Segment::Kind::literal;
+      matches &= index < parts.size() &&
+                 (is_literal ? parts[index] == segment.text : !parts[index].empty());
+      rank.push_back(is_literal ? 2 : 1);
+      ++index;
     }
-    fits &= rest || i == parts.size();
-    fits &= r.methods.empty() ||
-            std::find(r.methods.begin(), r.methods.end(), q.method) != r.methods.end();
-    fits &= r.locations.empty() ||
-            std::find(r.locations.begin(), r.locations.end(), q.location) != r.locations.end();
-    if (!fits) continue;
+    matches &= has_rest || index == parts.size();
+    matches &= route.methods.empty() || std::find(route.methods.begin(), route.methods.end(),
+                                                  request.method) != route.methods.end();
+    matches &= route.locations.empty() || std::find(route.locations.begin(), route.locations.end(),
+                                                    request.location) != route.locations.end();
+    if (!matches) continue;
     rank.resize(12, -1);
-    rank.push_back(static_cast<int>(!r.methods.empty()) + static_cast<int>(!r.locations.empty()));
+    rank.push_back(static_cast<int>(!route.methods.empty()) +
+                   static_cast<int>(!route.locations.empty()));
     if (best && best_rank >= rank) continue;
-    best = &r;
+    best = &route;
     best_rank = rank;
   }
   return best;
@@ -206,44 +229,44 @@
 
 RC_GTEST_PROP(RoutingTest, AgreesWithALinearMatcher, ()) {
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
-  const auto pick = [&](std::initializer_list<const char*> all) {
-    return std::string(*(all.begin() + static_cast<std::ptrdiff_t>(random() % all.size())));
+  const auto pick = [&](std::initializer_list<const char*> choices) {
+    return std::string(*(choices.begin() + static_cast<std::ptrdiff_t>(random() % choices.size())));
   };
-  const auto path = [&](bool pattern) {
-    std::string out;
-    const std::size_t n = 1 + random() % 4;
-    for (std::size_t i = 0; i < n; ++i) {
-      auto part = pattern ? pick({"a", "b", "{x}", "{y}"}) : pick({"a", "b", "c", ""});
+  const auto random_path = [&](bool is_pattern) {
+    std::string path;
+    const std::size_t segment_count = 1 + random() % 4;
+    for (std::size_t i = 0; i < segment_count; ++i) {
+      auto part = is_pattern ? pick({"a", "b", "{x}", "{y}"}) : pick({"a", "b", "c", ""});
       if (part.starts_with('{')) part = "{c" + std::to_string(i) + "}";
-      out += "/" + part;
+      path += "/" + part;
     }
-    if (pattern && random() % 4 == 0) out += "/*";
-    return out;
+    if (is_pattern && random() % 4 == 0) path += "/*";
+    return path;
   };
   std::string text = "class a {\n  repeat = safe\n  deadline = 1 s\n}\n";
   for (int i = 0; i < 25; ++i) {
-    std::string more;
+    std::string fields;
     if (random() % 3 == 0) {
-      more += "  host = " + pick({"\"h.x\"", R"(["h.x", "*.y"])", "\"*.x\"", "\"*.h.x\""}) + "\n";
+      fields += "  host = " + pick({"\"h.x\"", R"(["h.x", "*.y"])", "\"*.x\"", "\"*.h.x\""}) + "\n";
     }
-    if (random() % 3 == 0) more += "  method = " + pick({"GET", "POST", "[GET, HEAD]"}) + "\n";
-    if (random() % 4 == 0) more += "  point = " + pick({"\"p\"", "\"q\""}) + "\n";
-    text += route("r" + std::to_string(i), path(true), more);
+    if (random() % 3 == 0) fields += "  method = " + pick({"GET", "POST", "[GET, HEAD]"}) + "\n";
+    if (random() % 4 == 0) fields += "  point = " + pick({"\"p\"", "\"q\""}) + "\n";
+    text += route_text("r" + std::to_string(i), random_path(true), fields);
   }
-  One loader(text);
-  diagnostics::Findings f;
-  const auto program = config_language::load("main.alder", loader, f);
-  const auto meaning =
-      config_language::check(program, f);  // routes that hide others are part of it
-  const routing::Table t(meaning, program.sources);
+  SingleFileLoader loader(text);
+  diagnostics::Findings findings;
+  const auto program = config_language::load("main.alder", loader, findings);
+  // The findings are not examined: some of the random routes hide others.
+  const auto meaning = config_language::check(program, findings);
+  const routing::Table table(meaning, program.sources);
   for (int i = 0; i < 60; ++i) {
     const auto host = pick({"h.x", "z.y", "g.h.x", "other"});
-    const auto p = path(false);
+    const auto path = random_path(false);
     const auto method = pick({"GET", "POST", "HEAD"});
     const auto point = pick({"p", "q"});
-    const auto q = ask(host, p, method, point);
-    const auto m = t.match(q);
-    RC_ASSERT((m ? m->route : nullptr) == linear(t, q));
+    const auto request = request_for(host, path, method, point);
+    const auto match = table.match(request);
+    RC_ASSERT((match ? match->route : nullptr) == match_linearly(table, request));
   }
 }
 
