--- a/src/endpoints/check.cpp
+++ b/src/endpoints/check.cpp
@@ -9,13 +9,14 @@
 namespace alderspur::endpoints {
 namespace {
 
-/// The servers in service of a point or a role in two successive lists.
+/// Counts the servers in service of one point or role in two successive lists.
 struct ServiceChange {
   std::size_t before = 0;
-  std::size_t lost = 0;  // of those before
+  std::size_t lost = 0;  // in service before, but not after
   std::size_t after = 0;
 };
 
+/// Counts the servers in service of one role in a single list.
 struct ServiceCount {
   std::size_t in_service = 0;
 };
@@ -26,56 +27,60 @@
   return server && server->state == ServerState::in_service;
 }
 
-diagnostics::Location place_of(const Snapshot& list) { return {list.source, 0, 0}; }
+/// Returns the location of findings that concern the whole list.
+diagnostics::Location whole_list(const Snapshot& list) { return {list.source, 0, 0}; }
 
-void check_loss(const Snapshot& next, const std::string& what, const ServiceChange& change,
+/// Reports L023 if `target`, a point or a role, loses too many servers without confirmation.
+void check_loss(const Snapshot& next, const std::string& target, const ServiceChange& change,
                 const ChangeLimits& limits, diagnostics::Findings& findings) {
   const double allowed = limits.max_lost_fraction * static_cast<double>(change.before);
   if (change.before == 0 || static_cast<double>(change.lost) <= allowed) return;
   if (next.confirmed_generation == next.generation) return;
-  findings.error("L023", place_of(next),
-                 what + " would lose " + std::to_string(change.lost) + " of " +
-                     std::to_string(change.before) + " servers in service at once, over " +
-                     percent(limits.max_lost_fraction),
-                 "if it is meant, add confirm = " + std::to_string(next.generation));
+  findings.error("L023", whole_list(next),
+                 target + " would lose " + std::to_string(change.lost) + " of " +
+                     std::to_string(change.before) +
+                     " servers in service in one change; more than " +
+                     percent(limits.max_lost_fraction) + " requires confirmation",
+                 "if this is intended, add confirm = " + std::to_string(next.generation));
 }
 
-/// Checks the generation; whether the lists' servers are to be compared.
-bool check_generation(const Snapshot& in_force, const Snapshot& next,
+/// Checks the generation. Returns true if the servers of the two lists have to be compared.
+bool check_generation(const Snapshot& active, const Snapshot& next,
                       diagnostics::Findings& findings) {
-  const std::string remedy = "write a generation over " + std::to_string(in_force.generation);
-  if (next.generation < in_force.generation) {
-    findings.error("L020", place_of(next),
-                   "generation " + std::to_string(next.generation) + " goes back behind " +
-                       std::to_string(in_force.generation) + ", which is in force",
+  const std::string remedy = "set a generation higher than " + std::to_string(active.generation);
+  if (next.generation < active.generation) {
+    findings.error("L020", whole_list(next),
+                   "generation " + std::to_string(next.generation) +
+                       " is lower than the active generation " + std::to_string(active.generation),
                    remedy);
     return false;
   }
-  if (next.generation > in_force.generation) return true;
-  if (next.digest != in_force.digest) {
-    findings.error(
-        "L021", place_of(next),
-        "generation " + std::to_string(next.generation) + " is in force with other content",
-        remedy);
+  if (next.generation > active.generation) return true;
+  if (next.digest != active.digest) {
+    findings.error("L021", whole_list(next),
+                   "generation " + std::to_string(next.generation) +
+                       " is already active with different content",
+                   remedy);
   }
   return false;
 }
 
+/// The changes between two lists. Points are named; only their caches are counted.
 struct ServiceChanges {
   std::map<std::string, ServiceChange> by_point;
   std::map<Role, ServiceChange> by_role;
 };
 
-ServiceChanges count_changes(const Snapshot& in_force, const Snapshot& next) {
+ServiceChanges count_changes(const Snapshot& active, const Snapshot& next) {
   ServiceChanges changes;
-  for (const auto& server : in_force.servers) {
+  for (const auto& server : active.servers) {
     if (!is_in_service(&server)) continue;
     const std::size_t lost = is_in_service(next.find(server.id)) ? 0 : 1;
     auto& role = changes.by_role[server.role];
     ++role.before;
     role.lost += lost;
     if (server.role != Role::cache) continue;
-    auto& point = changes.by_point[in_force.location_name(server)];
+    auto& point = changes.by_point[active.location_name(server)];
     ++point.before;
     point.lost += lost;
   }
@@ -85,21 +90,22 @@
   return changes;
 }
 
-/// Finds a zone's index by name.
+/// Maps zone names to their indexes.
 class ZoneIndex {
  public:
   explicit ZoneIndex(const std::vector<std::string>& zones) : names_(zones.begin(), zones.end()) {
     for (std::uint32_t i = 0; i < zones.size(); ++i) indexes_.emplace(zones[i], i);
   }
+  /// Returns the index of the zone with this name. Reports L024 and returns 0 if there is none.
   std::uint32_t find(const Snapshot& list, const char* kind, const std::string& name,
                      diagnostics::Findings& findings) const {
     const auto it = indexes_.find(name);
     if (it != indexes_.end()) return it->second;
-    const auto near = diagnostics::closest_match(name, names_);
-    findings.error(
-        "L024", place_of(list),
-        std::string(kind) + " " + name + " is not in this router's settings",
-        near.empty() ? "their zones (azs) name all places" : "did you mean '" + near + "'?");
+    const auto nearest = diagnostics::closest_match(name, names_);
+    findings.error("L024", whole_list(list),
+                   std::string(kind) + " " + name + " is not a zone in this router's configuration",
+                   nearest.empty() ? "the configured zones (azs) must include every point and hub"
+                                   : "did you mean '" + nearest + "'?");
     return 0;
   }
 
@@ -112,7 +118,7 @@
 
 void check_alone(const Snapshot& list, diagnostics::Findings& findings) {
   std::vector<std::size_t> in_service_by_point(list.points.size());
-  std::map<Role, ServiceCount> by_role;  // of the roles that are listed
+  std::map<Role, ServiceCount> by_role;  // only roles that the list contains
   for (const auto& server : list.servers) {
     auto& role = by_role[server.role];
     if (!is_in_service(&server)) continue;
@@ -121,31 +127,32 @@
   }
   for (std::size_t i = 0; i < list.points.size(); ++i) {
     if (in_service_by_point[i] > 0) continue;
-    findings.error("L022", place_of(list),
+    findings.error("L022", whole_list(list),
                    "point " + list.points[i].name + " has no cache in service",
-                   "list one, or remove the point");
+                   "list a cache in service there, or remove the point");
   }
   for (const auto& [role, count] : by_role) {
     if (count.in_service > 0) continue;
-    findings.error("L022", place_of(list), std::string("no ") + to_string(role) + " is in service",
-                   "leave one in service");
+    findings.error("L022", whole_list(list),
+                   std::string("no ") + to_string(role) + " is in service",
+                   "keep at least one in service");
   }
 }
 
-void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& limits,
+void check_change(const Snapshot* active, const Snapshot& next, const ChangeLimits& limits,
                   diagnostics::Findings& findings) {
-  if (!in_force || !check_generation(*in_force, next, findings)) return;
-  const auto changes = count_changes(*in_force, next);
+  if (!active || !check_generation(*active, next, findings)) return;
+  const auto changes = count_changes(*active, next);
   for (const auto& [name, change] : changes.by_point) {
     check_loss(next, "point " + name, change, limits, findings);
   }
   for (const auto& [role, change] : changes.by_role) {
     if (change.before > 0 && change.after == 0) {
-      findings.error("L022", place_of(next),
+      findings.error("L022", whole_list(next),
                      std::string("no ") + to_string(role) + " would be left in service",
-                     "leave one in service");
+                     "keep at least one in service");
     } else if (role == Role::parent) {
-      check_loss(next, "the parents", change, limits, findings);
+      check_loss(next, "role parent", change, limits, findings);
     }
   }
 }
--- a/src/endpoints/check.h
+++ b/src/endpoints/check.h
@@ -1,8 +1,12 @@
-// Checks a list that is well formed: by itself, and as the successor of the active list. No I/O.
+// Validates a well-formed server list, both by itself and as the successor of the active list, and
+// resolves its points and hubs to the zones of this router. No I/O.
 //
-// Codes of findings: L020 the generation goes back, L021 a generation is reused with other content,
-// L022 a point or a role has no server in service, L023 too many servers leave service at once,
-// L024 a point or hub is unknown to this router.
+// Codes of findings:
+//     L020  The generation is lower than the active one.
+//     L021  A generation is reused with different content.
+//     L022  A point or a role has no server in service.
+//     L023  Too many servers leave service in one change.
+//     L024  A point or hub is not in this router's configuration.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +18,37 @@
 
 namespace alderspur::endpoints {
 
-/// How much a change of the list may take out of service.
+/// Limits how many servers one change of the list may remove from service.
 struct ChangeLimits {
-  // Of a point's caches in service, or of all parents: a larger part may leave service in one
-  // change only if the list says `confirm = GENERATION`.
+  // The largest fraction of a point's caches in service, or of all parents in service, that may
+  // leave service in one change. A larger fraction requires `confirm = GENERATION` in the list.
   double max_lost_fraction = 0.5;
 };
 
-/// Checks that every point has a cache in service, and every role that is listed has a server in
-/// service.
+/// Checks the list by itself: every point must have a cache in service, and every listed role must
+/// have a server in service. Reports L022 otherwise.
 void check_alone(const Snapshot& list, diagnostics::Findings& findings);
-/// Checks the change from the active list; null: there is none.
-void check_change(const Snapshot* in_force, const Snapshot& next, const ChangeLimits& limits,
+/// Checks the change from the active list to `next`. Does nothing if `active` is null, which means
+/// that no list is active yet. Reports L020 to L023.
+void check_change(const Snapshot* active, const Snapshot& next, const ChangeLimits& limits,
                   diagnostics::Findings& findings);
 
-/// The zones of a list's points and hubs, by their indexes in the list.
+/// The zone indexes of a list's points and hubs, in the order of Snapshot::points and
+/// Snapshot::hubs.
 struct LocationZones {
   std::vector<std::uint32_t> points;
   std::vector<std::uint32_t> hubs;
 };
-/// Looks up the points and hubs among the zones of the settings; finding L024 for each unknown one.
+/// Looks up the list's points and hubs among the configured zones. Reports L024 for each one that
+/// is unknown and uses zone 0 in its place.
 LocationZones resolve_zones(const Snapshot& list, const std::vector<std::string>& zones,
                             diagnostics::Findings& findings);
 
-/// The server as it is used, in the zone of its point or hub.
+/// Converts a listed server to a Member in the zone of its point (caches) or hub (other roles).
+/// `zones` must be those of the list that contains the server.
 Member to_member(const ListedServer& server, const LocationZones& zones);
-/// All servers of a list; none if a point or hub is unknown.
+/// Converts all servers of a list. Returns an empty vector, with findings, if a point or hub is
+/// unknown.
 std::vector<Member> to_members(const Snapshot& list, const std::vector<std::string>& zones,
                                diagnostics::Findings& findings);
 
--- a/src/endpoints/damping.cpp
+++ b/src/endpoints/damping.cpp
@@ -6,12 +6,12 @@
 namespace alderspur::endpoints {
 namespace {
 
-constexpr double kNegligibleFraction = 1.0 / 8;  // of the reuse threshold
+constexpr double kNegligibleFraction = 1.0 / 8;  // fraction of the reuse threshold
 
 }  // namespace
 
 double FlapDamping::penalty(Time now, const DampingSettings& settings) const {
-  // A clock that is set back must not let a penalty grow.
+  // The penalty must not grow when the clock is set back.
   const Time age = std::max<Time>(0, now - penalty_at_);
   const double half_lives = static_cast<double>(age) / static_cast<double>(settings.half_life);
   return penalty_ * std::exp2(-half_lives);
@@ -19,7 +19,8 @@
 
 void FlapDamping::record_departure(Time now, const DampingSettings& settings) {
   if (!settings.is_enabled) return;
-  // RFC 2439, 4.2: the ceiling decays to the reuse threshold within the maximum suppress time.
+  // RFC 2439, section 4.2: the ceiling decays to the reuse threshold within the maximum suppress
+  // time.
   const double ceiling =
       settings.reuse_threshold * std::exp2(static_cast<double>(settings.max_suppress_time) /
                                            static_cast<double>(settings.half_life));
@@ -38,7 +39,7 @@
 Time FlapDamping::reuse_time(Time now, const DampingSettings& settings) const {
   if (!is_suppressed_ || penalty_ <= settings.reuse_threshold) return now;
   const double half_lives = std::log2(penalty_ / settings.reuse_threshold);
-  // Rounded up: by then the penalty has certainly reached the threshold.
+  // Rounded up, so that the penalty is at or below the threshold when the suppression ends.
   const double duration = std::ceil(half_lives * static_cast<double>(settings.half_life));
   return penalty_at_ + static_cast<Time>(duration);
 }
--- a/src/endpoints/damping.h
+++ b/src/endpoints/damping.h
@@ -1,9 +1,10 @@
-// Route flap damping for servers: a server that repeatedly leaves service gets a penalty that
-// decays with time, and is kept out of service while the penalty is high.
+// Route flap damping for servers: a server that repeatedly leaves service accumulates a penalty
+// that decays exponentially, and is kept out of service while the penalty is high.
 //
-// After RFC 2439: its figure of merit, half-life, cutoff (suppress) and reuse thresholds, and its
-// bound on the time of suppression. A penalty is a number without unit. Times are microseconds of
-// any one clock. Pure arithmetic; the state is one FlapDamping per server.
+// The algorithm follows RFC 2439: figure of merit (the penalty), half-life, cutoff (suppress) and
+// reuse thresholds, and an upper bound on the suppression time. A penalty has no unit. Times are
+// microseconds of any one clock. No I/O, and no clock is read. There is one
+// FlapDamping per server; it is not thread-safe.
 #pragma once
 
 #include "core/deadlines.h"
@@ -12,38 +13,42 @@
 
 using core::Time;
 
-/// Times in microseconds.
+/// Parameters of flap damping. Times are in microseconds.
 struct DampingSettings {
   bool is_enabled = true;
   double departure_penalty = 1000;   // added when a server leaves service
-  double suppress_threshold = 2500;  // suppressed from this penalty on
-  double reuse_threshold = 800;      // reinstated below this penalty
+  double suppress_threshold = 2500;  // suppressed at or above this penalty
+  double reuse_threshold = 800;      // reinstated at or below this penalty
   Time half_life = 15'000'000;
-  Time max_suppress_time = 60'000'000;  // since the last departure
+  Time max_suppress_time = 60'000'000;  // counted from the last departure
 };
 
-/// The damping of one server.
+/// The damping state of one server.
 class FlapDamping {
  public:
-  /// The server has left service.
+  /// Adds the penalty for a server that has left service. Does nothing if damping is disabled.
   void record_departure(Time now, const DampingSettings& settings);
-  /// Whether the server is suppressed now; ends the suppression once the penalty has decayed.
+  /// Ends the suppression if the penalty has decayed, then reports whether the server is
+  /// suppressed.
   bool update_suppressed(Time now, const DampingSettings& settings);
+  /// Returns the penalty, decayed to the time `now`.
   double penalty(Time now, const DampingSettings& settings) const;
-  /// When the suppression ends by itself; `now` if the server is not suppressed.
+  /// Returns the time at which the suppression ends by itself, or `now` if the server is not
+  /// suppressed.
   Time reuse_time(Time now, const DampingSettings& settings) const;
-  /// Whether the state is no longer worth keeping.
+  /// Reports whether the server is not suppressed and its penalty is so low that the state can be
+  /// discarded.
   bool is_negligible(Time now, const DampingSettings& settings) const;
 
-  /// Ends the suppression because the server is needed in service; the penalty stays.
+  /// Ends the suppression because the server is needed in service. The penalty is kept.
   void end_suppression() { is_suppressed_ = false; }
-  /// Continues from a state that an earlier process has stored.
+  /// Restores a state that an earlier process stored.
   void restore(double penalty, Time penalty_at, bool is_suppressed);
-  /// As of the last update.
+  /// Returns the result of the last update, without ending a suppression that is over.
   bool is_suppressed() const { return is_suppressed_; }
 
  private:
-  double penalty_ = 0;  // as of penalty_at_
+  double penalty_ = 0;  // the value at the time penalty_at_
   Time penalty_at_ = 0;
   bool is_suppressed_ = false;
 };
--- a/src/endpoints/endpoint_set.cpp
+++ b/src/endpoints/endpoint_set.cpp
@@ -8,12 +8,13 @@
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
-// Above this number, servers that are gone are forgotten at once.
+// Above this number of known servers, those that are gone are removed at once, including their
+// flap damping penalty.
 constexpr std::size_t kMaxKnownServers = 250'000;
-// A start that is longer ago no longer matters: no slow start takes that long.
+// An older start time is not saved, because no slow start takes longer than this (10 minutes).
 constexpr Time kMaxStartAge = 600'000'000;
 
-/// Whether two published states are the same for the rest of the program.
+/// Reports whether two states are equal in all fields that the consumers of changes use.
 bool is_same(const Member& left, const Member& right) {
   const Server& before = left.server;
   const Server& after = right.server;
@@ -41,16 +42,16 @@
   ++counters_.lists;
   queue_changes(candidate, now);
   if (!has_first_list_) {
-    // Nothing is served before the first list: it is applied at once, and none of its servers
-    // counts as new.
-    apply_all_waiting(now);
+    // No request is served before the first list. It is therefore applied in one step, and none of
+    // its servers counts as just started.
+    apply_all_pending(now);
     has_first_list_ = true;
   }
   return true;
 }
 
-// Applies departures at once, so that they do not wait behind thousands of new servers, and queues
-// the rest.
+// Evaluates departures at once, so that they do not wait behind thousands of new servers, and
+// queues the other changes.
 void EndpointSet::queue_changes(const CandidateList& candidate, Time now) {
   const Difference& changes = candidate.difference;
   for (const auto* urgent :
@@ -58,20 +59,21 @@
     for (const ServerId id : *urgent) evaluate(id, now);
   }
   for (const auto* others : {&changes.reinstated, &changes.added, &changes.reweighted}) {
-    waiting_.insert(waiting_.end(), others->begin(), others->end());
+    pending_.insert(pending_.end(), others->begin(), others->end());
   }
-  // Points and hubs may have other zones now, also for servers that have not changed themselves.
+  // The zones of points and hubs may have changed, which also affects servers that are otherwise
+  // unchanged.
   if (changes.has_location_changes && !changes.added.empty() && candidate.base) {
     for (const auto& server : list_->servers) {
-      if (servers_.contains(server.id.value)) waiting_.push_back(server.id);
+      if (servers_.contains(server.id.value)) pending_.push_back(server.id);
     }
   }
 }
 
-void EndpointSet::apply_all_waiting(Time now) {
-  while (!waiting_.empty()) {
-    const ServerId id = waiting_.front();
-    waiting_.pop_front();
+void EndpointSet::apply_all_pending(Time now) {
+  while (!pending_.empty()) {
+    const ServerId id = pending_.front();
+    pending_.pop_front();
     evaluate(id, now);
   }
 }
@@ -93,7 +95,8 @@
   if (settings_.authority == Authority::board) has_first_list_ = true;
 }
 
-// Removes what the board's complete list no longer contains; returns the servers affected.
+// Removes the servers that the board's complete list no longer contains. Returns the servers to
+// evaluate.
 std::vector<ServerId> EndpointSet::remove_unlisted(const std::vector<Member>& members) {
   std::vector<ServerId> affected;
   std::unordered_set<std::uint64_t> listed;
@@ -103,7 +106,8 @@
   }
   std::sort(affected.begin(), affected.end());
   for (const ServerId id : affected) board_members_.erase(id.value);
-  // With the board's first list, its word counts for the files' servers that it does not list.
+  // From the board's first list on, the board also decides about the servers of the files that it
+  // does not list.
   if (!has_board_list_ && list_) {
     for (const auto& server : list_->servers) {
       if (!listed.contains(server.id.value)) affected.push_back(server.id);
@@ -113,9 +117,9 @@
 }
 
 void EndpointSet::advance(Time now) {
-  for (std::size_t i = 0; i < kMaxChangesPerTurn && !waiting_.empty(); ++i) {
-    const ServerId id = waiting_.front();
-    waiting_.pop_front();
+  for (std::size_t i = 0; i < kMaxChangesPerTurn && !pending_.empty(); ++i) {
+    const ServerId id = pending_.front();
+    pending_.pop_front();
     evaluate(id, now);
   }
   for (std::size_t i = 0; i < kMaxChangesPerTurn; ++i) {
@@ -130,11 +134,12 @@
 }
 
 Time EndpointSet::next_wakeup() const {
-  if (!waiting_.empty()) return 0;
+  if (!pending_.empty()) return 0;
   return wakeups_.empty() ? kNever : wakeups_.begin()->at;
 }
 
-Merged EndpointSet::merge_sources(ServerId id) const {
+// Merges what the sources list for a server. The result has the status gone if no source lists it.
+MergedMember EndpointSet::merge_sources(ServerId id) const {
   EndpointSources sources;
   sources.has_board_list = has_board_list_;
   sources.has_file_list = list_ != nullptr;
@@ -146,16 +151,16 @@
   const auto on_board = board_members_.find(id.value);
   if (on_board != board_members_.end()) sources.board = &on_board->second;
   if (auto merged = merge(settings_.authority, sources)) return *merged;
-  Merged gone;
+  MergedMember gone;
   gone.member.server.id = id;
   gone.reason =
       settings_.authority == Authority::board ? Reason::not_on_board : Reason::not_in_files;
   return gone;
 }
 
-// Decides how a server is to be used now, and publishes it if that has changed.
+// Determines the current state of a server, and publishes it if it has changed.
 void EndpointSet::evaluate(ServerId id, Time now) {
-  const Merged merged = merge_sources(id);
+  const MergedMember merged = merge_sources(id);
   const Server& listed = merged.member.server;
   const bool is_gone = listed.status == ServerStatus::gone;
   if (is_gone && !servers_.contains(id.value)) return;
@@ -163,10 +168,10 @@
   known.reason = merged.reason;
   record_departure(known, listed.status, now);
   update_start_time(known, merged.member, now);
-  known.wanted_status = listed.status;
+  known.listed_status = listed.status;
   Member next = merged.member;
   if (is_gone) {
-    next = departed(known, std::move(next));
+    next = departed_member(known, std::move(next));
     known.weight = 0;
   } else {
     next.server.started_at = std::max(listed.started_at, known.started_at);
@@ -179,34 +184,36 @@
   const bool is_weight_reached = next.server.weight == listed.weight;
   schedule(id, known, next_evaluation(known, is_weight_reached, now));
   publish(id, known, next);
-  forget_if_gone(id, known, now);
+  remove_if_gone(id, known, now);
 }
 
+// Adds the damping penalty if a server that was listed as ready leaves service.
 void EndpointSet::record_departure(KnownServer& known, ServerStatus next_status, Time now) {
-  if (known.wanted_status != ServerStatus::ready || next_status == ServerStatus::ready) return;
+  if (known.listed_status != ServerStatus::ready || next_status == ServerStatus::ready) return;
   known.damping.record_departure(now, settings_.damping);
   ++counters_.departures;
 }
 
-// A server that was away has lost what it had cached, whatever its list says; so may one that is
-// new or stands at another address. It counts as just started, because its full share of the load
-// would overwhelm it.
+// Treats a server as just started if it returns, is new, or has a new address: its cache may be
+// empty, whatever start time is listed, and its full share of the load would overload it.
 void EndpointSet::update_start_time(KnownServer& known, const Member& merged, Time now) const {
   if (merged.server.status == ServerStatus::gone) return;
-  const bool has_appeared = known.wanted_status == ServerStatus::gone && has_first_list_;
+  const bool has_appeared = known.listed_status == ServerStatus::gone && has_first_list_;
   const bool has_moved = known.was_published() &&
                          known.published.server.status != ServerStatus::gone &&
                          merged.address != known.published.address;
   if (has_appeared || has_moved) known.started_at = std::max(known.started_at, now);
 }
 
-// The state to publish for a server that is gone: as it was last published, but gone.
-Member EndpointSet::departed(const KnownServer& known, Member member) {
+// Returns the state to publish for a departed server: its last published state with status gone.
+Member EndpointSet::departed_member(const KnownServer& known, Member member) {
   if (known.was_published()) member = known.published;
   member.server.status = ServerStatus::gone;
   return member;
 }
 
+// Moves the weight of a server towards `target`, by at most one step per weight_interval. Returns
+// the weight to publish.
 double EndpointSet::step_weight(KnownServer& known, double target, Time now) {
   if (known.weight <= 0) {
     known.weight = target;
@@ -221,8 +228,8 @@
   return known.weight;
 }
 
-// Whether the server is to be suppressed now. The last ready server of a group never is: that would
-// turn flapping into an outage.
+// Updates the suppression of a server and reports whether it is suppressed now. The last ready
+// server of a group is never suppressed, because that would turn flapping into an outage.
 bool EndpointSet::update_suppression(ServerId id, KnownServer& known, const Member& member,
                                      Time now) {
   const Group group = group_of(member.server);
@@ -230,15 +237,15 @@
   const bool is_counted = known.is_published_ready() && group_of(known.published.server) == group;
   const std::size_t others =
       (count == ready_counts_.end() ? 0 : count->second) - (is_counted ? 1 : 0);
-  const bool is_wanted = known.wanted_status == ServerStatus::ready;
-  bool is_suppressed = is_wanted && known.damping.update_suppressed(now, settings_.damping);
+  const bool is_listed_ready = known.listed_status == ServerStatus::ready;
+  bool is_suppressed = is_listed_ready && known.damping.update_suppressed(now, settings_.damping);
   if (is_suppressed && others == 0) {
     known.damping.end_suppression();
     is_suppressed = false;
   }
   if (known.suppressed_in && (!is_suppressed || *known.suppressed_in != group)) {
     leave_suppressed_group(id, known);
-    if (is_wanted && !is_suppressed) ++counters_.reinstated;
+    if (is_listed_ready && !is_suppressed) ++counters_.reinstated;
   }
   if (is_suppressed && !known.suppressed_in) {
     suppressed_[group].insert(id);
@@ -255,26 +262,29 @@
   known.suppressed_in.reset();
 }
 
+// Returns the time at which the server has to be evaluated next, or kNever.
 Time EndpointSet::next_evaluation(const KnownServer& known, bool is_weight_reached,
                                   Time now) const {
   Time at = kNever;
   if (known.reason == Reason::flapping) {
     at = known.damping.reuse_time(now, settings_.damping);
-  } else if (known.wanted_status == ServerStatus::gone) {
-    at = now + settings_.damping.half_life;  // to be forgotten
+  } else if (known.listed_status == ServerStatus::gone) {
+    at = now + settings_.damping.half_life;  // to remove the server once its penalty is negligible
   }
-  if (known.wanted_status != ServerStatus::gone && !is_weight_reached) {
+  if (known.listed_status != ServerStatus::gone && !is_weight_reached) {
     at = std::min(at, known.next_step_at);
   }
   return at;
 }
 
+// Replaces the entry of the server in wakeups_. With kNever, the server has no entry.
 void EndpointSet::schedule(ServerId id, KnownServer& known, Time at) {
   if (known.wakeup_at) wakeups_.erase({known.wakeup_at, id});
   known.wakeup_at = at == kNever ? 0 : at;
   if (known.wakeup_at) wakeups_.insert({known.wakeup_at, id});
 }
 
+// Records the state as published and reports it in the next take_changes(), if it has changed.
 void EndpointSet::publish(ServerId id, KnownServer& known, const Member& member) {
   if (!known.was_published() && member.server.status == ServerStatus::gone) return;
   if (known.was_published() && is_same(known.published, member)) return;
@@ -287,14 +297,14 @@
   ++counters_.changes;
   if (!std::exchange(known.has_unreported_change, true)) unreported_.push_back(id);
   if (!leaves_group || ready_counts_.contains(previous_group)) return;
-  // The last ready server has left its group: the suppressed ones are evaluated next, so that one
-  // of them takes its place.
+  // The last ready server has left its group. The suppressed servers of the group are evaluated
+  // next, so that one of them replaces it.
   const auto suppressed = suppressed_.find(previous_group);
   if (suppressed == suppressed_.end()) return;
-  waiting_.insert(waiting_.begin(), suppressed->second.begin(), suppressed->second.end());
+  pending_.insert(pending_.begin(), suppressed->second.begin(), suppressed->second.end());
 }
 
-// Keeps ready_counts_ up to date before `next` is published in place of what is now.
+// Updates ready_counts_. Must be called before `next` replaces the published state of the server.
 void EndpointSet::count_ready(const KnownServer& known, const Server& next) {
   const Group previous_group = group_of(known.published.server);
   const Group next_group = group_of(next);
@@ -307,8 +317,10 @@
   if (is_ready && (!was_ready || changes_group)) ++ready_counts_[next_group];
 }
 
-void EndpointSet::forget_if_gone(ServerId id, KnownServer& known, Time now) {
-  if (known.wanted_status != ServerStatus::gone || known.has_unreported_change ||
+// Removes a departed server after take_changes() has reported it, once its penalty is negligible or
+// too many servers are known.
+void EndpointSet::remove_if_gone(ServerId id, KnownServer& known, Time now) {
+  if (known.listed_status != ServerStatus::gone || known.has_unreported_change ||
       known.published.server.status != ServerStatus::gone) {
     return;
   }
@@ -332,8 +344,9 @@
   return changes;
 }
 
-std::optional<Remembered> EndpointSet::to_remember(ServerId id, const KnownServer& known,
-                                                   Time now) const {
+// Returns nothing if the state of the server is the default.
+std::optional<Remembered> EndpointSet::state_to_save(ServerId id, const KnownServer& known,
+                                                     Time now) const {
   const auto* listed = list_ ? list_->find(id) : nullptr;
   const bool is_stepping = listed && known.weight > 0 && known.weight != listed->weight;
   const bool is_negligible = known.damping.is_negligible(now, settings_.damping);
@@ -353,13 +366,13 @@
 std::vector<Remembered> EndpointSet::remembered(Time now) const {
   std::vector<Remembered> result;
   for (const auto& [id, known] : servers_) {
-    if (const auto state = to_remember({id}, known, now)) result.push_back(*state);
+    if (const auto state = state_to_save({id}, known, now)) result.push_back(*state);
   }
-  // New servers that are not applied yet: after a restart they would otherwise pass for servers
-  // that have been there before.
-  for (const ServerId id : waiting_) {
+  // New servers that have not been evaluated yet are saved as just started. Otherwise a restarted
+  // process would treat them as servers that were in use before.
+  for (const ServerId id : pending_) {
     const auto it = servers_.find(id.value);
-    if (it == servers_.end() || it->second.wanted_status == ServerStatus::gone) {
+    if (it == servers_.end() || it->second.listed_status == ServerStatus::gone) {
       result.push_back({id, now, 0, 0, 0, false});
     }
   }
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -1,15 +1,17 @@
-// The servers as this router is to use them: what the board and the watched files list, merged,
-// with weights that change in steps, servers that return counted as just started, and servers that
-// flap kept out of service for a while.
+// The set of servers that this router uses. It merges the lists of the board (the platform's
+// service discovery) and of the watched files, changes weights in steps, treats servers that return
+// as just started (for slow start), and keeps flapping servers out of service for a limited time.
 //
-// State: the active list of the files, what the board lists, and for each known server what was
-// last published. Lists come in by apply_list() and apply_board_update(), time by advance();
-// changes go out by take_changes(), departures first. Server ids are the key throughout.
+// State: the active list of the files, the servers that the board lists, and the last published
+// state of each known server. The caller passes lists to apply_list() and apply_board_update(),
+// passes the current time to advance(), and fetches the changes with take_changes(), which returns
+// departures first. Servers are identified by id throughout.
 //
-// A new list costs what its differences cost, which are computed beforehand on another thread.
-// Departures take effect at once; the rest of a large change is applied in parts of
-// kMaxChangesPerTurn, one part per turn of the event loop, so that the loop is never held up. One
-// thread only. Times are Unix microseconds. No I/O, no clock of its own.
+// Applying a new list takes time in proportion to its differences from the active list, which
+// another thread computes beforehand. Departures take effect at once. The rest of a large change is
+// applied in parts of kMaxChangesPerTurn servers, one part per turn of the event loop, so that the
+// loop is not blocked for long. Not thread-safe. Times are Unix microseconds. No I/O, and no clock
+// is read.
 #pragma once
 
 #include <compare>
@@ -30,83 +32,95 @@
 
 namespace alderspur::endpoints {
 
-/// Times in microseconds.
+/// Parameters of an EndpointSet. Times are in microseconds.
 struct EndpointSetSettings {
   Authority authority = Authority::files;
-  // A weight grows or shrinks by at most this factor in each interval.
+  // A weight increases or decreases by at most this factor in each weight_interval.
   double max_weight_factor = 1.25;
   Time weight_interval = 1'000'000;
   DampingSettings damping;
 };
 
-/// A checked list, ready to be applied, with its difference from the active list.
+/// A validated list that can be applied, with its differences from the active list.
 struct CandidateList {
   SnapshotPtr list;
-  SnapshotPtr base;  // the active list that it was compared with; null: none
+  SnapshotPtr base;  // the active list at the time of the comparison; null: none
   Difference difference;
   LocationZones zones;
 };
 
-/// A server as it is to be used from now on.
+/// The new state of a server whose published state has changed.
 struct EndpointChange {
-  Member member;  // with status gone, it is to be forgotten
+  Member member;  // if its status is gone, it must be removed
   Reason reason = Reason::as_listed;
 };
 
-/// What must outlive the process besides the list, for servers whose state is not the default.
+/// The state of one server that is saved, besides the list, so that a restarted process continues
+/// from it. Only servers whose state differs from the default are saved.
 struct Remembered {
   ServerId id{};
-  Time started_at = 0;
-  double weight = 0;  // 0: as listed
-  double penalty = 0;
+  Time started_at = 0;  // 0: not recent
+  double weight = 0;    // the step reached; 0: as listed
+  double penalty = 0;   // of flap damping, at the time penalty_at
   Time penalty_at = 0;
   bool is_suppressed = false;
 };
 
-/// Since the start of the process.
+/// Totals since the set was created.
 struct EndpointSetCounters {
-  std::uint64_t lists = 0;
-  std::uint64_t changes = 0;
-  std::uint64_t departures = 0;
-  std::uint64_t weight_steps = 0;
-  std::uint64_t suppressed = 0;
-  std::uint64_t reinstated = 0;
+  std::uint64_t lists = 0;         // lists of the files that were applied
+  std::uint64_t changes = 0;       // published changes of servers
+  std::uint64_t departures = 0;    // servers that left service
+  std::uint64_t weight_steps = 0;  // steps that did not reach the listed weight
+  std::uint64_t suppressed = 0;    // suppressions of flapping servers that began
+  std::uint64_t reinstated = 0;    // suppressions that ended with the server listed as ready
 };
 
-/// The endpoints in use, merged from the lists of the files and of service discovery. Not
-/// thread-safe; times are microseconds of one clock.
+/// Holds the servers in use and publishes their changes. Not thread-safe. See the head of this
+/// file.
 class EndpointSet {
  public:
+  /// The maximum number of queued servers, and also of servers that are due, that one call of
+  /// advance() evaluates.
   static constexpr std::size_t kMaxChangesPerTurn = 1000;
 
   explicit EndpointSet(const EndpointSetSettings& settings) : settings_(settings) {}
 
-  /// Before the first list: continues from what an earlier process remembered.
+  /// Restores the state that an earlier process saved. Must be called before the first list is
+  /// applied.
   void restore(const std::vector<Remembered>& remembered);
-  /// Returns false and does nothing if the candidate was compared with another list than the one in
-  /// force.
+  /// Makes the candidate the active list. Returns false and does nothing if the candidate was
+  /// compared with a list other than the active one.
   bool apply_list(const CandidateList& candidate, Time now);
-  /// `is_complete`: the members are all that the board lists, otherwise those that have changed.
+  /// Applies an update of the board. If `is_complete`, `members` contains all servers that the
+  /// board lists; otherwise it contains those that have changed.
   void apply_board_update(bool is_complete, const std::vector<Member>& members, Time now);
-  /// Applies what is due, and the next part of a large change.
+  /// Evaluates the servers that are due at `now`, and applies the next part of a large change.
   void advance(Time now);
-  /// When advance() has something to do; the largest Time: never.
+  /// Returns the time at which advance() has to be called next: 0 if work is queued, the largest
+  /// Time if none is due.
   Time next_wakeup() const;
 
-  /// The changes since the last call. Servers that are not ready come first: departures must take
-  /// effect before anything is sent in the same turn.
+  /// Returns the changes since the last call. Servers that are not ready come first, because
+  /// departures must take effect before any request is sent in the same turn.
   std::vector<EndpointChange> take_changes();
 
-  /// The active list of the files; null: none yet.
+  /// Returns the active list of the files, or null if there is none yet.
   const SnapshotPtr& current_list() const { return list_; }
+  /// Returns the state to save for a restart, sorted by id.
   std::vector<Remembered> remembered(Time now) const;
+  /// Returns the reason for the server's status. An unknown server has the reason not_in_files.
   Reason reason(ServerId id) const;
+  /// Returns the number of servers that are published as ready.
   std::size_t ready_count() const;
+  /// Returns the number of servers with a state, including departed servers that are not removed
+  /// yet.
   std::size_t known_count() const { return servers_.size(); }
+  /// Returns the totals since the set was created.
   const EndpointSetCounters& counters() const { return counters_; }
 
  private:
-  /// Servers with the same role and zone, which stand in for each other.
+  /// Identifies the servers with the same role and zone, which can replace each other.
   struct Group {
     Role role = Role::cache;
     std::uint32_t zone = 0;
@@ -114,7 +128,7 @@
     auto operator<=>(const Group&) const = default;
   };
 
-  /// When a server has to be evaluated.
+  /// The time at which a server has to be evaluated.
   struct Wakeup {
     Time at = 0;
     ServerId id{};
@@ -122,16 +136,17 @@
     auto operator<=>(const Wakeup&) const = default;
   };
 
+  /// The state of one server.
   struct KnownServer {
-    Member published;  // status gone: never published, or no longer in use
-    ServerStatus wanted_status = ServerStatus::gone;  // before damping
+    Member published;  // as last published; an empty name: never published
+    ServerStatus listed_status = ServerStatus::gone;  // merged from the sources, before damping
     Reason reason = Reason::as_listed;
     FlapDamping damping;
-    double weight = 0;  // the step reached; 0: not started
+    double weight = 0;  // the step reached; 0: none yet
     Time next_step_at = 0;
     Time started_at = 0;
-    Time wakeup_at = 0;  // 0: none
-    std::optional<Group> suppressed_in;
+    Time wakeup_at = 0;                  // the entry in wakeups_; 0: none
+    std::optional<Group> suppressed_in;  // the entry in suppressed_
     bool has_unreported_change = false;
 
     bool was_published() const { return !published.name.empty(); }
@@ -143,14 +158,14 @@
   static Group group_of(const Server& server) { return {server.role, server.location.value}; }
 
   void queue_changes(const CandidateList& candidate, Time now);
-  void apply_all_waiting(Time now);
+  void apply_all_pending(Time now);
   std::vector<ServerId> remove_unlisted(const std::vector<Member>& members);
 
   void evaluate(ServerId id, Time now);
-  Merged merge_sources(ServerId id) const;
+  MergedMember merge_sources(ServerId id) const;
   void record_departure(KnownServer& known, ServerStatus next_status, Time now);
   void update_start_time(KnownServer& known, const Member& merged, Time now) const;
-  static Member departed(const KnownServer& known, Member member);
+  static Member departed_member(const KnownServer& known, Member member);
   double step_weight(KnownServer& known, double target, Time now);
   bool update_suppression(ServerId id, KnownServer& known, const Member& member, Time now);
   void leave_suppressed_group(ServerId id, KnownServer& known);
@@ -158,21 +173,21 @@
   void schedule(ServerId id, KnownServer& known, Time at);
   void publish(ServerId id, KnownServer& known, const Member& member);
   void count_ready(const KnownServer& known, const Server& next);
-  void forget_if_gone(ServerId id, KnownServer& known, Time now);
-  std::optional<Remembered> to_remember(ServerId id, const KnownServer& known, Time now) const;
+  void remove_if_gone(ServerId id, KnownServer& known, Time now);
+  std::optional<Remembered> state_to_save(ServerId id, const KnownServer& known, Time now) const;
 
   const EndpointSetSettings settings_;
   SnapshotPtr list_;
-  LocationZones zones_;  // of list_
+  LocationZones zones_;  // the zones of the points and hubs in list_
   std::unordered_map<std::uint64_t, Member> board_members_;
   bool has_board_list_ = false;
-  bool has_first_list_ = false;  // servers that appear from now on are new
+  bool has_first_list_ = false;  // servers that appear after the first list count as just started
   std::unordered_map<std::uint64_t, KnownServer> servers_;
-  std::map<Group, std::size_t> ready_counts_;  // as published
+  std::map<Group, std::size_t> ready_counts_;  // of published servers
   std::map<Group, std::set<ServerId>> suppressed_;
   std::set<Wakeup> wakeups_;
-  std::deque<ServerId> waiting_;      // the rest of a large change
-  std::vector<ServerId> unreported_;  // for take_changes()
+  std::deque<ServerId> pending_;      // servers still to be evaluated after a large change
+  std::vector<ServerId> unreported_;  // changed since the last take_changes()
   EndpointSetCounters counters_;
 };
 
--- a/src/endpoints/list.cpp
+++ b/src/endpoints/list.cpp
@@ -13,20 +13,23 @@
 namespace {
 
 constexpr std::int64_t kFormat = 1;
-constexpr std::int64_t kMaxGeneration = std::int64_t{1} << 53;  // exact in a double, as in JSON
+// The largest generation. A double, and therefore a JSON number, represents it exactly.
+constexpr std::int64_t kMaxGeneration = std::int64_t{1} << 53;
 constexpr std::size_t kMaxPieces = 4096;
 constexpr std::size_t kMaxFileNameBytes = 255;
 constexpr unsigned kMaxThreads = 4;
 
+/// Reports L005 if the number of listed servers differs from the announced one.
 void check_count(const Snapshot& list, std::uint64_t announced, diagnostics::Findings& findings) {
   if (!findings.is_ok() || list.servers.size() == announced) return;
   findings.error("L005", {list.source, 0, 0},
-                 "servers = " + std::to_string(announced) + " but " +
-                     std::to_string(list.servers.size()) + " are listed",
-                 "the file was cut off, or the count was not changed with the list");
+                 "servers = " + std::to_string(announced) + ", but " +
+                     std::to_string(list.servers.size()) + " servers are listed",
+                 "the file is truncated, or the count was not updated");
 }
 
-// A manifest must not lead to files outside its directory.
+/// Reports whether the name is a plain file name. A manifest must not refer to files outside its
+/// directory.
 bool is_valid_piece_name(const std::string& file) {
   return !file.empty() && file.size() <= kMaxFileNameBytes && file.front() != '.' &&
          file.find('/') == std::string::npos;
@@ -39,14 +42,15 @@
   table.finish();
   if (!file || !digest_text) return {};
   if (!is_valid_piece_name(*file)) {
-    findings.error("L012", table.location("file"), "'" + *file + "' cannot be the name of a piece",
-                   "name a file beside the manifest");
+    findings.error("L012", table.location("file"),
+                   "'" + *file + "' is not a valid file name for a piece",
+                   "use the name of a file in the directory of the manifest");
     return {};
   }
   const auto digest = parse_digest(*digest_text);
   if (!digest) {
     findings.error("L006", table.location("digest"),
-                   "the digest is not of the form xxh3: and 16 hex digits",
+                   "the digest is not 'xxh3:' followed by 16 hexadecimal digits",
                    "run `alderspur seal` on the directory");
     return {};
   }
@@ -61,19 +65,20 @@
     auto piece = read_manifest_piece(table, findings);
     if (!piece) continue;
     if (!files.insert(piece->file).second) {
-      findings.error("L007", table.location("file"), "piece " + piece->file + " is named twice",
-                     "keep one");
+      findings.error("L007", table.location("file"), "piece " + piece->file + " is listed twice",
+                     "remove one of the two entries");
       continue;
     }
     pieces.push_back(std::move(*piece));
   }
   if (pieces.size() > kMaxPieces) {
-    findings.error("L013", root.location(), "over 4096 pieces", "use fewer, larger ones");
+    findings.error("L013", root.location(), "the manifest lists more than 4096 pieces",
+                   "use fewer, larger pieces");
   }
   return pieces;
 }
 
-/// Reads what stands before hubs, points and servers; returns the announced number of servers.
+/// Reads the keys before the hubs, points and servers. Returns the announced number of servers.
 std::uint64_t read_head(toml::Table& root, const ListLimits& limits, Snapshot& list) {
   (void)root.text("digest");  // checked before parsing
   (void)root.integer("format", kFormat, kFormat, true);
@@ -86,7 +91,7 @@
   return static_cast<std::uint64_t>(servers.value_or(0));
 }
 
-/// Checks the size and the digests of a manifest's pieces.
+/// Checks the total size and the digests of a manifest's pieces.
 bool check_pieces(const ListReadResult& manifest, const std::vector<std::string>& texts,
                   const ListLimits& limits, diagnostics::Findings& findings) {
   const std::string& source = manifest.list->source;
@@ -95,17 +100,18 @@
     const ManifestPiece& piece = manifest.pieces[i];
     total_bytes += texts[i].size();
     if (total_bytes > limits.max_bytes) {
-      findings.error("L002", {source, piece.line, 0},
-                     "the pieces have over " + std::to_string(limits.max_bytes) + " bytes in all",
-                     "list fewer servers");
+      findings.error(
+          "L002", {source, piece.line, 0},
+          "the pieces have more than " + std::to_string(limits.max_bytes) + " bytes in total",
+          "list fewer servers");
       return false;
     }
     const auto digest = compute_digest(texts[i]);
     if (digest == piece.digest) continue;
     findings.error("L006", {source, piece.line, 0},
-                   "piece " + piece.file + " has the digest " + format_digest(digest) + ", not " +
-                       format_digest(piece.digest),
-                   "the set is half written: write the pieces first and the manifest last");
+                   "piece " + piece.file + " has the digest " + format_digest(digest) +
+                       ", but the manifest gives " + format_digest(piece.digest),
+                   "the set is only partly written: write the pieces first and the manifest last");
   }
   return findings.is_ok();
 }
--- a/src/endpoints/list.h
+++ b/src/endpoints/list.h
@@ -1,26 +1,39 @@
-// The written form of a list of servers: TOML in one file, or a manifest with pieces. No I/O: texts
-// come in, a Snapshot or findings come out. docs/servers.md describes the form for operators.
+// Reads server lists from their text form: one TOML file, or a manifest with pieces. No I/O: the
+// functions take texts and return a Snapshot or findings. docs/servers.md describes the text form
+// for operators.
 //
 // One file:
 //     format = 1
 //     generation = 12
-//     servers = 2                  # the number that follows: a TOML file that is truncated at the
-//                                  # end of a line is a valid shorter one
+//     servers = 2                  # the number of [[server]] tables; without it, a TOML file that
+//                                  # is truncated at the end of a line is a valid, shorter file
 //     [[hub]]    name = "north"
 //     [[point]]  name = "edge-1"  hub = "north"
 //     [[server]] id = "s-1"  role = "cache"  point = "edge-1"  address = "127.0.0.1:4201"
 //                weight = 4.0  state = "in_service"  cell = 0
-// Every key of a server is required, so that truncation inside the last one is noticed as well;
-// `confirm` is optional. The first line may be `digest = "xxh3:..."` over all bytes after it.
+// Every key of a server is required, so that truncation inside the last server is detected as well.
+// The head may also contain `confirm = GENERATION`. The first line may be `digest = "xxh3:..."`,
+// which is computed over all bytes after that line.
 //
-// A manifest has the same head, the hubs and the points, and [[piece]] with `file` and `digest`;
-// each piece holds [[server]] only. A set is valid only if every piece has the digest that the
-// manifest names.
+// A manifest has the same head, hubs and points, but in place of servers it has [[piece]] tables
+// with `file` and `digest`. Each piece contains [[server]] tables only. The list is valid only if
+// every piece has the digest given in the manifest.
 //
-// Codes of findings: L001 no TOML, L002 too large, L003 truncated, L004 form, L005 count, L006
-// digest, L007 a name twice, L008 an id twice, L009 an address twice in service, L010 unknown point
-// or hub, L011 unusable address, L012 bad name, L013 too many servers, F002 to F004 of
-// toml/document.h.
+// Codes of findings:
+//     L001  The text is not valid TOML.
+//     L002  A text, or all pieces together, are too large.
+//     L003  The text is truncated.
+//     L004  A manifest contains servers, or is given by its file instead of its directory.
+//     L005  The number of servers differs from the announced number.
+//     L006  A digest is malformed or does not match.
+//     L007  The name of a hub, point or piece is used twice.
+//     L008  The id of a server is used twice.
+//     L009  Two servers in service have the same address.
+//     L010  A point or hub is not declared.
+//     L011  An address is not valid.
+//     L012  A name is not valid.
+//     L013  There are too many servers or pieces.
+//     F002 to F004: see toml/document.h.
 #pragma once
 
 #include <cstddef>
@@ -36,53 +49,59 @@
 
 namespace alderspur::endpoints {
 
-/// Bounds on a list, and how a large one is read.
+/// The limits on a list, and the parameters for reading a large list in parts.
 struct ListLimits {
-  std::size_t max_bytes = 16 << 20;  // of one text, and of all pieces together
+  std::size_t max_bytes = 16 << 20;  // for one text, and for all pieces together
   std::size_t max_servers = 100'000;
   double min_weight = 0.001;
   double max_weight = 1e6;
-  // Texts of more than six parts are read in parts, by this number of threads; the result depends
-  // on neither. A parsed tree takes some fourteen times the size of its text, so that parts bound
-  // the memory as well.
+  // A text larger than six parts is parsed in parts of this size. This also limits the memory in
+  // use, because a parsed tree takes about fourteen times the size of its text.
   std::size_t part_bytes = 512 << 10;
+  // The number of threads that parse the parts. The result does not depend on it.
   unsigned threads = 1;
 
-  /// Whether a text of this size is split.
+  /// Reports whether a text of this size is parsed in parts.
   bool is_read_in_parts(std::size_t text_bytes) const { return text_bytes > 6 * part_bytes; }
 };
 
-/// A piece as its manifest names it.
+/// The entry of a manifest for one piece.
 struct ManifestPiece {
-  std::string file;  // a plain file name, no path
+  std::string file;  // a file name without a directory
   std::uint64_t digest = 0;
-  std::uint32_t line = 0;  // of the manifest
+  std::uint32_t line = 0;  // line in the manifest
 };
 
-/// The result of reading a list or a manifest; without `list`, the findings say why.
+/// The result of reading a list or a manifest. If `list` is null, the findings give the reason.
 struct ListReadResult {
-  std::shared_ptr<Snapshot> list;     // sealed; not yet checked against the active list
-  std::vector<ManifestPiece> pieces;  // of a manifest, whose `list` has no servers yet
-  std::uint64_t announced_servers = 0;
+  // Not yet checked by check_alone() and check_change(). The list of a manifest has no servers and
+  // is not sealed; read_pieces() returns the complete list. Any other list is sealed.
+  std::shared_ptr<Snapshot> list;
+  std::vector<ManifestPiece> pieces;    // empty unless the text is a manifest
+  std::uint64_t announced_servers = 0;  // the value of the key `servers`
 };
 
-/// The number of threads that reading a large text may use: half the cores, four at most, so that
-/// the event loop keeps its own.
+/// Returns the number of threads that may read a large text: half the cores, at least one and at
+/// most four, so that cores remain for the event loop.
 unsigned spare_threads();
 
-/// Reads one text. `read_at`: when it was read from `file`.
+/// Reads one text. `file` is used in findings and as the list's source; `read_at` is the time at
+/// which the text was read from it, in Unix microseconds.
 ListReadResult read_list(std::string_view text, const std::string& file, core::Time read_at,
                          const ListLimits& limits, diagnostics::Findings& findings);
 
-/// Reads the pieces of a manifest, in its order, and completes its list. Returns null, with
-/// findings, if any piece is wrong.
+/// Reads the pieces of a manifest and returns the complete, sealed list. `texts` contains the text
+/// of each piece, in the order of the manifest. Returns null if any piece is invalid, with
+/// findings, or if the number of texts differs from the number of pieces.
 SnapshotPtr read_pieces(const ListReadResult& manifest, const std::vector<std::string>& texts,
                         const ListLimits& limits, diagnostics::Findings& findings);
 
+/// Returns the XXH3 hash (64 bits) of the bytes.
 std::uint64_t compute_digest(std::string_view bytes);
-/// "xxh3:0123456789abcdef"
+/// Returns the text form of a digest, such as "xxh3:0123456789abcdef".
 std::string format_digest(std::uint64_t digest);
-/// The text with a matching first line `digest = ...`, in place of one that it may have.
+/// Returns the text with a first line `digest = ...` that matches the rest. It replaces an existing
+/// digest line.
 std::string with_digest(std::string_view text);
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/list_builder.cpp
+++ b/src/endpoints/list_builder.cpp
@@ -15,9 +15,10 @@
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr unsigned kMaxPort = 65535;
 constexpr std::int64_t kMaxCell = 4'000'000'000;
-constexpr std::size_t kMaxSuggestedNames = 1000;  // more are too slow to compare
+constexpr std::size_t kMaxSuggestedNames = 1000;  // comparing more names is too slow
 
-// Names stand in lines of words on the wire and in log records.
+/// Reports whether a name is a single plain word, because names are written into space-separated
+/// lines on the wire and into log records.
 bool is_valid_name(std::string_view name) {
   return !name.empty() && name.size() <= kMaxNameBytes && core::is_plain_word(name);
 }
@@ -25,12 +26,12 @@
 bool check_name(const toml::Table& table, const std::string& name,
                 diagnostics::Findings& findings) {
   if (is_valid_name(name)) return true;
-  findings.error("L012", table.location(), "'" + name + "' cannot be a name",
+  findings.error("L012", table.location(), "'" + name + "' is not a valid name",
                  "use 1 to 64 letters, digits, '-' and '_'");
   return false;
 }
 
-/// Numbers and a port, such as "127.0.0.1:4201".
+/// Reports whether the text is an IPv4 address with a port, such as "127.0.0.1:4201".
 bool is_valid_address(const std::string& address) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) return false;
@@ -43,7 +44,7 @@
 void report_duplicate(const toml::Table& table, const char* kind, const std::string& name,
                       diagnostics::Findings& findings) {
   findings.error("L007", table.location(), std::string(kind) + " " + name + " is declared twice",
-                 "keep one");
+                 "remove one of the two declarations");
 }
 
 Role role_from(std::string_view word) {
@@ -125,8 +126,8 @@
   if (!location_index) return {};
   if (!is_valid_address(*address)) {
     findings.error("L011", table.location("address"),
-                   "'" + *address + "' is no address of a server",
-                   "write numbers and a port, such as 127.0.0.1:4201");
+                   "'" + *address + "' is not a valid server address",
+                   "use an IPv4 address and a port, such as 127.0.0.1:4201");
     return {};
   }
   ServerEntry entry;
@@ -158,22 +159,23 @@
 
 void ListBuilder::add(ServerEntry&& entry, diagnostics::Findings& findings) {
   ListedServer& server = entry.server;
-  const auto [same_id, is_new_id] = lines_by_id_.emplace(server.id.value, server.line);
+  const auto [earlier_line, is_new_id] = lines_by_id_.emplace(server.id.value, server.line);
   if (!is_new_id) {
     findings.error("L008", entry.id_location,
                    "server " + server.name + " is listed twice, first at line " +
-                       std::to_string(same_id->second),
-                   "keep one of the two");
+                       std::to_string(earlier_line->second),
+                   "remove one of the two entries");
     return;
   }
   if (server.state == ServerState::in_service) {
-    const auto [same_address, is_new_address] =
+    const auto [earlier_name, is_new_address] =
         names_by_address_.emplace(server.address, server.name);
     if (!is_new_address) {
-      findings.error("L009", entry.address_location,
-                     server.address + " is the address of " + same_address->second + " as well",
-                     "two servers in service cannot share one: drain or remove the one that has "
-                     "gone");
+      findings.error(
+          "L009", entry.address_location,
+          "address " + server.address + " is also the address of server " + earlier_name->second,
+          "two servers in service cannot share an address: drain or remove the one that "
+          "no longer runs");
     }
   }
   list_.servers.push_back(std::move(server));
@@ -181,8 +183,10 @@
 
 void ListBuilder::report_too_many(std::size_t count, const diagnostics::Location& location,
                                   diagnostics::Findings& findings) const {
-  findings.error("L013", location, std::to_string(count) + " servers are too many",
-                 "a list may have " + std::to_string(limits_.max_servers));
+  findings.error("L013", location,
+                 std::to_string(count) + " servers are listed, more than the limit of " +
+                     std::to_string(limits_.max_servers),
+                 "list fewer servers");
 }
 
 std::optional<std::uint32_t> ListBuilder::find_location(const toml::Table& table,
@@ -199,8 +203,7 @@
   }
   std::sort(candidates.begin(), candidates.end());
   const auto nearest = diagnostics::closest_match(name, candidates);
-  findings.error("L010", table.location(key),
-                 "no " + std::string(key) + " is called '" + name + "'",
+  findings.error("L010", table.location(key), std::string(key) + " '" + name + "' is not declared",
                  nearest.empty() ? "declare it with [[" + std::string(key) + "]]"
                                  : "did you mean '" + nearest + "'?");
   return {};
@@ -222,10 +225,10 @@
       root.finish();
     }
   };
-  std::vector<std::jthread> helpers;
-  for (unsigned i = 1; i < threads && i < parts.size(); ++i) helpers.emplace_back(read_remaining);
+  std::vector<std::jthread> workers;
+  for (unsigned i = 1; i < threads && i < parts.size(); ++i) workers.emplace_back(read_remaining);
   read_remaining();
-  helpers.clear();  // joins them
+  workers.clear();  // joins the threads
   for (std::size_t i = 0; i < parts.size(); ++i) {
     findings.append(part_findings[i]);
     builder.add(std::move(entries[i]), findings);
--- a/src/endpoints/list_builder.h
+++ b/src/endpoints/list_builder.h
@@ -1,5 +1,5 @@
-// Builds a Snapshot from the tables of parsed texts. Internal to the reading of lists (list.h has
-// the form and the codes). No I/O.
+// Builds a Snapshot from parsed TOML tables. Internal to the reading of lists: list.h describes the
+// text form and the codes of findings. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,25 +17,27 @@
 
 namespace alderspur::endpoints {
 
-/// A server as it was read, with the locations that a later finding may have to name.
+/// A server as it was read, with the locations that findings about duplicates refer to.
 struct ServerEntry {
   ListedServer server;
   diagnostics::Location id_location;
   diagnostics::Location address_location;
 };
 
-/// Adds to a list, which must outlive it.
+/// Adds hubs, points and servers to a list and detects duplicates. Not thread-safe, except for
+/// read_servers().
 class ListBuilder {
  public:
-  /// `list` may have hubs and points already. Both references must outlive the builder.
+  /// `list` may already contain hubs and points. Both arguments must outlive the builder.
   ListBuilder(Snapshot& list, const ListLimits& limits);
 
-  /// Reads the hubs and points into the list. To be called before any servers are read.
+  /// Reads the hubs and points into the list. Must be called before any servers are read.
   void read_locations(toml::Table& root, diagnostics::Findings& findings);
-  /// Reads the servers of one text. Only looks at the locations: several threads may call it.
+  /// Reads the servers of one text, without adding them to the list. Several threads may call it at
+  /// the same time, as it does not modify the builder.
   std::vector<ServerEntry> read_servers(toml::Table& root, std::uint32_t piece_index,
                                         diagnostics::Findings& findings) const;
-  /// Adds servers to the list; findings for those that clash with earlier ones.
+  /// Adds servers to the list. Reports those whose id or address is already in use.
   void add(std::vector<ServerEntry>&& entries, diagnostics::Findings& findings);
 
  private:
@@ -57,10 +59,11 @@
   NameIndex hubs_;
   NameIndex points_;
   std::unordered_map<std::uint64_t, std::uint32_t> lines_by_id_;
-  std::unordered_map<std::string, std::string> names_by_address_;  // of servers in service
+  std::unordered_map<std::string, std::string> names_by_address_;  // only servers in service
 };
 
-/// Reads the parts, several at once if `threads` allow, and adds their servers in order.
+/// Parses the parts on up to `threads` threads, including the calling thread, and adds their
+/// servers and findings in the order of the parts.
 void read_parts(const std::vector<ListPart>& parts, ListBuilder& builder, unsigned threads,
                 diagnostics::Findings& findings);
 
--- a/src/endpoints/list_text.cpp
+++ b/src/endpoints/list_text.cpp
@@ -37,17 +37,19 @@
 bool check_completeness(std::string_view text, const std::string& file, std::size_t max_bytes,
                         diagnostics::Findings& findings) {
   if (text.size() > max_bytes) {
-    findings.error(
-        "L002", {file, 0, 0}, "the file has " + std::to_string(text.size()) + " bytes",
-        "at most " + std::to_string(max_bytes) + " are read; split the list into pieces");
+    findings.error("L002", {file, 0, 0},
+                   "the file has " + std::to_string(text.size()) +
+                       " bytes, more than the limit of " + std::to_string(max_bytes),
+                   "split the list into pieces");
     return false;
   }
-  // A last line without its end may be half of it: "weight = 10" of "weight = 100".
+  // A last line without a newline may be truncated: "weight = 10" may be the beginning of
+  // "weight = 100".
   if (text.empty() || text.back() != '\n') {
     const auto line = 1 + std::count(text.begin(), text.end(), '\n');
     findings.error("L003", {file, static_cast<std::uint32_t>(line), 0},
-                   text.empty() ? "the file is empty" : "the last line has no end",
-                   "it is half written: write it anew and rename it into place");
+                   text.empty() ? "the file is empty" : "the last line does not end with a newline",
+                   "the file is incomplete: write it again and rename it into place");
     return false;
   }
   return true;
@@ -62,16 +64,17 @@
     written = parse_digest(text.substr(kDigestKey.size(), quote - kDigestKey.size()));
   }
   if (!written) {
-    findings.error("L006", {file, 1, 1}, "the digest is not of the form xxh3: and 16 hex digits",
+    findings.error("L006", {file, 1, 1},
+                   "the digest is not 'xxh3:' followed by 16 hexadecimal digits",
                    "run `alderspur seal` on the file");
     return false;
   }
   const auto computed = compute_digest(text.substr(line_end + 1));
   if (computed == *written) return true;
   findings.error("L006", {file, 1, 1},
-                 "the digest is " + format_digest(*written) + " but the bytes after it give " +
-                     format_digest(computed),
-                 "the file is half written, or was edited: run `alderspur seal` on it");
+                 "the digest is " + format_digest(*written) +
+                     ", but the content after it has the digest " + format_digest(computed),
+                 "the file is incomplete, or was edited: run `alderspur seal` on it");
   return false;
 }
 
--- a/src/endpoints/member.h
+++ b/src/endpoints/member.h
@@ -1,6 +1,8 @@
-// One server as a source of endpoints describes it: the board, or a watched file.
+// One server as described by a source of endpoints, which is either the board (the platform's
+// service discovery) or a watched file.
 //
-// Plain values. Ids are the key everywhere: an address may pass from one id to another.
+// Plain values. Servers are identified by id throughout, because an address can be reassigned from
+// one id to another.
 #pragma once
 
 #include <string>
@@ -11,14 +13,15 @@
 
 namespace alderspur::endpoints {
 
-/// A server with the texts that its description names it by.
+/// A server together with the name and address given in its description.
 struct Member {
   Server server;
   std::string name;
   std::string address;  // "HOST:PORT"
 };
 
-/// The same name gives the same id at every router: their rendezvous hashes must agree.
+/// Returns the id for a server name. It is the same on every router, because their rendezvous
+/// hashes must agree.
 inline ServerId server_id(std::string_view name) { return {core::stable_hash(name)}; }
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/merge.cpp
+++ b/src/endpoints/merge.cpp
@@ -5,8 +5,8 @@
 namespace alderspur::endpoints {
 namespace {
 
-/// The higher, the more cautious.
-int caution(ServerStatus status) {
+/// Ranks a status by caution: a higher level carries less traffic.
+int caution_level(ServerStatus status) {
   switch (status) {
     case ServerStatus::ready:
       return 0;
@@ -18,26 +18,28 @@
   return 2;
 }
 
-Merged from_one_source(const Member& member, Reason reason_if_draining) {
+MergedMember from_one_source(const Member& member, Reason reason_if_draining) {
   const bool is_draining = member.server.status == ServerStatus::draining;
   return {member, is_draining ? reason_if_draining : Reason::as_listed};
 }
 
-bool agree_on_location(const Member& left, const Member& right) {
+bool have_same_location(const Member& left, const Member& right) {
   return left.server.role == right.server.role && left.server.location == right.server.location &&
          left.server.cell == right.server.cell && left.address == right.address;
 }
 
-Merged from_both(const Member& board, const Member& files) {
-  Merged merged{files, Reason::as_listed};
+MergedMember from_both(const Member& board, const Member& files) {
+  MergedMember merged{files, Reason::as_listed};
   Server& server = merged.member.server;
-  if (!agree_on_location(board, files)) {
-    // One of two addresses is another machine's, and with two locations a slow-start budget would
-    // be wrong.
+  if (!have_same_location(board, files)) {
+    // If the addresses differ, one of them belongs to another machine; if the locations differ, the
+    // slow-start budget would be wrong.
     server.status = ServerStatus::gone;
     merged.reason = Reason::locations_differ;
   }
-  if (caution(board.server.status) > caution(server.status)) server.status = board.server.status;
+  if (caution_level(board.server.status) > caution_level(server.status)) {
+    server.status = board.server.status;
+  }
   server.started_at = std::max(server.started_at, board.server.started_at);
   if (board.server.weight != server.weight) {
     server.weight = std::min(server.weight, board.server.weight);
@@ -69,26 +71,26 @@
 const char* to_string(Reason reason) {
   switch (reason) {
     case Reason::as_listed:
-      return "as told";
+      return "as listed";
     case Reason::weight_lower:
-      return "the lower of two weights";
+      return "the lower of two listed weights";
     case Reason::board_draining:
-      return "the board says draining";
+      return "the board lists it as draining";
     case Reason::files_draining:
-      return "the files say draining";
+      return "the files list it as draining";
     case Reason::locations_differ:
-      return "board and files tell different roles, places, cells or addresses";
+      return "the board and the files list different roles, locations, cells or addresses";
     case Reason::not_on_board:
       return "the board does not list it";
     case Reason::not_in_files:
       return "the files do not list it";
     case Reason::flapping:
-      return "it came and went too often";
+      return "it left service too often";
   }
   return "";
 }
 
-std::optional<Merged> merge(Authority authority, const EndpointSources& sources) {
+std::optional<MergedMember> merge(Authority authority, const EndpointSources& sources) {
   const bool board_decides = authority != Authority::files && sources.has_board_list;
   const bool files_decide = authority != Authority::board && sources.has_file_list;
   const Member* board = board_decides ? sources.board : nullptr;
@@ -97,8 +99,8 @@
   if (!board_decides) return from_one_source(*files, Reason::files_draining);
   if (!files_decide) return from_one_source(*board, Reason::board_draining);
   if (board && files) return from_both(*board, *files);
-  // Only one of the two lists it.
-  Merged merged{board ? *board : *files, board ? Reason::not_in_files : Reason::not_on_board};
+  // Both sources decide, but only one of them lists the server.
+  MergedMember merged{board ? *board : *files, board ? Reason::not_in_files : Reason::not_on_board};
   merged.member.server.status = ServerStatus::gone;
   return merged;
 }
--- a/src/endpoints/merge.h
+++ b/src/endpoints/merge.h
@@ -1,10 +1,11 @@
-// Merges what the two sources of endpoints, the board and the watched files, say of one server.
-// Pure: the same input gives the same result.
+// Merges the descriptions of one server from the two sources of endpoints: the board (the
+// platform's service discovery) and the watched files. The result depends on the input only.
 //
-// With authority `both`, the more cautious source wins in each field: gone before draining before
-// ready, the smaller weight, the later start. In role, location, cell and address they must agree:
-// a server on which they differ gets no traffic until they agree. While one of the two has no list
-// yet, the other decides alone. Commutative, except for `name`.
+// With authority `both`, the more cautious value is used for each field: status gone before
+// draining before ready, the smaller weight, the later start time. Role, location, cell and address
+// must be equal in both sources; a server for which they differ receives no traffic until they are
+// equal. While one source has not delivered a list yet, the other one decides alone. The merge is
+// commutative except for `name`.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +15,12 @@
 
 namespace alderspur::endpoints {
 
-/// Which sources decide.
+/// Selects the sources that decide which servers are used, and how.
 enum class Authority : std::uint8_t { board, files, both };
+/// Returns the value as it is written in the settings.
 const char* to_string(Authority authority);
 
-/// Why a server has its status, from the least to the most cautious.
+/// The reason for a server's status, ordered from the least to the most cautious.
 enum class Reason : std::uint8_t {
   as_listed,
   weight_lower,  // the sources list different weights
@@ -29,24 +31,25 @@
   not_in_files,
   flapping,  // suppressed by damping
 };
-/// A text for logs and operators.
+/// Returns a description for logs and operators.
 const char* to_string(Reason reason);
 
-/// A server as all sources together describe it.
-struct Merged {
-  Member member;  // with status gone, it must not be used
+/// The merged description of a server.
+struct MergedMember {
+  Member member;  // must not be used if its status is gone
   Reason reason = Reason::as_listed;
 };
 
-/// What each source says of one server; null: it does not list the server.
+/// The descriptions of one server by each source. Null means that the source does not list it.
 struct EndpointSources {
   const Member* board = nullptr;
   const Member* files = nullptr;
-  bool has_board_list = false;  // the board has sent a list
-  bool has_file_list = false;   // a list from files is active
+  bool has_board_list = false;  // whether the board has delivered a list
+  bool has_file_list = false;   // whether a list from files is active
 };
 
-/// Returns nothing if no deciding source lists the server.
-std::optional<Merged> merge(Authority authority, const EndpointSources& sources);
+/// Merges the descriptions from the sources that `authority` selects. Returns nothing if none of
+/// these sources lists the server.
+std::optional<MergedMember> merge(Authority authority, const EndpointSources& sources);
 
 }  // namespace alderspur::endpoints
--- a/src/endpoints/snapshot.cpp
+++ b/src/endpoints/snapshot.cpp
@@ -8,8 +8,8 @@
 namespace alderspur::endpoints {
 namespace {
 
-/// XXH3 over a sequence of values. Lengths precede texts, so that no two different sequences give
-/// the same bytes.
+/// Computes XXH3 over a sequence of values. Each text is preceded by its length, so that different
+/// sequences never produce the same bytes.
 class Digest {
  public:
   Digest() : state_(XXH3_createState()) { XXH3_64bits_reset(state_.get()); }
@@ -30,6 +30,7 @@
   std::unique_ptr<XXH3_state_t, FreeState> state_;
 };
 
+/// Adds the hubs and points, sorted, so that the digest does not depend on their order in the list.
 void add_locations(Digest& digest, const Snapshot& list) {
   auto hub_names = list.hubs;
   std::sort(hub_names.begin(), hub_names.end());
@@ -48,7 +49,8 @@
   }
 }
 
-// The digest stands in stored state: order and types of the values must not change.
+/// Adds one server. The digest is part of the stored state: the order and types of the values must
+/// not change.
 void add_server(Digest& digest, const Snapshot& list, const ListedServer& server) {
   digest.add_text(server.name);
   digest.add_text(server.address);
@@ -59,7 +61,7 @@
   digest.add_number(server.weight);
 }
 
-/// Files a server that both snapshots list.
+/// Compares a server that both snapshots list and records how it differs, if it does.
 void compare(const Snapshot& old_list, const ListedServer& before, const Snapshot& new_list,
              const ListedServer& after, Difference& difference) {
   if (before.state == ServerState::in_service && after.state == ServerState::draining) {
@@ -88,11 +90,11 @@
 void Snapshot::seal() {
   std::sort(servers.begin(), servers.end(),
             [](const auto& left, const auto& right) { return left.id < right.id; });
-  Digest meaning;
-  add_locations(meaning, *this);
-  meaning.add_number(servers.size());
-  for (const auto& server : servers) add_server(meaning, *this, server);
-  digest = meaning.value();
+  Digest content;
+  add_locations(content, *this);
+  content.add_number(servers.size());
+  for (const auto& server : servers) add_server(content, *this, server);
+  digest = content.value();
 }
 
 Difference difference(const Snapshot* from, const Snapshot& to) {
@@ -100,7 +102,7 @@
   const Snapshot& old_list = from ? *from : empty;
   Difference result;
   result.has_location_changes = old_list.points != to.points || old_list.hubs != to.hubs;
-  // Both are sorted by id.
+  // Both lists are sorted by id.
   auto before = old_list.servers.begin();
   auto after = to.servers.begin();
   while (before != old_list.servers.end() || after != to.servers.end()) {
@@ -132,12 +134,13 @@
   append(difference.added, "added");
   append(difference.removed, "removed");
   append(difference.drained, "drained");
-  append(difference.reinstated, "back in service");
-  append(difference.moved, "at another address");
-  append(difference.reweighted, "of another weight");
-  append(difference.reassigned, "of another role, place or cell");
-  if (difference.has_location_changes) text += is_first ? " points or hubs" : ", points or hubs";
-  if (difference.is_empty()) text += " nothing changes";
+  append(difference.reinstated, "returned to service");
+  append(difference.moved, "with a new address");
+  append(difference.reweighted, "with a new weight");
+  append(difference.reassigned, "with a new role, location or cell");
+  if (difference.has_location_changes)
+    text += is_first ? " points or hubs changed" : ", points or hubs changed";
+  if (difference.is_empty()) text += " no changes";
   return text;
 }
 
--- a/tests/endpoints/endpoint_set_test.cpp
+++ b/tests/endpoints/endpoint_set_test.cpp
@@ -1,4 +1,4 @@
-// The set of endpoints, fed with lists and observed through the changes that it publishes.
+// Tests the set of endpoints through the lists that are applied and the changes that it publishes.
 #include "endpoints/endpoint_set.h"
 
 #include <gtest/gtest.h>
@@ -13,11 +13,11 @@
 namespace alderspur::endpoints {
 namespace {
 
-/// An endpoint set and what a consumer of its changes knows.
+/// An endpoint set, with the servers as a consumer of its changes has received them.
 struct ObservedSet {
   explicit ObservedSet(const EndpointSetSettings& settings = {}) : set(settings) {}
 
-  /// Applies a list with the next generation.
+  /// Applies a list with these servers and the next generation.
   SnapshotPtr apply_list(const std::vector<ServerText>& servers, Time now) {
     diagnostics::Findings findings;
     ++generation;
@@ -27,18 +27,19 @@
     EXPECT_TRUE(next.list) << (findings.list().empty()
                                    ? ""
                                    : diagnostics::to_string(findings.list()[0]));
-    const auto& in_force = set.current_list();
-    CandidateList candidate{next.list, in_force, difference(in_force.get(), *next.list), {}};
+    const auto& active = set.current_list();
+    CandidateList candidate{next.list, active, difference(active.get(), *next.list), {}};
     candidate.zones = resolve_zones(*next.list, {"hub", "edge-1", "edge-2"}, findings);
     EXPECT_TRUE(set.apply_list(candidate, now));
     observe();
     return next.list;
   }
-  /// Lets the set do all that is due by then.
+  /// Calls advance() of the set until nothing is due at `now`.
   void advance(Time now) {
     for (int i = 0; i < 1000 && set.next_wakeup() <= now; ++i) set.advance(now);
     observe();
   }
+  /// Takes the changes and records them in `published`.
   void observe() {
     bool has_seen_ready = false;
     for (const auto& change : set.take_changes()) {
@@ -54,12 +55,13 @@
   std::map<std::string, Server> published;
 };
 
-TEST(EndpointSet, AppliesDeparturesAtOnceAndStartsReturningServersSlowly) {
+TEST(EndpointSet, AppliesDeparturesAtOnceAndTreatsReturningServersAsJustStarted) {
   ObservedSet observed;
-  auto servers = usual_servers();
+  auto servers = default_servers();
   observed.apply_list(servers, kStart);
   EXPECT_EQ(observed.published["a"].status, ServerStatus::ready);
-  EXPECT_EQ(observed.published["a"].started_at, 0) << "no server of the first list is new";
+  EXPECT_EQ(observed.published["a"].started_at, 0)
+      << "servers of the first list do not count as just started";
   EXPECT_EQ(observed.published["o"].location.value, 0U);
   EXPECT_EQ(observed.published["c"].location.value, 2U);
   servers[0].state = "draining";
@@ -68,7 +70,7 @@
   servers[0].state = "in_service";
   observed.apply_list(servers, kStart + 2 * kSecond);
   observed.advance(kStart + 2 * kSecond);
-  EXPECT_EQ(observed.published["a"].started_at, 0) << "a drain taken back is no restart";
+  EXPECT_EQ(observed.published["a"].started_at, 0) << "the end of a drain is not a restart";
   auto without_a = servers;
   without_a.erase(without_a.begin());
   observed.apply_list(without_a, kStart + 3 * kSecond);
@@ -80,12 +82,12 @@
   servers[1].address = "127.0.0.1:77";
   observed.apply_list(servers, kStart + 201 * kSecond);
   EXPECT_EQ(observed.published["b"].started_at, kStart + 201 * kSecond)
-      << "another address: another process";
+      << "a server with a new address counts as just started";
 }
 
-TEST(EndpointSet, ChangesWeightsInStepsUntilTheyAreReached) {
+TEST(EndpointSet, ChangesWeightsInSteps) {
   ObservedSet observed;
-  auto servers = usual_servers();
+  auto servers = default_servers();
   observed.apply_list(servers, kStart);
   servers[0].weight = "16.0";
   observed.apply_list(servers, kStart + kSecond);
@@ -100,13 +102,12 @@
     now += kSecond / 4;
   }
   EXPECT_EQ(observed.published["a"].weight, 16.0);
-  EXPECT_EQ(observed.set.next_wakeup(), std::numeric_limits<Time>::max())
-      << "nothing is left to do";
+  EXPECT_EQ(observed.set.next_wakeup(), std::numeric_limits<Time>::max()) << "no work is due";
 }
 
-TEST(EndpointSet, SuppressesAFlappingServerUnlessItIsTheLastOfItsGroup) {
+TEST(EndpointSet, SuppressesFlappingServerUnlessItIsTheLastOfItsGroup) {
   ObservedSet observed;
-  auto servers = usual_servers();
+  auto servers = default_servers();
   observed.apply_list(servers, kStart);
   Time now = kStart;
   const auto apply_after = [&](Time delay) {
@@ -126,11 +127,12 @@
   EXPECT_EQ(observed.published["a"].status, ServerStatus::draining);
   EXPECT_EQ(observed.set.reason(server_id("a")), Reason::flapping);
   flap(servers[2], 6);
-  EXPECT_EQ(observed.published["c"].status, ServerStatus::ready) << "the only cache of edge-2";
+  EXPECT_EQ(observed.published["c"].status, ServerStatus::ready)
+      << "the only cache at edge-2 is never suppressed";
   servers[1].state = "draining";  // b was the last ready cache of edge-1
   apply_after(kSecond);
   EXPECT_EQ(observed.published["a"].status, ServerStatus::ready)
-      << "reinstated, as no other server is there";
+      << "reinstated, because its group has no other ready server";
   servers[1].state = "in_service";
   now += kSecond;
   observed.apply_list(servers, now);
@@ -140,16 +142,16 @@
   EXPECT_EQ(observed.published["b"].status, ServerStatus::ready);
 }
 
-TEST(EndpointSet, ContinuesFromWhatItRememberedAfterARestart) {
+TEST(EndpointSet, RestoresSavedStateAfterRestart) {
   ObservedSet before;
-  auto servers = usual_servers();
+  auto servers = default_servers();
   before.apply_list(servers, kStart);
   servers.push_back({"n", "127.0.0.1:5"});
   servers[1].weight = "9.0";
   before.apply_list(servers, kStart + kSecond);
   before.advance(kStart + kSecond);
   const auto remembered = before.set.remembered(kStart + kSecond);
-  ASSERT_EQ(remembered.size(), 2U) << "only servers whose state is not the default";
+  ASSERT_EQ(remembered.size(), 2U) << "only servers whose state differs from the default";
   ObservedSet after;
   after.set.restore(remembered);
   after.generation = 1;
@@ -159,9 +161,9 @@
   EXPECT_EQ(after.published["b"].weight, 6.25) << "the next step after 5.0";
 }
 
-TEST(EndpointSet, AppliesALargeChangeInPartsWithDeparturesFirst) {
+TEST(EndpointSet, AppliesLargeChangeInPartsWithDeparturesFirst) {
   ObservedSet observed;
-  auto servers = usual_servers();
+  auto servers = default_servers();
   observed.apply_list(servers, kStart);
   for (int i = 0; i < 2500; ++i) {
     servers.push_back({"n" + std::to_string(i), "127.0.1.1:" + std::to_string(i + 1)});
@@ -177,10 +179,10 @@
   EXPECT_EQ(observed.published.size(), 2504U);
 }
 
-TEST(EndpointSet, AppliesTheFirstBoardListToServersOfTheFiles) {
+TEST(EndpointSet, AppliesFirstBoardListToServersOfFiles) {
   ObservedSet observed({Authority::both, 1.25, kSecond, {}});
-  observed.apply_list(usual_servers(), kStart);
-  EXPECT_EQ(observed.published["a"].status, ServerStatus::ready) << "the board has no list yet";
+  observed.apply_list(default_servers(), kStart);
+  EXPECT_EQ(observed.published["a"].status, ServerStatus::ready) << "no list from the board yet";
   const auto member = [](const char* id, const char* address) {
     return Member{{server_id(id), Role::cache, {1}, {0}, ServerStatus::ready, 4, 0}, id, address};
   };
@@ -188,26 +190,27 @@
                                   kStart + kSecond);
   observed.observe();
   EXPECT_EQ(observed.published["a"].status, ServerStatus::ready);
-  EXPECT_EQ(observed.published["b"].status, ServerStatus::gone) << "another address";
+  EXPECT_EQ(observed.published["b"].status, ServerStatus::gone)
+      << "the sources list different addresses";
   EXPECT_EQ(observed.published["c"].status, ServerStatus::gone) << "the board does not list it";
   EXPECT_EQ(observed.set.reason(server_id("c")), Reason::not_on_board);
 }
 
-/// Changes one server of the list at random, or adds or removes one.
+/// Changes, adds or removes one server of the list at random.
 void edit(std::vector<ServerText>& servers, unsigned round, std::mt19937& random) {
-  const std::size_t i = random() % servers.size();
+  const std::size_t index = random() % servers.size();
   switch (random() % 5) {
     case 0:
-      servers[i].state = servers[i].state == "draining" ? "in_service" : "draining";
+      servers[index].state = servers[index].state == "draining" ? "in_service" : "draining";
       break;
     case 1:
-      servers[i].weight = std::to_string(1 + random() % 20) + ".0";
+      servers[index].weight = std::to_string(1 + random() % 20) + ".0";
       break;
     case 2:
-      if (servers.size() > 4) servers.erase(servers.begin() + static_cast<std::ptrdiff_t>(i));
+      if (servers.size() > 4) servers.erase(servers.begin() + static_cast<std::ptrdiff_t>(index));
       break;
     case 3:
-      servers[i].address = "127.0.2.1:" + std::to_string(1000 + round);
+      servers[index].address = "127.0.2.1:" + std::to_string(1000 + round);
       break;
     default:
       servers.push_back({"x" + std::to_string(random() % 6 + std::size_t{100} * round),
@@ -216,13 +219,13 @@
   }
 }
 
-// After any edits, what is published is what the list says once nothing is due; and never before is
-// a server ready that the list does not have in service.
+// After any sequence of edits, the published servers match the list once no work is due. At no time
+// is a server published as ready that the list does not contain as in service.
 RC_GTEST_PROP(EndpointSet, ConvergesToTheListAfterAnyEdits, ()) {
   ObservedSet observed;
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   Time now = kStart;
-  auto servers = usual_servers();
+  auto servers = default_servers();
   SnapshotPtr list;
   for (unsigned round = 0; round < 20; ++round) {
     edit(servers, round, random);
--- a/tests/endpoints/list_fixture.h
+++ b/tests/endpoints/list_fixture.h
@@ -1,4 +1,4 @@
-// Lists of servers in their written form, for tests.
+// Builds and reads the text form of server lists, for tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 constexpr core::Time kSecond = 1'000'000;
 constexpr core::Time kStart = 1'000'000 * kSecond;
 
-/// One server as a list writes it.
+/// The values of one server in a list's text.
 struct ServerText {
   std::string id;
   std::string address;
@@ -26,8 +26,8 @@
   std::string role = "cache";
 };
 
-/// A list with the hub `hub` and the points `edge-1` and `edge-2`. `extra_head`: lines for the
-/// head.
+/// Returns the text of a list with the hub `hub` and the points `edge-1` and `edge-2`. `extra_head`
+/// contains further lines for the head.
 inline std::string list_text(std::uint64_t generation, const std::vector<ServerText>& servers,
                              const std::string& extra_head = "") {
   std::string text = "format = 1\ngeneration = " + std::to_string(generation) +
@@ -43,37 +43,39 @@
   return text;
 }
 
-/// Caches a and b at edge-1, c at edge-2, and the origin o.
-inline std::vector<ServerText> usual_servers() {
+/// Returns the caches a and b at edge-1, the cache c at edge-2, and the origin o.
+inline std::vector<ServerText> default_servers() {
   return {{"a", "127.0.0.1:1"},
           {"b", "127.0.0.1:2"},
           {"c", "127.0.0.1:3", "in_service", "4.0", "edge-2"},
           {"o", "127.0.0.1:9", "in_service", "10", "hub", "origin"}};
 }
 
-/// Reads and checks a list; null, with findings, if it is refused.
+/// Reads and validates a list. Returns null, with findings, if it is rejected.
 inline SnapshotPtr read_checked(const std::string& text, diagnostics::Findings& findings,
-                                const Snapshot* in_force = nullptr) {
+                                const Snapshot* active = nullptr) {
   auto result = read_list(text, "servers.toml", kStart, {}, findings);
   if (!result.list) return nullptr;
   check_alone(*result.list, findings);
-  check_change(in_force, *result.list, {}, findings);
+  check_change(active, *result.list, {}, findings);
   return findings.is_ok() ? result.list : nullptr;
 }
 
-/// Reads a list that has to be accepted.
-inline SnapshotPtr read_good(const std::string& text) {
+/// Reads a list that must be valid. The test fails if it is rejected.
+inline SnapshotPtr read_valid(const std::string& text) {
   diagnostics::Findings findings;
   auto list = read_checked(text, findings);
   for (const auto& finding : findings.list()) ADD_FAILURE() << diagnostics::to_string(finding);
   return list;
 }
 
-/// The text with the first occurrence of `what` replaced.
-inline std::string replaced(std::string text, const std::string& what, const std::string& with) {
-  const auto begin = text.find(what);
-  EXPECT_NE(begin, std::string::npos) << what;
-  return text.replace(begin, what.size(), with);
+/// Returns the text with the first occurrence of `old_text` replaced. The test fails if there is
+/// none.
+inline std::string replace_first(std::string text, const std::string& old_text,
+                                 const std::string& new_text) {
+  const auto begin = text.find(old_text);
+  EXPECT_NE(begin, std::string::npos) << old_text;
+  return text.replace(begin, old_text.size(), new_text);
 }
 
 }  // namespace alderspur::endpoints
--- a/tests/endpoints/merge_test.cpp
+++ b/tests/endpoints/merge_test.cpp
@@ -1,4 +1,4 @@
-// Merging of the two sources of endpoints, and flap damping.
+// Tests the merging of the two sources of endpoints, and flap damping.
 #include "endpoints/merge.h"
 
 #include <gtest/gtest.h>
@@ -58,13 +58,14 @@
   const auto ready = member_with(kReady, 4, 0);
   const auto draining = member_with(kDraining, 2, 0);
   EXPECT_EQ(merge(Authority::both, {&ready, nullptr, true, false})->member.server.status, kReady)
-      << "the files have no list yet";
+      << "no list from files yet";
   EXPECT_EQ(merge(Authority::files, {&ready, &draining, true, true})->member.server.status,
             kDraining);
   EXPECT_EQ(merge(Authority::board, {&ready, &draining, true, true})->member.server.status, kReady);
   EXPECT_FALSE(merge(Authority::files, {&ready, nullptr, true, true}));
 }
 
+/// Returns a member with random values for the fields that are merged.
 Member any_member() {
   const auto status = *rc::gen::element(kReady, kDraining, kGone);
   return {{server_id("a"),
@@ -95,12 +96,13 @@
   }
 }
 
-TEST(FlapDamping, SuppressesAServerThatLeavesRepeatedlyForALimitedTime) {
+TEST(FlapDamping, SuppressesFlappingServerForALimitedTime) {
   const DampingSettings settings;
   FlapDamping damping;
   damping.record_departure(0, settings);
   damping.record_departure(kSecond, settings);
-  EXPECT_FALSE(damping.update_suppressed(kSecond, settings)) << "two may be a failed restart";
+  EXPECT_FALSE(damping.update_suppressed(kSecond, settings))
+      << "two departures may be a failed restart";
   damping.record_departure(2 * kSecond, settings);
   EXPECT_TRUE(damping.update_suppressed(2 * kSecond, settings));
   const Time reuse_at = damping.reuse_time(2 * kSecond, settings);
@@ -111,9 +113,9 @@
   EXPECT_TRUE(damping.update_suppressed(reuse_at, settings));
   EXPECT_LE(damping.reuse_time(reuse_at, settings),
             reuse_at + settings.max_suppress_time + kSecond / 1000)
-      << "never longer than the bound";
+      << "never longer than max_suppress_time";
   EXPECT_EQ(damping.penalty(reuse_at - 50 * kSecond, settings), damping.penalty(reuse_at, settings))
-      << "a clock that is set back adds nothing";
+      << "the penalty does not grow when the clock is set back";
 }
 
 }  // namespace
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -89,9 +89,9 @@
   EXPECT_EQ(run("check --against b.toml a.toml"), 1) << "the generation goes back";
   EXPECT_TRUE(has_printed("L020")) << output;
   EXPECT_EQ(run("check --against a.toml b.toml"), 0) << output;
-  EXPECT_TRUE(has_printed("1 of another weight")) << output;
+  EXPECT_TRUE(has_printed("1 with a new weight")) << output;
   EXPECT_EQ(run("diff a.toml b.toml"), 1);
-  EXPECT_TRUE(has_printed("generation 1 to 2: 1 of another weight")) << output;
+  EXPECT_TRUE(has_printed("generation 1 to 2: 1 with a new weight")) << output;
   EXPECT_EQ(run("diff --json a.toml b.toml"), 1);
   EXPECT_TRUE(has_printed(R"("weighted":["s-1"])")) << output;
   write("order.toml", "# another order, the same list\n" + head(3, 2) +
