--- a/src/endpoints/list_builder.cpp
+++ b/src/endpoints/list_builder.cpp
@@ -17,8 +17,8 @@
 constexpr std::int64_t kMaxCell = 4'000'000'000;
 constexpr std::size_t kMaxSuggestedNames = 1000;  // comparing more names is too slow
 
-/// Reports whether a name is a single plain word, because names are written into space-separated
-/// lines on the wire and into log records.
+/// Reports whether a name is a plain word of at most kMaxNameBytes bytes. Names are written into
+/// space-separated lines on the wire and into log records.
 bool is_valid_name(std::string_view name) {
   return !name.empty() && name.size() <= kMaxNameBytes && core::is_plain_word(name);
 }
@@ -41,6 +41,7 @@
          inet_pton(AF_INET, address.substr(0, colon).c_str(), &host) == 1 && host.s_addr != 0;
 }
 
+/// Reports L007 for a hub or point whose name is already in use.
 void report_duplicate(const toml::Table& table, const char* kind, const std::string& name,
                       diagnostics::Findings& findings) {
   findings.error("L007", table.location(), std::string(kind) + " " + name + " is declared twice",
--- a/src/endpoints/snapshot.cpp
+++ b/src/endpoints/snapshot.cpp
@@ -62,8 +62,9 @@
 }
 
 /// Compares a server that both snapshots list and records how it differs, if it does.
-void compare(const Snapshot& old_list, const ListedServer& before, const Snapshot& new_list,
-             const ListedServer& after, Difference& difference) {
+void record_difference(const Snapshot& old_list, const ListedServer& before,
+                       const Snapshot& new_list, const ListedServer& after,
+                       Difference& difference) {
   if (before.state == ServerState::in_service && after.state == ServerState::draining) {
     difference.drained.push_back(after.id);
   } else if (before.address != after.address) {
@@ -113,7 +114,7 @@
       result.added.push_back(after->id);
       ++after;
     } else {
-      compare(old_list, *before, to, *after, result);
+      record_difference(old_list, *before, to, *after, result);
       ++before;
       ++after;
     }
@@ -138,8 +139,9 @@
   append(difference.moved, "with a new address");
   append(difference.reweighted, "with a new weight");
   append(difference.reassigned, "with a new role, location or cell");
-  if (difference.has_location_changes)
+  if (difference.has_location_changes) {
     text += is_first ? " points or hubs changed" : ", points or hubs changed";
+  }
   if (difference.is_empty()) text += " no changes";
   return text;
 }
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -44,7 +44,7 @@
 // Estimates when the number in flight falls below the limit. By Little's law, if n requests are in
 // flight and each lasts `mean` on average, one of them ends every mean / n. `excess` of them have
 // to end before another is admitted.
-Time Limiter::expected_release(std::size_t max_in_flight) const {
+Time Limiter::expected_wait(std::size_t max_in_flight) const {
   const double mean = mean_hold_time_ > 0 ? mean_hold_time_ : kInitialHoldTime;
   const auto excess = static_cast<double>(in_flight_ - max_in_flight + 1);
   return to_retry_after(mean * excess / static_cast<double>(std::max<std::size_t>(1, in_flight_)));
@@ -61,7 +61,7 @@
   }
   if (rule.max_in_flight && in_flight_ >= *rule.max_in_flight) {
     ++counters_.rejected_in_flight;
-    retry_after = std::max(retry_after.value_or(0), expected_release(*rule.max_in_flight));
+    retry_after = std::max(retry_after.value_or(0), expected_wait(*rule.max_in_flight));
   }
   return retry_after;
 }
--- a/src/limits/limiter.h
+++ b/src/limits/limiter.h
@@ -55,7 +55,7 @@
 
  private:
   void refill(const Rule& rule, Time now);
-  Time expected_release(std::size_t max_in_flight) const;
+  Time expected_wait(std::size_t max_in_flight) const;
 
   std::size_t in_flight_ = 0;
   std::optional<Time> refilled_at_;  // absent: the token bucket has not been used yet
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -45,7 +45,7 @@
   Time acquired_at_ = 0;
 };
 
-/// Claims the limit with this name, such as "route parts", under its current rule.
+/// A claim on the limit with this name, such as "route parts", under its current rule.
 struct Claim {
   std::string name;
   Rule rule;
--- a/src/routing/compile.h
+++ b/src/routing/compile.h
@@ -9,7 +9,7 @@
 
 namespace alderspur::routing {
 
-/// The routes, pools and policies of a program. An index in one of them refers to the vectors here.
+/// The routes, pools and policies of a program. Their indexes refer to these vectors.
 struct CompiledProgram {
   std::vector<Route> routes;
   std::vector<Pool> pools;
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -55,8 +55,8 @@
 }
 
 /// Returns the values of the route's captures in a path that matches it.
-std::vector<Capture> captures(const Route& route, std::string_view path,
-                              const std::vector<std::string_view>& segments) {
+std::vector<Capture> extract_captures(const Route& route, std::string_view path,
+                                      const std::vector<std::string_view>& segments) {
   using Kind = config_language::Segment::Kind;
   std::vector<Capture> captures;
   for (std::size_t i = 0; i < route.path.size(); ++i) {
@@ -122,7 +122,7 @@
   match.route = &route;
   const auto split = select_split(route, request.hash);
   match.destination = split ? route.splits[*split].destination : route.destination;
-  match.captures = captures(route, request.path, segments);
+  match.captures = extract_captures(route, request.path, segments);
   return match;
 }
 
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -50,7 +50,7 @@
   bool operator==(const Capture&) const = default;
 };
 
-/// The result for one request. Valid as long as the table and the request's path.
+/// The result for one request. Valid as long as the table and the request's path exist.
 struct Match {
   const Route* route = nullptr;
   Destination destination;
--- a/tests/endpoints/list_test.cpp
+++ b/tests/endpoints/list_test.cpp
@@ -23,12 +23,14 @@
   std::string message_part;  // contained in the finding
 };
 
+/// Returns the text of generation 6, which follows generation 5 of the tests' active list.
 std::string next_generation(const std::vector<ServerText>& servers,
                             const std::string& extra_head = "") {
   return list_text(6, servers, extra_head);
 }
 
-std::vector<ServerText> without_half_of_edge_1() {
+/// Returns servers in which one new cache replaces both caches at edge-1.
+std::vector<ServerText> servers_with_edge_1_replaced() {
   auto servers = default_servers();
   servers.erase(servers.begin());
   servers[0].id = "b2";
@@ -98,10 +100,12 @@
       {"reused generation", with("weight = 4.0", "weight = 4.5"), "L021", 0, "different content"},
       {"point without a cache", next_generation(empty_point), "L022", 0, "edge-2"},
       {"role without a server", next_generation(no_origin), "L022", 0, "origin"},
-      {"too many departures", next_generation(without_half_of_edge_1()), "L023", 0, "confirm = 6"},
+      {"too many departures", next_generation(servers_with_edge_1_replaced()), "L023", 0,
+       "confirm = 6"},
   };
 }
 
+/// Expects that the list is rejected, with the expected code, line and message.
 void expect_rejected(const RejectedList& rejected, const Snapshot* active) {
   diagnostics::Findings findings;
   EXPECT_EQ(read_checked(rejected.text, findings, active), nullptr) << rejected.name;
@@ -132,8 +136,8 @@
   diagnostics::Findings findings;
   EXPECT_TRUE(read_checked(valid_text, findings, active.get()))
       << "the active list is accepted again";
-  EXPECT_TRUE(read_checked(next_generation(without_half_of_edge_1(), "confirm = 6\n"), findings,
-                           active.get()))
+  EXPECT_TRUE(read_checked(next_generation(servers_with_edge_1_replaced(), "confirm = 6\n"),
+                           findings, active.get()))
       << "confirmed";
   EXPECT_TRUE(read_checked(with_digest(valid_text), findings, active.get()));
   EXPECT_EQ(with_digest(with_digest(valid_text)), with_digest(valid_text));
