--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -7,6 +7,8 @@
 namespace alderspur::config {
 namespace {
 
+// The words of the settings; each table maps a field's words to an enum of the public interface.
+
 constexpr WireWord<Idempotency> kIdempotencyWords[] = {
     {"safe", Idempotency::idempotent},
     {"keyed", Idempotency::idempotent_with_key},
--- a/src/core/engine_attempts.cpp
+++ b/src/core/engine_attempts.cpp
@@ -87,6 +87,7 @@
   upstream_client_->send(id, action.server);
 }
 
+// Estimates how long the response takes at the maximum transfer rate; 0 if that is unknown.
 Time Engine::transfer_time(const alderspur::Request& request) const {
   const double kb_per_second = settings_.stream_kb_per_second;
   if (request.size_kb <= 0 || kb_per_second <= 0) return 0;
@@ -100,6 +101,7 @@
   abandon_attempt(open->attempts[action.attempt.value], AttemptResult::cancelled);
 }
 
+// Aborts an attempt at the upstream client and ends it with `result`.
 void Engine::abandon_attempt(AttemptId id, AttemptResult result) {
   const Attempt* attempt = find_attempt(id);
   if (!attempt || attempt->has_ended) return;
@@ -173,6 +175,8 @@
 
 // ---- Outcomes ----
 
+// Passes the outcome of an attempt to the router. If the attempt has succeeded and the request is
+// still open, its response becomes the final answer.
 void Engine::process_outcome(const Event& event) {
   const Attempt* attempt = find_attempt(event.attempt);
   OpenRequest* open = find_request(event.request);
@@ -209,6 +213,7 @@
   if (outcome.response_delivered) finished_requests_.push_back(event.request);
 }
 
+// Returns whether a response carries a copy older than the attempt allows.
 bool Engine::is_too_old(const Attempt& attempt, const UpstreamResponse& response) const {
   if (response.created_at <= 0 || !attempt.written_at) return false;
   const UpstreamRequest& upstream = attempt.upstream_request;
--- a/src/core/engine_requests.cpp
+++ b/src/core/engine_requests.cpp
@@ -103,6 +103,7 @@
   pass_to_router(event.event);
 }
 
+// Rejects or fails an open request.
 void Engine::answer_without_response(RequestHandle request, FinalStatus status, Time retry_after) {
   OpenRequest* open = find_request(request);
   if (!open || !open->is_open) return;
@@ -139,6 +140,7 @@
   finished_requests_.clear();
 }
 
+// Counts a request that was rejected or failed, in total and by class.
 void Engine::count_unserved(std::uint32_t class_id, FinalStatus status) {
   const bool is_rejected = status == FinalStatus::rejected;
   ++(is_rejected ? counters_.rejected : counters_.failed);
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -45,6 +45,7 @@
 
 // ---- Events ----
 
+// Applies an event unless it was applied before.
 void DiscoveryClient::apply(const config::WatchEvent& event) {
   if (event.number <= applied_up_to_ || applied_beyond_gap_.contains(event.number)) return;
   advance_applied(event.number);
@@ -53,6 +54,7 @@
   if (applied_beyond_gap_.empty()) applied_members_.clear();
 }
 
+// Records that an event was applied, and advances applied_up_to_ over all events without a gap.
 void DiscoveryClient::advance_applied(std::uint64_t number) {
   applied_beyond_gap_.insert(number);
   while (applied_beyond_gap_.contains(applied_up_to_ + 1)) {
@@ -106,6 +108,7 @@
   closed_connections_.push_back(std::move(connection_));
 }
 
+// Closes the connection and schedules a reconnect, unless one is already scheduled.
 void DiscoveryClient::reconnect_later() {
   close_connection();
   if (reconnect_timer_) return;
@@ -162,6 +165,8 @@
   return static_cast<std::ptrdiff_t>(size_before - bytes.size());
 }
 
+// Handles one line from the server: applies its event and checks whether earlier events are
+// missing.
 void DiscoveryClient::on_line(std::string_view line) {
   const auto event = config::read_watch_event(line, config_.names);
   if (!event) {
--- a/src/upstream/upstream_health_checks.cpp
+++ b/src/upstream/upstream_health_checks.cpp
@@ -28,6 +28,7 @@
   send_health_check(server, engine_.now(), 1);
 }
 
+// Sends a health check that was started at `since`, for the `attempts`th time.
 void UpstreamPool::send_health_check(ServerId server, core::Time since, int attempts) {
   const auto found = endpoints_.find(server);
   const std::string tag = health_check_tag(++last_tag_);
@@ -75,6 +76,7 @@
   return unconfirmed_count < kMaxUnconfirmedConnections ? dial(endpoint) : unconfirmed;
 }
 
+// Reports a health check as failed, but keeps it pending in case its response arrives late.
 void UpstreamPool::on_health_check_timeout(UpstreamConnection& connection, const std::string& tag) {
   const auto found = connection.pending.find(tag);
   if (found == connection.pending.end()) return;
@@ -88,6 +90,8 @@
   engine_.on_health_check_result({connection.endpoint->id(), false, now - check.sent_at, {}});
 }
 
+// Removes a health check whose response is no longer expected, and retires its connection if it is
+// unresponsive.
 void UpstreamPool::remove_health_check(UpstreamConnection& connection, const std::string& tag) {
   std::erase(connection.unsent_checks, tag);
   connection.pending.erase(tag);
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -118,6 +118,8 @@
 
 // ---- Choosing and opening connections ----
 
+// Returns the connection on which to send a request, or null if none can be opened. If the chosen
+// connection is loaded, also opens another one for later requests.
 UpstreamPool::UpstreamConnection* UpstreamPool::choose_connection(Endpoint& endpoint,
                                                                   std::string_view request_id) {
   UpstreamConnection* best = best_connection(endpoint, request_id);
@@ -156,6 +158,8 @@
   return best;
 }
 
+// Opens a connection. Returns null if the connection limit is reached, if the endpoint has no valid
+// address, or if the socket cannot be created.
 UpstreamPool::UpstreamConnection* UpstreamPool::dial(Endpoint& endpoint) {
   if (connection_count_ >= connection_limit_ || !endpoint.address.sin_port) return nullptr;
   auto owned = std::make_unique<UpstreamConnection>();
@@ -186,6 +190,7 @@
   return connection;
 }
 
+// Records that the connection is open and writes the health checks that waited for it.
 void UpstreamPool::on_connected(UpstreamConnection& connection) {
   if (!connection.dial_timeout.is_set() || connection.socket->connecting()) return;
   deadlines_.cancel(connection.dial_timeout);
@@ -226,6 +231,7 @@
   --connection_count_;
 }
 
+// Stops using a connection for anything new, and closes it once nothing is pending on it.
 void UpstreamPool::retire(UpstreamConnection& connection) {
   connection.is_retired = true;
   if (!connection.is_closed && connection.load() == 0) close(connection);
--- a/src/upstream/upstream_requests.cpp
+++ b/src/upstream/upstream_requests.cpp
@@ -40,6 +40,7 @@
   engine_.on_upstream_response(attempt, response);
 }
 
+// Writes the commands of waiting attempts until the connection accepts no more.
 void UpstreamPool::write_waiting(UpstreamConnection& connection) {
   while (!connection.is_closed && !connection.waiting.empty() && connection.takes_commands()) {
     const AttemptId attempt = connection.waiting.front();
@@ -48,6 +49,8 @@
   }
 }
 
+// Encodes the command of an attempt and writes it, or returns the attempt to the engine if it is no
+// longer allowed.
 void UpstreamPool::write_command(UpstreamConnection& connection, AttemptId attempt) {
   const core::UpstreamRequest* request = engine_.upstream_request(attempt);
   if (!request) return;
@@ -76,6 +79,7 @@
   mark_written(connection);
 }
 
+// Reports to the engine the attempts whose commands have left the write queue completely.
 void UpstreamPool::mark_written(UpstreamConnection& connection) {
   const auto written = connection.socket->written_total();
   auto& unwritten = connection.unwritten;
