--- a/src/core/engine_requests.cpp
+++ b/src/core/engine_requests.cpp
@@ -116,6 +116,7 @@
   finish_request(*open);
 }
 
+// Marks a request as finished; remove_finished_requests() removes it later.
 void Engine::finish_request(OpenRequest& open) {
   if (!open.is_open) return;
   open.is_open = false;
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -22,6 +22,7 @@
 /// all attempts on it.
 constexpr std::size_t kMinLoadForNewConnection = 3;
 constexpr std::size_t kMaxConnectionsPerEndpoint = 6;
+/// Lower bound of the limit on connections that follows from the memory of all processes.
 constexpr std::size_t kMinConnectionLimit = 24;
 
 }  // namespace
@@ -49,11 +50,11 @@
   const bool has_moved = already_exists && address && member.address != endpoint.member.address;
   const bool has_restarted =
       already_exists && member.server.started_at > endpoint.member.server.started_at;
-  const std::string last_usable_address = std::exchange(endpoint.member, member).address;
+  const std::string last_valid_address = std::exchange(endpoint.member, member).address;
   if (address) {
     endpoint.address = *address;
   } else {
-    endpoint.member.address = last_usable_address;
+    endpoint.member.address = last_valid_address;
   }
   if (!address && member.server.status != ServerStatus::gone) {
     engine_.log_invalid_input(core::InvalidInput::address, member.name + ' ' + member.address);
@@ -69,8 +70,9 @@
   return member.server.status == ServerStatus::gone || endpoint.address.sin_port != 0;
 }
 
-// Waiting attempts are returned to the engine immediately, because another server may have the
-// address by the time the connect completes.
+// Stops sending to an endpoint that is draining or removed. Waiting attempts are returned to the
+// engine immediately, because another server may have the address by the time the connect
+// completes.
 void UpstreamPool::take_out_of_service(Endpoint& endpoint) {
   return_unsent(endpoint.id());
   if (endpoint.member.server.status != ServerStatus::gone) return;
@@ -203,6 +205,7 @@
 
 // ---- Closing ----
 
+// Ends all attempts and health checks on a connection that has failed or must be given up.
 // Attempts whose command was not written completely, for instance because the connect failed,
 // cannot have run at the server and are reported as connect_failed.
 void UpstreamPool::on_closed(UpstreamConnection& connection, net::CloseReason reason) {
@@ -244,6 +247,7 @@
          engine_.now() > connection.last_used_at + config_.idle_timeout * 4 / 5;
 }
 
+// Closes all expired connections, and schedules the next check.
 void UpstreamPool::close_expired() {
   deadlines_.set(engine_.now() + kExpiryInterval, [this] { close_expired(); });
   for (auto& [id, endpoint] : connected_endpoints_) {
--- a/src/upstream/upstream_watchdog.cpp
+++ b/src/upstream/upstream_watchdog.cpp
@@ -24,8 +24,9 @@
 
 }  // namespace
 
-// Iterates over copies of the lists of connections, since closing a connection sends its health
-// checks again, which may open another connection and thereby change the list.
+// Checks all established connections, and schedules the next check. Iterates over copies of the
+// lists of connections, since closing a connection sends its health checks again, which may open
+// another connection and thereby change the list.
 void UpstreamPool::check_all_connections() {
   deadlines_.set(engine_.now() + kWatchdogInterval, [this] { check_all_connections(); });
   for (auto& [id, endpoint] : connected_endpoints_) {
@@ -37,6 +38,8 @@
   }
 }
 
+// Closes a connection that is unresponsive, or sends a liveness query on one that is unusually
+// silent.
 void UpstreamPool::check_connection(UpstreamConnection& connection) {
   const core::Time now = engine_.now();
   if (is_response_too_slow(connection, now)) return close_unresponsive(connection);
@@ -58,6 +61,7 @@
   send_liveness_query(connection, now);
 }
 
+// Returns the duration of silence, in microseconds, after which a liveness query is sent.
 core::Time UpstreamPool::silence_threshold() const {
   const double max_usual_silence =
       response_interval_.value + kSilenceDeviations * response_interval_.deviation;
