--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -1,4 +1,5 @@
-// UpstreamPool: endpoints, and the choice, opening and closing of their connections.
+// Implements the endpoints of UpstreamPool, and how their connections are chosen, opened and
+// closed.
 #include "upstream/upstream_pool.h"
 
 #include <tuple>
@@ -15,11 +16,13 @@
 
 namespace {
 
+/// Interval between two checks for expired connections.
 constexpr core::Time kExpiryInterval = 1'000'000;
-/// A reset or corrupted connection fails all attempts on it. From this load on, a further
-/// connection is opened.
-constexpr std::size_t kMaxLoadBeforeDial = 3;
+/// From this load on, another connection is opened, because a reset or corrupted connection fails
+/// all attempts on it.
+constexpr std::size_t kMinLoadForNewConnection = 3;
 constexpr std::size_t kMaxConnectionsPerEndpoint = 6;
+/// Lower bound of the limit on connections that follows from the memory of all processes.
 constexpr std::size_t kMinConnectionLimit = 24;
 
 }  // namespace
@@ -40,25 +43,25 @@
 
 bool UpstreamPool::update_endpoint(const config::Member& member) {
   auto& entry = endpoints_[member.server.id];
-  const bool is_known = entry != nullptr;
-  if (!is_known) entry = std::make_unique<Endpoint>();
+  const bool already_exists = entry != nullptr;
+  if (!already_exists) entry = std::make_unique<Endpoint>();
   Endpoint& endpoint = *entry;
   const auto address = net::parse_address(member.address);
-  const bool has_moved = is_known && address && member.address != endpoint.member.address;
+  const bool has_moved = already_exists && address && member.address != endpoint.member.address;
   const bool has_restarted =
-      is_known && member.server.started_at > endpoint.member.server.started_at;
-  const std::string last_usable_address = std::exchange(endpoint.member, member).address;
+      already_exists && member.server.started_at > endpoint.member.server.started_at;
+  const std::string last_valid_address = std::exchange(endpoint.member, member).address;
   if (address) {
     endpoint.address = *address;
   } else {
-    endpoint.member.address = last_usable_address;
+    endpoint.member.address = last_valid_address;
   }
   if (!address && member.server.status != ServerStatus::gone) {
     engine_.log_invalid_input(core::InvalidInput::address, member.name + ' ' + member.address);
   }
-  // A restarted process does not know the requests that its predecessor received.
+  // A restarted process has no record of the requests that the previous one received.
   if (has_moved || has_restarted) {
-    return_unsent(member.server.id);  // first: closing a connection would fail them
+    return_unsent(member.server.id);  // before closing, which would fail the waiting attempts
     for (UpstreamConnection* connection : endpoint.current_connections()) {
       on_closed(*connection, net::CloseReason::reset);
     }
@@ -67,8 +70,9 @@
   return member.server.status == ServerStatus::gone || endpoint.address.sin_port != 0;
 }
 
-// Waiting attempts are returned at once: by the time a connect finishes, another server may have
-// the address.
+// Stops sending to an endpoint that is draining or removed. Waiting attempts are returned to the
+// engine immediately, because another server may have the address by the time the connect
+// completes.
 void UpstreamPool::take_out_of_service(Endpoint& endpoint) {
   return_unsent(endpoint.id());
   if (endpoint.member.server.status != ServerStatus::gone) return;
@@ -76,7 +80,8 @@
   for (auto& connection : endpoint.connections) retire(*connection);
 }
 
-// A walk over all endpoints in every turn would cost as much as the list is long.
+// Records the endpoint for end_turn(), which would otherwise have to visit the whole endpoint list
+// in every turn.
 void UpstreamPool::mark_changed(Endpoint& endpoint) {
   if (std::exchange(endpoint.is_marked_changed, true)) return;
   changed_endpoints_.push_back(&endpoint);
@@ -113,8 +118,10 @@
   }
 }
 
-// ---- Choice and dialing ----
+// ---- Choosing and opening connections ----
 
+// Returns the connection on which to send a request, or null if none can be opened. If the chosen
+// connection is loaded, also opens another one for later requests.
 UpstreamPool::UpstreamConnection* UpstreamPool::choose_connection(Endpoint& endpoint,
                                                                   std::string_view request_id) {
   UpstreamConnection* best = best_connection(endpoint, request_id);
@@ -123,15 +130,15 @@
   const auto is_dialing = [](const auto& connection) {
     return !connection->is_closed && connection->socket->connecting();
   };
-  if (best->load() >= kMaxLoadBeforeDial && connections.size() < kMaxConnectionsPerEndpoint &&
+  if (best->load() >= kMinLoadForNewConnection && connections.size() < kMaxConnectionsPerEndpoint &&
       std::none_of(connections.begin(), connections.end(), is_dialing)) {
     dial(endpoint);
   }
   return best;
 }
 
-// The least loaded connection of those that can be written to at once, else of the others. Null:
-// none is suitable for this request.
+// Returns the least loaded of the connections that can be written to immediately, or of the other
+// connections if there are none. Returns null if no connection is suitable for this request.
 UpstreamPool::UpstreamConnection* UpstreamPool::best_connection(Endpoint& endpoint,
                                                                 std::string_view request_id) {
   const auto rank = [](const UpstreamConnection& connection) {
@@ -153,6 +160,8 @@
   return best;
 }
 
+// Opens a connection. Returns null if the connection limit is reached, if the endpoint has no valid
+// address, or if the socket cannot be created.
 UpstreamPool::UpstreamConnection* UpstreamPool::dial(Endpoint& endpoint) {
   if (connection_count_ >= connection_limit_ || !endpoint.address.sin_port) return nullptr;
   auto owned = std::make_unique<UpstreamConnection>();
@@ -183,6 +192,7 @@
   return connection;
 }
 
+// Records that the connection is open and writes the health checks that waited for it.
 void UpstreamPool::on_connected(UpstreamConnection& connection) {
   if (!connection.dial_timeout.is_set() || connection.socket->connecting()) return;
   deadlines_.cancel(connection.dial_timeout);
@@ -195,7 +205,9 @@
 
 // ---- Closing ----
 
-// If the connect failed, or the command was not written completely, the server cannot have run it.
+// Ends all attempts and health checks on a connection that has failed or must be given up.
+// Attempts whose command was not written completely, for instance because the connect failed,
+// cannot have run at the server and are reported as connect_failed.
 void UpstreamPool::on_closed(UpstreamConnection& connection, net::CloseReason reason) {
   if (connection.is_closed) return;
   const auto pending = std::exchange(connection.pending, {});
@@ -222,18 +234,20 @@
   --connection_count_;
 }
 
+// Stops using a connection for anything new, and closes it once nothing is pending on it.
 void UpstreamPool::retire(UpstreamConnection& connection) {
   connection.is_retired = true;
   if (!connection.is_closed && connection.load() == 0) close(connection);
 }
 
-// An idle connection is closed before the cache closes it: whether a command that crosses the
-// cache's close has run would be unknown.
+// An idle connection is closed before the server would close it. If a command crossed the server's
+// close on the wire, it would be unknown whether the command has run.
 bool UpstreamPool::is_expired(const UpstreamConnection& connection) const {
   return connection.load() == 0 &&
          engine_.now() > connection.last_used_at + config_.idle_timeout * 4 / 5;
 }
 
+// Closes all expired connections, and schedules the next check.
 void UpstreamPool::close_expired() {
   deadlines_.set(engine_.now() + kExpiryInterval, [this] { close_expired(); });
   for (auto& [id, endpoint] : connected_endpoints_) {
@@ -243,8 +257,9 @@
   }
 }
 
-// Bounded by memory as well, since each connection may buffer an incomplete response of 240,000
-// bytes in a buffer of twice that size.
+// Returns the limit on connections for each of `processes` processes. It depends on memory as well
+// as on descriptors, since each connection may hold an incomplete response of 240,000 bytes in a
+// buffer of twice that size.
 std::size_t UpstreamPool::connection_limit(std::uint32_t processes) const {
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors) / processes;
   const auto by_sockets = processes > 1 ? sockets / 4 : sockets * 2 / 5;
