--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -14,6 +14,7 @@
 
 static_assert(msgpack_codec::kMaxNameBytes == kMaxNameLength);
 
+// Numbers of array elements.
 constexpr std::size_t kIdentityFields = 6;
 constexpr std::size_t kUpdateFields = 4;
 constexpr std::size_t kMessageFields = 10;
@@ -89,7 +90,8 @@
   MembershipSnapshot snapshot;
   snapshot.echoed_nonce = reader.number();
   snapshot.own_nonce = reader.number();
-  snapshot.members = read_updates(reader, kMaxMembers + 1);  // the sender and all it knows
+  // The sender itself and all other members in its table.
+  snapshot.members = read_updates(reader, kMaxMembers + 1);
   return snapshot;
 }
 
--- a/src/cluster/epoch.cpp
+++ b/src/cluster/epoch.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr std::string_view kFileName = "/epoch";
-constexpr std::string_view kFormat = "epoch 1 ";  // then the number
-constexpr std::size_t kMaxFileSize = 4096;
+constexpr std::string_view kFormat = "epoch 1 ";  // followed by the number
+constexpr std::size_t kMaxFileSize = 4096;        // bytes
 
 std::optional<std::uint64_t> parse_epoch(const std::optional<std::string>& payload) {
   if (!payload || !payload->starts_with(kFormat)) return std::nullopt;
@@ -36,7 +36,7 @@
     return;
   }
   result.error = EpochError::unexpected_format;
-  result.reason = path + " has another form";
+  result.reason = path + " is not an epoch file of version 1";
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
   EpochResult result;
   result.epoch = static_cast<std::uint64_t>(std::max<core::Time>(1, wall_clock));
   if (state_folder.empty()) return result;
-  std::error_code ignored;  // replace_file() reports a folder that is not there
+  std::error_code ignored;  // replace_file() reports a missing folder
   std::filesystem::create_directories(state_folder, ignored);
   const std::string path = state_folder + std::string(kFileName);
   read_stored_epoch(path, result);
--- a/src/cluster/epoch.h
+++ b/src/cluster/epoch.h
@@ -1,6 +1,6 @@
-// The epoch of a start of this process: greater than that of every earlier start, as long as the
-// state folder is kept, and at least the wall clock's microseconds. Stored in the file "epoch" of
-// that folder, which is replaced whole.
+// Assigns an epoch to each start of this process. The epoch is greater than the epoch of every
+// earlier start, as long as the state folder is kept, and not less than the wall clock time in
+// microseconds. It is stored in the file "epoch" of the state folder, which is replaced atomically.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,26 @@
 
 namespace alderspur::cluster {
 
-/// What was wrong with the stored epoch.
+/// What went wrong when the stored epoch was read or replaced.
 enum class EpochError {
   none,
-  unreadable,         // the file cannot be read, or is corrupt
-  unexpected_format,  // of another version, or no epoch file
+  unreadable,         // the file cannot be read or is corrupt
+  unexpected_format,  // the file was written by another version or is not an epoch file
   not_written,        // the new epoch could not be stored
 };
 
+/// The epoch of this start, and the error that occurred, if any.
 struct EpochResult {
-  /// With an error from the clock alone: if that was set back, less than an earlier one.
+  /// If the stored epoch could not be read, this is derived from the clock alone. It is then less
+  /// than an earlier epoch if the clock was set back in between.
   std::uint64_t epoch = 0;
   EpochError error = EpochError::none;
-  std::string reason;  // for the log; empty without an error
+  std::string reason;  // for the log; empty if there is no error
 };
 
-/// Reads the stored epoch and stores the next. `state_folder` empty: nothing is stored.
-/// `wall_clock`: Unix time in microseconds. It syncs to disk: call it before serving starts.
+/// Reads the stored epoch, stores the next one and returns it. If `state_folder` is empty, nothing
+/// is read or stored. `wall_clock` is Unix time in microseconds. The function waits for a disk
+/// sync, so call it before the router starts to serve requests.
 EpochResult next_epoch(const std::string& state_folder, core::Time wall_clock);
 
 }  // namespace alderspur::cluster
--- a/src/cluster/frame_authenticator.cpp
+++ b/src/cluster/frame_authenticator.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 constexpr std::string_view kMagic = "ALC1";
-constexpr std::string_view kMagicOfAnyVersion = kMagic.substr(0, 3);
+constexpr std::string_view kMagicPrefix = kMagic.substr(0, 3);  // the same in all versions
 constexpr std::size_t kClusterOffset = kMagic.size();
 constexpr std::size_t kSenderOffset = kClusterOffset + 8;
 constexpr std::size_t kSequenceOffset = kSenderOffset + 8;
 constexpr std::size_t kHeaderSize = kSequenceOffset + 8;
-constexpr std::size_t kCodeSize = 32;
-static_assert(kHeaderSize + kCodeSize == kFrameOverhead);
+constexpr std::size_t kMacSize = 32;
+static_assert(kHeaderSize + kMacSize == kFrameOverhead);
 
-constexpr std::uint64_t kWindowSize = 64;  // sequence numbers, one a bit
+constexpr std::uint64_t kWindowSize = 64;  // sequence numbers, one bit each
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 void append_little_endian(std::string& out, std::uint64_t number) {
@@ -56,12 +56,12 @@
   return {cluster_hash_, secret_, sender_id, rate};
 }
 
-std::string FrameAuthenticator::code_of(std::string_view bytes) const {
-  std::array<unsigned char, EVP_MAX_MD_SIZE> code{};
+std::string FrameAuthenticator::compute_mac(std::string_view bytes) const {
+  std::array<unsigned char, EVP_MAX_MD_SIZE> mac{};
   unsigned size = 0;
   HMAC(EVP_sha256(), secret_.data(), static_cast<int>(secret_.size()),
-       reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), code.data(), &size);
-  return {reinterpret_cast<const char*>(code.data()), kCodeSize};
+       reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), mac.data(), &size);
+  return {reinterpret_cast<const char*>(mac.data()), kMacSize};
 }
 
 std::string FrameAuthenticator::sign(std::string_view payload) {
@@ -70,12 +70,12 @@
   append_little_endian(frame, sender_id_);
   append_little_endian(frame, ++last_sequence_);
   frame += payload;
-  frame += code_of(frame);
+  frame += compute_mac(frame);
   return frame;
 }
 
 VerifiedFrame FrameAuthenticator::verify(std::string_view frame, core::Time now) {
-  if (frame.size() < kFrameOverhead || !frame.starts_with(kMagicOfAnyVersion)) {
+  if (frame.size() < kFrameOverhead || !frame.starts_with(kMagicPrefix)) {
     return {FrameStatus::unreadable, {}};
   }
   if (!frame.starts_with(kMagic)) return {FrameStatus::later_version, {}};
@@ -87,17 +87,17 @@
   const auto known = senders_.find(sender_id);
   if (known != senders_.end()) {
     if (!take_token(known->second, now)) return {FrameStatus::rate_limited, {}};
-    if (known->second.has_seen(sequence)) return {FrameStatus::replayed, {}};
+    if (known->second.is_replay(sequence)) return {FrameStatus::replayed, {}};
   }
-  const auto authenticated = frame.substr(0, frame.size() - kCodeSize);
-  const auto expected = code_of(authenticated);
-  if (CRYPTO_memcmp(expected.data(), frame.data() + authenticated.size(), kCodeSize) != 0) {
+  const auto authenticated = frame.substr(0, frame.size() - kMacSize);
+  const auto expected = compute_mac(authenticated);
+  if (CRYPTO_memcmp(expected.data(), frame.data() + authenticated.size(), kMacSize) != 0) {
     return {FrameStatus::forged, {}};
   }
-  // Only now: a frame without a valid code must not move a window, or take the place of another
-  // sender.
+  // The sender's state changes only after the MAC is verified: a forged frame must not advance a
+  // replay window or evict another sender.
   Sender& sender = known != senders_.end() ? known->second : add_sender(sender_id, now);
-  sender.mark_seen(sequence);
+  sender.mark_received(sequence);
   return {FrameStatus::valid, authenticated.substr(kHeaderSize)};
 }
 
@@ -124,19 +124,19 @@
   return sender;
 }
 
-bool FrameAuthenticator::Sender::has_seen(std::uint64_t sequence) const {
+bool FrameAuthenticator::Sender::is_replay(std::uint64_t sequence) const {
   if (sequence > highest) return false;
   const std::uint64_t age = highest - sequence;
-  return age >= kWindowSize || (seen >> age & 1) != 0;
+  return age >= kWindowSize || (received >> age & 1) != 0;
 }
 
-void FrameAuthenticator::Sender::mark_seen(std::uint64_t sequence) {
+void FrameAuthenticator::Sender::mark_received(std::uint64_t sequence) {
   if (sequence <= highest) {
-    seen |= std::uint64_t{1} << (highest - sequence);
+    received |= std::uint64_t{1} << (highest - sequence);
     return;
   }
   const std::uint64_t advance = sequence - highest;
-  seen = advance >= kWindowSize ? 1 : seen << advance | 1;
+  received = advance >= kWindowSize ? 1 : received << advance | 1;
   highest = sequence;
 }
 
--- a/src/cluster/frame_authenticator.h
+++ b/src/cluster/frame_authenticator.h
@@ -1,14 +1,15 @@
-// Authenticates what members of a cluster send each other: each frame names the cluster, the sender
-// and a sequence number, and carries a message authentication code by the shared secret
-// (HMAC-SHA256, RFC 2104). No I/O; not thread-safe.
+// Authenticates the frames that the members of a cluster send to each other. Each frame contains
+// the hash of the cluster's name, the sender's id and a sequence number, and ends with a message
+// authentication code (MAC) that is computed with the shared secret (HMAC-SHA256, RFC 2104). The
+// class does no I/O and is not thread-safe.
 //
-// A frame: "ALC1"; in little-endian 64-bit numbers the cluster's hash, the sender's id and the
-// sequence number; the payload; the code.
+// Layout of a frame: the magic "ALC1"; the hash of the cluster's name, the sender's id and the
+// sequence number as 64-bit little-endian integers; the payload; the MAC.
 //
-// Of each sender a window of 64 sequence numbers is remembered: a number that was seen in it, or is
-// older, counts as replayed. Senders are remembered up to kMaxSenders; the first that came go
-// first. What one sender may send is limited by a token bucket: a sender that floods costs the
-// others nothing.
+// Replay protection: for each sender the receiver keeps a window of the last 64 sequence numbers. A
+// frame is a replay if its sequence number was already received or is older than the window. The
+// receiver keeps at most kMaxSenders senders and evicts the oldest entry first. A token bucket
+// limits the frame rate of each sender, so that one that floods does not take capacity from others.
 #pragma once
 
 #include <cstddef>
@@ -25,57 +26,62 @@
 constexpr std::size_t kMaxSenders = 8192;
 constexpr std::size_t kFrameOverhead = 4 + 3 * 8 + 32;  // bytes besides the payload
 
-/// Limits what is accepted of one sender.
+/// Token bucket parameters for the frames that are accepted from one sender.
 struct FrameRate {
   double per_second = 400;
   double burst = 400;
 };
 
+/// The result of verifying a frame.
 enum class FrameStatus {
   valid,
-  unreadable,       // no frame of any version
-  later_version,    //
-  foreign_cluster,  // of a cluster of another name
-  forged,           // the code is wrong: corrupted, or made with another secret
+  unreadable,       // not a frame of any version
+  later_version,    // a frame of a version that this process does not support
+  foreign_cluster,  // a frame of a cluster with another name
+  forged,           // the MAC does not match: corrupted, or signed with another secret
   replayed,
-  rate_limited,
+  rate_limited,  // the sender exceeds its frame rate
 };
-/// As it is logged.
+/// Returns the name of the status as it appears in the log.
 const char* to_string(FrameStatus status);
 
+/// The status of a frame, with the payload if the frame is valid.
 struct VerifiedFrame {
   FrameStatus status = FrameStatus::unreadable;
-  std::string_view payload;  // a slice of the frame, only where it is valid
+  std::string_view payload;  // points into the frame; empty unless the status is `valid`
 };
 
+/// Signs outgoing frames and verifies incoming ones.
 class FrameAuthenticator {
  public:
-  /// `sender_id` must be new at each start of a process.
+  /// `sender_id` must be a new number at each start of a process.
   FrameAuthenticator(std::string_view cluster, std::string secret, std::uint64_t sender_id,
                      FrameRate rate = {});
-  /// For the same cluster and secret, without the senders seen so far.
+  /// Returns an authenticator for the same cluster and secret that has received no frame yet.
   FrameAuthenticator with_sender(std::uint64_t sender_id, FrameRate rate = {}) const;
 
-  /// The frame that carries `payload`.
+  /// Returns a signed frame that carries `payload`.
   std::string sign(std::string_view payload);
-  /// Cheap checks come first: the code is computed only for frames that may be ours.
+  /// Verifies a received frame. The cheap checks run first; the MAC is computed only if the cluster
+  /// matches and, for a sender that is already in the table, the frame is within the sender's rate
+  /// and not a replay. `now` is in microseconds.
   VerifiedFrame verify(std::string_view frame, core::Time now);
 
  private:
   struct Sender {
-    std::uint64_t highest = 0;  // sequence number
-    std::uint64_t seen = 0;     // bit n stands for highest - n
+    std::uint64_t highest = 0;   // the highest sequence number received
+    std::uint64_t received = 0;  // bit n is set if the number highest - n was received
     double tokens = 0;
     core::Time refilled_at = 0;
 
-    bool has_seen(std::uint64_t sequence) const;
-    void mark_seen(std::uint64_t sequence);
+    bool is_replay(std::uint64_t sequence) const;
+    void mark_received(std::uint64_t sequence);
   };
 
   FrameAuthenticator(std::uint64_t cluster_hash, std::string secret, std::uint64_t sender_id,
                      FrameRate rate);
   bool take_token(Sender& sender, core::Time now) const;
-  std::string code_of(std::string_view bytes) const;
+  std::string compute_mac(std::string_view bytes) const;
   Sender& add_sender(std::uint64_t sender_id, core::Time now);
 
   const std::uint64_t cluster_hash_;
@@ -84,7 +90,7 @@
   const FrameRate rate_;
   std::uint64_t last_sequence_ = 0;
   std::unordered_map<std::uint64_t, Sender> senders_;
-  std::deque<std::uint64_t> sender_order_;  // of senders_, as they came
+  std::deque<std::uint64_t> sender_order_;  // keys of senders_, oldest first
 };
 
 }  // namespace alderspur::cluster
--- a/src/cluster/gossip_queue.cpp
+++ b/src/cluster/gossip_queue.cpp
@@ -15,7 +15,8 @@
 }
 
 std::vector<GossipUpdate> GossipQueue::take(std::size_t max_count, std::size_t max_transmissions) {
-  // Chosen first: an update that goes back into the queue may come before others of this choice.
+  // All updates are chosen before any is put back: one that is put back may be ordered before
+  // others of the choice and would otherwise be chosen again.
   const auto count = static_cast<std::ptrdiff_t>(std::min(max_count, order_.size()));
   const std::vector<Position> chosen(order_.begin(), std::next(order_.begin(), count));
   std::vector<GossipUpdate> taken;
--- a/src/cluster/gossip_queue.h
+++ b/src/cluster/gossip_queue.h
@@ -1,5 +1,6 @@
-// Updates that are still to be sent to others: the latest of each member, the least often sent
-// first, each sent a bounded number of times. No I/O.
+// Holds the membership updates that still have to be sent to other members. The queue keeps the
+// latest update on each member, returns those first that were sent least often, and drops each one
+// after a bounded number of transmissions. It does no I/O and is not thread-safe.
 #pragma once
 
 #include <compare>
@@ -13,12 +14,13 @@
 
 namespace alderspur::cluster {
 
+/// A queue of updates, ordered by the number of times each was sent.
 class GossipQueue {
  public:
-  /// Replaces what waits of the same member; it counts as never sent.
+  /// Adds an update that counts as never sent. It replaces a queued update on the same member.
   void add(const GossipUpdate& update);
-  /// Up to `max_count` updates for one message. An update leaves the queue once it has been taken
-  /// `max_transmissions` times.
+  /// Returns up to `max_count` updates for one message. An update is removed from the queue once it
+  /// has been taken `max_transmissions` times.
   std::vector<GossipUpdate> take(std::size_t max_count, std::size_t max_transmissions);
   bool empty() const { return order_.empty(); }
   std::size_t size() const { return order_.size(); }
@@ -34,7 +36,7 @@
     auto operator<=>(const Position&) const = default;
   };
   std::map<std::string, Entry, std::less<>> entries_;  // by the member's name
-  std::set<Position> order_;                           // of entries_
+  std::set<Position> order_;  // one position for each entry, the least often sent first
 };
 
 }  // namespace alderspur::cluster
--- a/src/cluster/local_health.h
+++ b/src/cluster/local_health.h
@@ -1,20 +1,22 @@
-// Lifeguard's local health score: how far this process itself may be slow or badly connected. The
-// higher it is, the more time others are given to answer.
+// The local health score of Lifeguard. It estimates how likely it is that this process itself is
+// slow or badly connected. The higher the score, the longer the failure detector waits for answers
+// of other members.
 #pragma once
 
 #include <algorithm>
 
 namespace alderspur::cluster {
 
+/// A saturating score from 0 (healthy) to kMaxScore.
 class LocalHealth {
  public:
-  static constexpr int kWorst = 8;
+  static constexpr int kMaxScore = 8;
 
-  /// 0: healthy.
+  /// Returns the score; 0 means healthy.
   int score() const { return score_; }
   void improve() { score_ = std::max(score_ - 1, 0); }
-  void degrade() { score_ = std::min(score_ + 1, kWorst); }
-  void degrade_to_worst() { score_ = kWorst; }
+  void degrade() { score_ = std::min(score_ + 1, kMaxScore); }
+  void degrade_to_max() { score_ = kMaxScore; }
 
  private:
   int score_ = 0;
--- a/src/cluster/member.cpp
+++ b/src/cluster/member.cpp
@@ -11,8 +11,8 @@
 }
 
 bool overrides(const GossipUpdate& update, const GossipUpdate& known) {
-  const auto rank = [](const GossipUpdate& of) {
-    return std::tuple(of.identity.epoch, of.incarnation, of.state);
+  const auto rank = [](const GossipUpdate& ranked) {
+    return std::tuple(ranked.identity.epoch, ranked.incarnation, ranked.state);
   };
   return rank(update) > rank(known);
 }
--- a/src/cluster/member_table.cpp
+++ b/src/cluster/member_table.cpp
@@ -7,9 +7,10 @@
 namespace alderspur::cluster {
 namespace {
 
-constexpr std::size_t kMaxFailedSearch = 64;  // members looked at
+// The number of entries that random_failed() examines at most.
+constexpr std::size_t kMaxFailedSearch = 64;
 
-// Draws of random_live(), which must end also where few members are live.
+// The maximum number of draws of random_live(), which must also end if few members are live.
 std::size_t max_draws(std::size_t count) { return 3 * count + 3; }
 
 }  // namespace
@@ -74,15 +75,15 @@
 const Member* MemberTable::random_failed() {
   auto entry = members_.begin();
   std::advance(entry, static_cast<std::ptrdiff_t>(random_.below(members_.size())));
-  const std::size_t searched = std::min(kMaxFailedSearch, members_.size());
-  for (std::size_t i = 0; i < searched; ++i, ++entry) {
+  const std::size_t search_length = std::min(kMaxFailedSearch, members_.size());
+  for (std::size_t i = 0; i < search_length; ++i, ++entry) {
     if (entry == members_.end()) entry = members_.begin();
     if (entry->second.state() == MemberState::failed) return &entry->second;
   }
   return nullptr;
 }
 
-std::vector<GossipUpdate> MemberTable::next_in_turn(std::size_t count, std::string& cursor) const {
+std::vector<GossipUpdate> MemberTable::next_batch(std::size_t count, std::string& cursor) const {
   std::vector<GossipUpdate> updates;
   auto entry = members_.upper_bound(cursor);
   for (std::size_t i = 0; i < std::min(count, members_.size()); ++i, ++entry) {
@@ -99,16 +100,16 @@
   }
 }
 
-// At a place that is drawn: otherwise members that join together would be probed one after the
-// other in the order in which they came.
+// Inserts the member at a random position of the probe order. Otherwise members that join together
+// would be probed one after the other in the order in which they joined.
 void MemberTable::add_live(Member& member) {
   live_addresses_.insert(member.identity().address);
   member.probe_index = probe_order_.size();
   probe_order_.push_back(&member);
-  const std::size_t place = random_.below(probe_order_.size());
-  std::swap(probe_order_[place], probe_order_[member.probe_index]);
+  const std::size_t position = random_.below(probe_order_.size());
+  std::swap(probe_order_[position], probe_order_[member.probe_index]);
   probe_order_[member.probe_index]->probe_index = member.probe_index;
-  member.probe_index = place;
+  member.probe_index = position;
 }
 
 void MemberTable::remove_live(const Member& member) {
--- a/src/cluster/member_table.h
+++ b/src/cluster/member_table.h
@@ -1,5 +1,5 @@
-// All other members that are known, and the order in which the live ones are probed. No I/O, no
-// clock.
+// Stores all other members of the cluster that this process has received updates on, and the order
+// in which the live members are probed. It does no I/O and reads no clock; it is not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,71 +15,80 @@
 
 namespace alderspur::cluster {
 
-/// What is known of a member.
+/// This process's view of another member.
 struct MemberView {
-  GossipUpdate update;   // the latest that holds
-  Time state_since = 0;  // when it came into this state
-  Time last_heard = 0;   // when it last sent a message itself; 0: never
+  GossipUpdate update;   // the update in effect
+  Time state_since = 0;  // when the member entered its current state
+  Time last_heard = 0;   // when the last message of the member itself arrived; 0 if none has
 };
 
-/// A suspicion of a member: it ends in its failure unless the member refutes it.
+/// A suspicion that a member has failed. The member is declared failed at the deadline unless it
+/// refutes the suspicion.
 struct Suspicion {
-  std::set<std::string> reporters;
+  std::set<std::string> reporters;  // members that have reported the suspicion independently
   Time started_at = 0;
-  Time deadline = 0;      // 0: none
-  Time last_ping_at = 0;  // towards its end the suspect is asked directly
-  int pings = 0;
+  Time deadline = 0;      // 0 if the member is not suspected
+  Time last_ping_at = 0;  // when the last ping before the deadline was sent; 0 if none was
+  int pings = 0;          // pings sent to the suspect shortly before the deadline
 };
 
+/// An entry of the member table.
 struct Member {
   MemberView view;
   Suspicion suspicion;
-  Time last_unanswered = 0;     // when it last did not answer a ping that we sent for another
-  std::size_t probe_index = 0;  // in the probe order, while it is live
+  // When a ping that this process sent on behalf of another member was last left unanswered.
+  Time last_unanswered = 0;
+  std::size_t probe_index = 0;  // index in the probe order while the member is live
 
   const std::string& name() const { return view.update.identity.name; }
   const Identity& identity() const { return view.update.identity; }
   MemberState state() const { return view.update.state; }
 };
 
+/// The table of all other members, by name.
 class MemberTable {
  public:
   using Members = std::map<std::string, Member, std::less<>>;
 
-  /// What store() replaced.
+  /// The result of store(): the entry, and how it differs from the one before.
   struct Stored {
     Member& member;
-    std::optional<MemberState> previous_state;  // empty: it was unknown
-    bool is_new_epoch = false;                  // known already, and started anew since
+    std::optional<MemberState> previous_state;  // empty if the member was not in the table
+    bool is_new_epoch = false;  // the member was in the table and has restarted since
   };
 
   explicit MemberTable(RandomSource& random) : random_(random) {}
 
   const Members& members() const { return members_; }
   std::size_t size() const { return members_.size(); }
+  /// Returns null if no member has this name.
   Member* find(std::string_view name);
   const Member* find(std::string_view name) const;
-  /// Makes `update` what holds of its member and ends its suspicion.
+  /// Puts `update` into effect for its member and clears the member's suspicion.
   Stored store(const GossipUpdate& update, Time now);
-  /// Only members that are not live may be erased.
+  /// Removes a member, which must be in the table and must not be live.
   void erase(const std::string& name);
 
   std::size_t live_count() const { return probe_order_.size(); }
   std::size_t failed_count() const { return failed_count_; }
   std::size_t suspect_count() const { return suspect_count_; }
+  /// Reports whether a live member has this address.
   bool has_live_at(const std::string& address) const { return live_addresses_.contains(address); }
 
-  /// The next in the probe order, which is shuffled anew after each round; there must be one.
+  /// Returns the next member of the probe order, which is shuffled again after each round. At least
+  /// one member must be live.
   const Member& next_to_probe();
-  /// Up to `count` live members, drawn, without the one named `except`.
+  /// Returns up to `count` different random live members, without the member named `except`.
   std::vector<Member*> random_live(std::size_t count, std::string_view except = {});
-  /// The next failed member from a drawn place on; null where a bounded search finds none.
+  /// Returns the first failed member at or after a random position. The search is bounded; returns
+  /// null if it finds none.
   const Member* random_failed();
-  /// Up to `count` members in the order of their names, after `cursor`, which is moved; it starts
-  /// over at the end.
-  std::vector<GossipUpdate> next_in_turn(std::size_t count, std::string& cursor) const;
+  /// Returns the updates in effect for up to `count` members, in the order of their names, that
+  /// follow the name `cursor`. Starts again at the first name after the last one, and sets `cursor`
+  /// to the last name returned.
+  std::vector<GossipUpdate> next_batch(std::size_t count, std::string& cursor) const;
 
-  /// Moves the deadlines of all suspicions.
+  /// Postpones the deadlines of all suspicions by `delay`.
   void delay_suspicions(Time delay);
 
  private:
@@ -92,7 +101,7 @@
   std::size_t next_probe_ = 0;        // index in probe_order_
   std::size_t failed_count_ = 0;
   std::size_t suspect_count_ = 0;
-  std::multiset<std::string> live_addresses_;
+  std::multiset<std::string> live_addresses_;  // of the live members
 };
 
 }  // namespace alderspur::cluster
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,4 +1,4 @@
-// Events, timers and views of the membership.
+// The event handlers, timers and views of Membership.
 #include "cluster/membership.h"
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 namespace alderspur::cluster {
 namespace {
 
-// A Tick so late means that this process stood still, not that the others did.
-constexpr Time kStallThreshold = 500'000;
-// For which our leaving is gossiped.
-constexpr Time kLeaveDuration = 500'000;
+// A Tick that is later than this means that this process was stopped, not that other members were.
+constexpr Time kStallThreshold = 500'000;  // microseconds
+// How long the departure of this process is gossiped before it is considered complete.
+constexpr Time kLeaveDuration = 500'000;  // microseconds
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 void Membership::handle(Time now, const Event& event, std::vector<Action>& actions) {
   actions_ = &actions;
   now_ = std::max(now_, now);
-  if (!is_out_) std::visit([this](const auto& specific) { on(specific); }, event);
+  if (!is_stopped_) std::visit([this](const auto& specific) { on(specific); }, event);
   actions_ = nullptr;
 }
 
@@ -37,7 +37,8 @@
   seeds_ = event.seeds;
   std::erase(seeds_, self_.address);
   random_.shuffle(seeds_);
-  // Drawn, since a fleet that starts at one instant must not ask its seeds at one instant.
+  // The first delays are random: the members of a fleet that starts at one instant must not contact
+  // their seeds at the same instant.
   set_timer(random_.time_below(settings_.probe_interval), TimerKind::probe);
   set_timer(random_.time_below(settings_.gossip_interval), TimerKind::gossip);
   set_timer(random_.time_below(settings_.reconnect_interval / 4), TimerKind::reconnect);
@@ -48,23 +49,23 @@
 
 void Membership::on(const Tick& /*event*/) {
   if (timers_.empty()) return;
-  const Time late = now_ - timers_.next_due();
-  if (late > kStallThreshold) handle_stall(late);
-  while (!is_out_) {
+  const Time delay = now_ - timers_.next_due();
+  if (delay > kStallThreshold) handle_stall(delay);
+  while (!is_stopped_) {
     const auto timer = timers_.take_due(now_);
     if (!timer) return;
     fire(*timer);
   }
 }
 
-// A process that was stopped finds all its pings unanswered at once: without this it would suspect
-// everybody.
-void Membership::handle_stall(Time late) {
+// When a process resumes after a stop, all its pings appear unanswered at once. Without this
+// function it would suspect every other member.
+void Membership::handle_stall(Time duration) {
   ++counters_.stalls;
-  local_health_.degrade_to_worst();
+  local_health_.degrade_to_max();
   outstanding_pings_.clear();
-  timers_.delay_all(late);
-  table_.delay_suspicions(late);
+  timers_.delay_all(duration);
+  table_.delay_suspicions(duration);
 }
 
 void Membership::on(const Leave& /*event*/) {
@@ -86,21 +87,21 @@
     return;
   }
   if (message.sender.name == self_.name) {
-    handle_own_name(message, event.from);
+    handle_same_name(message, event.from);
     return;
   }
-  // An ack proves that its sender is there now; any other message of a stranger does not.
+  // An ack proves that its sender is running now. Any other message of an unknown sender does not.
   if (message.kind == Message::Kind::ack) handle_ack(message);
   verify_sender(message, event.from);
-  // Only from a sender that is known to be alive: a recorded message of one that has stopped
-  // would bring back other members that have stopped.
+  // Updates are accepted only from a sender whose epoch is the known one. A recorded message of a
+  // sender that has stopped could otherwise bring back other members that have stopped.
   const Member* sender = table_.find(message.sender.name);
   if (sender != nullptr && sender->identity().epoch == message.sender.epoch) {
     for (const auto& update : message.updates) {
-      if (!is_out_) merge(update);
+      if (!is_stopped_) merge(update);
     }
   }
-  if (is_out_) return;
+  if (is_stopped_) return;
   if (message.kind == Message::Kind::ping) handle_ping(message, event.from);
   if (message.kind == Message::Kind::nack) handle_nack(message);
   if (message.kind == Message::Kind::ping_request) handle_ping_request(message, event.from);
@@ -108,7 +109,7 @@
 
 // ---- Timers
 
-Time Membership::next_tick() const { return is_out_ ? kNever : timers_.next_due(); }
+Time Membership::next_tick() const { return is_stopped_ ? kNever : timers_.next_due(); }
 
 void Membership::set_timer(Time delay, TimerKind kind, std::string member, std::uint64_t ping_id) {
   timers_.set(now_ + std::max<Time>(1, delay), Timer{kind, std::move(member), ping_id});
@@ -121,7 +122,7 @@
       return probe_next();
     case TimerKind::probe_timeout:
       return probe_indirectly(timer.ping_id);
-    case TimerKind::probe_verdict:
+    case TimerKind::ping_expiry:
       return conclude_probe(timer.ping_id);
     case TimerKind::gossip:
       set_timer(settings_.gossip_interval, TimerKind::gossip);
@@ -140,8 +141,8 @@
     case TimerKind::nack:
       return send_nack(timer.ping_id);
     case TimerKind::leave_completed:
-      is_out_ = true;
-      return act(LeaveCompleted{});
+      is_stopped_ = true;
+      return emit(LeaveCompleted{});
   }
 }
 
--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -1,5 +1,5 @@
-// The failure detector of the membership: probes, direct and indirect, and what proves that a
-// sender is there.
+// The failure detector of Membership: direct and indirect probes, and the verification that the
+// sender of a message is running.
 #include <algorithm>
 #include <utility>
 
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr std::size_t kMaxOutstandingPings = 1024;
-// Of the probe timeout: then a helper says that it has no ack either.
-constexpr double kNackAfterPart = 0.8;
+// A member that pings on behalf of another sends a nack if no ack arrives within this fraction of
+// the probe timeout.
+constexpr double kNackTimeoutFraction = 0.8;
 
 }  // namespace
 
@@ -23,7 +24,7 @@
   return message;
 }
 
-// `epoch` 0: whichever start of the target is there.
+// Sends a ping and returns its id. With `epoch` 0, any start of the target may answer.
 std::uint64_t Membership::ping(const Identity& target, std::uint64_t epoch, bool is_probe) {
   const std::uint64_t ping_id = random_.next();
   OutstandingPing& outstanding = outstanding_pings_[ping_id];
@@ -38,10 +39,11 @@
   return ping_id;
 }
 
-// Without an ack nothing changes: the timer only forgets the ping.
-void Membership::ping_outside_of_probes(const Identity& target, std::uint64_t epoch) {
+// Sends a ping that is not a periodic probe. If no ack arrives, the target's state stays as it is:
+// the timer only removes the ping.
+void Membership::ping_unscheduled(const Identity& target, std::uint64_t epoch) {
   const auto ping_id = ping(target, epoch, false);
-  set_timer(settings_.probe_interval, TimerKind::probe_verdict, {}, ping_id);
+  set_timer(settings_.probe_interval, TimerKind::ping_expiry, {}, ping_id);
 }
 
 void Membership::probe_next() {
@@ -62,8 +64,8 @@
     return;
   }
   const Identity& identity = target->identity();
-  // Once more directly too: where a fifth of all messages is lost, a third of all pings and acks
-  // is, and each unfounded suspicion takes the place of other updates.
+  // The target is also pinged directly once more. At a message loss of a fifth, about a third of
+  // all pings gets no ack, and each false suspicion displaces other updates from the messages.
   Message ping_again = make_message(Message::Kind::ping, ping_id);
   ping_again.recipient = identity.name;
   ping_again.recipient_epoch = outstanding.target_epoch;
@@ -79,9 +81,9 @@
     ++counters_.ping_requests;
     send(helper->identity().address, std::move(request));
   }
-  const Time rest =
+  const Time remaining =
       std::max(settings_.probe_timeout, settings_.probe_interval - settings_.probe_timeout);
-  set_timer(rest * (1 + local_health_.score()), TimerKind::probe_verdict, {}, ping_id);
+  set_timer(remaining * (1 + local_health_.score()), TimerKind::ping_expiry, {}, ping_id);
 }
 
 void Membership::conclude_probe(std::uint64_t ping_id) {
@@ -89,8 +91,8 @@
   if (found == outstanding_pings_.end()) return;
   const OutstandingPing outstanding = found->second;
   outstanding_pings_.erase(found);
-  if (!outstanding.is_probe) return;  // the target was not held for live: nothing new
-  // Helpers that do not even send a nack: the fault may be ours.
+  if (!outstanding.is_probe) return;  // only a periodic probe leads to a suspicion
+  // The helpers have not even sent a nack, so this process itself may be slow or disconnected.
   if (outstanding.ping_requests > 0 && outstanding.nacks == 0) local_health_.degrade();
   const Member* target = table_.find(outstanding.target);
   if (target != nullptr && target->identity().epoch == outstanding.target_epoch) {
@@ -116,20 +118,22 @@
   OutstandingPing& outstanding = outstanding_pings_[ping_id];
   outstanding.requester_address = from;
   outstanding.requester_ping_id = message.ping_id;
-  const auto nack_after =
-      static_cast<Time>(kNackAfterPart * static_cast<double>(settings_.probe_timeout));
-  set_timer(nack_after, TimerKind::nack, {}, ping_id);
+  const auto nack_timeout =
+      static_cast<Time>(kNackTimeoutFraction * static_cast<double>(settings_.probe_timeout));
+  set_timer(nack_timeout, TimerKind::nack, {}, ping_id);
 }
 
 void Membership::handle_ack(const Message& message) {
   const auto found = outstanding_pings_.find(message.ping_id);
   if (found == outstanding_pings_.end()) return;
   const OutstandingPing outstanding = found->second;
-  // A helper passes the target's ack on under its own name and our ping id.
+  // A helper forwards the target's ack under the helper's own name, with the ping id of the
+  // request.
   const bool is_indirect =
       message.target == outstanding.target && message.sender.name != outstanding.target;
-  const bool is_of_target = outstanding.target.empty() || message.sender.name == outstanding.target;
-  if (!is_indirect && !is_of_target) return;  // another member is at that address now
+  const bool is_from_target =
+      outstanding.target.empty() || message.sender.name == outstanding.target;
+  if (!is_indirect && !is_from_target) return;  // another member now uses the target's address
   outstanding_pings_.erase(found);
   if (!outstanding.requester_address.empty()) {
     Message ack = make_message(Message::Kind::ack, outstanding.requester_ping_id);
@@ -138,13 +142,14 @@
   }
   if (outstanding.is_probe) local_health_.improve();
   if (is_indirect) return;
-  // It is there now, with the identity that it names: this is how an unknown member, or a new start
-  // of a known one, comes in.
+  // The ack proves that the sender is running with this identity. This is how an unknown member, or
+  // a new start of a known member, enters the table.
   const GossipUpdate update{message.sender, message.sender_incarnation, MemberState::alive, {}};
   const Member* known = table_.find(message.sender.name);
   const bool has_returned = known != nullptr && !is_live(known->state());
   if (known == nullptr || overrides(update, known->view.update)) merge(update);
-  // Two sides of a partition that ends know little of each other: one full state each way.
+  // When a partition ends, each side has outdated updates on the members of the other side, so the
+  // two members exchange their full state.
   if (has_returned && !outstanding.is_probe && may_exchange_full_state()) {
     exchange_full_state(message.sender.address);
   }
@@ -165,8 +170,9 @@
   outstanding_pings_.erase(found);
 }
 
-// Notes that a known sender is there, tells an outdated one so, and pings one that is unknown or
-// newer: its message alone proves nothing.
+// Records the time of a message from a known sender. Reports a sender that a newer start has
+// replaced, and sends it a gossip message. Pings a sender that is unknown or newer than the known
+// start, because its message alone does not prove that it is running.
 void Membership::verify_sender(const Message& message, const std::string& from) {
   const Identity& sender = message.sender;
   Member* known = table_.find(sender.name);
@@ -176,23 +182,24 @@
   }
   if (known != nullptr && known->identity().epoch > sender.epoch) {
     ++counters_.conflicts;
-    act(NameConflict{sender, known->identity()});
+    emit(NameConflict{sender, known->identity()});
     return send(from, make_message(Message::Kind::gossip, 0), sender.name);
   }
   const bool has_capacity = outstanding_pings_.size() < kMaxOutstandingPings;
   if (!has_capacity || message.kind == Message::Kind::ack) return;
   Identity target = sender;
   target.address = from;
-  ping_outside_of_probes(target, sender.epoch);
+  ping_unscheduled(target, sender.epoch);
 }
 
-// A message under our own name: of a later start of this router, or of an earlier one.
-void Membership::handle_own_name(const Message& message, const std::string& from) {
+// Handles a message whose sender has the name of this process: a later or an earlier start of this
+// router.
+void Membership::handle_same_name(const Message& message, const std::string& from) {
   if (message.sender.epoch > self_.epoch) {
-    merge_own({message.sender, message.sender_incarnation, MemberState::alive, {}});
+    merge_update_on_self({message.sender, message.sender_incarnation, MemberState::alive, {}});
   } else if (message.sender.epoch < self_.epoch) {
     ++counters_.conflicts;
-    act(NameConflict{message.sender, self_});
+    emit(NameConflict{message.sender, self_});
     send(from, make_message(Message::Kind::gossip, 0), self_.name);
   }
 }
--- a/src/cluster/membership_updates.cpp
+++ b/src/cluster/membership_updates.cpp
@@ -1,4 +1,5 @@
-// What the membership makes of updates: its own state, suspicions and failures.
+// The part of Membership that applies updates on this process and on other members, and that
+// handles suspicions and failures.
 #include <utility>
 
 #include "cluster/membership.h"
@@ -7,10 +8,11 @@
 namespace alderspur::cluster {
 namespace {
 
-// Pings to a suspect before it is declared failed, one a probe timeout.
-constexpr int kLastPings = 2;
-// Probe intervals for which an unanswered ping of our own confirms a suspicion: an update takes
-// that long to arrive.
+// Number of pings that each member sends to a suspect before the suspect is declared failed, one
+// per probe timeout.
+constexpr int kFinalPings = 2;
+// For this many probe intervals, an unanswered ping of this process counts as a confirmation of a
+// suspicion that another member reports. The other member's update takes that long to arrive.
 constexpr Time kOwnEvidenceIntervals = 3;
 
 }  // namespace
@@ -24,11 +26,11 @@
     ++counters_.rejected;
     return;
   }
-  if (update.identity.name == self_.name) return merge_own(update);
+  if (update.identity.name == self_.name) return merge_update_on_self(update);
   Member* known = table_.find(update.identity.name);
   if (known == nullptr) {
-    // Otherwise updates on a member that stopped long ago would circulate for ever: each member
-    // that had forgotten it would add it again.
+    // Otherwise updates on a member that stopped long ago would circulate forever: each member that
+    // had removed it from its table would add it again.
     if (!is_live(update.state)) return;
     if (table_.size() >= kMaxMembers) {
       ++counters_.rejected;
@@ -36,30 +38,31 @@
     }
     return apply(update);
   }
-  const GossipUpdate& held = known->view.update;
-  if (overrides(update, held)) return apply(update);
+  const GossipUpdate& current = known->view.update;
+  if (overrides(update, current)) return apply(update);
   const bool is_same_incarnation =
-      update.identity.epoch == held.identity.epoch && update.incarnation == held.incarnation;
+      update.identity.epoch == current.identity.epoch && update.incarnation == current.incarnation;
   const bool are_both_suspicions =
-      update.state == MemberState::suspect && held.state == MemberState::suspect;
+      update.state == MemberState::suspect && current.state == MemberState::suspect;
   if (is_same_incarnation && are_both_suspicions) confirm_suspicion(*known, update);
 }
 
-void Membership::merge_own(const GossipUpdate& update) {
+void Membership::merge_update_on_self(const GossipUpdate& update) {
   if (update.identity.epoch > self_.epoch) {
     if (is_live(update.state)) {
-      is_out_ = true;
-      return act(Superseded{update.identity});
+      is_stopped_ = true;
+      return emit(Superseded{update.identity});
     }
-    // An earlier start of this router, made while the clock was ahead and stopped since: we come
-    // after it.
+    // The update is on an earlier start of this router, which ran while the clock was ahead and has
+    // stopped since. This process takes a greater epoch.
     self_.epoch = update.identity.epoch + 1;
     incarnation_ = 1;
     return gossip_queue_.add(own_update());
   }
   const bool is_outdated = update.identity.epoch < self_.epoch || update.incarnation < incarnation_;
   if (is_outdated || update.state == MemberState::alive || is_leaving_) return;
-  // We are suspected, or held for failed or gone: refuted, and a reason to doubt our own speed.
+  // Another member considers this process suspect, failed or departed. Refute that. A suspicion
+  // also indicates that this process may be slow.
   incarnation_ = update.incarnation + 1;
   ++counters_.refutations;
   if (update.state == MemberState::suspect) local_health_.degrade();
@@ -67,14 +70,15 @@
 }
 
 void Membership::apply(const GossipUpdate& update) {
-  // Live a moment ago, and now started elsewhere: two processes, or a move that was not announced.
+  // The member was live and has now started at another address: there are two processes with this
+  // name, or the member moved without leaving first.
   const Member* known = table_.find(update.identity.name);
   const bool has_moved = known != nullptr && is_live(known->state()) &&
                          known->identity().epoch != update.identity.epoch &&
                          known->identity().address != update.identity.address;
   if (has_moved) {
     ++counters_.conflicts;
-    act(NameConflict{known->identity(), update.identity});
+    emit(NameConflict{known->identity(), update.identity});
   }
   const auto stored = table_.store(update, now_);
   if (!is_live(update.state)) {
@@ -83,7 +87,7 @@
   if (update.state == MemberState::suspect) begin_suspicion(stored.member);
   gossip_queue_.add(stored.member.view.update);
   if (stored.previous_state != update.state || stored.is_new_epoch) {
-    act(MemberChanged{update, stored.previous_state});
+    emit(MemberChanged{update, stored.previous_state});
   }
 }
 
@@ -102,7 +106,8 @@
   suspicion.deadline = now_ + suspicion_timeout_of(member);
   suspicion.last_ping_at = 0;
   suspicion.pings = 0;
-  // It has not answered us either, when another asked us to ping it: that is a suspicion of ours.
+  // The member has also left a ping unanswered that this process sent on behalf of another member.
+  // This counts as a suspicion by this process.
   const Time evidence_until =
       member.last_unanswered + kOwnEvidenceIntervals * settings_.probe_interval;
   const bool has_own_evidence =
@@ -111,7 +116,7 @@
     suspicion.deadline = suspicion.started_at + suspicion_timeout_of(member);
     member.view.update.reported_by = self_.name;
   }
-  schedule_last_pings(member);
+  schedule_final_pings(member);
 }
 
 void Membership::suspect(const std::string& name) {
@@ -129,39 +134,39 @@
   }
 }
 
-// Every independent suspicion shortens the time that is left, and is passed on until there are
-// enough.
+// Each independent suspicion shortens the suspicion timeout. It is forwarded to other members until
+// there are enough confirmations for the minimum timeout.
 void Membership::confirm_suspicion(Member& member, const GossipUpdate& update) {
   Suspicion& suspicion = member.suspicion;
   if (suspicion.reporters.size() > settings_.indirect_probes) return;
   if (!suspicion.reporters.insert(update.reported_by).second) return;
   suspicion.deadline = suspicion.started_at + suspicion_timeout_of(member);
-  schedule_last_pings(member);
+  schedule_final_pings(member);
   gossip_queue_.add(update);
 }
 
-// Where a fifth of all messages is lost, a refutation may not reach everybody in time. So towards
-// the end of a suspicion each member that holds it pings the suspect itself, at the cost of two
-// messages a member and failure.
-void Membership::schedule_last_pings(const Member& member) {
-  const Time first_ping_at = member.suspicion.deadline - kLastPings * settings_.probe_timeout;
+// At a message loss of a fifth, a refutation may not reach every member in time. Shortly before the
+// deadline of a suspicion, each member that has received it therefore pings the suspect itself.
+// This costs two pings per member for each failure.
+void Membership::schedule_final_pings(const Member& member) {
+  const Time first_ping_at = member.suspicion.deadline - kFinalPings * settings_.probe_timeout;
   set_timer(first_ping_at - now_, TimerKind::suspicion, member.name());
 }
 
 void Membership::check_suspicion(Member& member) {
   Suspicion& suspicion = member.suspicion;
   if (member.state() != MemberState::suspect || suspicion.deadline == 0) return;
-  if (now_ < suspicion.deadline - kLastPings * settings_.probe_timeout) {
-    return schedule_last_pings(member);
+  if (now_ < suspicion.deadline - kFinalPings * settings_.probe_timeout) {
+    return schedule_final_pings(member);
   }
   const Time next_ping_at = suspicion.last_ping_at + settings_.probe_timeout;
   if (suspicion.last_ping_at != 0 && now_ < next_ping_at) {
     return set_timer(next_ping_at - now_, TimerKind::suspicion, member.name());
   }
-  if (suspicion.pings < kLastPings) {
+  if (suspicion.pings < kFinalPings) {
     ++suspicion.pings;
     suspicion.last_ping_at = now_;
-    ping_outside_of_probes(member.identity(), member.identity().epoch);
+    ping_unscheduled(member.identity(), member.identity().epoch);
     return set_timer(settings_.probe_timeout, TimerKind::suspicion, member.name());
   }
   if (now_ < suspicion.deadline) {
--- a/src/cluster/random_source.h
+++ b/src/cluster/random_source.h
@@ -1,4 +1,5 @@
-// The random numbers of one Membership: the same seed gives the same sequence.
+// The random number generator of one Membership. The same seed gives the same sequence. It is not
+// thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -10,17 +11,18 @@
 
 namespace alderspur::cluster {
 
+/// A seeded generator of uniform random numbers.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
   std::uint64_t next() { return engine_(); }
-  /// Uniform in [0, bound); 0 for a bound under 2.
+  /// Returns a uniform number in [0, bound), or 0 if `bound` is less than 2.
   std::uint64_t below(std::uint64_t bound) {
     if (bound < 2) return 0;
     return std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(engine_);
   }
-  /// Uniform in [0, bound).
+  /// Returns a uniform time in [0, bound), or 0 if `bound` is less than 2.
   core::Time time_below(core::Time bound) {
     return static_cast<core::Time>(below(static_cast<std::uint64_t>(bound)));
   }
--- a/src/cluster_transport/channels.cpp
+++ b/src/cluster_transport/channels.cpp
@@ -1,4 +1,4 @@
-// The channels of a ClusterTransport.
+// The channels of ClusterTransport, which carry frames from one member to another.
 #include <utility>
 
 #include "cluster_transport/peer.h"
@@ -9,16 +9,18 @@
 using cluster::MemberState;
 using cluster::MemberView;
 
-// The called side: an exchange turns out to be a channel. An earlier process of that name, which
-// was stopped for a while, may still speak; it must not pass for the one known to have followed it.
+// Turns an accepted exchange into a channel when its first frame is a handshake; returns false if
+// the handshake is not valid. An earlier process with the same name that was stopped for a while
+// may still send frames. It is rejected, because its frames must not be taken for those of the
+// process that has replaced it.
 bool ClusterTransport::accept_channel(Peer& peer, std::string_view payload) {
   const auto handshake = cluster::decode_handshake(payload);
-  if (!handshake || peer.is_caller || peer.has_spoken) return false;
+  if (!handshake || peer.is_initiator || peer.is_opening_done) return false;
   if (handshake->echoed_nonce != peer.nonce) return false;
   const MemberView* known = membership_->find(handshake->name);
   if (known != nullptr && handshake->epoch < known->update.identity.epoch) return false;
   peer.is_channel = true;
-  peer.has_spoken = true;
+  peer.is_opening_done = true;
   peer.member = handshake->name;
   --exchange_count_;
   peer.last_used_at = now_();
@@ -27,9 +29,10 @@
   return true;
 }
 
-// The calling side: the other has sent its nonce; what has waited follows our handshake.
+// Answers the accepting side's nonce with a handshake, followed by the frames that waited for it.
+// Returns false if the handshake has been sent before.
 bool ClusterTransport::send_handshake(Peer& peer, std::uint64_t nonce) {
-  if (std::exchange(peer.has_spoken, true)) return false;
+  if (std::exchange(peer.is_opening_done, true)) return false;
   const auto& self = membership_->self();
   write_frame(peer, authenticator_.sign(encode(Handshake{nonce, self.epoch, self.name})));
   for (const auto& frame : std::exchange(peer.waiting_frames, {})) {
@@ -39,7 +42,8 @@
   return true;
 }
 
-// Null where there is none and none can be opened now.
+// Returns the channel to a member and opens it if necessary. Returns null if there is no channel
+// and none can be opened now.
 ClusterTransport::Peer* ClusterTransport::channel_to(const std::string& member) {
   const MemberView* view = membership_->find(member);
   if (view == nullptr || view->update.state == MemberState::left) return nullptr;
@@ -63,7 +67,7 @@
   if (last_connect_at_.size() > kMaxChannels) last_connect_at_.clear();
   auto owned = std::make_unique<Peer>();
   Peer* peer = owned.get();
-  peer->is_caller = true;
+  peer->is_initiator = true;
   peer->is_channel = true;
   peer->member = member;
   peer->address = address;
@@ -91,7 +95,7 @@
   }
   ++counters_.frames_out;
   peer->last_used_at = now_();
-  if (!peer->has_spoken) {
+  if (!peer->is_opening_done) {
     peer->waiting_bytes += frame.size();
     peer->waiting_frames.emplace_back(frame);
     return;
@@ -105,11 +109,12 @@
   peer.timeout = deadlines_.set(now_() + kStallTimeout, [this, &peer] { check_progress(peer); });
 }
 
-// A connection may accept what is written and never transmit it, or never be established: seen by
-// the bytes that have left.
+// Closes a channel that is idle or makes no progress. A connection may accept data and never
+// transmit it, or never be established. Both are detected by the number of bytes written to the
+// network.
 void ClusterTransport::check_progress(Peer& peer) {
   const bool has_pending = peer.connection->unwritten() > 0 || !peer.waiting_frames.empty() ||
-                           (peer.is_caller && !peer.has_spoken);
+                           (peer.is_initiator && !peer.is_opening_done);
   const bool has_progressed = peer.connection->written_total() != peer.written_at_last_check;
   const bool is_idle = now_() > peer.last_used_at + kIdleTimeout;
   if ((has_pending && !has_progressed) || is_idle) return close(peer);
--- a/src/cluster_transport/exchanges.cpp
+++ b/src/cluster_transport/exchanges.cpp
@@ -1,4 +1,4 @@
-// Connections between members: their frames, and full state exchanges.
+// The TCP connections of ClusterTransport: their frames, and full state exchanges.
 #include <arpa/inet.h>
 
 #include <cstring>
@@ -13,8 +13,10 @@
 using cluster::kMaxSnapshotFrameBytes;
 using cluster::MembershipSnapshot;
 
-constexpr std::ptrdiff_t kCloseConnection = -1;  // in place of a number of bytes read
-constexpr const char* kPeerOfExchange = "an exchange";
+// Returned in place of the number of bytes read, to close the connection.
+constexpr std::ptrdiff_t kCloseConnection = -1;
+// Reported as the sender of a dropped frame, because a connection does not store its peer address.
+constexpr const char* kTcpPeer = "a TCP connection between members";
 
 }  // namespace
 
@@ -49,7 +51,7 @@
   const auto to = net::parse_address(address);
   if (!to || exchange_count_ >= kMaxExchanges) return;
   auto peer = std::make_unique<Peer>();
-  peer->is_caller = true;
+  peer->is_initiator = true;
   peer->connection = net::connect(loop_, *to, handler_for(*peer), &source_address_);
   if (peer->connection) mark_touched(add_exchange(std::move(peer)));
 }
@@ -59,7 +61,7 @@
   const MembershipSnapshot snapshot{echoed_nonce, peer.nonce, std::move(members)};
   const auto frame = authenticator_.sign(encode(snapshot));
   if (frame.size() > kMaxSnapshotFrameBytes) {
-    report_dropped("oversized", "our own picture");
+    report_dropped("oversized", "the snapshot of this process");
     return close(peer);
   }
   write_frame(peer, frame);
@@ -71,32 +73,32 @@
   peer.connection->write({reinterpret_cast<const char*>(&size), sizeof size}, frame);
 }
 
-// Reads one frame from the front of `bytes`: the number of bytes that it takes, 0 while it is
-// incomplete, or kCloseConnection.
+// Reads one frame from the front of `bytes`. Returns the number of bytes that it occupies, 0 while
+// it is incomplete, or kCloseConnection if it cannot be used.
 std::ptrdiff_t ClusterTransport::read_frame(Peer& peer, std::string_view bytes) {
   std::uint32_t size = 0;
   if (bytes.size() < sizeof size) return 0;
   std::memcpy(&size, bytes.data(), sizeof size);
   size = ntohl(size);
   if (size > (peer.is_channel ? kMaxChannelFrame : kMaxSnapshotFrameBytes)) {
-    report_dropped("oversized", kPeerOfExchange);
+    report_dropped("oversized", kTcpPeer);
     return kCloseConnection;
   }
   if (bytes.size() < sizeof size + size) return 0;
   counters_.bytes_in += size;
   if (const char* reason = handle_frame(peer, bytes.substr(sizeof size, size))) {
-    report_dropped(reason, kPeerOfExchange);
+    report_dropped(reason, kTcpPeer);
     return kCloseConnection;
   }
   return static_cast<std::ptrdiff_t>(sizeof size + size);
 }
 
-// Null, or why the frame cannot be used.
+// Handles one frame. Returns null, or the reason why the frame cannot be used.
 const char* ClusterTransport::handle_frame(Peer& peer, std::string_view frame) {
   auto& authenticator = peer.is_channel ? channel_authenticator_ : authenticator_;
   const auto verified = authenticator.verify(frame, now_());
   if (verified.status != FrameStatus::valid) return cluster::to_string(verified.status);
-  if (peer.is_channel && !peer.is_caller) {
+  if (peer.is_channel && !peer.is_initiator) {
     ++counters_.frames_in;
     peer.last_used_at = now_();
     if (hooks_.on_frame) hooks_.on_frame(peer.member, verified.payload);
@@ -105,19 +107,20 @@
   return handle_exchange_frame(peer, verified.payload) ? nullptr : "unreadable";
 }
 
-// In order: the called side's nonce, the caller's snapshot, the called side's. False where the
-// frame is none of these.
+// Handles a frame of an exchange, or the first frame of a channel. The frames of an exchange are,
+// in order: the accepting side's nonce, the initiator's snapshot and the accepting side's snapshot.
+// Returns false if the frame is not the expected one.
 bool ClusterTransport::handle_exchange_frame(Peer& peer, std::string_view payload) {
   auto snapshot = cluster::decode_snapshot(payload);
   if (!snapshot) return accept_channel(peer, payload);
   if (peer.is_channel) return send_handshake(peer, snapshot->own_nonce);
-  if (peer.is_caller && !std::exchange(peer.has_spoken, true)) {
+  if (peer.is_initiator && !std::exchange(peer.is_opening_done, true)) {
     send_snapshot(peer, snapshot->own_nonce, membership_->full_state());
     return true;
   }
   if (snapshot->echoed_nonce != peer.nonce) return false;  // replayed from another exchange
-  if (!peer.is_caller) {
-    if (std::exchange(peer.has_spoken, true)) return false;
+  if (!peer.is_initiator) {
+    if (std::exchange(peer.is_opening_done, true)) return false;
     send_snapshot(peer, snapshot->own_nonce, membership_->full_state());
   }
   peer.is_finished = true;
@@ -138,7 +141,7 @@
 }
 
 void ClusterTransport::end_turn() {
-  // By index: handling a peer may touch others.
+  // The loop uses an index, because handling one peer may add others to touched_peers_.
   std::size_t next = 0;
   while (next < touched_peers_.size()) {
     Peer& peer = *touched_peers_[next];
@@ -156,9 +159,9 @@
   peer.connection->end_turn();
   if (peer.connection->reoffer_unread()) peer.connection->end_turn();
   if (peer.is_closed || !peer.is_finished || peer.connection->unwritten() > 0) return;
-  // The caller has all it wanted; the called side waits for the caller to close, so that its last
-  // frame is read.
-  if (peer.is_caller) close(peer);
+  // The exchange is complete for the initiator. The accepting side waits for the initiator to close
+  // the connection, so that its last frame is read.
+  if (peer.is_initiator) close(peer);
 }
 
 void ClusterTransport::remove(Peer& peer) {
--- a/src/cluster_transport/transport.cpp
+++ b/src/cluster_transport/transport.cpp
@@ -1,4 +1,4 @@
-// Set-up, the membership's events and actions, and datagrams.
+// The set-up of ClusterTransport, the events and actions of its Membership, and datagrams.
 #include "cluster_transport/transport.h"
 
 #include <sys/socket.h>
@@ -18,10 +18,11 @@
 using cluster::kMaxDatagramBytes;
 using cluster::kNever;
 
-constexpr Time kDropReportInterval = 10'000'000;            // of one kind
-constexpr cluster::FrameRate kChannelRate{20'000, 20'000};  // frames a second of one channel
-constexpr int kReceiveBuffer = 256 << 10;                   // bytes of datagrams for the next turn
-constexpr std::uint64_t kNonceSeed = 0x636c7573746572ULL;   // other numbers than the membership's
+constexpr Time kDropReportInterval = 10'000'000;            // microseconds, for each kind
+constexpr cluster::FrameRate kChannelRate{20'000, 20'000};  // frames per second of one channel
+constexpr int kReceiveBuffer = 256 << 10;  // bytes; holds the datagrams until the next loop turn
+// Mixed into the seed, so that nonces do not repeat the random numbers of the membership.
+constexpr std::uint64_t kNonceSeed = 0x636c7573746572ULL;
 
 std::runtime_error socket_error(const char* what, const sockaddr_in& address) {
   return std::runtime_error(std::string(what) + " " + net::to_string(address) + ": " +
@@ -30,7 +31,11 @@
 
 sockaddr_in parse_listen_address(const std::string& text) {
   const auto address = net::parse_address(text);
-  if (!address) throw std::runtime_error("no usable address for the cluster: '" + text + "'");
+  if (!address) {
+    throw std::runtime_error("'" + text +
+                             "' is not a valid listen address for the cluster: expected an IPv4 "
+                             "address and a port");
+  }
   return *address;
 }
 
@@ -67,7 +72,7 @@
   for (auto& [raw, peer] : peers_) close(*peer);
 }
 
-// UDP uses the same port as the listener.
+// Opens the UDP socket on the address and port of the TCP listener.
 void ClusterTransport::open_udp_socket(const sockaddr_in& address) {
   udp_socket_ = net::Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const auto* generic = reinterpret_cast<const sockaddr*>(&address);
@@ -96,11 +101,11 @@
 void ClusterTransport::handle(const cluster::Event& event) {
   std::vector<cluster::Action> actions;
   membership_->handle(now_(), event, actions);
-  for (const auto& action : actions) carry_out(action);
+  for (const auto& action : actions) execute(action);
   schedule_tick();
 }
 
-void ClusterTransport::carry_out(const cluster::Action& action) {
+void ClusterTransport::execute(const cluster::Action& action) {
   if (const auto* send = std::get_if<cluster::SendMessage>(&action)) {
     send_datagram(send->address, send->message);
   } else if (const auto* exchange = std::get_if<cluster::ExchangeFullState>(&action)) {
@@ -118,7 +123,7 @@
 
 void ClusterTransport::leave() {
   handle(cluster::Leave{});
-  // Superseded before: the membership does nothing more.
+  // A membership that was superseded before returns no LeaveCompleted.
   if (membership_->next_tick() == kNever) has_left_ = true;
 }
 
@@ -131,13 +136,13 @@
   if (frame.size() > kMaxDatagramBytes) return report_dropped("oversized", address);
   ++counters_.datagrams_out;
   counters_.bytes_out += frame.size();
-  // A full socket buffer loses the datagram, as the network may.
+  // If the socket buffer is full, the datagram is lost, as it may be on the network.
   (void)!::sendto(udp_socket_.get(), frame.data(), frame.size(), MSG_NOSIGNAL | MSG_DONTWAIT,
                   reinterpret_cast<const sockaddr*>(&*to), sizeof *to);
 }
 
 void ClusterTransport::receive_datagrams() {
-  std::array<char, kMaxDatagramBytes + 1> buffer;  // one byte more tells an oversized one
+  std::array<char, kMaxDatagramBytes + 1> buffer;  // one extra byte detects oversized datagrams
   for (std::size_t i = 0; i < kMaxDatagramsPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t from_size = sizeof from;
--- a/src/cluster_transport/transport.h
+++ b/src/cluster_transport/transport.h
@@ -1,23 +1,26 @@
-// The transport of the cluster membership: UDP for probes and gossip, TCP for full state exchanges
-// and channels, on one address. What a message means is up to Membership; FrameAuthenticator
-// protects all of it.
+// The network transport of the cluster membership. It uses UDP for probes and gossip, and TCP for
+// full state exchanges and channels, on the same address and port. Membership interprets the
+// messages; FrameAuthenticator authenticates all of them. A ClusterTransport is used on the thread
+// of its event loop only.
 //
-// Every frame on a connection has its length before it (32 bits, big-endian).
+// Each frame on a TCP connection is preceded by its length as a 32-bit big-endian integer.
 //
-// A full state exchange: the called side draws a nonce and sends it in an empty snapshot; the
-// caller sends its snapshot with that nonce echoed and one of its own; the called side sends its
-// snapshot with the caller's nonce echoed; the caller closes.
+// A full state exchange has these steps: the accepting side draws a nonce and sends it in an empty
+// snapshot; the initiator sends its snapshot, which echoes that nonce and contains a nonce of its
+// own; the accepting side sends its snapshot, which echoes the initiator's nonce; the initiator
+// closes the connection.
 //
-// A channel carries frames from one member to another, for what builds on membership: a connection
-// to the same address, opened by a Handshake in place of a snapshot, one for each direction, kept
-// open while it is used. Frames arrive in order or not at all: a member that does not read, or
-// whose connection makes no progress for kStallTimeout, loses what waits for it, and delays no
-// other channel. The frames of a channel have a sender id of their own.
+// A channel carries frames from one member to another for the components that build on the
+// membership. It is a TCP connection to the same address that is opened by a Handshake in place of
+// a snapshot. There is one channel per direction, which stays open while it is used. Frames arrive
+// in order or not at all: if a member does not read, or its connection makes no progress for
+// kStallTimeout, the frames that wait for this member are lost, and no other channel is delayed.
+// The frames of a channel are signed with a sender id of their own.
 //
-// Bounds: datagrams of kMaxDatagramBytes bytes and kMaxDatagramsPerTurn of them a turn of the loop;
-// kMaxExchanges exchanges of kExchangeTimeout each and frames of kMaxSnapshotFrameBytes;
-// kMaxChannels channels. One thread: the loop's. What cannot be used is dropped, counted and
-// reported once in ten seconds a kind.
+// Limits: kMaxDatagramBytes per datagram and kMaxDatagramsPerTurn datagrams per loop turn;
+// kMaxExchanges concurrent exchanges of kExchangeTimeout each, with frames of up to
+// kMaxSnapshotFrameBytes; kMaxChannels channels. Datagrams and frames that cannot be used are
+// dropped, counted and reported at most once in ten seconds for each kind of reason.
 #pragma once
 
 #include <sys/types.h>
@@ -48,60 +51,67 @@
 constexpr std::size_t kMaxExchanges = 16;
 constexpr std::size_t kMaxChannels = 1024;
 constexpr std::size_t kMaxChannelFrame = 4 << 20;  // bytes
-constexpr std::size_t kMaxWaitingBytes = 6 << 20;  // of one channel
-constexpr std::size_t kMaxWaitingFrames = 512;     // of a channel that is not open yet
+constexpr std::size_t kMaxWaitingBytes = 6 << 20;  // unsent bytes per channel
+constexpr std::size_t kMaxWaitingFrames = 512;     // per channel that is not open yet
 constexpr Time kExchangeTimeout = 3'000'000;       // microseconds, as all times here
 constexpr Time kStallTimeout = 3'000'000;
-constexpr Time kIdleTimeout = 30'000'000;    // then an unused channel is closed
-constexpr Time kReconnectBackoff = 200'000;  // between two connects to one member
+constexpr Time kIdleTimeout = 30'000'000;    // after which an unused channel is closed
+constexpr Time kReconnectBackoff = 200'000;  // between connection attempts to one member
 
+/// Configuration of the transport.
 struct TransportSettings {
-  std::string cluster;  // its name
-  std::string secret;
-  std::string listen;
-  std::string advertise;  // where others reach us; empty: where we listen
-  std::vector<std::string> seeds;
+  std::string cluster;             // name of the cluster
+  std::string secret;              // shared by all members
+  std::string listen;              // IPv4 address and port
+  std::string advertise;           // address that other members use; if empty, the listen address
+  std::vector<std::string> seeds;  // addresses of members to contact at the start
   cluster::MembershipSettings membership;
 };
 
+/// Event counts since the start.
 struct TransportCounters {
   std::uint64_t datagrams_in = 0;
   std::uint64_t datagrams_out = 0;
   std::uint64_t bytes_in = 0;
   std::uint64_t bytes_out = 0;
-  std::uint64_t exchanges = 0;  // completed
+  std::uint64_t exchanges = 0;  // completed full state exchanges
   std::uint64_t dropped = 0;    // datagrams and frames
-  std::uint64_t frames_in = 0;  // of channels, as the following
+  std::uint64_t frames_in = 0;  // frames of channels, as the following
   std::uint64_t frames_out = 0;
-  std::uint64_t frames_lost = 0;
+  std::uint64_t frames_lost = 0;  // could not be queued for sending
 };
 
+/// Runs one Membership over the network. See the head of this file.
 class ClusterTransport {
  public:
-  /// Called on the loop's thread.
+  /// Callbacks, which run on the loop's thread.
   struct Hooks {
     std::function<void(const cluster::MemberChanged&)> on_member_changed;
     std::function<void(const cluster::NameConflict&)> on_name_conflict;
     std::function<void(const cluster::Superseded&)> on_superseded;
-    /// What was dropped and whose; limited in rate.
+    /// A datagram or frame was dropped for the reason `kind`. `from` is the address of the other
+    /// side, or a description of the dropped frame's source. The rate of calls is limited.
     std::function<void(const char* kind, const std::string& from)> on_dropped;
-    /// A frame of a channel.
+    /// A frame has arrived on a channel from the member `from`. May be empty.
     std::function<void(const std::string& from, std::string_view frame)> on_frame;
   };
 
-  /// Throws std::runtime_error where the address cannot be used. With port 0 the identity gets the
-  /// port that was assigned. `now` gives Unix time in microseconds.
+  /// Opens the sockets and starts the membership. If the listen port is 0, the identity contains
+  /// the port that the system assigned. `now` returns Unix time in microseconds. Throws
+  /// std::runtime_error if the listen address is not valid or cannot be used.
   ClusterTransport(net::Loop& loop, core::Deadlines& deadlines, std::function<Time()> now,
                    const TransportSettings& settings, cluster::Identity self, std::uint64_t seed,
                    Hooks hooks);
   ~ClusterTransport();
 
-  /// Writes what the turn of the loop has produced and closes what is done.
+  /// Writes the output of this loop turn and closes the connections that are done.
   void end_turn();
-  /// Tells the others that we leave; has_left() once that is done.
+  /// Notifies the other members that this process leaves. has_left() returns true once that is
+  /// done.
   void leave();
   bool has_left() const { return has_left_; }
-  /// On the channel to that member; lost where the member is unknown or its channel is full.
+  /// Sends a frame on the channel to the member `to`. The frame is lost, and counted as lost, if
+  /// the member is unknown or has left, or if its channel is full or cannot be opened.
   void send_frame(const std::string& to, std::string_view frame);
   const cluster::Membership& membership() const { return *membership_; }
   const TransportCounters& counters() const { return counters_; }
@@ -113,7 +123,7 @@
   // Membership and datagrams (transport.cpp)
   void open_udp_socket(const sockaddr_in& address);
   void handle(const cluster::Event& event);
-  void carry_out(const cluster::Action& action);
+  void execute(const cluster::Action& action);
   void schedule_tick();
   void send_datagram(const std::string& address, const cluster::Message& message);
   void receive_datagrams();
@@ -154,17 +164,18 @@
   Hooks hooks_;
   std::unique_ptr<cluster::Membership> membership_;
   net::Fd udp_socket_;
-  sockaddr_in source_address_{};  // of our connects: the called side can tell who calls
+  // Outgoing connections are bound to this address, so that the accepting side can identify them.
+  sockaddr_in source_address_{};
   std::unique_ptr<net::IoWatcher> udp_watcher_;
   std::unique_ptr<net::Listener> listener_;
   std::map<Peer*, std::unique_ptr<Peer>> peers_;
-  std::size_t exchange_count_ = 0;  // of peers_; the others are channels
+  std::size_t exchange_count_ = 0;  // exchanges in peers_; the other peers are channels
   std::map<std::string, Peer*, std::less<>> outgoing_channels_;  // by member
   std::map<std::string, Time, std::less<>> last_connect_at_;     // by member
-  std::vector<Peer*> touched_peers_;                             // in this turn
-  cluster::FrameAuthenticator channel_authenticator_;            // of incoming channels
-  std::optional<core::Deadlines::Key> tick_;
-  std::map<std::string, Time> report_dropped_after_;  // by kind
+  std::vector<Peer*> touched_peers_;                             // peers with events in this turn
+  cluster::FrameAuthenticator channel_authenticator_;            // verifies incoming channels
+  std::optional<core::Deadlines::Key> tick_;                     // the timer of the next Tick
+  std::map<std::string, Time> report_dropped_after_;             // by kind
   bool has_left_ = false;
   TransportCounters counters_;
 };
--- a/src/replication/ban_set.cpp
+++ b/src/replication/ban_set.cpp
@@ -16,11 +16,13 @@
 using msgpack_codec::Writer;
 
 constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;  // Unix time, microseconds
+// Numbers of array elements.
 constexpr std::size_t kBanSetFields = 3;
 constexpr std::size_t kBanFields = 6;
 constexpr std::size_t kDotFields = 3;
 
-// The parts of a digest have different weights, so that a dot counts differently in each.
+// The three parts of a digest have different weights, so that moving a dot from one part to another
+// changes the digest.
 constexpr std::uint64_t kBanWeight = 3;
 constexpr std::uint64_t kContiguousWeight = 5;
 constexpr std::uint64_t kDetachedWeight = 7;
@@ -37,14 +39,14 @@
   return dot;
 }
 
-// A dot of a change; the sequence of an author's changes starts at 1.
+// Reads the dot of a change. The sequence numbers of an author start at 1, so 0 is rejected.
 Dot read_change(Reader& reader) {
   Dot dot = read_dot(reader);
   if (dot.sequence == 0) reader.fail();
   return dot;
 }
 
-/// A ban with the change that made it.
+/// A ban and the dot of the change that made it.
 struct DottedBan {
   Dot dot;
   Ban ban;
@@ -83,7 +85,7 @@
   });
   if (is_known) return delta;
   const Dot dot{author, context_.last_contiguous(author) + 1};
-  (void)context_.add(dot);  // it leaves no gap, and there is room
+  (void)context_.add(dot);  // cannot fail: the dot leaves no gap, and the capacity was checked
   insert(dot, ban);
   delta.insert(dot, ban);
   (void)delta.context_.add(dot);
@@ -91,7 +93,9 @@
 }
 
 BanSet BanSet::lift(std::string_view server) {
-  BanSet delta;  // the dots, seen and not held: so every copy that joins this removes them
+  // The delta contains the dots in its context only, not the bans. Each copy that joins the delta
+  // therefore removes the bans.
+  BanSet delta;
   for (auto position = bans_.begin(); position != bans_.end();) {
     if (position->second.server != server) {
       ++position;
@@ -115,12 +119,12 @@
   remove_bans_lifted_in(other);
   CausalContext seen = context_;
   for (const auto& [dot, ban] : other.bans_) {
-    if (context_.contains(dot)) continue;  // held here already, or lifted here
+    if (context_.contains(dot)) continue;  // already present in this copy, or already lifted
     if (bans_.size() >= kMaxBans) continue;
     if (seen.add(dot)) insert(dot, ban);
   }
-  // What a bound left out must not count as seen: it would count as lifted, here and then
-  // everywhere.
+  // A ban that was left out because of a limit must not enter the context: it would count as lifted
+  // in this copy, and then in all copies.
   const bool is_complete =
       std::all_of(other.bans_.begin(), other.bans_.end(), [&](const auto& entry) {
         return context_.contains(entry.first) || bans_.contains(entry.first);
@@ -190,7 +194,7 @@
   for (const Dot& dot : reader.records(kMaxDetachedDots, kDotFields, read_change)) {
     if (!decoded.context_.add(dot)) reader.fail();
   }
-  // Every ban must be part of the causal context; no router writes a copy without that.
+  // The dot of each ban must be in the causal context. No router writes a copy that violates this.
   for (const auto& [dot, ban] : decoded.bans_) {
     if (!decoded.context_.contains(dot)) reader.fail();
   }
--- a/src/replication/ban_set.h
+++ b/src/replication/ban_set.h
@@ -1,12 +1,13 @@
-// Operators' bans that all routers share: a mergeable set (an observed-remove set with delta
-// states). No I/O, no clock; not thread-safe.
+// The set of operators' bans that all routers of a cluster share. It is a replicated data type: an
+// observed-remove set with delta states. It does no I/O, reads no clock and is not thread-safe.
 //
-// A ban is a dot of its own with the server, a cause and the time by its author's clock, which is
-// only displayed. A lift removes the bans that its router has seen, and no others: of a ban and a
-// lift made concurrently on two sides of a partition the ban holds, until a lift that has seen it.
-// Removals need no tombstones: a dot that the context has seen and that is not in the set has been
-// lifted. join() is commutative, associative and idempotent; a change is described by a small set
-// of the same type, the delta.
+// Each ban has a dot (see causal_context.h) and contains the server, a cause and the time by its
+// author's clock, which is for display only. A lift removes the bans of a server that the lifting
+// router has received, and no others. If a ban and a lift are made concurrently on two sides of a
+// partition, the ban remains until it is lifted by a router that has received it. Removals need no
+// tombstones: a ban was lifted if its dot is in the causal context but not in the set. join() is
+// commutative, associative and idempotent. A change is described by a delta, a small set of the
+// same type.
 #pragma once
 
 #include <cstddef>
@@ -25,10 +26,11 @@
 using core::Time;
 
 constexpr std::size_t kMaxBans = 1024;
-constexpr std::size_t kMaxServerName = 64;        // characters
-constexpr std::size_t kMaxCause = 120;            // characters
+constexpr std::size_t kMaxServerName = 64;        // bytes
+constexpr std::size_t kMaxCause = 120;            // bytes
 constexpr std::size_t kMaxEncodedBans = 1 << 20;  // bytes
 
+/// An operator's ban of a server.
 struct Ban {
   std::string server;
   std::string cause;
@@ -36,35 +38,38 @@
   bool operator==(const Ban&) const = default;
 };
 
+/// One copy of the shared set of bans, or a delta.
 class BanSet {
  public:
-  /// Adds a ban and returns the delta for the other copies. Nothing changes, and the delta is
-  /// empty, where `author` has banned the server already or kMaxBans is reached.
+  /// Adds a ban and returns the delta for the other copies. Changes nothing and returns an empty
+  /// delta if `author` has already banned the server, or if has_room_for() returns false.
   BanSet add(const Author& author, const Ban& ban);
-  /// Whether add() can take one more ban of this author.
+  /// Reports whether another ban of this author can be added: the set has fewer than kMaxBans bans,
+  /// and the causal context has capacity for the author.
   bool has_room_for(const Author& author) const;
-  /// Removes all bans of the server that this copy holds and returns the delta for the others.
+  /// Removes all bans of the server from this copy and returns the delta for the other copies.
   BanSet lift(std::string_view server);
-  /// Merges another copy, or a delta, into this one.
+  /// Merges another copy or a delta into this copy.
   void join(const BanSet& other);
 
   bool is_banned(std::string_view server) const { return bans_by_server_.contains(server); }
-  /// Sorted, each server once.
+  /// Returns the banned servers in sorted order, without duplicates.
   std::vector<std::string> banned_servers() const;
-  /// The latest time of a ban; 0: there is none.
+  /// Returns the latest time of any ban, or 0 if there is no ban.
   Time latest_time() const;
   const std::map<Dot, Ban>& bans() const { return bans_; }
   const CausalContext& context() const { return context_; }
   bool empty() const { return bans_.empty() && context_.empty(); }
-  /// Of all that is held and seen: copies with the same digest are the same, but for collisions.
+  /// Returns a digest of the bans and the causal context. Copies with the same digest are equal,
+  /// except for hash collisions.
   std::uint64_t digest() const;
   bool operator==(const BanSet& other) const {
     return bans_ == other.bans_ && context_ == other.context_;
   }
 
-  /// The form on the wire and on disk; it must not change.
+  /// Returns the form used on the wire and on disk. This format must not change.
   std::string encode() const;
-  /// Empty where the bytes are not of this form, or exceed the bounds.
+  /// Returns nothing if the bytes are not a valid encoded set or exceed a limit.
   static std::optional<BanSet> decode(std::string_view bytes);
 
  private:
@@ -73,7 +78,7 @@
   void remove_bans_lifted_in(const BanSet& other);
 
   std::map<Dot, Ban> bans_;
-  std::map<std::string, std::size_t, std::less<>> bans_by_server_;  // how many of bans_
+  std::map<std::string, std::size_t, std::less<>> bans_by_server_;  // number of bans per server
   CausalContext context_;
 };
 
--- a/src/replication/causal_context.h
+++ b/src/replication/causal_context.h
@@ -1,10 +1,11 @@
-// Which changes a copy has seen, independent of clocks: each change has a dot of its own, its
-// author and the author's sequence number; a causal context is the set of dots seen. No I/O, no
-// clock; not thread-safe. After Almeida, Shoker, Baquero: Delta State Replicated Data Types (2018).
+// Records which changes a copy has received, independent of clocks. Each change is identified by a
+// dot: its author and the author's sequence number. A causal context is the set of received dots.
+// See Almeida, Shoker, Baquero: Delta State Replicated Data Types (2018). The class does no I/O,
+// reads no clock and is not thread-safe.
 //
-// An author is one start of one router: name and epoch. So a router that lost its disk never uses
-// a dot twice. Bounds: kMaxAuthors authors and kMaxDetachedDots dots beyond a gap; what exceeds
-// them is refused, and arrives again with a full copy.
+// An author is one start of one router, identified by name and epoch, so a router that has lost its
+// disk never reuses a dot. Limits: kMaxAuthors authors and kMaxDetachedDots dots beyond a gap. A
+// dot that exceeds a limit is refused; it can be received again with a full copy.
 #pragma once
 
 #include <algorithm>
@@ -27,20 +28,22 @@
   auto operator<=>(const Author&) const = default;
 };
 
-/// Names one change.
+/// Identifies one change.
 struct Dot {
   Author author;
-  std::uint64_t sequence = 0;  // counted by the author, from 1
+  std::uint64_t sequence = 0;  // assigned by the author, starting at 1
   auto operator<=>(const Dot&) const = default;
 };
 
+/// The set of received dots. For each author it stores the sequence number up to which all dots
+/// were received, and the dots beyond a gap one by one.
 class CausalContext {
  public:
   bool contains(const Dot& dot) const {
     return dot.sequence <= last_contiguous(dot.author) || detached_.contains(dot);
   }
 
-  /// False, and nothing changes, where a bound would be exceeded.
+  /// Adds a dot. Returns false and changes nothing if a limit would be exceeded.
   bool add(const Dot& dot) {
     if (contains(dot)) return true;
     if (!has_room_for(dot.author)) return false;
@@ -51,7 +54,7 @@
     return true;
   }
 
-  /// Adds all that `other` has seen; false where a bound left something out.
+  /// Adds all dots of `other`. Returns false if some were left out because of a limit.
   bool join(const CausalContext& other) {
     bool is_complete = true;
     for (const auto& [author, last] : other.contiguous_) {
@@ -65,12 +68,12 @@
     return is_complete;
   }
 
-  /// Whether the next change of this author can be added.
+  /// Reports whether the next change of this author can be added.
   bool has_room_for(const Author& author) const {
     return contiguous_.size() < kMaxAuthors || contiguous_.contains(author);
   }
 
-  /// Adds all dots of `author` up to and including `sequence`, whatever the bounds.
+  /// Adds all dots of `author` up to and including `sequence`, regardless of the limits.
   void add_up_to(const Author& author, std::uint64_t sequence) {
     std::uint64_t& last = contiguous_[author];
     last = std::max(last, sequence);
@@ -78,20 +81,20 @@
     absorb_detached(author, last);
   }
 
-  /// All dots of `author` up to this sequence number have been seen; 0: none.
+  /// Returns the sequence number up to which all dots of `author` were received; 0 if none was.
   std::uint64_t last_contiguous(const Author& author) const {
     const auto found = contiguous_.find(author);
     return found == contiguous_.end() ? 0 : found->second;
   }
 
   const std::map<Author, std::uint64_t>& contiguous() const { return contiguous_; }
-  /// Dots seen beyond a gap in their author's sequence.
+  /// Returns the dots received beyond a gap in their author's sequence.
   const std::set<Dot>& detached() const { return detached_; }
   bool empty() const { return contiguous_.empty() && detached_.empty(); }
   bool operator==(const CausalContext&) const = default;
 
  private:
-  // Moves the dots that follow `last` without a gap out of detached_.
+  // Removes from detached_ the dots that follow `last` without a gap, and advances `last`.
   void absorb_detached(const Author& author, std::uint64_t& last) {
     auto next = detached_.find({author, last + 1});
     while (next != detached_.end() && next->author == author && next->sequence == last + 1) {
--- a/src/replication/digest.h
+++ b/src/replication/digest.h
@@ -1,4 +1,5 @@
-// Hashes for digests of copies: the same at every router and in every run. No I/O.
+// The hash function for digests of copies. It gives the same value at every router and in every
+// run.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 namespace alderspur::replication {
 
-/// Hash of a dot, or of an author with the highest sequence number seen.
+/// Returns the hash of a dot, or of an author with the highest contiguous sequence number received.
 inline std::uint64_t hash_dot(const Author& author, std::uint64_t sequence) {
   std::uint64_t hash = 0x9e3779b97f4a7c15ULL;
   for (const char character : author.name) {
--- a/src/replication/frame_codec.cpp
+++ b/src/replication/frame_codec.cpp
@@ -12,11 +12,12 @@
 using msgpack_codec::Reader;
 using msgpack_codec::Writer;
 
+// Numbers of array elements.
 constexpr std::size_t kFloorFields = 3;
 constexpr std::size_t kRangeFields = 2;
 constexpr std::size_t kBucketFields = 1;
 
-static_assert(kRanges == kBucketsPerRange, "digests of both levels have one wire form");
+static_assert(kRanges == kBucketsPerRange, "range and bucket digests share one wire form");
 
 void write_header(Writer& writer, FrameKind kind, std::size_t field_count) {
   writer.array(field_count + 1).number(static_cast<std::uint64_t>(kind));
--- a/src/replication/frame_codec.h
+++ b/src/replication/frame_codec.h
@@ -1,6 +1,7 @@
-// Codec of the frames between replicas: a MessagePack array of the kind and its fields. No I/O and
-// no state. A frame is decoded as a whole before its receiver acts on any of it. A kind of a later
-// version reads as unknown and is rejected by the receiver.
+// Encodes and decodes the frames that replicas exchange. A frame is a MessagePack array of the kind
+// and the fields of that kind. The functions do no I/O and hold no state. A frame is decoded as a
+// whole before its receiver acts on any part of it. A frame of a kind that only a later version
+// defines is not decoded, and the receiver rejects it.
 #pragma once
 
 #include <cstddef>
@@ -16,28 +17,30 @@
 
 namespace alderspur::replication {
 
-constexpr std::size_t kMaxFloorUpdates = 512;     // floors in a frame of updates
-constexpr std::size_t kMaxRangesPerFrame = 32;    // ranges whose bucket digests are sent
-constexpr std::size_t kMaxFloorsPerFrame = 4096;  // floors in a reply, and buckets requested
+constexpr std::size_t kMaxFloorUpdates = 512;   // floors in a floor_updates frame
+constexpr std::size_t kMaxRangesPerFrame = 32;  // ranges in a bucket_digests frame
+// The limit of a floors frame, for its floors and for its requested buckets.
+constexpr std::size_t kMaxFloorsPerFrame = 4096;
 constexpr std::uint64_t kMaxFrameTime = std::uint64_t{1} << 62;  // Unix time, microseconds
 
-/// The numbers are on the wire.
+/// The kinds of frames. The numbers are part of the wire format.
 enum class FrameKind : std::uint64_t {
-  ban_delta = 1,   // a change of the bans
+  ban_delta = 1,   // a change to the bans
   floor_updates,   // floors that were raised
   digests,         // opens a comparison
-  identical,       // answers digests that are the same
-  full_bans,       // answers a digest of bans that differs
-  bucket_digests,  // answers range digests that differ
+  identical,       // the answer if all digests are equal
+  full_bans,       // the answer if the digests of the bans differ
+  bucket_digests,  // the answer if range digests differ
   floors,          // floors of buckets that differ, and the buckets whose floors are requested
 };
 
-/// Bucket digests of one range of a copy.
+/// The bucket digests of one range of a copy of the floors.
 struct RangeBuckets {
   std::size_t range = 0;
   BucketDigests digests{};
 };
 
+/// Each function returns the wire form of one kind of frame. The caller keeps to the limits above.
 std::string encode_ban_delta(const BanSet& delta);
 std::string encode_full_bans(const BanSet& bans);
 std::string encode_floor_updates(const std::vector<PurgeFloor>& floors);
@@ -47,7 +50,7 @@
 std::string encode_floors(Time global_floor, const std::vector<PurgeFloor>& floors,
                           const std::vector<std::size_t>& requested_buckets);
 
-/// What decode_frame() has read, one type a kind.
+/// The decoded frames, with one type per kind.
 struct BanDeltaFrame {
   BanSet delta;
 };
@@ -75,10 +78,10 @@
 using Frame = std::variant<BanDeltaFrame, FloorUpdatesFrame, DigestsFrame, IdenticalFrame,
                            FullBansFrame, BucketDigestsFrame, FloorsFrame>;
 
-/// Empty where the bytes are no frame of a known kind, or any part of it has another form or
-/// exceeds a bound.
+/// Returns nothing if the bytes are not a frame of a known kind, or if any part of the frame is
+/// malformed or exceeds a limit.
 std::optional<Frame> decode_frame(std::string_view bytes);
-/// The latest time in the frame; 0: it has none.
+/// Returns the latest time that the frame contains, or 0 if it contains none.
 Time latest_time(const Frame& frame);
 
 }  // namespace alderspur::replication
--- a/src/replication/purge_floors.cpp
+++ b/src/replication/purge_floors.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kBucketBits = 12;
-constexpr int kBucketShift = 64 - kBucketBits;  // the bucket is the first bits of the hash
+constexpr int kBucketShift = 64 - kBucketBits;
 static_assert(std::size_t{1} << kBucketBits == kBuckets);
 
 std::size_t bucket_of(std::uint64_t hash) { return hash >> kBucketShift; }
--- a/src/replication/purge_floors.h
+++ b/src/replication/purge_floors.h
@@ -1,12 +1,15 @@
-// Purge floors that all routers share: no copy of an object, or of a group, from before its floor
-// may be served. A mergeable map: the later moment wins and is never taken back. No I/O, no clock;
-// not thread-safe.
+// The purge floors that all routers of a cluster share. A cached copy of an object, or of any
+// object of a group, that is older than the floor must not be served. This is a replicated map in
+// which the later floor wins and a floor never decreases. It does no I/O, reads no clock and is not
+// thread-safe.
 //
-// Two copies find their differences with traffic that grows with the difference, as with a Merkle
-// tree of two levels: keys are hashed into kBuckets buckets, and digests are compared first of
-// ranges of kBucketsPerRange buckets, then of the buckets of a range that differs. Bounded: beyond
-// `max_floors` the older half is folded into one floor over everything, global_floor(), which
-// forbids more than what it replaces and never less.
+// Two replicas find their differences with traffic that is proportional to the difference, as with
+// a Merkle tree of two levels. Keys are hashed into kBuckets buckets. Replicas first compare
+// digests of ranges of kBucketsPerRange buckets, and then digests of the buckets of each range that
+// differs.
+//
+// Limit: when there are more than `max_floors` floors, the older half is folded into one floor for
+// all objects, global_floor(). The global floor forbids at least all that the replaced floors did.
 #pragma once
 
 #include <array>
@@ -27,36 +30,41 @@
 constexpr std::size_t kBuckets = kRanges * kBucketsPerRange;
 constexpr std::size_t kDefaultMaxFloors = 1'000'000;
 
+/// The floor of one object or group.
 struct PurgeFloor {
-  bool is_object = false;  // else a group
-  std::uint64_t id = 0;    // of the object or group
-  Time at = 0;             // Unix time in microseconds: everything from before is void
+  bool is_object = false;  // true for an object, false for a group
+  std::uint64_t id = 0;    // id of the object or group
+  Time at = 0;             // Unix time in microseconds; copies from before this time are invalid
   bool operator==(const PurgeFloor&) const = default;
 };
 
 using RangeDigests = std::array<std::uint64_t, kRanges>;
 using BucketDigests = std::array<std::uint64_t, kBucketsPerRange>;
 
+/// One replica's copy of the purge floors.
 class PurgeFloors {
  public:
   explicit PurgeFloors(std::size_t max_floors = kDefaultMaxFloors) : max_floors_(max_floors) {}
 
-  /// True where the floor forbids more than was known.
+  /// Raises the floor of an object or a group. Returns false if it was at least as high before.
   bool raise(const PurgeFloor& floor);
-  /// The same for the floor over everything.
+  /// Raises the global floor. Returns false if it was at least as high before.
   bool raise_global(Time at);
 
-  /// The floor of an object or a group, the global one included; 0: none.
+  /// Returns the floor that applies to an object or a group, which is at least the global floor; 0
+  /// if there is none.
   Time floor_of(bool is_object, std::uint64_t id) const;
   Time global_floor() const { return global_floor_; }
+  /// Returns the number of floors, without the global one.
   std::size_t size() const { return floors_.size(); }
-  /// How often the older half was folded into the global floor.
+  /// Returns how often the older half of the floors was folded into the global floor.
   std::uint64_t folds() const { return folds_; }
 
+  /// Returns the digests of all ranges. The global floor is not part of them.
   RangeDigests range_digests() const;
-  /// Digests of the buckets of one range, `range` modulo kRanges.
+  /// Returns the digests of the buckets of the range with number `range` modulo kRanges.
   BucketDigests bucket_digests(std::size_t range) const;
-  /// Appends the floors of a bucket to `floors` until that holds `max_size`.
+  /// Appends the floors of a bucket to `floors` until `floors` has `max_size` elements.
   void append_bucket(std::size_t bucket, std::vector<PurgeFloor>& floors,
                      std::size_t max_size) const;
 
@@ -66,7 +74,7 @@
 
  private:
   struct Key {
-    std::uint64_t hash = 0;  // its first bits are the bucket
+    std::uint64_t hash = 0;  // the most significant bits are the number of the bucket
     bool is_object = false;
     std::uint64_t id = 0;
     auto operator<=>(const Key&) const = default;
@@ -79,7 +87,7 @@
   std::map<Key, Time> floors_;
   Time global_floor_ = 0;
   std::uint64_t folds_ = 0;
-  std::array<std::uint64_t, kBuckets> bucket_digests_{};  // sums over the bucket's floors
+  std::array<std::uint64_t, kBuckets> bucket_digests_{};  // sums of the digests of the floors
 };
 
 }  // namespace alderspur::replication
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -6,12 +6,14 @@
 namespace alderspur::replication {
 namespace {
 
-// A copy that is not caught up compares this many times as often: it serves on what it lacks.
+// A replica that is not caught up compares this many times as often, because its router serves
+// requests without the bans and purges that are missing.
 constexpr Time kCatchUpSpeed = 5;
 
-constexpr std::size_t kDrawsPerPeer = 4;  // before a gossip makes do with fewer peers
+// Number of random draws per gossip target. If they are used up, fewer peers receive the change.
+constexpr std::size_t kDrawsPerPeer = 4;
 
-// What is known of a bucket digest exchange so far: floors to send, and buckets to ask for.
+// The result of comparing bucket digests: floors to send, and buckets whose floors to request.
 struct BucketDifferences {
   std::vector<PurgeFloor> ours;
   std::vector<std::size_t> buckets;
@@ -66,7 +68,7 @@
 
 void Replica::on(const ClockRead& event) { unix_offset_ = event.unix_now - now_; }
 
-// False: the time is too far ahead, which is reported.
+// Returns false and reports a clock skew if `time` is too far ahead of this router's clock.
 bool Replica::accept_time(Time time, const std::string& from) {
   if (!unix_offset_) return true;
   const Time ahead = time - (now_ + *unix_offset_);
@@ -80,7 +82,7 @@
   if (accept_time(event.bans.latest_time(), {})) bans_.join(event.bans);
 }
 
-// ---- Bounds
+// ---- Limits
 
 void Replica::report_reached_bounds() {
   const CausalContext& context = bans_.context();
@@ -107,7 +109,7 @@
   actions_->push_back(SendFrame{to, std::move(bytes)});
 }
 
-// To `fanout` peers that are drawn, each once, and not back to the one that it came from.
+// Sends a frame to `fanout` different random peers, except the peer that it was received from.
 void Replica::gossip(const std::string& bytes, const std::string& except) {
   ++counters_.changes_gossiped;
   if (peers_.empty()) return;
@@ -161,8 +163,8 @@
   if (floors_.raise_global(at)) actions_->push_back(ApplyGlobalPurge{at});
 }
 
-// The router is notified of the outcome only: two bans and one lift that arrive together are one
-// ban.
+// Merges bans and notifies the router of the net effect only: if two bans and one lift of a server
+// arrive together, the router receives one ban.
 void Replica::join_bans(const BanSet& theirs) {
   const auto before = bans_.banned_servers();
   bans_.join(theirs);
@@ -209,7 +211,8 @@
   if (differing.empty() && their_global_floor == floors_.global_floor()) {
     return;
   }
-  // Some of them, in no order: otherwise a large difference would never get past its beginning.
+  // The ranges to send are chosen at random. In a fixed order, a large difference would never get
+  // past the first ranges.
   std::shuffle(differing.begin(), differing.end(), random_);
   if (differing.size() > kMaxRangesPerFrame) differing.resize(kMaxRangesPerFrame);
   std::vector<RangeBuckets> ranges;
@@ -220,7 +223,8 @@
 
 // ---- Frames
 
-// The whole frame is decoded before any of it takes effect: one that is rejected changes nothing.
+// The whole frame is decoded and checked before any part of it takes effect, so a rejected frame
+// changes nothing.
 void Replica::on(const FrameReceived& event) {
   const auto frame = decode_frame(event.bytes);
   if (!frame || !accept_time(latest_time(*frame), event.from)) {
@@ -236,12 +240,13 @@
   if (bans_.digest() != digest_before) gossip_bans(frame.delta, from);
 }
 
-// A full set is answered once in each comparison that was opened here: copies that a bound keeps
-// from becoming equal would answer each other without end.
+// A full set is answered with a full set only once in each comparison that this replica has opened.
+// Otherwise, two replicas that a limit prevents from becoming equal would answer each other
+// forever.
 void Replica::handle(const std::string& from, const FullBansFrame& frame) {
   join_bans(frame.bans);
-  const bool they_lack_something = bans_.digest() != frame.bans.digest();
-  if (they_lack_something && open_comparisons_.erase(from) > 0) send_full_bans(from);
+  const bool is_peer_behind = bans_.digest() != frame.bans.digest();
+  if (is_peer_behind && open_comparisons_.erase(from) > 0) send_full_bans(from);
 }
 
 void Replica::handle(const std::string& from, const FloorUpdatesFrame& frame) {
@@ -265,7 +270,8 @@
   send_differing_ranges(from, frame.global_floor, frame.ranges);
 }
 
-// Comparisons that follow each other to fetch floors do not fetch the bans each time.
+// Sends the full set of bans, limited in rate: successive comparisons that transfer floors do not
+// transfer the bans each time.
 void Replica::answer_with_bans(const std::string& to) {
   const auto [sent_at, is_first] = full_bans_sent_at_.try_emplace(to, now_);
   const bool is_due = now_ >= sent_at->second + settings_.compare_interval / kCatchUpSpeed;
@@ -302,8 +308,8 @@
   if (!requested.empty()) {
     send(from, encode_floors(floors_.global_floor(), requested, {}));
   }
-  // At once again, until both are identical: a copy that was away for long catches up without
-  // waiting for its next comparison.
+  // This opens the next comparison at once, until both states are identical. A replica that was
+  // down for long catches up without waiting for its next scheduled comparison.
   if (frame.requested_buckets.empty() && !frame.floors.empty()) compare_with(from);
 }
 
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -1,21 +1,25 @@
-// One router's copy of what all routers of a cluster share: operators' bans and purge floors. A
-// state machine: events in, actions out. No I/O, no clock, no thread; not thread-safe.
+// Holds one router's replica of the state that all routers of a cluster share: operators' bans and
+// purge floors. Replica is a state machine that takes events and returns actions. It does no I/O,
+// reads no clock, starts no thread and is not thread-safe.
 //
-// Changes are gossiped at once to a few peers, and on from each peer for which they are new. Every
-// `compare_interval` one peer is asked to compare (anti-entropy): digests tell what differs, and
-// only that is sent. So what a partition or a loss kept from a peer arrives with the next
-// comparisons. Copies that a bound keeps from becoming equal exchange their bans once a comparison,
-// and full sets go to one peer no more often than comparisons are opened while catching up.
+// Replication: a change is gossiped to a few peers at once, and each peer that did not have the
+// change gossips it again. In addition, the replica compares its state with one peer in every
+// `compare_interval` (anti-entropy). The two exchange digests and then send only the parts that
+// differ. Changes that a peer missed because of a partition or a lost frame therefore arrive with
+// the next comparisons. If a limit prevents two replicas from becoming equal, they exchange their
+// bans once per comparison. Full sets are sent to one peer no more often than a replica that is
+// catching up opens comparisons.
 //
-// A copy is caught up once a peer has found both identical. Where no peer can say so, since there
-// is none, the peers run an earlier version without replication, or changes never stop, it counts
-// as caught up after `catch_up_timeout`, unless a large difference is still being transferred.
+// Catching up: a replica is caught up as soon as a peer has reported that both states are
+// identical. If no peer can report this, because there is no peer, the peers run an earlier version
+// without replication, or changes never stop, the replica counts as caught up after
+// `catch_up_timeout`, unless a large difference is still being transferred.
 //
-// Clock skew: a frame or a stored set with a time that is further ahead of this router's clock than
-// `max_clock_skew` is rejected whole and not passed on: a floor is never taken back, so one from
-// the far future would void the copies of an object, or all copies, until then.
+// Clock skew: a frame or a stored set that contains a time further ahead of this router's clock
+// than `max_clock_skew` is rejected as a whole and not forwarded. A floor never decreases, so a
+// floor in the far future would invalidate the copies of an object, or all copies, until that time.
 //
-// Bounds: see frame_codec.h. A frame that cannot be decoded, or exceeds a bound, is dropped and
+// Limits: see frame_codec.h. A frame that cannot be decoded or exceeds a limit is dropped and
 // counted, and changes nothing.
 #pragma once
 
@@ -35,123 +39,131 @@
 
 namespace alderspur::replication {
 
-/// Durations in microseconds.
+/// Settings of a replica. Durations are in microseconds.
 struct ReplicaSettings {
-  Author self;
+  Author self;  // the author of changes that are made at this router
   Time compare_interval = 1'000'000;
   Time catch_up_timeout = 3'000'000;
-  std::size_t fanout = 3;  // peers that a change is sent to
+  std::size_t fanout = 3;  // number of peers to which a change is gossiped
   std::size_t max_floors = kDefaultMaxFloors;
   Time max_clock_skew = 60'000'000;
 };
 
 // ---- Events
 
-/// The other routers that are there now.
+/// The set of other live routers has changed.
 struct PeersChanged {
   std::vector<std::string> names;
 };
+/// A frame of another router has arrived.
 struct FrameReceived {
   std::string from;
   std::string bytes;
 };
-/// The Unix time, in microseconds, at this moment. Until the first one, times are not judged.
+/// The current Unix time in microseconds. Until the first ClockRead, times are not checked.
 struct ClockRead {
   Time unix_now = 0;
 };
-/// What an earlier process of this router stored; before any other event.
+/// The bans that an earlier process of this router stored. It precedes all events but ClockRead.
 struct BansLoaded {
   BanSet bans;
 };
-/// An operator bans a server at this router.
+/// An operator has banned a server at this router.
 struct BanRequested {
   std::string server;
   std::string cause;
   Time at = 0;  // Unix time in microseconds
 };
-/// An operator lifts all bans of a server at this router.
+/// An operator has lifted all bans of a server at this router.
 struct LiftRequested {
   std::string server;
 };
-/// This router has heard of a purge by itself.
+/// This router has received a purge from a source other than its peers.
 struct PurgeObserved {
   PurgeFloor floor;
 };
+/// The next comparison may be due.
 struct Tick {};
 using Event = std::variant<PeersChanged, ClockRead, FrameReceived, BansLoaded, BanRequested,
                            LiftRequested, PurgeObserved, Tick>;
 
 // ---- Actions
 
+/// Sends a frame to the router named `to`.
 struct SendFrame {
   std::string to;
   std::string bytes;
 };
-/// A server was banned by another router, or its last ban lifted.
+/// Bans a server at this router because another router has banned it, or lifts the ban because the
+/// last ban of the server was lifted.
 struct SetBan {
   std::string server;
   bool is_banned = false;
 };
-/// Another router has heard of a purge.
+/// Applies a purge that another router has received.
 struct ApplyPurge {
   PurgeFloor floor;
 };
-/// Another router has folded purges into one of everything from before `at`: what they covered is
-/// no longer known.
+/// Purges all copies from before `at`, because another router has folded purges into its global
+/// floor. The objects and groups of these purges are no longer known.
 struct ApplyGlobalPurge {
   Time at = 0;
 };
-/// A ban that was requested here cannot be replicated: a limit is reached.
+/// Reports that a ban requested at this router cannot be replicated, because a limit is reached.
 struct ReportRefusedBan {
   std::string server;
 };
-/// What came from that peer was rejected for a time that is too far ahead. Empty: it was this
-/// router's own, stored bans or a purge.
+/// Reports that a frame of the peer `from` was rejected because it contains a time too far ahead.
+/// If `from` is empty, stored bans or a purge of this router were rejected.
 struct ReportClockSkew {
   std::string from;
-  Time ahead = 0;  // of this router's clock
+  Time ahead = 0;  // how far the time is ahead of this router's clock, in microseconds
 };
-/// The limits on what a copy holds.
+/// The limits on the size of a replica's state.
 enum class Bound : std::uint8_t { bans, authors, detached_dots, floors };
+/// Returns the name of the limit as it appears in the log.
 const char* to_string(Bound bound);
-/// A limit was reached that was not reached before. At the limit on floors older ones are folded;
-/// at the others further changes are refused, so that copies may stay different.
+/// Reports that a limit is reached that was not reached before. At the limit on floors, older
+/// floors are folded. At the other limits, further changes are refused, so replicas may stay
+/// different.
 struct ReportBound {
   Bound bound = Bound::bans;
 };
 using Action = std::variant<SendFrame, SetBan, ApplyPurge, ApplyGlobalPurge, ReportRefusedBan,
                             ReportClockSkew, ReportBound>;
 
+/// Event counts since the start.
 struct ReplicaCounters {
   std::uint64_t changes_gossiped = 0;
-  std::uint64_t comparisons = 0;
-  std::uint64_t identical = 0;  // comparisons that found both copies the same
-  std::uint64_t differing_buckets = 0;
-  std::uint64_t floors_received = 0;  // in answers to comparisons
-  std::uint64_t rejected = 0;         // frames
-  std::uint64_t clock_skews = 0;      // frames and own events with a time too far ahead
+  std::uint64_t comparisons = 0;        // opened by this replica
+  std::uint64_t identical = 0;          // comparisons that found both states identical
+  std::uint64_t differing_buckets = 0;  // found in comparisons
+  std::uint64_t floors_received = 0;    // in comparisons
+  std::uint64_t rejected = 0;           // frames
+  std::uint64_t clock_skews = 0;        // frames and local events with a time too far ahead
   std::uint64_t full_bans_sent = 0;
   std::uint64_t bounds_reached = 0;  // how often a limit was reached
-  std::uint64_t bans_refused = 0;    // requested here and not replicated
+  std::uint64_t bans_refused = 0;    // bans requested at this router and not replicated
 };
 
+/// The replica of one router. See the head of this file.
 class Replica {
  public:
   Replica(ReplicaSettings settings, std::uint64_t seed);
 
-  /// Appends to `actions` what is to be done, in order. `now` in microseconds, of a clock that does
-  /// not go back.
+  /// Handles an event and appends the resulting actions to `actions`, in the order in which they
+  /// must be executed. `now` is the time of a monotonic clock in microseconds.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  /// When the next Tick is due.
+  /// Returns the time at which the next Tick is due.
   Time next_tick() const { return compare_at_; }
 
   bool is_caught_up() const { return is_caught_up_; }
   const BanSet& bans() const { return bans_; }
   const PurgeFloors& floors() const { return floors_; }
   const ReplicaCounters& counters() const { return counters_; }
-  /// Whether one more ban that is requested here can be replicated.
+  /// Reports whether another ban that is requested at this router can be replicated.
   bool has_room_for_ban() const { return bans_.has_room_for(settings_.self); }
-  /// The limits that are reached now.
+  /// Returns the limits that are reached now.
   const std::set<Bound>& reached_bounds() const { return reached_bounds_; }
 
  private:
@@ -164,7 +176,7 @@
   void on(const PurgeObserved& event);
   void on(const Tick& event);
 
-  // Each handles one kind of frame.
+  // Each of these functions handles one kind of frame.
   void handle(const std::string& from, const BanDeltaFrame& frame);
   void handle(const std::string& from, const FloorUpdatesFrame& frame);
   void handle(const std::string& from, const DigestsFrame& frame);
@@ -192,19 +204,20 @@
   std::mt19937_64 random_;
   Time now_ = 0;
   Time compare_at_ = 0;
-  Time started_at_ = 0;                     // the first event
-  std::optional<Time> unix_offset_;         // of Unix time from `now_`
-  std::vector<Action>* actions_ = nullptr;  // of the event being handled
+  Time started_at_ = 0;                     // time of the first event
+  std::optional<Time> unix_offset_;         // Unix time minus `now_`
+  std::vector<Action>* actions_ = nullptr;  // output of the current handle() call
   std::vector<std::string> peers_;
   BanSet bans_;
   PurgeFloors floors_;
   bool is_caught_up_ = false;
-  bool has_more_to_receive_ = false;  // the last answer was as large as one may be
-  // Peers that were sent digests and have not been sent a full set in answer to theirs.
+  bool has_more_to_receive_ = false;  // the last floors frame had the maximum number of floors
+  // Peers to which digests were sent, and whose full set has not been answered with a full set
+  // since.
   std::set<std::string> open_comparisons_;
   std::map<std::string, Time> full_bans_sent_at_;  // in answer to digests, by peer
   std::set<Bound> reached_bounds_;
-  std::uint64_t folds_reported_ = 0;
+  std::uint64_t folds_reported_ = 0;  // value of floors_.folds() at the last report
   ReplicaCounters counters_;
 };
 
--- a/tests/cluster/faulty_links.h
+++ b/tests/cluster/faulty_links.h
@@ -1,5 +1,7 @@
-// Gates between processes on loopback: each process tells the others the address of its gate, and
-// the gates pass datagrams and connections on as the fault of that ordered pair says.
+// Injects network faults between processes on the loopback interface. In front of each process
+// there is a proxy, here called a gate. Each process advertises the address of its gate to the
+// other processes. The gates forward datagrams and connections, and apply the fault that is set for
+// the ordered pair of sender and receiver.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,36 +30,37 @@
 using alderspur::core::Time;
 
 constexpr Time kSecond = 1'000'000;
-constexpr std::size_t kDatagramBuffer = 8192;
-constexpr std::size_t kConnectionBuffer = 65536;
+constexpr std::size_t kDatagramBuffer = 8192;     // bytes
+constexpr std::size_t kConnectionBuffer = 65536;  // bytes
 constexpr std::size_t kMaxRecordedDatagrams = 400;
-constexpr std::size_t kChunksPerSecond = 50;  // in which a limited rate is transmitted
-constexpr Time kLateDelay = 900'000;          // of the one late datagram
+constexpr std::size_t kChunksPerSecond = 50;  // reads per second on a link with a limited rate
+constexpr Time kLateDelay = 900'000;          // microseconds; of the datagram that is to be late
 
-/// What happens on the way from one process to another.
+/// The faults in one direction between two processes. Times are in microseconds.
 struct Fault {
-  bool cut = false;      // datagrams are lost and connections closed
-  bool stall = false;    // datagrams are lost; connections stay open and transmit nothing
-  unsigned loss = 0;     // percent of the datagrams, as the following
-  unsigned corrupt = 0;  // one byte is changed; of connections one byte of a chunk
-  unsigned twice = 0;    // delivered twice
-  Time delay = 0;        // of datagrams
-  Time jitter = 0;       // added to the delay, drawn below this
-  std::size_t rate = 0;  // bytes a second of connections; 0: not limited
+  bool cut = false;        // datagrams are lost and connections are closed
+  bool stall = false;      // datagrams are lost; connections stay open and transmit nothing
+  unsigned loss = 0;       // percentage of datagrams that are lost
+  unsigned corrupt = 0;    // percentage of datagrams, or chunks of connections, with a changed byte
+  unsigned duplicate = 0;  // percentage of datagrams that are delivered twice
+  Time delay = 0;          // delay of datagrams
+  Time jitter = 0;         // random time below this value that is added to the delay
+  std::size_t rate = 0;    // bytes per second on connections; 0 if not limited
 };
 
-/// The address of the process, or of the gate, of an index.
+/// Returns the address of the process, or of the gate, with this index.
 using AddressOf = std::function<sockaddr_in(std::size_t index)>;
 
-/// Everything runs in step(), on the caller's thread.
+/// The gates of all processes. All work is done in step(), on the caller's thread.
 class FaultyLinks {
  public:
+  /// A recorded datagram and the index of the process that it was sent to.
   struct Datagram {
     std::size_t to = 0;
     std::string bytes;
   };
 
-  /// `index_of` gives the process that an address belongs to.
+  /// `index_of` returns the index of the process that an address belongs to.
   FaultyLinks(std::size_t count, std::uint64_t seed, const AddressOf& gate_address,
               AddressOf process_address, std::function<std::size_t(const sockaddr_in&)> index_of)
       : random_(seed),
@@ -68,19 +71,23 @@
     }
   }
 
+  /// Returns the faults in the direction from one process to another, which the caller may change.
   Fault& way(std::size_t from, std::size_t to) { return faults_[{from, to}]; }
-  /// From now on, counted over all gates: that datagram is lost, and that one is late.
+  /// Counts the datagrams of all gates from now on, and loses the datagram number `lost` and delays
+  /// the datagram number `late`.
   void lose_one_and_delay_one(std::uint64_t lost, std::uint64_t late) {
     datagram_count_ = 0;
     lost_datagram_ = lost;
     late_datagram_ = late;
   }
-  /// The last datagrams that came to any gate.
+  /// Returns the most recent datagrams that arrived at any gate.
   const std::vector<Datagram>& recorded() const { return recorded_; }
+  /// Sends a datagram to a process from its own gate.
   void inject(std::size_t to, const std::string& bytes) {
     gates_[to]->send(process_address_(to), bytes);
   }
 
+  /// Forwards everything that can be forwarded now.
   void step() {
     for (std::size_t to = 0; to < gates_.size(); ++to) {
       receive_datagrams(to);
@@ -116,12 +123,12 @@
   };
   struct Side {
     net::Fd socket;
-    Time next_at = 0;  // where a rate is set: when the next bytes may be read
+    Time next_at = 0;  // when the next bytes may be read, if a rate is set
   };
   struct Connection {
     std::size_t from = 0;
     std::size_t to = 0;
-    std::array<Side, 2> sides;  // at the caller, at the called
+    std::array<Side, 2> sides;  // the initiator's side, the accepting side
   };
   struct Delayed {
     Time due_at = 0;
@@ -140,10 +147,10 @@
       const ssize_t received = ::recvfrom(gates_[to]->udp(), buffer.data(), buffer.size(), 0,
                                           reinterpret_cast<sockaddr*>(&from), &size);
       if (received < 0) return;
-      pass_on(index_of_(from), to, {buffer.data(), static_cast<std::size_t>(received)});
+      forward(index_of_(from), to, {buffer.data(), static_cast<std::size_t>(received)});
     }
   }
-  void pass_on(std::size_t from, std::size_t to, std::string bytes) {
+  void forward(std::size_t from, std::size_t to, std::string bytes) {
     if (from >= gates_.size()) return;
     const Fault& fault = faults_[{from, to}];
     record(to, bytes);
@@ -158,7 +165,7 @@
       byte = static_cast<char>(byte ^ static_cast<char>(1 + random_() % 255));
     }
     const Time delay = fault.delay + jitter_of(fault);
-    const int copies = draw_percent(fault.twice) ? 2 : 1;
+    const int copies = draw_percent(fault.duplicate) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
       if (delay > 0) {
         delayed_.push_back({net::unix_now() + delay, from, to, bytes});
@@ -216,7 +223,7 @@
     connection.sides[1].socket = std::move(onward);
     connections_.push_back(std::move(connection));
   }
-  // False once the connection is to be closed.
+  // Forwards bytes in both directions. Returns false if the connection must be closed.
   bool transmit(Connection& connection) {
     const Fault& forth = faults_[{connection.from, connection.to}];
     const Fault& back = faults_[{connection.to, connection.from}];
@@ -262,7 +269,7 @@
   AddressOf process_address_;
   std::function<std::size_t(const sockaddr_in&)> index_of_;
   std::vector<std::unique_ptr<Gate>> gates_;
-  std::map<std::pair<std::size_t, std::size_t>, Fault> faults_;  // from, to
+  std::map<std::pair<std::size_t, std::size_t>, Fault> faults_;  // by sender and receiver
   std::vector<Delayed> delayed_;
   std::vector<Datagram> recorded_;
   std::vector<Connection> connections_;
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,5 +1,5 @@
-// Membership between routers on a simulated network. A check that fails prints its seed, which
-// replays it.
+// Tests of the membership protocol between routers on a simulated network. A failed check prints
+// its seed, which reproduces the run.
 #include "cluster/membership.h"
 
 #include <gtest/gtest.h>
@@ -61,7 +61,7 @@
   EXPECT_TRUE(network.run_until([&] { return network.all_see_each_other(); }, kFormTimeout));
 }
 
-TEST_P(MembershipTest, DetectsAFailureAndTheNewStart) {
+TEST_P(MembershipTest, DetectsAFailureAndARestart) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(7));
   const auto epoch_before = network.member("n4").self().epoch;
@@ -74,8 +74,8 @@
   EXPECT_GT(network.member("n0").find("n4")->update.identity.epoch, epoch_before);
 }
 
-// It is failed meanwhile, and refutes that.
-TEST_P(MembershipTest, SuspectsNobodyAfterItWasStoppedItself) {
+// The other members declare the stopped process failed; it refutes this once it resumes.
+TEST_P(MembershipTest, SuspectsNoMemberAfterItsOwnProcessWasStopped) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(5));
   network.stop("at-n3");
@@ -89,7 +89,7 @@
   EXPECT_GE(network.member("n3").counters().stalls, 1U);
 }
 
-TEST_P(MembershipTest, ReportsAPartitionOnBothSidesAndMergesAfterIt) {
+TEST_P(MembershipTest, ReportsAPartitionOnBothSidesAndMergesAfterwards) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(5));
   const std::set<std::string> minority = {"at-n0", "at-n1"};
@@ -116,8 +116,8 @@
       [&] { return network.member("n1").health() == ClusterHealth::isolated; }, 10 * kSecond));
 }
 
-// The others carry what does not get through.
-TEST_P(MembershipTest, FailsNobodyWhenOneDirectionBetweenTwoIsLost) {
+// Indirect probes by the other members replace the messages that are lost.
+TEST_P(MembershipTest, DeclaresNoFailureWhenOneDirectionOfALinkIsCut) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(5));
   network.set_loss(
@@ -127,8 +127,8 @@
   EXPECT_TRUE(network.all_see_each_other());
 }
 
-// Only neighbours reach each other; the middle probes for the ends.
-TEST_P(MembershipTest, FailsNobodyInAChainOfThree) {
+// Only neighbours reach each other. The member in the middle probes on behalf of the other two.
+TEST_P(MembershipTest, DeclaresNoFailureInAChainOfThreeMembers) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(3));
   network.set_loss(
@@ -138,7 +138,7 @@
   EXPECT_TRUE(network.all_see_each_other());
 }
 
-TEST_P(MembershipTest, FailsNobodyWhenALinkFlaps) {
+TEST_P(MembershipTest, DeclaresNoFailureWhenALinkFlaps) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(5));
   network.set_loss([&](const auto& from, const auto& to) {
@@ -150,7 +150,7 @@
   EXPECT_EQ(failure_count(network), 0U);
 }
 
-TEST_P(MembershipTest, FailsNobodyWhenAFifthOfAllMessagesIsLostForTwoMinutes) {
+TEST_P(MembershipTest, DeclaresNoFailureWhenAFifthOfAllMessagesIsLostForTwoMinutes) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(7));
   network.set_loss([&](const auto&, const auto&) { return network.draw(5) == 0; });
@@ -158,7 +158,7 @@
   EXPECT_EQ(failure_count(network), 0U);
 }
 
-TEST_P(MembershipTest, FormsOneClusterAgainAfterAllWereKilled) {
+TEST_P(MembershipTest, FormsOneClusterAgainAfterAllMembersWereKilled) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(10));
   for (std::size_t i = 0; i < 10; ++i) network.kill(address_of(node_name(i)));
@@ -167,36 +167,36 @@
   EXPECT_TRUE(network.run_until([&] { return network.all_whole(); }, kFormTimeout));
 }
 
-TEST_P(MembershipTest, TellsMembersApartWhenOneTakesTheAddressOfAnother) {
+TEST_P(MembershipTest, DistinguishesMembersWhenOneTakesTheAddressOfAnother) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(5));
   network.kill("at-n3");
   network.kill("at-n4");
-  network.start("n3", {"at-n0"}, "at-n4");  // at once, where n4 was
-  const auto is_told_apart = [&] {
+  network.start("n3", {"at-n0"}, "at-n4");  // at once, at the address of n4
+  const auto are_distinguished = [&] {
     const auto* moved = network.member("n0").find("n3");
-    const auto* gone = network.member("n0").find("n4");
-    if (moved == nullptr || gone == nullptr) return false;
+    const auto* killed = network.member("n0").find("n4");
+    if (moved == nullptr || killed == nullptr) return false;
     return moved->update.state == MemberState::alive && moved->update.identity.address == "at-n4" &&
-           gone->update.state == MemberState::failed;
+           killed->update.state == MemberState::failed;
   };
-  EXPECT_TRUE(network.run_until(is_told_apart, 8 * kSecond));
+  EXPECT_TRUE(network.run_until(are_distinguished, 8 * kSecond));
   network.run(5 * kSecond);
   EXPECT_EQ(network.member("n1").find("n3")->update.state, MemberState::alive);
 }
 
-TEST_P(MembershipTest, KeepsTheLaterOfTwoProcessesWithOneName) {
+TEST_P(MembershipTest, KeepsTheLaterOfTwoProcessesWithTheSameName) {
   Network& network = this->network();
   ASSERT_NO_FATAL_FAILURE(form(4));
   network.start("n2", {"at-n0"}, "elsewhere");
   EXPECT_TRUE(network.run_until([&] { return network.node("at-n2").is_superseded; }, 8 * kSecond));
   EXPECT_FALSE(network.node("elsewhere").is_superseded);
-  const auto holds_the_later = [&] {
+  const auto has_later_process = [&] {
     const auto* view = network.member("n0").find("n2");
     return view != nullptr && view->update.identity.address == "elsewhere" &&
            view->update.state == MemberState::alive;
   };
-  EXPECT_TRUE(network.run_until(holds_the_later, 5 * kSecond));
+  EXPECT_TRUE(network.run_until(has_later_process, 5 * kSecond));
   std::size_t conflicts = 0;
   for (auto& [address, node] : network.nodes()) conflicts += node.conflicts.size();
   EXPECT_GE(conflicts, 1U);
@@ -215,7 +215,7 @@
   EXPECT_TRUE(network.all_whole()) << "a member that has left does not degrade the cluster";
 }
 
-TEST_P(MembershipTest, IsNotMisledByReplayedMessagesOfAForgottenMember) {
+TEST_P(MembershipTest, IgnoresReplayedMessagesOfAForgottenMember) {
   Network& network = this->network();
   network.start_all(5);
   std::vector<std::pair<std::string, cluster::Message>> recorded;
@@ -226,7 +226,7 @@
   network.run(5 * kSecond);
   network.kill("at-n3");
   network.run(75 * kSecond);
-  EXPECT_EQ(network.member("n0").find("n3"), nullptr) << "forgotten";
+  EXPECT_EQ(network.member("n0").find("n3"), nullptr) << "n3 is removed from the table";
   for (const auto& [to, message] : recorded) {
     network.deliver(to, cluster::MessageReceived{message, "at-n3"});
   }
@@ -240,7 +240,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, MembershipTest,
                          ::testing::Range(std::uint64_t{1}, std::uint64_t{13}));
 
-// Kills, stops, partitions and losses, all drawn.
+// A cluster that suffers random kills, stops, partitions and losses.
 class RandomFaults {
  public:
   explicit RandomFaults(std::uint64_t seed) : size_(3 + seed % 7), network_(seed) {
@@ -297,7 +297,7 @@
   std::string description_;
 };
 
-TEST(MembershipExplored, ConvergesAfterRandomFaults) {
+TEST(MembershipExploration, ConvergesAfterRandomFaults) {
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     RandomFaults faults(seed);
     faults.run_steps(25);
@@ -308,7 +308,7 @@
   }
 }
 
-// Bytes a member sends in ten seconds, once the updates of the start have been sent.
+// Returns the bytes that a member sends in ten seconds, after the updates of the start were sent.
 double load_per_member(std::size_t size) {
   Network network(5);
   network.start_all(size);
@@ -330,8 +330,8 @@
   EXPECT_GT(small, 1000);
 }
 
-// One schedule of the exhaustive exploration: of the messages after the cluster has formed one is
-// lost and one is late, and one member is killed and started again.
+// One schedule of the exhaustive exploration. Of the messages sent after the cluster has formed,
+// one is lost and one is delayed, and one member is killed and restarted.
 class RestartSchedule {
  public:
   RestartSchedule(std::uint64_t lost_message, std::uint64_t late_message, std::size_t restarted)
@@ -351,7 +351,7 @@
     network_.run(restart_after);
     const auto address = address_of(restarted_);
     network_.kill(address);
-    // The new process knows nothing yet.
+    // The new process has an empty table.
     std::erase_if(known_, [&](const auto& entry) { return entry.first.first == address; });
     network_.start(restarted_, Network::default_seeds());
   }
@@ -364,13 +364,13 @@
   std::uint64_t epoch_known_to(std::size_t index) {
     return network_.member(node_name(index)).find(restarted_)->update.identity.epoch;
   }
-  bool has_gone_back() const { return has_gone_back_; }
+  bool has_regressed() const { return has_regressed_; }
   bool has_failed_another() const { return has_failed_another_; }
 
  private:
   void check(const Node& node, const cluster::GossipUpdate& update) {
     auto [known, is_new] = known_.try_emplace({node.address, update.identity.name}, update);
-    if (!is_new && !cluster::overrides(update, known->second)) has_gone_back_ = true;
+    if (!is_new && !cluster::overrides(update, known->second)) has_regressed_ = true;
     known->second = update;
     const bool is_restarted = update.identity.name == restarted_;
     if (update.state == MemberState::failed && !is_restarted) has_failed_another_ = true;
@@ -379,10 +379,11 @@
   Network network_{3};
   const std::string restarted_;
   std::uint64_t message_count_ = 0;
-  // What each process, by address, knows of each other, by name.
+  // The latest update on each member, by the address of the reporting process and the member's
+  // name.
   std::map<std::pair<std::string, std::string>, cluster::GossipUpdate> known_;
-  bool has_gone_back_ = false;
-  bool has_failed_another_ = false;
+  bool has_regressed_ = false;       // a process has replaced an update by a lesser one
+  bool has_failed_another_ = false;  // a member other than the restarted one was declared failed
 };
 
 void check_restart_schedule(std::uint64_t lost, std::uint64_t late, Time restart_after,
@@ -393,7 +394,7 @@
   ASSERT_FALSE(::testing::Test::HasFailure());
   schedule.run_and_restart(restart_after);
   ASSERT_TRUE(schedule.run_until_whole());
-  ASSERT_FALSE(schedule.has_gone_back());
+  ASSERT_FALSE(schedule.has_regressed());
   ASSERT_FALSE(schedule.has_failed_another());
   for (std::size_t i = 0; i < 3; ++i) {
     if (i != restarted) {
@@ -402,14 +403,16 @@
   }
 }
 
-// Exhaustive, in a small case: three members; one of the first messages is lost, one is late, and
-// one member is restarted at one of six moments. In each schedule: what a member knows of another
-// never goes back in (epoch, incarnation, state); nobody but the restarted member is ever failed;
-// in the end all are whole and know the new start. ALDERSPUR_EXPLORE sets the number of first
-// messages (24 by default: 24 x 24 x 6 x 3 schedules).
-TEST(MembershipExplored, NeverGoesBackWithOneLossOneDelayAndOneRestart) {
-  const char* wide = std::getenv("ALDERSPUR_EXPLORE");
-  const std::uint64_t messages = wide != nullptr ? std::strtoull(wide, nullptr, 10) : 24;
+// Explores a small case exhaustively: three members, of whose first messages one is lost and one is
+// delayed, and one member that is restarted at one of six moments. In each schedule, a member's
+// update on another member never decreases in (epoch, incarnation, state), no member but the
+// restarted one is declared failed, and in the end the cluster is whole and all members have the
+// epoch of the restarted one. ALDERSPUR_EXPLORE sets the number of first messages (24 by default:
+// 24 x 24 x 6 x 3 schedules).
+TEST(MembershipExploration, UpdatesNeverRegressWithOneLossOneDelayAndOneRestart) {
+  const char* configured = std::getenv("ALDERSPUR_EXPLORE");
+  const std::uint64_t messages =
+      configured != nullptr ? std::strtoull(configured, nullptr, 10) : 24;
   std::uint64_t schedules = 0;
   for (std::uint64_t lost = 0; lost < messages; ++lost) {
     for (std::uint64_t late = 0; late < messages; ++late) {
--- a/tests/cluster/rig.h
+++ b/tests/cluster/rig.h
@@ -1,7 +1,9 @@
-// Several processes of `alderspur run` on loopback, with a gate of the test on every link between
-// two of them (see faulty_links.h). Each process has a loopback address of its own.
+// Runs several processes of `alderspur run` on the loopback interface. A gate of the test is on
+// each link between two processes and can inject faults (see faulty_links.h). Each process has a
+// loopback address of its own.
 //
-// Everything runs in the test's thread, in run() and until(); waits are for a state within a bound.
+// The gates run on the test's thread, in run(), until() and the calls to a process's admin port.
+// Tests wait for a condition with a timeout, not for a fixed time.
 #pragma once
 
 #include <arpa/inet.h>
@@ -33,45 +35,48 @@
 namespace rig {
 
 constexpr const char* kSecret = "a secret of the tests, of more than 32 characters";
-constexpr std::size_t kOwnAddress = ~std::size_t{0};
+constexpr std::size_t kOwnAddress = ~std::size_t{0};  // value of Setup::at
 constexpr int kAdminPort = 7001;
 constexpr int kClusterPort = 7002;
 constexpr int kClientPort = 7003;
-constexpr std::size_t kFirstGate = 100;  // last byte of the addresses of gates
-constexpr std::size_t kMaxPrintedLog = 3000;
+constexpr std::size_t kFirstGate = 100;       // last byte of the address of the first gate
+constexpr std::size_t kMaxPrintedLog = 3000;  // bytes of each process's log
 
-/// What a process is started with; changed before start().
+/// The configuration of one process. Changes take effect at the next start of the process.
 struct Setup {
   std::string secret = kSecret;
-  std::string member;  // its name; empty: the default
+  std::string member;  // name of the process; if empty, the default name
   std::string cluster = "tests";
-  std::string period = "150 ms";  // of probes
-  std::vector<std::size_t> seeds = {0, 1, 2};
-  std::size_t at = kOwnAddress;     // or gate and address of that process
-  std::vector<std::size_t> voters;  // of versions; none: no consensus
-  bool alone = false;       // with an endpoint list as where there are voters, but without them
-  std::string servers;      // the endpoint list it starts with
-  std::size_t routers = 0;  // as each is configured
-  std::string board;        // address of service discovery, where there is an endpoint list
-  std::string obligations;  // JSON members of the platform's settings, for servers that warm up
-  std::string domain;       // the same
+  std::string period = "150 ms";               // probe interval
+  std::vector<std::size_t> seeds = {0, 1, 2};  // indexes of processes
+  std::size_t at = kOwnAddress;     // index of the process whose gate and address this one uses
+  std::vector<std::size_t> voters;  // indexes of the voters; if empty, there is no consensus
+  // Configures an endpoint list, as if there were voters, but without consensus.
+  bool without_consensus = false;
+  std::string servers;      // the endpoint list at the start
+  std::size_t routers = 0;  // the configured number of routers
+  std::string board;        // address of service discovery; used only with an endpoint list
+  std::string obligations;  // members of the JSON object "settings", for servers that warm up
+  std::string domain;       // members of the JSON object "domain", for servers that warm up
 };
 
-/// Called by a Rig, in the test's thread.
+/// Callbacks of a Rig, which run on the test's thread.
 struct RigHooks {
-  std::function<void()> on_step;  // each time round
+  std::function<void()> on_step;  // called in each iteration of a wait
 };
 
+/// The processes of one test, their files and the links between them. The destructor kills the
+/// processes, removes the files and, if the test has failed, prints the logs.
 class Rig : public RigHooks {
  public:
-  /// A process's own view of the cluster.
+  /// The cluster as one process reports it on its admin port.
   struct View {
     bool answered = false;
-    std::string whole;                          // its health
-    std::map<std::string, std::string> states;  // of the others, by name, as the following
+    std::string whole;                          // the health of the cluster
+    std::map<std::string, std::string> states;  // of the other members, by name
     std::map<std::string, std::string> addresses;
     std::map<std::string, std::uint64_t> epochs;
-    std::map<std::string, std::uint64_t> counts;  // by counter
+    std::map<std::string, std::uint64_t> counts;  // by name of the counter
     std::size_t alive() const {
       return static_cast<std::size_t>(
           std::count_if(states.begin(), states.end(),
@@ -91,7 +96,7 @@
             }) {
     for (std::size_t i = 0; i < size; ++i) {
       std::filesystem::create_directories(file(i, ""));
-      lie(i, 0);
+      set_faults(i, 0);
       configure(i);
     }
   }
@@ -107,10 +112,11 @@
 
   // ---- Processes
 
+  /// Writes the configuration files of a process.
   void configure(std::size_t i, const Setup& setup = {}) {
     std::filesystem::create_directories(file(i, ""));
     std::ofstream(file(i, "secret")) << setup.secret << "\n";
-    const bool has_endpoint_list = !setup.voters.empty() || setup.alone;
+    const bool has_endpoint_list = !setup.voters.empty() || setup.without_consensus;
     if (has_endpoint_list) {
       write_config_with_list(i, setup);
     } else {
@@ -154,7 +160,8 @@
     return false;
   }
   pid_t pid(std::size_t i) const { return processes_[i].pid; }
-  /// Of a process that has ended; negative: the signal that ended it.
+  /// Returns the exit code of a process that has ended, or the negative number of the signal that
+  /// ended it.
   int code(std::size_t i) const { return processes_[i].exit_code; }
   std::string log(std::size_t i) const {
     std::ifstream log_file(file(i, "log"));
@@ -168,16 +175,17 @@
 
   // ---- Disks
 
-  /// A fault of the disk under its state (see faulty_disk.cpp), and of its wall clock, in
-  /// microseconds.
-  void lie(std::size_t i, std::int64_t fault, std::int64_t clock = 0) {
+  /// Sets the fault of the disk that holds a process's state (see faulty_disk.cpp), and the error
+  /// of its wall clock in microseconds. Takes effect at once in a running process.
+  void set_faults(std::size_t i, std::int64_t disk_fault, std::int64_t clock_error = 0) {
     std::filesystem::create_directories(file(i, "shadow"));
-    const std::array<std::int64_t, 2> words = {fault, clock};
-    // In place: the process has mapped it.
+    const std::array<std::int64_t, 2> words = {disk_fault, clock_error};
+    // The file is overwritten in place, because the process has mapped it.
     const net::Fd control(::open(file(i, "control").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
     (void)!::pwrite(control.get(), words.data(), sizeof words, 0);
   }
-  /// Kills the process and leaves of its state what was really synced.
+  /// Simulates a power loss: kills the process and keeps only the part of its state that was
+  /// synced.
   void lose_power(std::size_t i) {
     kill(i);
     const std::string state_folder = state(i);
@@ -195,7 +203,9 @@
       }
     }
   }
+  /// Returns the path of a process's state folder.
   std::string state(std::size_t i) const { return file(i, "state"); }
+  /// Replaces a process's endpoint list.
   void write_list(std::size_t i, const std::string& servers) {
     std::ofstream(file(i, "next.toml")) << servers;
     std::filesystem::rename(file(i, "next.toml"), file(i, "servers.toml"));
@@ -203,7 +213,7 @@
 
   // ---- Calls
 
-  /// The body of the answer to an operator's call; empty where there is none.
+  /// Sends an admin request and returns the body of the response; empty if there is no response.
   std::string get(std::size_t i, const std::string& target) {
     return call(i, "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").value_or("");
   }
@@ -212,6 +222,7 @@
                        std::to_string(body.size()) + "\r\n\r\n" + body)
         .value_or("");
   }
+  /// Returns the address at which a process accepts clients.
   sockaddr_in clients(std::size_t i) const { return address(i + 1, kClientPort); }
   View view(std::size_t i) {
     View view;
@@ -234,7 +245,8 @@
     }
     return view;
   }
-  /// All of those see exactly each other, and say that the cluster is whole.
+  /// Reports whether each of these processes has exactly the others as alive members and reports
+  /// that the cluster is whole.
   bool whole(const std::vector<std::size_t>& indexes) {
     return std::all_of(indexes.begin(), indexes.end(), [&](std::size_t i) {
       const auto seen = view(i);
@@ -244,11 +256,12 @@
 
   // ---- Time
 
-  bool until(const std::function<bool()>& holds, Time timeout = 25 * kSecond) {
+  /// Runs until the condition is true; returns false if it is not true within `timeout`.
+  bool until(const std::function<bool()>& condition, Time timeout = 25 * kSecond) {
     for (const Time end = net::unix_now() + timeout; net::unix_now() < end; run(100'000)) {
-      if (holds()) return true;
+      if (condition()) return true;
     }
-    return holds();
+    return condition();
   }
   void run(Time duration) {
     for (const Time end = net::unix_now() + duration; net::unix_now() < end; ::usleep(500)) step();
@@ -256,8 +269,9 @@
 
   // ---- Links
 
+  /// Returns the faults in the direction from one process to another, which the caller may change.
   Fault& way(std::size_t from, std::size_t to) { return links_.way(from, to); }
-  /// Cuts both directions between each of the one group and each of the other, or mends them.
+  /// Cuts both directions of all links between two groups of processes, or restores them.
   void cut(const std::vector<std::size_t>& one, const std::vector<std::size_t>& other,
            bool is_cut = true) {
     for (const auto i : one) {
@@ -267,6 +281,7 @@
       }
     }
   }
+  /// Changes the faults in all directions between any two processes.
   void each_way(const std::function<void(Fault&)>& change) {
     for (const auto i : all()) {
       for (const auto j : all()) {
@@ -274,12 +289,13 @@
       }
     }
   }
+  /// Returns the address of a process's gate as text.
   std::string gate(std::size_t i) const { return net::to_string(gate_address(i)); }
   FaultyLinks& links() { return links_; }
 
  private:
   struct Process {
-    pid_t pid = 0;  // 0: it does not run
+    pid_t pid = 0;  // 0 if the process does not run
     int exit_code = -1;
   };
 
@@ -287,7 +303,8 @@
     std::string name = "/tmp/alderspur-rig-XXXXXX";
     return ::mkdtemp(name.data());
   }
-  // The first three bytes of the addresses: of this test process alone.
+  // Returns the first three bytes of the loopback addresses. They are derived from the process id,
+  // so that test processes that run at the same time use different addresses.
   static std::string make_network() {
     const auto pid = static_cast<unsigned>(::getpid());
     return "127." + std::to_string(64 + pid % 60) + "." + std::to_string(1 + pid / 60 % 250) + ".";
@@ -306,7 +323,7 @@
                                           << i + 1 << R"(:0","settings":{"azs":["edge"],"zone":0,
             "classes":[{"name":"asset","target":5000000,"give-up":3000000,"points":1,"repeat":"safe"}]}})";
   }
-  // A router of a location with an endpoint list, which an agreed version replaces.
+  // Configures a router with an endpoint list, which an agreed version replaces.
   void write_config_with_list(std::size_t i, const Setup& setup) const {
     std::ofstream(file(i, "servers.toml")) << setup.servers;
     std::ofstream(file(i, "config.json"))
@@ -335,8 +352,8 @@
     toml << "seeds = [";
     for (const auto seed : setup.seeds) toml << '"' << gate(seed) << "\", ";
     toml << "]\n";
-    if (setup.voters.empty() && !setup.alone) return;
-    if (!setup.alone) {
+    if (setup.voters.empty() && !setup.without_consensus) return;
+    if (!setup.without_consensus) {
       toml << "[cluster.agreement]\nvoters = [";
       for (const auto voter : setup.voters) toml << "\"n" << voter << "\", ";
       toml << "]\n";
@@ -355,7 +372,7 @@
     if (on_step) on_step();
     links_.step();
   }
-  // The body of the answer; empty where none comes within a second.
+  // Returns the body of the response; nothing if none arrives within a second.
   std::optional<std::string> call(std::size_t i, const std::string& request) {
     const sockaddr_in admin = address(i + 1, kAdminPort);
     const net::Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
--- a/tests/cluster/rig_test.cpp
+++ b/tests/cluster/rig_test.cpp
@@ -1,4 +1,5 @@
-// Several processes of the program with faults between them. Checks read each process's own view.
+// Tests of a cluster of several processes of the program, with injected faults. The checks use the
+// view that each process reports.
 #include <sstream>
 
 #include "cluster/schedule.h"
@@ -16,16 +17,16 @@
     ASSERT_TRUE(cluster.until([&] { return cluster.whole(cluster.all()); }));
   }
   static std::uint64_t failures(Rig& cluster) {
-    std::uint64_t n = 0;
-    for (const auto i : cluster.all()) n += cluster.view(i).counts["failures"];
-    return n;
+    std::uint64_t count = 0;
+    for (const auto i : cluster.all()) count += cluster.view(i).counts["failures"];
+    return count;
   }
 };
 
-TEST_F(RigTest, FormsOneClusterAndDetectsAFailureAndTheNewStart) {
+TEST_F(RigTest, FormsOneClusterAndDetectsAFailureAndARestart) {
   Rig cluster(5);
   form(cluster);
-  const auto before = cluster.view(0).epochs["n4"];
+  const auto epoch_before = cluster.view(0).epochs["n4"];
   cluster.kill(4);
   ASSERT_TRUE(cluster.until([&] {
     for (std::size_t i = 0; i < 4; ++i) {
@@ -36,24 +37,24 @@
   }));
   cluster.start(4);
   ASSERT_TRUE(cluster.until([&] { return cluster.whole(cluster.all()); }));
-  EXPECT_GT(cluster.view(0).epochs["n4"], before);
+  EXPECT_GT(cluster.view(0).epochs["n4"], epoch_before);
 }
 
-TEST_F(RigTest, SuspectsNobodyAfterItWasStoppedItself) {
+TEST_F(RigTest, SuspectsNoMemberAfterItsOwnProcessWasStopped) {
   Rig cluster(4);
   form(cluster);
   cluster.signal(3, SIGSTOP);
   ASSERT_TRUE(cluster.until([&] { return cluster.view(0).states["n3"] == "failed"; }));
   cluster.run(3 * kSecond);
-  const auto before = failures(cluster);
+  const auto failures_before = failures(cluster);
   cluster.signal(3, SIGCONT);
   ASSERT_TRUE(cluster.until([&] { return cluster.whole(cluster.all()); }));
   EXPECT_EQ(cluster.view(3).counts["failures"], 0U);
   EXPECT_GE(cluster.view(3).counts["stalls"], 1U);
-  EXPECT_LE(failures(cluster), before + 1);
+  EXPECT_LE(failures(cluster), failures_before + 1);
 }
 
-TEST_F(RigTest, ReportsAPartitionOnBothSidesAndMergesAfterIt) {
+TEST_F(RigTest, ReportsAPartitionOnBothSidesAndMergesAfterwards) {
   Rig cluster(5);
   form(cluster);
   cluster.cut({0, 1}, {2, 3, 4});
@@ -65,7 +66,7 @@
   EXPECT_TRUE(cluster.until([&] { return cluster.whole(cluster.all()); }));
 }
 
-TEST_F(RigTest, FailsNobodyWhenOneDirectionIsLostAndALinkFlaps) {
+TEST_F(RigTest, DeclaresNoFailureWhenOneDirectionIsCutAndALinkFlaps) {
   Rig cluster(4);
   form(cluster);
   cluster.way(1, 2).cut = true;
@@ -78,19 +79,19 @@
   EXPECT_EQ(cluster.view(2).states["n1"], "alive");
 }
 
-// A stalled link accepts connections and transmits nothing: the exchange over it times out.
+// A stalled link accepts connections and transmits nothing, so an exchange over it times out.
 TEST_F(RigTest, IsNotDelayedByAStalledLink) {
   Rig cluster(4);
   cluster.way(3, 0).stall = true;
   cluster.way(0, 3).stall = true;
-  form(cluster);  // n3's first seed is behind the stall
+  form(cluster);  // the first seed of n3 is behind the stalled link
   EXPECT_EQ(cluster.view(0).states["n3"], "alive");
   cluster.run(3 * kSecond);
   EXPECT_EQ(failures(cluster), 0U);
 }
 
-// Only neighbours reach each other; the middle probes for the ends.
-TEST_F(RigTest, FailsNobodyInAChainOfThree) {
+// Only neighbours reach each other. The process in the middle probes on behalf of the other two.
+TEST_F(RigTest, DeclaresNoFailureInAChainOfThreeMembers) {
   Rig cluster(3);
   form(cluster);
   cluster.cut({0}, {2});
@@ -100,27 +101,27 @@
   EXPECT_EQ(cluster.view(2).states["n0"], "alive");
 }
 
-TEST_F(RigTest, FailsNobodyWhenAFifthOfAllMessagesIsLostForTwoMinutes) {
+TEST_F(RigTest, DeclaresNoFailureWhenAFifthOfAllMessagesIsLostForTwoMinutes) {
   Rig cluster(5, 7);
   rig::Setup setup;
   setup.period = "300 ms";
   for (const auto i : cluster.all()) cluster.configure(i, setup);
   form(cluster);
-  cluster.each_way([](rig::Fault& f) { f.loss = 20; });
+  cluster.each_way([](rig::Fault& fault) { fault.loss = 20; });
   cluster.run(120 * kSecond);
   EXPECT_EQ(failures(cluster), 0U);
   EXPECT_TRUE(cluster.until([&] { return cluster.view(0).alive() == 4; }));
 }
 
-TEST_F(RigTest, FailsNobodyUnderLossCorruptionDuplicatesAndDelay) {
+TEST_F(RigTest, DeclaresNoFailureUnderLossCorruptionDuplicatesAndDelay) {
   Rig cluster(5, 42);
   form(cluster);
-  cluster.each_way([](rig::Fault& f) {
-    f.loss = 15;
-    f.corrupt = 5;
-    f.twice = 10;
-    f.delay = 2'000;
-    f.jitter = 20'000;
+  cluster.each_way([](rig::Fault& fault) {
+    fault.loss = 15;
+    fault.corrupt = 5;
+    fault.duplicate = 10;
+    fault.delay = 2'000;
+    fault.jitter = 20'000;
   });
   cluster.run(20 * kSecond);
   EXPECT_EQ(failures(cluster), 0U);
@@ -129,8 +130,8 @@
   EXPECT_NE(cluster.log(0).find("kind=spoilt"), std::string::npos);
 }
 
-// Datagrams that a stopped process once sent do not bring it back; garbage and frames of later
-// versions and other clusters are dropped.
+// Replayed datagrams of a killed process do not bring it back. Malformed datagrams and frames of
+// later versions or other clusters are dropped.
 TEST_F(RigTest, IgnoresReplayedForeignAndCorruptDatagrams) {
   Rig cluster(3);
   form(cluster);
@@ -160,7 +161,8 @@
     const auto log = cluster.log(0);
     const auto first = log.find(kind);
     EXPECT_NE(first, std::string::npos) << kind;
-    EXPECT_EQ(log.find(kind, first + 1), std::string::npos) << "once in ten seconds: " << kind;
+    EXPECT_EQ(log.find(kind, first + 1), std::string::npos)
+        << "must be logged once in ten seconds: " << kind;
   }
 }
 
@@ -176,7 +178,7 @@
   EXPECT_TRUE(cluster.until([&] { return cluster.whole(cluster.all()); }));
 }
 
-TEST_F(RigTest, KeepsTheLaterOfTwoProcessesWithOneName) {
+TEST_F(RigTest, KeepsTheLaterOfTwoProcessesWithTheSameName) {
   Rig cluster(4);
   rig::Setup twin;
   twin.member = "n1";
@@ -193,10 +195,10 @@
   EXPECT_TRUE(cluster.until([&] {
     return (cluster.log(0) + cluster.log(2)).find("two_of_one_name") != std::string::npos;
   }));
-  EXPECT_TRUE(cluster.runs(1)) << "it goes on serving its clients";
+  EXPECT_TRUE(cluster.runs(1)) << "the superseded process must continue to serve its clients";
 }
 
-TEST_F(RigTest, TellsMembersApartWhenOneTakesTheAddressOfAnother) {
+TEST_F(RigTest, DistinguishesMembersWhenOneTakesTheAddressOfAnother) {
   Rig cluster(4);
   form(cluster);
   cluster.kill(2);
@@ -206,9 +208,9 @@
   cluster.configure(2, moved);
   cluster.start(2);
   EXPECT_TRUE(cluster.until([&] {
-    auto v = cluster.view(0);
-    return v.states["n2"] == "alive" && v.addresses["n2"] == cluster.gate(3) &&
-           v.states["n3"] == "failed";
+    auto view = cluster.view(0);
+    return view.states["n2"] == "alive" && view.addresses["n2"] == cluster.gate(3) &&
+           view.states["n3"] == "failed";
   }));
 }
 
@@ -228,7 +230,7 @@
   }));
   EXPECT_FALSE(cluster.view(2).states.contains("n0"));
   EXPECT_NE((cluster.log(2) + cluster.log(3)).find("kind=spoilt"), std::string::npos);
-  // Changed back, they are one again.
+  // With the original secret they form one cluster again.
   for (const std::size_t i : {2, 3}) {
     cluster.kill(i);
     cluster.configure(i);
@@ -237,49 +239,52 @@
   EXPECT_TRUE(cluster.until([&] { return cluster.whole(cluster.all()); }));
 }
 
-// A schedule of the exploration (MembershipExplored), between processes: what it prints is played
-// by ALDERSPUR_EXPLORED="LOST LATE WHO MILLISECONDS".
+// Runs a schedule of MembershipExploration with real processes. Set
+// ALDERSPUR_EXPLORED="LOST LATE RESTARTED MILLISECONDS" to repeat a schedule that a failed check of
+// that test has printed.
 TEST_F(RigTest, ReplaysAnExploredSchedule) {
   std::uint64_t lost = 3;
   std::uint64_t late = 7;
-  std::size_t who = 1;
-  Time at = 200;
+  std::size_t restarted = 1;
+  Time restart_after = 200;  // milliseconds
   if (const char* line = std::getenv("ALDERSPUR_EXPLORED")) {
-    std::istringstream(line) >> lost >> late >> who >> at;
+    std::istringstream(line) >> lost >> late >> restarted >> restart_after;
   }
-  ASSERT_LT(who, 3U);
+  ASSERT_LT(restarted, 3U);
   Rig cluster(3);
   form(cluster);
-  const auto before = cluster.view((who + 1) % 3).epochs["n" + std::to_string(who)];
+  const std::size_t observer = (restarted + 1) % 3;
+  const auto name = "n" + std::to_string(restarted);
+  const auto epoch_before = cluster.view(observer).epochs[name];
   cluster.links().lose_one_and_delay_one(lost, late);
-  cluster.run(at * 1000);
-  cluster.kill(who);
-  cluster.start(who);
+  cluster.run(restart_after * 1000);
+  cluster.kill(restarted);
+  cluster.start(restarted);
   ASSERT_TRUE(cluster.until([&] {
-    return cluster.whole(cluster.all()) &&
-           cluster.view((who + 1) % 3).epochs["n" + std::to_string(who)] > before;
+    return cluster.whole(cluster.all()) && cluster.view(observer).epochs[name] > epoch_before;
   }));
   for (const auto i : cluster.all()) {
-    for (const auto& [name, state] : cluster.view(i).states) {
-      EXPECT_EQ(state, "alive") << "n" << i << " of " << name;
+    for (const auto& [member, state] : cluster.view(i).states) {
+      EXPECT_EQ(state, "alive") << member << " as seen by n" << i;
     }
   }
 }
 
-// Faults of all kinds, overlapping, drawn from a seed; then all is mended.
+// Injects overlapping faults of all kinds, which are generated from a seed, and then removes them.
 TEST_F(RigTest, ConvergesAfterARandomSchedule) {
   rig::Schedule schedule = rig::random_schedule(20261202, 5, 20 * kSecond);
   if (const char* line = std::getenv("ALDERSPUR_SCHEDULE")) schedule = rig::parse_schedule(line);
   ASSERT_FALSE(schedule.steps.empty());
   const auto line = rig::to_string(schedule);
-  EXPECT_EQ(rig::to_string(rig::parse_schedule(line)), line) << "read as it was written";
+  EXPECT_EQ(rig::to_string(rig::parse_schedule(line)), line)
+      << "parsing must restore the schedule that was written";
   SCOPED_TRACE("ALDERSPUR_SCHEDULE=\"" + line + "\"");
   Rig cluster(schedule.processes);
   form(cluster);
   rig::play(cluster, schedule);
   EXPECT_TRUE(cluster.until([&] { return cluster.whole(cluster.all()); }, 40 * kSecond));
   for (const auto i : cluster.all()) {
-    EXPECT_TRUE(cluster.runs(i)) << "no process ends by itself: n" << i;
+    EXPECT_TRUE(cluster.runs(i)) << "the process n" << i << " has ended by itself";
   }
 }
 
@@ -291,7 +296,7 @@
   }
 }
 
-// Full state exchanges over the slow links are late, all others in time.
+// Full state exchanges over the slow links are delayed; all others complete in time.
 TEST_F(RigTest, IsNotDelayedByAThrottledLink) {
   Rig cluster(4);
   cluster.each_way([](rig::Fault&) {});
@@ -308,7 +313,7 @@
   EXPECT_EQ(failures(cluster), 0U);
 }
 
-TEST_F(RigTest, AnnouncesALeaveAndExitsWithZero) {
+TEST_F(RigTest, NotifiesMembersThatItLeavesAndExitsWithZero) {
   Rig cluster(3);
   form(cluster);
   cluster.signal(2, SIGTERM);
--- a/tests/cluster/schedule.h
+++ b/tests/cluster/schedule.h
@@ -1,8 +1,9 @@
-// A schedule of faults between processes as data: drawn from a seed, written as one line, read from
-// one. A check that fails prints the line; ALDERSPUR_SCHEDULE plays it again.
+// A schedule of faults between processes, represented as data. A schedule is generated from a seed,
+// written as one line of text and parsed from such a line. A failed check prints the line; set
+// ALDERSPUR_SCHEDULE to it to repeat the schedule.
 //
-// The form: "N processes: AT kill I; AT start I; AT stop I; AT go I; AT cut I J; AT oneway I J; AT
-// stall I J; AT loss PERCENT; AT heal", AT in milliseconds from the beginning.
+// The syntax is "N processes: AT kill I; AT start I; AT stop I; AT go I; AT cut I J; AT oneway I J;
+// AT stall I J; AT loss PERCENT; AT heal", where AT is the time in milliseconds from the beginning.
 #pragma once
 
 #include <algorithm>
@@ -23,7 +24,7 @@
 
 namespace rig {
 
-/// In the order in which random_schedule() draws them.
+/// The kinds of steps. random_schedule() draws the number of a kind, so the order must not change.
 enum class StepKind : std::uint8_t {
   kill,
   start,
@@ -41,13 +42,15 @@
 constexpr std::size_t kMinScheduledProcesses = 2;
 constexpr std::size_t kMaxScheduledProcesses = 30;
 
+/// One step of a schedule.
 struct Step {
   Time at = 0;  // microseconds from the beginning
   StepKind kind = StepKind::heal;
-  std::size_t first = 0;   // the process, or the percentage of a loss
-  std::size_t second = 0;  // the other process, where the fault is between two
+  std::size_t first = 0;   // index of the process, or the percentage of a loss
+  std::size_t second = 0;  // index of the other process, if the fault is between two processes
 };
 
+/// A number of processes and the steps in the order of their times.
 struct Schedule {
   std::size_t processes = 0;
   std::vector<Step> steps;
@@ -69,7 +72,7 @@
   return line.str();
 }
 
-// The text between two semicolons, which begins with a number; nothing where it is malformed.
+// Parses the text between two semicolons, after the time; returns nothing if it is malformed.
 inline std::optional<Step> parse_step(Time at_milliseconds, std::istringstream& text,
                                       std::size_t processes) {
   std::string name;
@@ -88,7 +91,7 @@
   return step;
 }
 
-/// Without steps: the line is malformed.
+/// Parses a line. Returns a schedule without steps if the line is malformed.
 inline Schedule parse_schedule(const std::string& line) {
   Schedule schedule;
   std::istringstream input(line);
@@ -100,7 +103,7 @@
   for (std::string part; std::getline(input, part, ';');) {
     std::istringstream text(part);
     Time at_milliseconds = 0;
-    if (!(text >> at_milliseconds)) continue;  // the end
+    if (!(text >> at_milliseconds)) continue;  // nothing follows the last semicolon
     const auto step = parse_step(at_milliseconds, text, schedule.processes);
     if (!step) return {};
     schedule.steps.push_back(*step);
@@ -108,14 +111,14 @@
   return schedule;
 }
 
-// Which processes do not run, so that a schedule makes sense: a killed process is not stopped.
+// The processes that do not run. They restrict the next steps: a killed process cannot be stopped.
 struct Downtime {
   std::set<std::size_t> killed;
   std::set<std::size_t> stopped;
 };
 
-// The step of that kind on `one`, or on a process for which it makes sense; nothing where there is
-// none.
+// Returns a step of this kind on the process `one`, or, for `start` and `resume`, on a process that
+// is down. Returns nothing if the step is not possible.
 inline std::optional<Step> draw_step(StepKind kind, std::size_t one, std::size_t processes,
                                      Downtime& down) {
   switch (kind) {
@@ -142,7 +145,7 @@
   }
 }
 
-/// Faults over `duration`.
+/// Generates random faults over `duration`.
 inline Schedule random_schedule(std::uint64_t seed, std::size_t processes, Time duration) {
   std::mt19937_64 random(seed);
   Schedule schedule{processes, {}};
@@ -169,7 +172,8 @@
  public:
   explicit SchedulePlayer(Rig& cluster) : cluster_(cluster) {}
 
-  /// To its end; then everything is mended. `meanwhile` is called between the steps.
+  /// Plays the schedule to its end, then removes all faults and starts or resumes all processes.
+  /// `meanwhile` is called repeatedly between the steps.
   void play(const Schedule& schedule, const std::function<void()>& meanwhile) {
     const Time started_at = net::unix_now();
     for (const auto& step : schedule.steps) {
@@ -178,7 +182,7 @@
         cluster_.run(std::min<Time>(50'000, due_at - net::unix_now()));
         meanwhile();
       }
-      take(step);
+      execute(step);
     }
     heal_links();
     while (!down_.stopped.empty()) resume(*down_.stopped.begin());
@@ -193,7 +197,7 @@
     cluster_.signal(i, SIGCONT);
     down_.stopped.erase(i);
   }
-  void take(const Step& step) {
+  void execute(const Step& step) {
     switch (step.kind) {
       case StepKind::kill:
         if (!down_.killed.insert(step.first).second) return;
@@ -230,6 +234,7 @@
   Downtime down_;
 };
 
+/// Plays a schedule on a rig. See SchedulePlayer::play().
 inline void play(
     Rig& cluster, const Schedule& schedule, const std::function<void()>& meanwhile = [] {}) {
   SchedulePlayer(cluster).play(schedule, meanwhile);
--- a/tests/cluster/simulated_network.h
+++ b/tests/cluster/simulated_network.h
@@ -1,5 +1,6 @@
-// Many memberships in one process on a simulated network with its own clock. Messages are delayed
-// and may be lost by a rule of the test; processes may be killed, stopped and resumed.
+// Runs many Memberships in one process on a simulated network with its own clock. Messages are
+// delayed and may be lost by a rule that the test sets. Simulated processes can be killed, stopped
+// and resumed.
 #pragma once
 
 #include <algorithm>
@@ -22,33 +23,37 @@
 using cluster::Time;
 
 constexpr Time kSecond = 1'000'000;
-// What a stopped process finds in its socket when it is resumed.
+// The maximum number of events that a stopped process receives when it is resumed, like datagrams
+// in a socket buffer.
 constexpr std::size_t kMaxHeldEvents = 500;
 
-/// The name, and the usual address, of the process of that index.
+/// Returns the name of the process with this index.
 inline std::string node_name(std::size_t index) { return "n" + std::to_string(index); }
+/// Returns the default address of the process with this name.
 inline std::string address_of(const std::string& name) { return "at-" + name; }
 
+/// One simulated process.
 struct Node {
   std::unique_ptr<cluster::Membership> membership;
   std::string address;
   bool is_stopped = false;
-  std::vector<cluster::Event> held_events;  // while it is stopped
+  std::vector<cluster::Event> held_events;  // arrived while the process is stopped
   std::uint64_t bytes_sent = 0;             // estimated
   std::vector<cluster::NameConflict> conflicts;
   bool is_superseded = false;
   bool has_left = false;
 };
 
+/// The simulated network and its processes.
 class Network {
  public:
-  /// True where a message between these addresses is lost.
+  /// Returns true if a message between these addresses is lost.
   using LossRule = std::function<bool(const std::string& from, const std::string& to)>;
 
   explicit Network(std::uint64_t seed, cluster::MembershipSettings settings = {})
       : random_(seed), settings_(settings) {}
 
-  /// Starts a process of that name, or starts it anew. Epochs grow with the clock.
+  /// Starts a process with this name, or restarts it. Its epoch is derived from the clock.
   Node& start(const std::string& name, const std::vector<std::string>& seeds,
               std::string address = {}) {
     if (address.empty()) address = address_of(name);
@@ -61,13 +66,13 @@
     handle(node, cluster::Start{seeds});
     return node;
   }
-  /// Starts `count` processes whose seeds are the first three of them.
+  /// Starts `count` processes. The first three are the seeds of all.
   void start_all(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) start(node_name(i), default_seeds());
   }
   static std::vector<std::string> default_seeds() { return {"at-n0", "at-n1", "at-n2"}; }
   void kill(const std::string& address) { nodes_.erase(address); }
-  /// As by SIGSTOP: what arrives is held until resume().
+  /// Stops a process as SIGSTOP does. Events that arrive are held until resume().
   void stop(const std::string& address) { nodes_.at(address).is_stopped = true; }
   void resume(const std::string& address) {
     Node& node = nodes_.at(address);
@@ -89,21 +94,23 @@
     }
     now_ = end;
   }
-  bool run_until(const std::function<bool()>& holds, Time timeout, Time step = 50'000) {
+  /// Runs until the condition is true; returns false if it is not true within `timeout`.
+  bool run_until(const std::function<bool()>& condition, Time timeout, Time step = 50'000) {
     for (const Time end = now_ + timeout; now_ < end; run(step)) {
-      if (holds()) return true;
+      if (condition()) return true;
     }
-    return holds();
+    return condition();
   }
 
-  /// Every process sees exactly the others, alive or suspect, and no partition.
+  /// Reports whether each process has exactly the others as live members and sees no partition.
   bool all_see_each_other() const {
     return all_of_nodes([this](const cluster::Membership& membership) {
       return membership.live_count() + 1 == nodes_.size() &&
              membership.health() != cluster::ClusterHealth::partitioned;
     });
   }
-  /// Every process sees exactly the others, all of them alive.
+  /// Reports whether each process has exactly the others as live members, and all of them are
+  /// alive.
   bool all_whole() const {
     return all_of_nodes([this](const cluster::Membership& membership) {
       return membership.live_count() + 1 == nodes_.size() &&
@@ -125,17 +132,17 @@
   }
   void set_delay(std::function<Time()> delay) { delay_ = std::move(delay); }
 
-  /// Called for each change that a process reports.
+  /// Sets a function that is called for each change that a process reports.
   using ChangeObserver = std::function<void(Node&, const cluster::MemberChanged&)>;
   void observe_changes(ChangeObserver observer) { on_change_ = std::move(observer); }
-  /// Called for each message that is sent, before it may be lost.
+  /// Sets a function that is called for each message that is sent, whether or not it is lost.
   using MessageObserver = std::function<void(const std::string& to, const cluster::Message&)>;
   void observe_messages(MessageObserver observer) { on_message_ = std::move(observer); }
 
  private:
-  bool all_of_nodes(const std::function<bool(const cluster::Membership&)>& holds) const {
+  bool all_of_nodes(const std::function<bool(const cluster::Membership&)>& condition) const {
     return std::all_of(nodes_.begin(), nodes_.end(),
-                       [&](const auto& entry) { return holds(*entry.second.membership); });
+                       [&](const auto& entry) { return condition(*entry.second.membership); });
   }
   void handle(Node& node, const cluster::Event& event) {
     if (node.is_stopped) {
@@ -145,7 +152,7 @@
     }
     std::vector<cluster::Action> actions;
     node.membership->handle(now_, event, actions);
-    for (auto& action : actions) carry_out(node, action);
+    for (auto& action : actions) execute(node, action);
     schedule_tick(node);
   }
   void schedule_tick(Node& node) {
@@ -154,12 +161,12 @@
     const auto tick = [this, address = node.address, membership = node.membership.get()] {
       const auto found = nodes_.find(address);
       if (found == nodes_.end() || found->second.is_stopped) return;
-      if (found->second.membership.get() != membership) return;  // started anew since
+      if (found->second.membership.get() != membership) return;  // the process was restarted
       if (membership->next_tick() <= now_) handle(found->second, cluster::Tick{});
     };
     scheduled_.emplace(std::max(due_at, now_), tick);
   }
-  void carry_out(Node& node, cluster::Action& action) {
+  void execute(Node& node, cluster::Action& action) {
     if (auto* sent = std::get_if<cluster::SendMessage>(&action)) {
       send(node, *sent);
     } else if (const auto* exchange = std::get_if<cluster::ExchangeFullState>(&action)) {
@@ -184,7 +191,7 @@
           deliver(to, cluster::MessageReceived{message, from});
         });
   }
-  // As over a connection: both directions work, or nothing is exchanged.
+  // An exchange needs a connection: it takes place only if no direction of the link is lost.
   void exchange_full_state(Node& node, const std::string& address) {
     if (is_lost_(node.address, address) || is_lost_(address, node.address)) return;
     if (!nodes_.contains(address) || nodes_.at(address).is_stopped) return;
--- a/tests/cluster/stored_data_test.cpp
+++ b/tests/cluster/stored_data_test.cpp
@@ -1,5 +1,6 @@
-// What the program wrote and sent before its code was renamed: files under tests/data/cluster, made
-// by that version, are read with the same result, and messages are written byte for byte.
+// Compatibility tests with the version before the identifiers of the code were renamed. The files
+// under tests/data/cluster, which that version wrote, must be read with the same result, and
+// messages must be encoded to the same bytes.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -34,7 +35,7 @@
   return identity;
 }
 
-// The bytes of that name in messages.txt: lines of a name and hexadecimal digits.
+// Returns the bytes with this name in messages.txt. Each line has a name and hexadecimal digits.
 std::string recorded(const std::string& name) {
   std::ifstream file(test_data::path("cluster/messages.txt"));
   std::string line_name;
@@ -57,7 +58,7 @@
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
   std::filesystem::copy_file(test_data::path("cluster/state/epoch"), folder / "epoch");
-  // The file holds 1'700'000'000'000'001; the clock was set back since.
+  // The file contains 1'700'000'000'000'001; the clock has been set back since.
   const auto next = alderspur::cluster::next_epoch(folder.string(), 1'600'000'000'000'000);
   EXPECT_EQ(next.error, EpochError::none) << next.reason;
   EXPECT_EQ(next.epoch, 1'700'000'000'000'002U);
@@ -107,8 +108,8 @@
   EXPECT_EQ(encode(*handshake), bytes);
 }
 
-// Guards against messages of which a part is taken, and against elements of another type that count
-// as empty.
+// Guards against messages of which only a part is decoded, and against elements of a wrong type
+// that are decoded as empty.
 TEST(StoredData, DecodesNoMangledMessage) {
   for (const auto& copy : mangled::unacceptable_copies(recorded("message"))) {
     ASSERT_FALSE(alderspur::cluster::decode_message(copy)) << test_data::to_hex(copy);
--- a/tests/consensus/router_fleet.cpp
+++ b/tests/consensus/router_fleet.cpp
@@ -73,7 +73,7 @@
   setup.servers = endpoint_list(initial_servers);
   setup.routers = routers;
   setup.obligations = obligations;
-  setup.alone = has_no_consensus;
+  setup.without_consensus = has_no_consensus;
   setup.domain = domain;
   for (std::size_t i = 0; i < routers; ++i) {
     if (has_discovery) setup.board = discovery_servers.emplace_back().address();
--- a/tests/consensus/router_fleet_test.cpp
+++ b/tests/consensus/router_fleet_test.cpp
@@ -191,11 +191,11 @@
     for (std::size_t i = 0; i < 4; ++i) cluster->lose_power(i);
   };
   // One whose syncs reported success and did nothing.
-  cluster->lie(1, kSyncIgnored);
+  cluster->set_faults(1, kSyncIgnored);
   const auto two = propose_with_retries(3, "abc");
   ASSERT_GT(two, 1u) << last_result;
   lose_all_power();
-  cluster->lie(1, kNoFault);
+  cluster->set_faults(1, kNoFault);
   cluster->start_all();
   wait_for_recovery(two, "unsynced");
   // One byte of its log altered; another's folder gone.
@@ -227,18 +227,18 @@
   ASSERT_EQ(propose(3, "ab"), 1u) << last_result;
   is_sending = true;
   cluster->run(500'000);
-  cluster->lie(2, kHangs);
+  cluster->set_faults(2, kHangs);
   const auto two = propose_with_retries(3, "abc");
   EXPECT_GT(two, 1u) << last_result;
   const auto before = served_count;
   cluster->run(kSecond);
   EXPECT_GT(served_count, before + 30) << "its clients too";
-  cluster->lie(2, kNoFault);
+  cluster->set_faults(2, kNoFault);
   EXPECT_TRUE(wait_until_all_use(two));
-  cluster->lie(2, kSyncFails);
+  cluster->set_faults(2, kSyncFails);
   const auto three = propose_with_retries(3, "ab");
   EXPECT_GT(three, two) << last_result;
-  cluster->lie(2, kNoFault);
+  cluster->set_faults(2, kNoFault);
   EXPECT_TRUE(cluster->until(
       [&] { return all_use(three, cluster->all()) && status(2).role == "voter"; }, kRecoveryTime));
 }
@@ -300,7 +300,7 @@
   ASSERT_NO_FATAL_FAILURE(start_fleet(4, {0, 1, 2}));
   ASSERT_EQ(propose(3, "ab"), 1u) << last_result;
   is_sending = true;
-  cluster->lie(2, kDiskFull);
+  cluster->set_faults(2, kDiskFull);
   const auto two = propose_with_retries(3, "abc");
   EXPECT_GT(two, 1u) << last_result;
   EXPECT_TRUE(cluster->until([&] { return all_use(two, all_except(2)); }));
@@ -308,7 +308,7 @@
   cluster->run(2 * kSecond);
   EXPECT_GT(served_count, before + 60) << "its clients too";
   EXPECT_TRUE(status(2).is_conservative) << "it holds nothing that it could not keep";
-  cluster->lie(2, kNoFault);
+  cluster->set_faults(2, kNoFault);
   EXPECT_TRUE(cluster->until(
       [&] { return all_use(two, cluster->all()) && status(2).role == "voter"; }, kRecoveryTime));
 }
@@ -385,11 +385,11 @@
   ASSERT_NO_FATAL_FAILURE(start_fleet(4, {0, 1, 2}));
   is_sending = true;
   constexpr std::int64_t kHour = 3600LL * 1'000'000;
-  cluster->lie(0, kNoFault, kHour);
-  cluster->lie(1, kNoFault, -kHour);
+  cluster->set_faults(0, kNoFault, kHour);
+  cluster->set_faults(1, kNoFault, -kHour);
   ASSERT_EQ(propose(3, "ab"), 1u) << last_result;
   for (int i = 0; i < 4; ++i) {
-    cluster->lie(static_cast<std::size_t>(i % 4), kNoFault, i % 2 ? 5 * kHour : -2 * kHour);
+    cluster->set_faults(static_cast<std::size_t>(i % 4), kNoFault, i % 2 ? 5 * kHour : -2 * kHour);
     cluster->run(400'000);
   }
   EXPECT_TRUE(cluster->until(
--- a/tests/replication/ban_set_test.cpp
+++ b/tests/replication/ban_set_test.cpp
@@ -1,4 +1,5 @@
-// What merging sets of bans guarantees. A check that fails prints its seed, which replays it.
+// Tests of the properties of BanSet, in particular of merging. A failed check prints its seed,
+// which reproduces the run.
 #include "replication/ban_set.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
 using simulation::author;
 using simulation::exploration_factor;
 
-// Copies made by random calls and joins, as they come about in a cluster.
+// Returns copies that result from random bans, lifts and joins, as in a cluster.
 std::vector<BanSet> random_copies(std::uint64_t seed, std::size_t size) {
   std::mt19937_64 random(seed);
   std::vector<BanSet> copies(size);
@@ -86,10 +87,10 @@
   outdated.add(author(0), {"s-1", "disk", 1});
   b.join(outdated);
   EXPECT_FALSE(b.is_banned("s-1"));
-  EXPECT_TRUE(b.add(author(0), {"s-1", "x", 3}).is_banned("s-1")) << "a new ban counts";
+  EXPECT_TRUE(b.add(author(0), {"s-1", "x", 3}).is_banned("s-1")) << "a new ban takes effect";
 }
 
-TEST(BanSet, DecodesWhatItEncodedAndRejectsTruncatedBytes) {
+TEST(BanSet, DecodesAnEncodedSetAndRejectsTruncatedBytes) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     const auto original = random_copies(seed, 3)[0];
     const auto bytes = original.encode();
@@ -102,9 +103,9 @@
   }
 }
 
-// Guards against an element of another type that counts as empty: a copy without it would lift
-// bans.
-TEST(BanSet, DecodesNoMangledCopy) {
+// Guards against an element of a wrong type that is decoded as empty. A copy without that element
+// would lift bans.
+TEST(BanSet, RejectsMangledCopies) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     const auto bytes = random_copies(seed, 3)[0].encode();
     for (const auto& copy : mangled::unacceptable_copies(bytes)) {
@@ -113,7 +114,7 @@
   }
 }
 
-// Known to fail, see KNOWN-RED.txt: authors whose epoch has ended are never forgotten.
+// This test is known to fail, see KNOWN-RED.txt: authors whose epoch has ended are never removed.
 TEST(BanSet, TakesABanAfterAsManyAuthorsHaveEndedAsItHolds) {
   using alderspur::replication::kMaxAuthors;
   BanSet bans;
@@ -124,13 +125,13 @@
   EXPECT_FALSE(bans.add({"r0", kMaxAuthors + 1}, {"s-1", "by hand", 1}).empty());
 }
 
-// Guards against a refused dot whose author is entered all the same: the copies would never be
-// equal.
+// Guards against a refused dot whose author is still added to the context. Two copies would then
+// never become equal.
 TEST(CausalContext, ChangesNothingWhenADotIsRefused) {
   using alderspur::replication::kMaxDetachedDots;
   alderspur::replication::CausalContext context;
   for (std::uint64_t i = 0; i < kMaxDetachedDots; ++i) {
-    ASSERT_TRUE(context.add({author(0), i + 2})) << "beyond a gap: the first dot is missing";
+    ASSERT_TRUE(context.add({author(0), i + 2})) << "dots beyond a gap, as the first is missing";
   }
   const auto before = context;
   ASSERT_FALSE(context.add({author(1), 2}));
--- a/tests/replication/bounds_test.cpp
+++ b/tests/replication/bounds_test.cpp
@@ -1,5 +1,5 @@
-// Replicas at the bounds on what a copy holds: the traffic stays bounded, and the bound is
-// reported.
+// Tests of replicas that reach a limit on the size of their state. The traffic must stay bounded,
+// and the limit must be reported.
 #include <gtest/gtest.h>
 
 #include "replication/frame_codec.h"
@@ -24,17 +24,19 @@
 using simulation::replica_name;
 using simulation::Time;
 
-// Two replicas, caught up, whose states are made while frames between them are lost.
+// Separates replicas that are caught up, so that a test can fill their states differently, and then
+// measures the traffic after they are connected again.
 class ReplicasAtBound : public ::testing::Test {
  protected:
-  static constexpr std::size_t kFloorsHeld = 50;
+  static constexpr std::size_t kMaxFloors = 50;
   static constexpr Time kMeasuredTime = 5 * kSecond;
 
   void separate(Network& network) {
     network.run(4 * kSecond);
     network.set_loss([](const auto&, const auto&) { return true; });
   }
-  // What one comparison may send: digests, a full set each way, and all that floors may take.
+  // Returns the maximum traffic of one comparison: digests, one full set of bans in each direction,
+  // and bucket digests and floors.
   static std::uint64_t max_bytes_per_comparison(Network& network) {
     std::size_t bans = 0;
     std::size_t floors = 0;
@@ -48,26 +50,26 @@
     const std::size_t floor_lists = 2 * floors * (3 * kMaxNumberBytes + 1) + 2 * kMaxNumberBytes;
     return kMaxDigestsBytes + 2 * bans + bucket_digests + floor_lists;
   }
-  // Joins the replicas again and expects no more than one comparison a replica and interval, and
-  // one more for each that floors follow at once.
-  static void expect_bounded_traffic(Network& network, std::uint64_t max_followed_at_once) {
+  // Connects the replicas again. Expects at most the traffic of one comparison per replica and
+  // interval, and of `max_immediate_comparisons` that follow a transfer of floors at once.
+  static void expect_bounded_traffic(Network& network, std::uint64_t max_immediate_comparisons) {
     network.stop_losses();
     const auto bytes_before = network.bytes_sent();
     network.run(kMeasuredTime);
     const Time interval = simulation::ReplicaSettings().compare_interval;
     const auto rounds = static_cast<std::uint64_t>(kMeasuredTime / interval) + 1;
-    const auto comparisons = rounds * network.nodes().size() + max_followed_at_once;
+    const auto comparisons = rounds * network.nodes().size() + max_immediate_comparisons;
     EXPECT_LE(network.bytes_sent() - bytes_before, comparisons * max_bytes_per_comparison(network));
   }
   static void expect_reported_once(Network& network, Bound bound) {
     for (auto& [name, node] : network.nodes()) {
-      EXPECT_EQ(node.bound_reports[bound], 1U) << name << ": logged once";
+      EXPECT_EQ(node.bound_reports[bound], 1U) << name << " must report the limit once";
     }
   }
 };
 
-// Guards against full sets that are answered by full sets without end.
-TEST_F(ReplicasAtBound, OfBansExchangeThemOnceAComparison) {
+// Guards against replicas that answer full sets with full sets forever.
+TEST_F(ReplicasAtBound, ExchangeBansOncePerComparisonAtTheBanLimit) {
   Network network(5, 2);
   separate(network);
   for (std::size_t i = 0; i < kMaxBans; ++i) {
@@ -82,7 +84,7 @@
   }
   for (std::size_t i = 0; i < kMaxBans; ++i) network.lift("r0", "a-" + std::to_string(i));
   ASSERT_TRUE(network.run_until([&] { return network.all_equal(); }, 5 * kSecond))
-      << "once there is room";
+      << "the replicas must become equal once the set has capacity";
 }
 
 BanSet changes_of_authors(const std::string& name, std::size_t count) {
@@ -93,7 +95,7 @@
   return BanSet::decode(seen_changes::encode_beyond_a_gap(name, count)).value();
 }
 
-TEST_F(ReplicasAtBound, OfAuthorsExchangeBansOnceAComparison) {
+TEST_F(ReplicasAtBound, ExchangeBansOncePerComparisonAtTheAuthorLimit) {
   Network network(6, 2);
   separate(network);
   load_stored(network, "r0", changes_of_authors("a", kMaxAuthors));
@@ -102,8 +104,8 @@
   expect_reported_once(network, Bound::authors);
 }
 
-// Guards against a ban that holds at one router and is silently not replicated.
-TEST_F(ReplicasAtBound, OfAuthorsReportABanThatCannotBeReplicated) {
+// Guards against a ban that takes effect at one router and is not replicated, without any report.
+TEST_F(ReplicasAtBound, ReportABanThatCannotBeReplicatedAtTheAuthorLimit) {
   Network network(8, 2);
   network.run(4 * kSecond);
   load_stored(network, "r0", changes_of_authors("a", kMaxAuthors));
@@ -115,7 +117,7 @@
   EXPECT_TRUE(network.node("r1").refused_bans.empty());
 }
 
-TEST_F(ReplicasAtBound, OfChangesBeyondAGapExchangeBansOnceAComparison) {
+TEST_F(ReplicasAtBound, ExchangeBansOncePerComparisonAtTheDetachedDotLimit) {
   Network network(7, 2);
   separate(network);
   load_stored(network, "r0", changes_beyond_a_gap("a", kMaxDetachedDots));
@@ -124,24 +126,24 @@
   expect_reported_once(network, Bound::detached_dots);
 }
 
-TEST_F(ReplicasAtBound, OfFloorsFoldThemAndBecomeEqual) {
+TEST_F(ReplicasAtBound, FoldFloorsAndBecomeEqualAtTheFloorLimit) {
   for (std::uint64_t seed = 1; seed <= 20 * exploration_factor(); ++seed) {
-    Network network(seed, 2, kFloorsHeld);
+    Network network(seed, 2, kMaxFloors);
     separate(network);
-    for (std::uint64_t i = 0; i < 2 * kFloorsHeld; ++i) {
+    for (std::uint64_t i = 0; i < 2 * kMaxFloors; ++i) {
       network.run(1000);
-      network.purge(replica_name(network.draw(2)), network.draw(4 * kFloorsHeld));
+      network.purge(replica_name(network.draw(2)), network.draw(4 * kMaxFloors));
     }
-    constexpr std::uint64_t kMaxFollowedAtOnce = 4;
-    expect_bounded_traffic(network, kMaxFollowedAtOnce);
+    constexpr std::uint64_t kMaxImmediateComparisons = 4;
+    expect_bounded_traffic(network, kMaxImmediateComparisons);
     EXPECT_TRUE(network.all_equal()) << "seed " << seed;
   }
 }
 
-// Any mixture of states near the bounds: the traffic stays bounded all the same.
+// Combines random states near the limits. The traffic must stay bounded.
 TEST_F(ReplicasAtBound, SendBoundedTrafficAfterAnySchedule) {
   for (std::uint64_t seed = 1; seed <= 6 * exploration_factor(); ++seed) {
-    Network network(seed, 2 + seed % 2, kFloorsHeld);
+    Network network(seed, 2 + seed % 2, kMaxFloors);
     separate(network);
     for (auto& [name, node] : network.nodes()) {
       const auto kind = network.draw(3);
@@ -153,10 +155,10 @@
       }
       const std::size_t bans = network.draw(2) == 0 ? kMaxBans - network.draw(3) : network.draw(20);
       for (std::size_t i = 0; i < bans; ++i) network.ban(name, name + "-" + std::to_string(i));
-      for (std::size_t i = 0; i < kFloorsHeld; ++i) network.purge(name, network.draw(100));
+      for (std::size_t i = 0; i < kMaxFloors; ++i) network.purge(name, network.draw(100));
     }
-    constexpr std::uint64_t kMaxFollowedAtOnce = 12;
-    expect_bounded_traffic(network, kMaxFollowedAtOnce);
+    constexpr std::uint64_t kMaxImmediateComparisons = 12;
+    expect_bounded_traffic(network, kMaxImmediateComparisons);
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
   }
 }
--- a/tests/replication/purge_floors_test.cpp
+++ b/tests/replication/purge_floors_test.cpp
@@ -1,4 +1,4 @@
-// What merging purge floors guarantees.
+// Tests of the properties of PurgeFloors: merging, digests and folding.
 #include "replication/purge_floors.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 using alderspur::replication::PurgeFloors;
 using alderspur::replication::Time;
 
-TEST(PurgeFloors, KeepTheLatestInAnyOrderAndDigestsTellWhetherTwoAreTheSame) {
+TEST(PurgeFloors, KeepTheLatestInAnyOrderAndDigestsDetectDifferences) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<PurgeFloor> floors;
@@ -36,8 +36,8 @@
   }
 }
 
-// What was forbidden stays forbidden.
-TEST(PurgeFloors, ForbidMoreAndNeverLessBeyondTheirBound) {
+// Folding floors must not lower the floor of any object.
+TEST(PurgeFloors, NeverLowerAFloorWhenTheyAreFolded) {
   PurgeFloors floors(100);
   std::mt19937_64 random(4);
   std::map<std::uint64_t, Time> expected;
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -1,4 +1,5 @@
-// Replicas on a simulated network. A check that fails prints its seed, which replays it.
+// Tests of replicas on a simulated network. A failed check prints its seed, which reproduces the
+// run.
 #include "replication/replica.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +41,7 @@
 using simulation::replica_name;
 using simulation::Time;
 
-TEST(Replica, SpreadsABanAPurgeAndALiftToAll) {
+TEST(Replica, ReplicatesABanAPurgeAndALiftToAllPeers) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Network network(seed, 30);
     network.run(2 * kSecond);
@@ -102,7 +103,7 @@
   }
 }
 
-TEST(Replica, KeepsAChangeThatOneOtherReceivedBeforeItsAuthorStopped) {
+TEST(Replica, KeepsAChangeThatOnePeerReceivedBeforeItsAuthorStopped) {
   Network network(5, 8);
   network.run(2 * kSecond);
   network.set_loss([](const auto& from, const auto& to) { return from == "r0" && to != "r1"; });
@@ -113,7 +114,7 @@
   EXPECT_GT(network.replica("r7").floors().size(), 0U);
 }
 
-TEST(Replica, CatchesUpAfterAnAbsenceAndReportsItOnlyThen) {
+TEST(Replica, CatchesUpAfterARestartAndReportsItOnlyThen) {
   Network network(6, 5);
   network.ban("r0", "s-1");
   network.ban("r0", "s-2");
@@ -127,7 +128,7 @@
   ASSERT_TRUE(network.run_until([&] { return network.replica("r4").is_caught_up(); }, kSecond));
   EXPECT_TRUE(network.all_equal());
   EXPECT_TRUE(network.all_have_banned("s-1", true) && network.all_have_banned("s-2", false));
-  // One more purge costs the traffic of one, not of a thousand.
+  // The traffic for one more purge must be that of one purge, not that of a thousand.
   network.run(3 * kSecond);
   network.set_loss([](const auto& /*from*/, const auto& to) { return to == "r4"; });
   network.purge("r0", 5000);
@@ -136,10 +137,10 @@
   const auto bytes_before = network.bytes_sent();
   ASSERT_TRUE(network.run_until([&] { return network.all_equal(); }, 5 * kSecond));
   EXPECT_LT(network.bytes_sent() - bytes_before, 60'000U)
-      << "a whole copy is 20,000 and many of them";
+      << "sending all floors takes 20,000 bytes for each copy";
 }
 
-TEST(Replica, IsCaughtUpAfterATimeoutWhereThereAreNoPeers) {
+TEST(Replica, IsCaughtUpAfterATimeoutIfThereAreNoPeers) {
   Network network(7, 1);
   network.run(2 * kSecond);
   EXPECT_FALSE(network.replica("r0").is_caught_up());
@@ -147,8 +148,8 @@
   EXPECT_TRUE(network.replica("r0").is_caught_up());
 }
 
-// Peers of an earlier version never answer; and where changes never stop, no two copies are the
-// same at any moment. A router that waited for a peer's confirmation would never be ready.
+// Peers of an earlier version never answer, and while changes never stop, no two copies are equal
+// at any time. A router that waits for a peer's confirmation would never become ready.
 TEST(Replica, IsCaughtUpAfterATimeoutAmongSilentOrBusyPeers) {
   Network silent(11, 4);
   silent.set_loss([](const auto& from, const auto& /*to*/) { return from != "r0"; });
@@ -188,7 +189,7 @@
   EXPECT_GT(network.replica("r1").counters().rejected, 2000U);
 }
 
-// Guards against a malformed list of requested buckets that counts as an empty one.
+// Guards against a malformed list of requested buckets that is decoded as an empty list.
 TEST(Replica, RejectsFloorsFrameWhenListOfBucketsIsMalformed) {
   alderspur::msgpack_codec::Writer frame;
   frame.array(4).number(static_cast<std::uint64_t>(FrameKind::floors)).number(0).array(0).number(7);
@@ -198,7 +199,7 @@
   EXPECT_EQ(replica.counters().rejected, 1U);
 }
 
-// Guards against a rejected frame that raises the global floor: all copies would be void.
+// Guards against a rejected frame that raises the global floor and so invalidates all copies.
 TEST(Replica, KeepsGlobalFloorWhenFrameIsRejected) {
   for (const FrameKind kind : {FrameKind::bucket_digests, FrameKind::floors}) {
     alderspur::msgpack_codec::Writer frame;
@@ -211,7 +212,7 @@
   }
 }
 
-// The frames of a run in which two replicas find all kinds of differences.
+// Returns the frames of a recorded run in which two replicas exchange all kinds of frames.
 std::vector<std::string> recorded_frames() {
   std::vector<std::string> frames;
   std::ifstream file(test_data::path("replication/frames.txt"));
@@ -226,7 +227,7 @@
   return frames;
 }
 
-// A replica that holds a ban, a lifted ban and floors, and the only peer of which is r1.
+// Returns a replica with a ban, a lifted ban and a floor, whose only peer is r1.
 Replica replica_with_state() {
   Replica replica({.self = author(0)}, 1);
   std::vector<Action> actions;
@@ -238,7 +239,7 @@
   return replica;
 }
 
-// What a frame has done to a replica with state.
+// The effect of a frame on the replica of replica_with_state().
 struct FrameEffect {
   bool has_changed_state = false;
   std::size_t action_count = 0;
@@ -255,8 +256,8 @@
   return {!is_same, actions.size(), replica.counters().rejected};
 }
 
-// Guards against handlers that act on a part of a frame, and against elements of another type that
-// count as empty.
+// Guards against handlers that act on a part of a frame, and against elements of a wrong type that
+// are decoded as empty.
 TEST(Replica, ChangesNothingForAnyMangledFrame) {
   std::set<char> kinds;
   for (const auto& frame : recorded_frames()) {
@@ -270,12 +271,12 @@
     }
     for (const auto& copy : mangled::Mangler(frame).with_dropped_elements()) {
       const auto effect = effect_of(copy);
-      if (effect.rejected == 0) continue;  // a shorter list
+      if (effect.rejected == 0) continue;  // a valid frame with a shorter list
       ASSERT_FALSE(effect.has_changed_state) << test_data::to_hex(copy);
       ASSERT_EQ(effect.action_count, 0U) << test_data::to_hex(copy);
     }
   }
-  EXPECT_EQ(kinds, (std::set<char>{1, 2, 3, 4, 5, 6, 7})) << "the run has all kinds";
+  EXPECT_EQ(kinds, (std::set<char>{1, 2, 3, 4, 5, 6, 7})) << "the run must contain all kinds";
 }
 
 std::vector<Time> global_purges(const std::vector<Action>& actions) {
@@ -286,7 +287,7 @@
   return times;
 }
 
-// Guards against a router that goes on serving copies from before a purge of everything.
+// Guards against a router that continues to serve copies from before a global purge.
 TEST(Replica, NotifiesItsRouterOfAGlobalFloorFromAPeer) {
   PurgeFloors folded;
   folded.raise_global(5 * kSecond);
@@ -299,19 +300,21 @@
     EXPECT_EQ(replica.floors().global_floor(), 5 * kSecond);
     EXPECT_EQ(global_purges(actions), std::vector<Time>{5 * kSecond});
     replica.handle(kSecond, FrameReceived{"r1", frame}, actions);
-    EXPECT_EQ(global_purges(actions), std::vector<Time>{5 * kSecond}) << "once";
+    EXPECT_EQ(global_purges(actions), std::vector<Time>{5 * kSecond})
+        << "the router must be notified once";
   }
 }
 
-// Guards against the same for a router that was away while its peers folded their floors.
-TEST(Replica, NotifiesAReturningReplicaOfAllFoldedPurges) {
-  constexpr std::size_t kFloorsHeld = 16;
+// Guards against a router that serves copies from before a purge because it was down while its
+// peers folded their floors.
+TEST(Replica, NotifiesARestartedRouterOfAllFoldedPurges) {
+  constexpr std::size_t kMaxFloors = 16;
   for (std::uint64_t seed = 1; seed <= 20 * exploration_factor(); ++seed) {
-    Network network(seed, 3, kFloorsHeld);
+    Network network(seed, 3, kMaxFloors);
     network.run(2 * kSecond);
     network.stop("r2");
     std::map<std::uint64_t, Time> purged_at;
-    for (std::uint64_t object = 0; object <= kFloorsHeld; ++object) {
+    for (std::uint64_t object = 0; object <= kMaxFloors; ++object) {
       network.run(2'000);
       purged_at[object] = network.now();
       network.purge(replica_name(network.draw(2)), object);
@@ -328,23 +331,23 @@
   }
 }
 
-// A set with one ban of that time.
+// Returns a set with one ban that was made at this time.
 BanSet bans_made_at(Time at) {
   BanSet bans;
   bans.add(author(1), {"s-1", "by hand", at});
   return bans;
 }
 
-// Guards against floors from the far future, which are never taken back: whatever frame they come
-// in is rejected whole and not passed on.
+// Guards against floors in the far future, which would never be lowered again. A frame of any kind
+// that contains such a time must be rejected as a whole and not be forwarded.
 TEST(Replica, RejectsTimesBeyondTheClockSkew) {
   constexpr Time kFarFuture = Time{1} << 61;
   PurgeFloors folded;
   folded.raise_global(kFarFuture);
-  const PurgeFloor far{true, 7, kFarFuture};
+  const PurgeFloor future{true, 7, kFarFuture};
   const PurgeFloor past{true, 8, kSecond};
   const auto frames = {
-      encode_floor_updates({past, far}),         encode_floors(0, {past, far}, {}),
+      encode_floor_updates({past, future}),      encode_floors(0, {past, future}, {}),
       encode_floors(kFarFuture, {past}, {}),     encode_digests({}, folded),
       encode_bucket_digests(kFarFuture, {}),     encode_ban_delta(bans_made_at(kFarFuture)),
       encode_full_bans(bans_made_at(kFarFuture))};
@@ -364,7 +367,7 @@
   }
 }
 
-TEST(Replica, AcceptsTimesWithinTheClockSkewAndRejectsItsOwnBeyondIt) {
+TEST(Replica, AcceptsTimesWithinTheClockSkewAndRejectsLocalTimesBeyondIt) {
   const Time skew = simulation::ReplicaSettings().max_clock_skew;
   Network network(4, 2);
   network.run(2 * kSecond);
@@ -379,8 +382,9 @@
   EXPECT_TRUE(network.replica("r1").bans().is_banned("s-1"));
 }
 
-// A router whose clock is behind rejects what the others agree on, and catches up once it is right.
-TEST(Replica, ConvergesOnceAClockThatWasBehindIsRight) {
+// A router whose clock is behind rejects the changes of the other routers, and catches up once its
+// clock is correct.
+TEST(Replica, ConvergesOnceAClockThatWasBehindIsCorrect) {
   Network network(9, 3);
   network.run(2 * kSecond);
   network.node("r2").clock_error = -600 * kSecond;
@@ -392,7 +396,7 @@
   EXPECT_TRUE(network.run_until([&] { return network.all_equal(); }, 5 * kSecond));
 }
 
-// Loses frames, partitions, stops and starts replicas and makes changes, all drawn.
+// Runs replicas through random losses, partitions, stops, restarts and changes.
 class RandomSchedule {
  public:
   explicit RandomSchedule(std::uint64_t seed) : size_(3 + seed % 6), network_(seed * 7919, size_) {
@@ -420,10 +424,10 @@
  private:
   void take_step(std::uint64_t kind, const std::string& one, const std::string& other,
                  const std::string& server) {
-    const bool runs = !stopped_.contains(one);
-    if (kind < 2 && runs) network_.ban(one, server);
-    if (kind == 2 && runs) network_.lift(one, server);
-    if (kind == 3 && runs) network_.purge(one, network_.draw(30));
+    const bool is_running = !stopped_.contains(one);
+    if (kind < 2 && is_running) network_.ban(one, server);
+    if (kind == 2 && is_running) network_.lift(one, server);
+    if (kind == 3 && is_running) network_.purge(one, network_.draw(30));
     if (kind == 4 && stopped_.size() + 2 < size_ && stopped_.insert(one).second) network_.stop(one);
     if (kind == 5 && stopped_.erase(one) > 0) network_.restart(one);
     if (kind == 6) cut_links_.insert({one, other});
