--- a/tests/replication/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -1,5 +1,6 @@
-// Operators' bans and purges replicated by several processes of the program, with faults injected
-// between them, judged by what the stand-in caches receive and by each process's own view.
+// Tests of the replication of operators' bans and purges between several processes of the program,
+// with injected faults. The checks use the requests that the test's caches receive and the view
+// that each process reports.
 #include "consensus/router_fleet.h"
 #include "replication/seen_changes.h"
 #include "store/state_file.h"
@@ -13,9 +14,9 @@
 
 class ReplicatedProcesses : public ::testing::Test, protected fleet::RouterFleet {
  protected:
-  void begin(std::size_t n) {
-    has_no_consensus = true;  // each has its list; nothing is agreed
-    ASSERT_TRUE(RouterFleet::start(n, {}));
+  void begin(std::size_t router_count) {
+    has_no_consensus = true;  // each router uses the endpoint list of its own file
+    ASSERT_TRUE(RouterFleet::start(router_count, {}));
     ASSERT_TRUE(cluster->until([&] { return all_caught_up(); }));
     is_sending = true;
     ASSERT_TRUE(cluster->until([&] { return requests_received[2] > 20; }));
@@ -23,7 +24,7 @@
   struct ReplicaView {
     bool has_answered = false;
     bool is_caught_up = false;
-    std::multiset<std::string> banned;  // servers, once for each ban
+    std::multiset<std::string> banned;  // the server of each ban
   };
   ReplicaView replica_view(std::size_t router) {
     ReplicaView view;
@@ -55,11 +56,12 @@
     std::ifstream file(cluster->state(router) + "/replica.bans", std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  // `change`: "offline" bans the cache s-2, "online" lifts its bans.
+  // Sends an operator's request: the change "offline" bans the cache s-2, and "online" lifts its
+  // bans. Returns the body of the response.
   std::string request_change(std::size_t router, const char* change) {
     return cluster->put(router, std::string("/control/caches/s-2/") + change, "");
   }
-  // How many requests the cache s-2 receives in that time, from all routers.
+  // Runs for `duration` and returns the number of requests that the cache s-2 receives.
   std::uint64_t requests_within(Time duration) {
     const auto before = requests_received[2];
     cluster->run(duration);
@@ -67,18 +69,18 @@
   }
 };
 
-TEST_F(ReplicatedProcesses, BansAtAllRoutersWhenOneIsAskedAndLiftsWhenAnotherIs) {
+TEST_F(ReplicatedProcesses, ReplicatesABanFromOneRouterAndALiftFromAnother) {
   ASSERT_NO_FATAL_FAILURE(begin(4));
   EXPECT_NE(request_change(0, "offline").find("is out"), std::string::npos);
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 15 * kSecond));
-  cluster->run(kSecond);  // requests in flight end
+  cluster->run(kSecond);  // until the requests in flight have ended
   EXPECT_EQ(requests_within(2 * kSecond), 0u);
   EXPECT_NE(request_change(3, "online").find("may serve"), std::string::npos);
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), false); }, 15 * kSecond));
   EXPECT_TRUE(cluster->until([&] { return requests_within(500'000) > 0; }));
 }
 
-TEST_F(ReplicatedProcesses, KeepsTheBanWhenItIsRenewedAndLiftedOnTwoSidesOfAPartition) {
+TEST_F(ReplicatedProcesses, KeepsABanThatIsRenewedAndLiftedOnTwoSidesOfAPartition) {
   ASSERT_NO_FATAL_FAILURE(begin(4));
   request_change(0, "offline");
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 15 * kSecond));
@@ -88,7 +90,7 @@
   request_change(3, "online");
   ASSERT_TRUE(cluster->until([&] { return banned_at({2, 3}, false); }, 15 * kSecond));
   request_change(1, "online");
-  request_change(1, "offline");  // a ban of its own, which the lift over there has not seen
+  request_change(1, "offline");  // a new ban, which the lift on the other side does not cover
   cluster->run(kSecond);
   cluster->cut({0, 1}, {2, 3}, false);
   ASSERT_TRUE(cluster->until(
@@ -99,8 +101,9 @@
   EXPECT_TRUE(cluster->until([&] { return banned_at(cluster->all(), false); }, 15 * kSecond));
 }
 
-// One router alone learns of the purge. A request at any router must ask for no older copy, also
-// after that router has stopped, and at one that was away.
+// Only one router receives the purge from its source. Each router must then request only copies
+// that are newer than the purge, also after that router has stopped, and after a router has
+// restarted.
 TEST_F(ReplicatedProcesses, AppliesAPurgeEverywhereAfterItsOnlyReceiverStopped) {
   has_discovery = true;
   ASSERT_NO_FATAL_FAILURE(begin(3));
@@ -109,31 +112,35 @@
   const std::string item = "00000000000000aa";
   discovery_servers[0].send(R"({"rev":1,"flush":{"asset":")" + item + R"(","ms":)" +
                             std::to_string(net::unix_now() / 1000) + "}}\n");
-  const auto asks = [&](std::size_t router) {  // with what bound on the copy's age, in milliseconds
+  // Sends a request to a router and returns the maximum age of the copy, in milliseconds, that the
+  // router requests from a cache; 0 if it requests none.
+  const auto requested_max_age = [&](std::size_t router) {
     age_limits.erase(item);
-    auto s = loopback::connect_to(cluster->clients(router));
-    s->write(loopback::encode_request(
+    auto client = loopback::connect_to(cluster->clients(router));
+    client->write(loopback::encode_request(
         1, "asset", {{"txn", item}, {"item", item}, {"limit", "3000"}, {"ram", "90"}}));
-    cluster->until([&] { return s->poll(), !loopback::decode_responses(s->received).empty(); },
-                   10 * kSecond);
+    cluster->until(
+        [&] { return client->poll(), !loopback::decode_responses(client->received).empty(); },
+        10 * kSecond);
     return age_limits.contains(item) ? std::stoi(age_limits[item]) : 0;
   };
-  ASSERT_TRUE(cluster->until([&] { return asks(1) > 0; }, 10 * kSecond))
-      << "learnt from the other router";
+  ASSERT_TRUE(cluster->until([&] { return requested_max_age(1) > 0; }, 10 * kSecond))
+      << "router 1 must receive the purge from router 0";
   cluster->kill(0);
   cluster->start(2);
   ASSERT_TRUE(cluster->until([&] { return replica_view(2).is_caught_up; }));
-  const int bound = asks(2);
-  EXPECT_GT(bound, 0) << "a router that was away";
-  EXPECT_LT(bound, 60'000);
+  const int max_age = requested_max_age(2);
+  EXPECT_GT(max_age, 0) << "router 2 was down during the purge";
+  EXPECT_LT(max_age, 60'000);
 }
 
-// The ban's author stops; a router that was away during the lift returns with the ban on its disk.
-TEST_F(ReplicatedProcesses, KeepsABanWithoutItsAuthorAndDeliversALiftAfterAnAbsence) {
+// The author of the ban stops. A router that was down during the lift restarts with the ban on its
+// disk.
+TEST_F(ReplicatedProcesses, KeepsABanWithoutItsAuthorAndDeliversALiftAfterARestart) {
   ASSERT_NO_FATAL_FAILURE(begin(4));
   request_change(0, "offline");
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 15 * kSecond));
-  cluster->run(500'000);  // until it is on the disks
+  cluster->run(500'000);  // until the ban is on the disks
   cluster->kill(0);
   cluster->kill(2);
   EXPECT_EQ(requests_within(kSecond), 0u);
@@ -146,18 +153,19 @@
   ASSERT_TRUE(cluster->until([&] { return replica_view(2).is_caught_up; }));
   EXPECT_TRUE(cluster->until([&] { return banned_at(cluster->all(), false); }, 15 * kSecond));
   cluster->run(2 * kSecond);
-  EXPECT_TRUE(banned_at(cluster->all(), false)) << "nothing came back";
+  EXPECT_TRUE(banned_at(cluster->all(), false)) << "the lifted ban must not return";
 }
 
-// All lose power at once: one disk had not synced, one is lost, one holds a corrupt file.
+// All processes lose power at once. One disk had not synced, one is lost and one has a corrupt
+// file.
 TEST_F(ReplicatedProcesses, KeepsTheBanAfterAPowerLossWithUnsyncedLostAndCorruptDisks) {
   ASSERT_NO_FATAL_FAILURE(begin(4));
-  cluster->lie(0, kSyncIgnored);
+  cluster->set_faults(0, kSyncIgnored);
   request_change(1, "offline");
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 15 * kSecond));
   cluster->run(500'000);
   for (const auto i : cluster->all()) cluster->lose_power(i);
-  cluster->lie(0, kNoFault);
+  cluster->set_faults(0, kNoFault);
   std::filesystem::remove_all(cluster->state(2));
   std::ofstream(cluster->state(3) + "/replica.bans", std::ios::trunc) << "torn";
   cluster->start_all();
@@ -169,11 +177,11 @@
   EXPECT_EQ(requests_received[2], before);
 }
 
-TEST_F(ReplicatedProcesses, IsReadyOnlyWhenCaughtUpOrAloneForTheTimeout) {
+TEST_F(ReplicatedProcesses, IsReadyOnlyWhenCaughtUpOrIsolatedForTheTimeout) {
   ASSERT_NO_FATAL_FAILURE(begin(3));
   request_change(0, "offline");
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 15 * kSecond));
-  // A ban from another router holds at once and is on the disk a moment later.
+  // A ban from another router takes effect at once and is written to the disk shortly afterwards.
   ASSERT_TRUE(cluster->until([&] { return stored_bans(2).find("s-2") != std::string::npos; }));
   cluster->kill(2);
   cluster->cut({2}, {0, 1});
@@ -182,17 +190,17 @@
   EXPECT_FALSE(replica_view(2).is_caught_up);
   EXPECT_EQ(cluster->get(2, "/control/ready"), "not ready\n");
   ASSERT_TRUE(cluster->until([&] { return replica_view(2).is_caught_up; }, 8 * kSecond))
-      << "after the timeout";
-  EXPECT_TRUE(banned_at({2}, true)) << "by what it has stored";
+      << "the router must count as caught up after the timeout";
+  EXPECT_TRUE(banned_at({2}, true)) << "the router must apply the ban that it has stored";
   EXPECT_EQ(cluster->get(2, "/control/ready"), "ready\n");
 }
 
-TEST_F(ReplicatedProcesses, SpreadsABanDespiteAHungDiskAndLossyLinks) {
+TEST_F(ReplicatedProcesses, ReplicatesABanDespiteAHungDiskAndLossyLinks) {
   ASSERT_NO_FATAL_FAILURE(begin(4));
-  cluster->lie(3, kHangs);
-  cluster->each_way([](rig::Fault& f) {
-    f.loss = 20;
-    f.jitter = 20'000;
+  cluster->set_faults(3, kHangs);
+  cluster->each_way([](rig::Fault& fault) {
+    fault.loss = 20;
+    fault.jitter = 20'000;
   });
   cluster->way(0, 1).stall = true;
   cluster->way(1, 0).stall = true;
@@ -200,12 +208,12 @@
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 10 * kSecond));
   const auto before = served_count;
   cluster->run(kSecond);
-  EXPECT_GT(served_count, before + 30) << "clients are served";
-  cluster->lie(3, kNoFault);
+  EXPECT_GT(served_count, before + 30) << "clients must still be served";
+  cluster->set_faults(3, kNoFault);
 }
 
-// Guards against a yes for a ban that the other routers never hear of.
-TEST_F(ReplicatedProcesses, SaysWhenABanHoldsAtOneRouterOnly) {
+// Guards against a success response for a ban that the other routers never receive.
+TEST_F(ReplicatedProcesses, ReportsABanThatHoldsAtOneRouterOnly) {
   ASSERT_NO_FATAL_FAILURE(begin(2));
   for (const auto i : cluster->all()) cluster->kill(i);
   const auto stored =
@@ -226,10 +234,10 @@
   EXPECT_NE(request_change(0, "online").find("may serve"), std::string::npos);
 }
 
-// Guards against a line of log with every event while a disk takes no bans.
-TEST_F(ReplicatedProcesses, LogsADiskThatTakesNoBansOnce) {
+// Guards against a log line for each event while bans cannot be written to the disk.
+TEST_F(ReplicatedProcesses, LogsOnceThatBansCannotBeWritten) {
   ASSERT_NO_FATAL_FAILURE(begin(2));
-  cluster->lie(0, fleet::kDiskFull);
+  cluster->set_faults(0, fleet::kDiskFull);
   request_change(0, "offline");
   ASSERT_TRUE(cluster->until([&] { return banned_at({1}, true); }, 15 * kSecond));
   cluster->run(4 * kSecond);
@@ -237,7 +245,7 @@
   const auto first = log.find("event=not_written");
   ASSERT_NE(first, std::string::npos);
   EXPECT_EQ(log.find("event=not_written", first + 1), std::string::npos) << log;
-  cluster->lie(0, kNoFault);
+  cluster->set_faults(0, kNoFault);
   EXPECT_TRUE(cluster->until(
       [&] {
         return stored_bans(0).find("s-2") != std::string::npos &&
--- a/tests/replication/seen_changes.h
+++ b/tests/replication/seen_changes.h
@@ -1,5 +1,6 @@
-// Sets of bans that have seen many changes and hold no ban, as copies near their bounds are. They
-// are made as bytes: to make each change by itself would take a test too long.
+// Makes encoded sets of bans that have received many changes and contain no ban, for tests of
+// replicas near their limits. The sets are written as bytes, because applying each change would
+// take too long in a test.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +14,8 @@
 
 using alderspur::replication::Dot;
 
-/// An encoded set that has seen all changes up to these, and the detached ones beyond a gap.
+/// Returns an encoded set that has received all changes up to `last_contiguous`, and the changes
+/// `detached` beyond a gap.
 inline std::string encode(const std::vector<Dot>& last_contiguous,
                           const std::vector<Dot>& detached) {
   alderspur::msgpack_codec::Writer bytes;
@@ -27,14 +29,16 @@
   return bytes.str();
 }
 
-/// One change of each of `count` authors, all lifted again.
+/// Returns an encoded set that has received one change of each of `count` authors, whose bans have
+/// all been lifted.
 inline std::string encode_of_authors(const std::string& name, std::size_t count) {
   std::vector<Dot> changes;
   for (std::size_t epoch = 1; epoch <= count; ++epoch) changes.push_back({{name, epoch}, 1});
   return encode(changes, {});
 }
 
-/// `count` changes of one author, of which the first is missing.
+/// Returns an encoded set that has received `count` changes of one author, but not the author's
+/// first change.
 inline std::string encode_beyond_a_gap(const std::string& name, std::size_t count) {
   std::vector<Dot> detached;
   for (std::size_t i = 0; i < count; ++i) detached.push_back({{name, 1}, i + 2});
--- a/tests/replication/simulated_replicas.h
+++ b/tests/replication/simulated_replicas.h
@@ -1,5 +1,5 @@
-// Replicas on a simulated network with its own clock: frames are delayed by a few milliseconds and
-// may be lost; replicas may be stopped and started again without memory.
+// Runs replicas on a simulated network with its own clock. Frames are delayed by a few milliseconds
+// and may be lost. Replicas can be stopped, and restarted without their state.
 #pragma once
 
 #include <algorithm>
@@ -45,7 +45,8 @@
 
 constexpr Time kSecond = 1'000'000;
 
-/// Factor on the number of seeds of each exploring test; ALDERSPUR_EXPLORE sets it.
+/// Returns the factor by which exploring tests multiply their number of seeds. ALDERSPUR_EXPLORE
+/// sets it; the default is 1.
 inline std::size_t exploration_factor() {
   const char* factor = std::getenv("ALDERSPUR_EXPLORE");
   return factor != nullptr ? std::strtoul(factor, nullptr, 10) : 1;
@@ -54,21 +55,23 @@
 inline std::string replica_name(std::size_t index) { return "r" + std::to_string(index); }
 inline Author author(std::size_t index) { return {replica_name(index), 1}; }
 
+/// One router: its replica, and what the router has received from the replica's actions.
 struct Node {
-  std::unique_ptr<Replica> replica;            // null while it is stopped
-  std::set<std::string> banned;                // as its router was notified
-  std::map<std::uint64_t, Time> purge_floors;  // of objects, as its router was told
-  Time global_floor = 0;                       // of everything, as its router was told
+  std::unique_ptr<Replica> replica;            // null while the replica is stopped
+  std::set<std::string> banned;                // servers
+  std::map<std::uint64_t, Time> purge_floors;  // by object
+  Time global_floor = 0;
   std::map<Bound, std::uint64_t> bound_reports;
-  std::map<std::string, std::uint64_t> clock_skews;  // reports, by peer
-  Time clock_error = 0;                              // of its Unix time
-  std::set<std::string> refused_bans;
+  std::map<std::string, std::uint64_t> clock_skews;  // number of reports by peer
+  Time clock_error = 0;                              // error of the router's Unix time
+  std::set<std::string> refused_bans;                // servers
   std::uint64_t epoch = 0;
 };
 
+/// The simulated network and its replicas.
 class Network {
  public:
-  /// True where the frame from the first to the second is lost.
+  /// Returns true if a frame between these replicas is lost.
   using LossRule = std::function<bool(const std::string& from, const std::string& to)>;
 
   Network(std::uint64_t seed, std::size_t size,
@@ -93,7 +96,7 @@
     std::vector<Action> actions;
     node.replica->handle(now_, ClockRead{now_ + node.clock_error}, actions);
     node.replica->handle(now_, event, actions);
-    for (const auto& action : actions) carry_out(name, node, action);
+    for (const auto& action : actions) execute(name, node, action);
   }
 
   void ban(const std::string& at, const std::string& server) {
@@ -120,13 +123,15 @@
       }
     }
   }
-  bool run_until(const std::function<bool()>& holds, Time timeout) {
+  /// Runs until the condition is true; returns false if it is not true within `timeout`.
+  bool run_until(const std::function<bool()>& condition, Time timeout) {
     for (const Time end = now_ + timeout; now_ < end; run(10'000)) {
-      if (holds()) return true;
+      if (condition()) return true;
     }
-    return holds();
+    return condition();
   }
 
+  /// Reports whether all running replicas have the same bans and floors.
   bool all_equal() const {
     const Replica* first = nullptr;
     for (const auto& [name, node] : nodes_) {
@@ -138,7 +143,8 @@
     }
     return true;
   }
-  /// Each running replica's copy, and what its router was notified of.
+  /// Reports whether the server is banned, or not banned, in each running replica and at its
+  /// router.
   bool all_have_banned(const std::string& server, bool is_banned) const {
     return std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
       const Node& node = entry.second;
@@ -179,7 +185,7 @@
       if (node.replica) deliver(name, peers);
     }
   }
-  void carry_out(const std::string& name, Node& node, const Action& action) {
+  void execute(const std::string& name, Node& node, const Action& action) {
     if (const auto* frame = std::get_if<SendFrame>(&action)) {
       bytes_sent_ += frame->bytes.size();
       if (is_lost_(name, frame->to)) return;
@@ -214,7 +220,7 @@
   std::uint64_t bytes_sent_ = 0;
 };
 
-/// What an earlier process of that replica stored.
+/// Loads bans into a replica, as if an earlier process of the router had stored them.
 inline void load_stored(Network& network, const std::string& name, const BanSet& bans) {
   network.deliver(name, BansLoaded{bans});
 }
--- a/tests/replication/stored_data_test.cpp
+++ b/tests/replication/stored_data_test.cpp
@@ -1,5 +1,6 @@
-// What the program wrote and sent before its code was renamed: files under tests/data/replication,
-// made by that version, are read with the same result and written byte for byte.
+// Compatibility tests with the version before the identifiers of the code were renamed. The files
+// under tests/data/replication, which that version wrote, must be read with the same result and
+// written to the same bytes.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -45,17 +46,17 @@
   };
   EXPECT_EQ(stored->bans(), expected);
   EXPECT_EQ(stored->banned_servers(), (std::vector<std::string>{"cache-1", "cache-3"}));
-  EXPECT_TRUE(stored->context().contains({first, 2})) << "the ban of cache-2, lifted";
-  EXPECT_FALSE(stored->context().contains({second, 1})) << "never received";
+  EXPECT_TRUE(stored->context().contains({first, 2})) << "the ban of cache-2, which was lifted";
+  EXPECT_FALSE(stored->context().contains({second, 1})) << "a change that was never received";
   EXPECT_EQ(stored->context().last_contiguous(first), 2U);
   EXPECT_EQ(stored->context().detached(), (std::set<Dot>{{second, 2}}));
   EXPECT_EQ(stored->digest(), 7'100'837'665'757'508'307U);
-  EXPECT_EQ(stored->encode(), *file.payload) << "and writes the same bytes";
+  EXPECT_EQ(stored->encode(), *file.payload) << "the set must be written to the same bytes";
 }
 
 constexpr Time kStart = 1'700'000'000'000'000;  // Unix time in microseconds
 
-// Two replicas whose frames and actions are recorded as lines of text.
+// Runs two replicas and records their frames and actions as lines of text.
 class RecordedPair {
  public:
   RecordedPair() {
@@ -67,7 +68,7 @@
     (to == 1 ? first_ : second_).handle(now_, event, actions);
     for (const auto& action : actions) record(to, action);
   }
-  /// Loses every frame that the event makes the replica send.
+  /// Delivers an event and loses each frame that the replica sends in response.
   void deliver_and_lose_frames(int to, const Event& event) {
     const auto in_flight = in_flight_;
     deliver(to, event);
--- a/tests/support/mangled_frames.h
+++ b/tests/support/mangled_frames.h
@@ -1,5 +1,5 @@
-// Mangled copies of MessagePack frames: cut, with one element dropped, or with one element replaced
-// by one of another type.
+// Makes mangled copies of MessagePack frames: truncated copies, copies without one element, and
+// copies in which one element is replaced by an element of another type.
 #pragma once
 
 #include <msgpack.h>
@@ -24,7 +24,7 @@
   Type type = Type::nil;
   std::uint64_t number = 0;
   double real = 0;
-  std::string content{};  // of a text or a byte string
+  std::string content{};  // the content of a text or a byte string
   std::vector<Item> elements{};
 };
 
@@ -48,7 +48,7 @@
       return array;
     }
     default:
-      throw std::logic_error("a type that no frame has");
+      throw std::logic_error("the frame contains a MessagePack type that no frame format uses");
   }
 }
 
@@ -76,18 +76,19 @@
   }
 }
 
-/// Every copy with one element changed, made by visiting the elements of a frame in order.
+/// Makes all copies of a frame with one element changed, in the order of the elements.
 class Mangler {
  public:
   explicit Mangler(std::string_view frame) : document_(frame), root_(item_of(document_.root())) {}
 
-  /// One element, or the frame itself, is of another type.
+  /// Returns the copies in which one element, or the frame itself, has another type.
   std::vector<std::string> with_replaced_elements() {
     copies_.clear();
     replace_in(root_);
     return copies_;
   }
-  /// One element is missing: the rest may be a frame all the same, such as a shorter list.
+  /// Returns the copies in which one element is missing. Such a copy may still be a valid frame,
+  /// for example with a shorter list.
   std::vector<std::string> with_dropped_elements() {
     copies_.clear();
     drop_in(root_);
@@ -126,8 +127,8 @@
   std::vector<std::string> copies_;
 };
 
-/// The beginning of a frame, of every length.
-inline std::vector<std::string> cut_copies(std::string_view frame) {
+/// Returns all proper prefixes of a frame.
+inline std::vector<std::string> truncated_copies(std::string_view frame) {
   std::vector<std::string> copies;
   for (std::size_t size = 0; size < frame.size(); ++size) {
     copies.emplace_back(frame.substr(0, size));
@@ -135,9 +136,9 @@
   return copies;
 }
 
-/// Copies that no receiver may accept: cut, or with an element of another type.
+/// Returns the copies that no receiver may accept: truncated, or with an element of another type.
 inline std::vector<std::string> unacceptable_copies(std::string_view frame) {
-  auto copies = cut_copies(frame);
+  auto copies = truncated_copies(frame);
   for (auto& copy : Mangler(frame).with_replaced_elements()) copies.push_back(std::move(copy));
   return copies;
 }
