--- a/src/cluster/frame_authenticator.h
+++ b/src/cluster/frame_authenticator.h
@@ -8,8 +8,10 @@
 //
 // Replay protection: for each sender the receiver keeps a window of the last 64 sequence numbers. A
 // frame is a replay if its sequence number was already received or is older than the window. The
-// receiver keeps at most kMaxSenders senders and evicts the oldest entry first. A token bucket
-// limits the frame rate of each sender, so that one that floods does not take capacity from others.
+// receiver keeps at most kMaxSenders senders and evicts the oldest entry first.
+//
+// Rate limit: a token bucket limits the frames accepted from each sender, so that a flood of frames
+// from one sender does not affect the others.
 #pragma once
 
 #include <cstddef>
--- a/src/cluster/gossip_queue.cpp
+++ b/src/cluster/gossip_queue.cpp
@@ -15,8 +15,8 @@
 }
 
 std::vector<GossipUpdate> GossipQueue::take(std::size_t max_count, std::size_t max_transmissions) {
-  // All updates are chosen before any is put back: one that is put back may be ordered before
-  // others of the choice and would otherwise be chosen again.
+  // All updates are chosen before any is put back. Otherwise an update that is put back could be
+  // ordered before the others and be chosen again.
   const auto count = static_cast<std::ptrdiff_t>(std::min(max_count, order_.size()));
   const std::vector<Position> chosen(order_.begin(), std::next(order_.begin(), count));
   std::vector<GossipUpdate> taken;
--- a/src/cluster/gossip_queue.h
+++ b/src/cluster/gossip_queue.h
@@ -1,6 +1,6 @@
 // Holds the membership updates that still have to be sent to other members. The queue keeps the
-// latest update on each member, returns those first that were sent least often, and drops each one
-// after a bounded number of transmissions. It does no I/O and is not thread-safe.
+// latest update on each member, returns the updates that were sent least often first, and drops an
+// update after a bounded number of transmissions. It does no I/O and is not thread-safe.
 #pragma once
 
 #include <compare>
@@ -14,7 +14,7 @@
 
 namespace alderspur::cluster {
 
-/// A queue of updates, ordered by the number of times each was sent.
+/// A queue of updates, ordered by the number of times that each was sent.
 class GossipQueue {
  public:
   /// Adds an update that counts as never sent. It replaces a queued update on the same member.
--- a/src/cluster/member_table.h
+++ b/src/cluster/member_table.h
@@ -1,5 +1,5 @@
-// Stores all other members of the cluster that this process has received updates on, and the order
-// in which the live members are probed. It does no I/O and reads no clock; it is not thread-safe.
+// Stores all other known members of the cluster and the order in which the live members are probed.
+// It does no I/O, reads no clock and is not thread-safe.
 #pragma once
 
 #include <cstddef>
--- a/src/cluster/timer_queue.h
+++ b/src/cluster/timer_queue.h
@@ -39,8 +39,7 @@
   std::uint64_t ping_id = 0;  // the ping that the timer concerns, if any
 };
 
-/// A queue of timers. Timers that are due at the same time fire in the order in which they were
-/// set.
+/// A queue of timers. Timers that are due at the same time fire in the order they were set.
 class TimerQueue {
  public:
   void set(Time due_at, Timer timer) { timers_.emplace(due_at, std::move(timer)); }
--- a/src/replication/digest.h
+++ b/src/replication/digest.h
@@ -1,4 +1,4 @@
-// The hash function for digests of copies. It gives the same value at every router and in every
+// The hash function for digests of copies. Its values are the same at every router and in every
 // run.
 #pragma once
 
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -308,7 +308,8 @@
   }
 }
 
-// Returns the bytes that a member sends in ten seconds, after the updates of the start were sent.
+// Returns the average number of bytes that a member sends in ten seconds, measured after the
+// updates of the start have been sent.
 double load_per_member(std::size_t size) {
   Network network(5);
   network.start_all(size);
--- a/tests/cluster/rig.h
+++ b/tests/cluster/rig.h
@@ -162,7 +162,7 @@
   pid_t pid(std::size_t i) const { return processes_[i].pid; }
   /// Returns the exit code of a process that has ended, or the negative number of the signal that
   /// ended it.
-  int code(std::size_t i) const { return processes_[i].exit_code; }
+  int exit_code(std::size_t i) const { return processes_[i].exit_code; }
   std::string log(std::size_t i) const {
     std::ifstream log_file(file(i, "log"));
     return {std::istreambuf_iterator<char>(log_file), {}};
@@ -223,7 +223,7 @@
         .value_or("");
   }
   /// Returns the address at which a process accepts clients.
-  sockaddr_in clients(std::size_t i) const { return address(i + 1, kClientPort); }
+  sockaddr_in client_address(std::size_t i) const { return address(i + 1, kClientPort); }
   View view(std::size_t i) {
     View view;
     const auto body = call(i, "GET /control/cluster HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -327,7 +327,7 @@
   void write_config_with_list(std::size_t i, const Setup& setup) const {
     std::ofstream(file(i, "servers.toml")) << setup.servers;
     std::ofstream(file(i, "config.json"))
-        << R"({"name":"n)" << i << R"(","listen":")" << net::to_string(clients(i))
+        << R"({"name":"n)" << i << R"(","listen":")" << net::to_string(client_address(i))
         << R"(","board":")" << setup.board
         << R"(","settings":{"azs":["hub","edge"],"zone":1,"shapes":["small","upper","origin"],)"
         << setup.obligations << R"(
--- a/tests/cluster/rig_test.cpp
+++ b/tests/cluster/rig_test.cpp
@@ -241,7 +241,7 @@
 
 // Runs a schedule of MembershipExploration with real processes. Set
 // ALDERSPUR_EXPLORED="LOST LATE RESTARTED MILLISECONDS" to repeat a schedule that a failed check of
-// that test has printed.
+// that test has printed. The check prints the time of the restart in microseconds.
 TEST_F(RigTest, ReplaysAnExploredSchedule) {
   std::uint64_t lost = 3;
   std::uint64_t late = 7;
@@ -318,7 +318,7 @@
   form(cluster);
   cluster.signal(2, SIGTERM);
   ASSERT_TRUE(cluster.until([&] { return !cluster.runs(2); }));
-  EXPECT_EQ(cluster.code(2), 0);
+  EXPECT_EQ(cluster.exit_code(2), 0);
   EXPECT_TRUE(cluster.until([&] {
     return cluster.view(0).states["n2"] == "left" && cluster.view(1).states["n2"] == "left";
   }));
@@ -333,14 +333,14 @@
   cluster.configure(0, weak);
   cluster.start(0);
   ASSERT_TRUE(cluster.until([&] { return !cluster.runs(0); }));
-  EXPECT_EQ(cluster.code(0), 1);
+  EXPECT_EQ(cluster.exit_code(0), 1);
   EXPECT_NE(cluster.log(0).find("under 32 characters"), std::string::npos);
   rig::Setup named;
   named.member = "two words";
   cluster.configure(1, named);
   cluster.start(1);
   ASSERT_TRUE(cluster.until([&] { return !cluster.runs(1); }));
-  EXPECT_EQ(cluster.code(1), 1);
+  EXPECT_EQ(cluster.exit_code(1), 1);
   EXPECT_NE(cluster.log(1).find("settings.toml:"), std::string::npos) << cluster.log(1);
 }
 
--- a/tests/consensus/router_fleet.cpp
+++ b/tests/consensus/router_fleet.cpp
@@ -201,7 +201,7 @@
 
 bool RouterFleet::connect(std::size_t router) {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-  const auto address = cluster->clients(router);
+  const auto address = cluster->client_address(router);
   if (::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0) {
     ::close(socket);
     return false;
--- a/tests/replication/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -116,7 +116,7 @@
   // router requests from a cache; 0 if it requests none.
   const auto requested_max_age = [&](std::size_t router) {
     age_limits.erase(item);
-    auto client = loopback::connect_to(cluster->clients(router));
+    auto client = loopback::connect_to(cluster->client_address(router));
     client->write(loopback::encode_request(
         1, "asset", {{"txn", item}, {"item", item}, {"limit", "3000"}, {"ram", "90"}}));
     cluster->until(
