--- a/tests/consensus/router_fleet.cpp
+++ b/tests/consensus/router_fleet.cpp
@@ -73,7 +73,7 @@
   setup.servers = endpoint_list(initial_servers);
   setup.routers = routers;
   setup.obligations = obligations;
-  setup.alone = has_no_consensus;
+  setup.without_consensus = has_no_consensus;
   setup.domain = domain;
   for (std::size_t i = 0; i < routers; ++i) {
     if (has_discovery) setup.board = discovery_servers.emplace_back().address();
@@ -201,7 +201,7 @@
 
 bool RouterFleet::connect(std::size_t router) {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-  const auto address = cluster->clients(router);
+  const auto address = cluster->client_address(router);
   if (::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0) {
     ::close(socket);
     return false;
