--- a/src/control/cluster_service.cpp
+++ b/src/control/cluster_service.cpp
@@ -12,23 +12,26 @@
 
 constexpr const char* kLogModule = "cluster";
 constexpr std::size_t kMinSecretLength = 32;
-/// The first byte of replication frames. No frame of the consensus begins with it.
+/// The first byte of each replication frame. Consensus frames never start with this byte.
 constexpr char kReplicationPrefix = '\xc1';
 
+/// Returns the content of the file without trailing line breaks.
 std::string read_secret(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream content;
   content << file.rdbuf();
   std::string secret = content.str();
   while (!secret.empty() && (secret.back() == '\n' || secret.back() == '\r')) secret.pop_back();
-  if (!file) throw config::Error("cannot read the secret of the cluster, " + path);
+  if (!file) throw config::Error("cannot read the cluster secret from file " + path);
   if (secret.size() < kMinSecretLength) {
-    throw config::Error("the secret of the cluster, " + path +
-                        ", has under 32 characters; use random ones");
+    throw config::Error("the cluster secret in file " + path +
+                        " has fewer than 32 characters; use at least 32 random characters");
   }
   return secret;
 }
 
+/// Returns the identity of this member with a new epoch. If the stored epoch cannot be used, logs
+/// the reason.
 cluster::Identity make_identity(const settings::Cluster& settings, const std::string& router_name,
                                 log::Log& log) {
   cluster::Identity self;
@@ -37,7 +40,7 @@
   self.share = settings.share;
   self.version = ALDERSPUR_VERSION;
   if (self.name.empty()) {
-    throw config::Error("this member of the cluster has no name: set [cluster] member");
+    throw config::Error("this router has no member name in the cluster: set member in [cluster]");
   }
   const auto epoch = cluster::next_epoch(settings.state_directory, net::unix_now());
   self.epoch = epoch.epoch;
@@ -117,7 +120,7 @@
   notify_members();
   const auto& update = change.update;
   const bool has_failed = update.state == cluster::MemberState::failed;
-  // The first changes come while the transport is being constructed.
+  // The transport reports the first changes from its constructor, before transport_ is set.
   const auto health =
       transport_ ? transport_->membership().health() : cluster::ClusterHealth::isolated;
   log_.record(
@@ -135,11 +138,11 @@
                       view_extension_);
 }
 
-void ClusterService::send_replica(const std::string& to, std::string_view frame) {
+void ClusterService::send_replication_frame(const std::string& to, std::string_view frame) {
   transport_->send_frame(to, kReplicationPrefix + std::string(frame));
 }
 
-void ClusterService::on_members(MembersHandler handler) {
+void ClusterService::on_members_changed(MembersHandler handler) {
   members_handlers_.push_back(std::move(handler));
   notify_members();
 }
--- a/src/control/cluster_service.h
+++ b/src/control/cluster_service.h
@@ -1,6 +1,8 @@
-// Runs this router's membership of its cluster: starts the transport, passes frames and changes of
-// the members on to the services that use them, logs them, and renders the view for operators.
-// On the loop's thread only.
+// The membership of this router in its cluster: starts the cluster transport, dispatches received
+// frames and membership changes to the services that registered a handler, logs membership changes,
+// and renders the cluster view for operators.
+//
+// Threads: everything runs on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -17,50 +19,56 @@
 
 namespace alderspur::control {
 
-/// Adds members to the JSON object of a view.
+/// Writes additional members into the JSON object of the cluster view.
 using ViewExtension = std::function<void(json::Writer&)>;
 
-/// The view as JSON, as GET /control/cluster returns it. `now`: microseconds of the engine's clock.
-/// docs/cluster.md explains its fields.
+/// Returns the cluster view as JSON, which is the response to GET /control/cluster. `now` is the
+/// time of the engine's clock in microseconds. docs/cluster.md describes the fields.
 std::string cluster_view(const cluster::Membership& membership,
                          const cluster_transport::TransportCounters& counters, core::Time now,
                          const ViewExtension& extension = {});
 
+/// Connects this router to the other members of its cluster. The consensus service and the
+/// replication service send and receive their frames through this class.
 class ClusterService {
  public:
-  /// Receives a frame of the member `from`; the bytes are valid during the call only.
+  /// Handles a frame received from the member `from`. The bytes are valid during the call only.
   using FrameHandler = std::function<void(const std::string& from, std::string_view frame)>;
-  /// Receives the names of all members that are alive or suspect, without this one.
+  /// Receives the names of all other members that are alive or suspect.
   using MembersHandler = std::function<void(const std::vector<std::string>& names)>;
 
-  /// Reads the secret, begins a new epoch and joins the cluster. Throws config::Error with the
-  /// reason in one line. `router` and `log` must outlive the service.
+  /// Reads the cluster secret, starts a new epoch and joins the cluster. Throws config::Error,
+  /// whose message is one line, if the secret or the member name cannot be used. `router` and `log`
+  /// must outlive this object.
   ClusterService(edge_router::EdgeRouter& router, const settings::Cluster& settings, log::Log& log);
 
-  /// The view as JSON, with what the services add to it.
+  /// Returns the cluster view as JSON, including the members that the view extension writes.
   std::string view() const;
 
-  const cluster_transport::ClusterTransport& link() const { return *transport_; }
+  const cluster_transport::ClusterTransport& transport() const { return *transport_; }
 
-  /// Sends a frame of the consensus on versions. It may be lost: there is no error.
-  void send_frame(const std::string& to, std::string_view frame) {
+  /// Sends a consensus frame to the member `to`. Delivery is not guaranteed, and a loss is not
+  /// reported.
+  void send_consensus_frame(const std::string& to, std::string_view frame) {
     transport_->send_frame(to, frame);
   }
 
-  /// Sets the handler of the consensus's frames.
-  void on_frame(FrameHandler handler) { consensus_handler_ = std::move(handler); }
+  /// Sets the handler of received consensus frames.
+  void on_consensus_frame(FrameHandler handler) { consensus_handler_ = std::move(handler); }
 
-  /// Sends a frame of the replication of bans and purges. It may be lost: there is no error.
-  void send_replica(const std::string& to, std::string_view frame);
+  /// Sends a frame that replicates bans and purges to the member `to`. Delivery is not guaranteed,
+  /// and a loss is not reported.
+  void send_replication_frame(const std::string& to, std::string_view frame);
 
-  /// Sets the handler of the replication's frames.
-  void on_replica(FrameHandler handler) { replication_handler_ = std::move(handler); }
+  /// Sets the handler of received replication frames.
+  void on_replication_frame(FrameHandler handler) { replication_handler_ = std::move(handler); }
 
-  /// Sets what adds members to the view.
-  void on_view(ViewExtension extension) { view_extension_ = std::move(extension); }
+  /// Sets the function that writes additional members into the cluster view.
+  void set_view_extension(ViewExtension extension) { view_extension_ = std::move(extension); }
 
-  /// Calls the handler now, and at each change, with the members that are alive or suspect.
-  void on_members(MembersHandler handler);
+  /// Adds a handler. It is called immediately with the current members, and again after each
+  /// membership change.
+  void on_members_changed(MembersHandler handler);
 
  private:
   cluster_transport::ClusterTransport::Hooks transport_hooks();
--- a/src/control/cluster_view.cpp
+++ b/src/control/cluster_view.cpp
@@ -1,4 +1,4 @@
-// The view of the cluster as JSON. docs/cluster.md explains its fields, whose order is fixed.
+// Renders the cluster view as JSON. docs/cluster.md describes the fields; their order is fixed.
 #include <utility>
 
 #include "control/cluster_service.h"
--- a/src/control/consensus_service.cpp
+++ b/src/control/consensus_service.cpp
@@ -15,11 +15,11 @@
 constexpr const char* kLogModule = "agreement";
 constexpr std::size_t kMaxFinishedProposals = 16;
 constexpr std::size_t kMaxRequestBodyBytes = 4 << 20;
-/// Of each quota, for all routers without a lease together.
+/// The fraction of each quota that all routers without a lease use together.
 constexpr double kUnleasedFraction = 1 - consensus::kLeasedFraction;
-/// Among how many routers at least the unleased fraction is divided.
+/// The unleased fraction is divided among at least this number of routers.
 constexpr std::uint32_t kMinRouters = 8;
-constexpr std::chrono::milliseconds kStopTimeout(200);  // for each worker
+constexpr std::chrono::milliseconds kStopTimeout(200);  // per worker
 
 constexpr std::string_view kProposalsPath = "/proposals/";
 constexpr std::string_view kContentPath = "/content/";
@@ -29,8 +29,9 @@
 
 static_assert(settings::kMaxVoters == consensus::kMaxVoters);
 
-/// An equal part of the unleased fraction, over twice the configured number of routers: more may
-/// run than configured.
+/// Returns the fraction of each quota that this router uses without a lease. Divides the unleased
+/// fraction by twice the configured number of routers, because more routers may run than
+/// configured.
 double unleased_share(const config::Config& config) {
   return kUnleasedFraction / 2 / std::max(kMinRouters, config.settings.router_count);
 }
@@ -55,7 +56,7 @@
       log_(log),
       unleased_share_(unleased_share(router.config())),
       random_(std::random_device{}()),
-      node_(consensus_settings(cluster.link().membership().self(), settings), random_()),
+      node_(consensus_settings(cluster.transport().membership().self(), settings), random_()),
       wakeup_(router.loop()),
       storage_(
           settings.state_directory, wakeup_,
@@ -77,14 +78,14 @@
 }
 
 void ConsensusService::subscribe() {
-  cluster_.on_frame([this](const std::string& from, std::string_view bytes) {
+  cluster_.on_consensus_frame([this](const std::string& from, std::string_view bytes) {
     handle(consensus::MessageReceived{from, std::string(bytes)});
   });
-  cluster_.on_members(
+  cluster_.on_members_changed(
       [this](const std::vector<std::string>& names) { handle(consensus::PeersChanged{names}); });
   router_.set_versions_handler(
       [this](std::string_view path, std::string_view query, const std::string& body) {
-        return on_admin_call(path, query, body);
+        return handle_admin_call(path, query, body);
       },
       kMaxRequestBodyBytes);
 }
@@ -115,7 +116,7 @@
 }
 
 void ConsensusService::perform(const consensus::SendMessage& action) {
-  cluster_.send_frame(action.to, action.bytes);
+  cluster_.send_consensus_frame(action.to, action.bytes);
 }
 
 void ConsensusService::perform(consensus::WriteLog action) {
@@ -150,10 +151,10 @@
 // ---- The active version
 
 void ConsensusService::perform(const consensus::Activate& action) {
-  const bool is_another = is_another_version(action.active);
+  const bool has_changed = differs_from_active(action.active);
   active_ = action.active;
   apply_shares(active_);
-  if (!is_another) return;
+  if (!has_changed) return;
   if (active_.version.number != measured_version_) {
     measured_version_ = active_.version.number;
     load_.reset_failure_ratio();
@@ -165,7 +166,7 @@
   contents_.write_files(active_);
 }
 
-bool ConsensusService::is_another_version(const consensus::ActiveVersion& version) const {
+bool ConsensusService::differs_from_active(const consensus::ActiveVersion& version) const {
   return version.version.number != active_.version.number ||
          version.is_conservative != active_.is_conservative ||
          version.newer_contents != active_.newer_contents;
@@ -185,14 +186,14 @@
                                         [this] { report_load(); });
 }
 
-// ---- Operators' calls
+// ---- Admin calls of operators
 
-admin::HttpReply ConsensusService::on_admin_call(std::string_view path, std::string_view query,
-                                                 const std::string& body) {
-  return body.empty() ? answer_read(path) : propose(path, query, body);
+admin::HttpReply ConsensusService::handle_admin_call(std::string_view path, std::string_view query,
+                                                     const std::string& body) {
+  return body.empty() ? handle_read(path) : propose(path, query, body);
 }
 
-admin::HttpReply ConsensusService::answer_read(std::string_view path) const {
+admin::HttpReply ConsensusService::handle_read(std::string_view path) const {
   if (path.empty()) return {kOk, view()};
   if (path.starts_with(kProposalsPath)) {
     return proposal_result(read_number(path.substr(kProposalsPath.size())));
@@ -215,16 +216,16 @@
 
 admin::HttpReply ConsensusService::version_content(std::uint64_t number) const {
   const auto content = node_.content(number);
-  if (!content) return {kNotFound, "that version is not kept here\n"};
+  if (!content) return {kNotFound, "this router does not store the content of that version\n"};
   return {kOk, consensus::encode(*content)};
 }
 
 admin::HttpReply ConsensusService::propose(std::string_view path, std::string_view query,
                                            const std::string& body) {
-  const std::uint64_t nonce = random_() >> 1 | 1;  // 0 stands for no proposal
-  const auto read = read_proposal(path, query, body, nonce);
-  if (const auto* error = std::get_if<admin::HttpReply>(&read)) return *error;
-  const auto& proposal = std::get<consensus::OperatorProposal>(read);
+  const std::uint64_t nonce = random_() >> 1 | 1;  // never 0, which means no proposal
+  const auto proposal_or_reply = read_proposal(path, query, body, nonce);
+  if (const auto* error = std::get_if<admin::HttpReply>(&proposal_or_reply)) return *error;
+  const auto& proposal = std::get<consensus::OperatorProposal>(proposal_or_reply);
   handle(proposal);
   return {kAccepted, std::to_string(proposal.nonce) + "\n"};
 }
--- a/src/control/consensus_service.h
+++ b/src/control/consensus_service.h
@@ -1,9 +1,10 @@
-// Runs this router's part in agreeing on versions of the shared configuration: connects the
-// ConsensusNode with the cluster's transport, the disk, the router whose shares and files it sets,
-// and the operators' calls.
+// The participation of this router in the consensus on versions of the shared configuration.
+// Connects the ConsensusNode, which does no I/O, to the cluster transport, the disk and the admin
+// calls of operators, and applies its decisions to the router: quota shares and the files of the
+// active version.
 //
-// Threads: all of it on the loop's thread. ConsensusStorage and VersionContents have workers for
-// what blocks.
+// Threads: everything runs on the event loop's thread, except blocking disk operations, which
+// ConsensusStorage and VersionContents run on worker threads.
 #pragma once
 
 #include <cstdint>
@@ -23,23 +24,25 @@
 
 namespace alderspur::control {
 
-/// The view of versions as JSON, as GET /control/versions gives it; docs/versions.md explains its
-/// fields. `now`: on the monotonic clock, in microseconds.
+/// Returns the versions view as JSON, which is the response to GET /control/versions. `now` is the
+/// time of the monotonic clock in microseconds. docs/versions.md describes the fields.
 std::string versions_view(const consensus::NodeStatus& status, const consensus::LeaseTable& leases,
                           core::Time now);
 
+/// Runs the ConsensusNode of this router: delivers events to it and performs the actions that it
+/// returns.
 class ConsensusService {
  public:
-  /// Begins to load what the disk holds. The router, the cluster and the log must outlive this
-  /// object.
+  /// Starts to load the stored state in the background. `router`, `cluster` and `log` must outlive
+  /// this object.
   ConsensusService(edge_router::EdgeRouter& router, ClusterService& cluster,
                    const settings::Cluster& settings, VersionFiles files, log::Log& log);
   ~ConsensusService();
   ConsensusService(const ConsensusService&) = delete;
   ConsensusService& operator=(const ConsensusService&) = delete;
 
-  /// Waits a short time for the workers. False: a disk hangs, and the process can only be ended by
-  /// _exit().
+  /// Stops the workers and waits up to 200 ms for each. Returns false if a worker is still blocked
+  /// on its disk; then only _exit() can end the process.
   bool stop_workers();
 
  private:
@@ -57,13 +60,13 @@
   void perform(const consensus::ProposalFinished& action);
   void perform(const consensus::LogEvent& action);
 
-  bool is_another_version(const consensus::ActiveVersion& version) const;
+  bool differs_from_active(const consensus::ActiveVersion& version) const;
   void apply_shares(const consensus::ActiveVersion& version);
   void report_load();
 
-  admin::HttpReply on_admin_call(std::string_view path, std::string_view query,
-                                 const std::string& body);
-  admin::HttpReply answer_read(std::string_view path) const;
+  admin::HttpReply handle_admin_call(std::string_view path, std::string_view query,
+                                     const std::string& body);
+  admin::HttpReply handle_read(std::string_view path) const;
   admin::HttpReply proposal_result(std::uint64_t nonce) const;
   admin::HttpReply version_content(std::uint64_t number) const;
   admin::HttpReply propose(std::string_view path, std::string_view query, const std::string& body);
@@ -72,18 +75,18 @@
   edge_router::EdgeRouter& router_;
   ClusterService& cluster_;
   log::Log& log_;
-  const double unleased_share_;  // of each quota, while this router has no lease
+  const double unleased_share_;  // fraction of each quota that this router uses without a lease
   std::mt19937_64 random_;
   consensus::ConsensusNode node_;
   consensus::ActiveVersion active_;
   RequestLoad load_;
-  std::uint64_t measured_version_ = 0;  // whose failures load_ counts
-  std::deque<consensus::ProposalResult>
-      finished_proposals_;  // of this router's operators, the last few
+  std::uint64_t measured_version_ = 0;  // the version whose failure ratio load_ measures
+  // The results of the latest proposals that operators made at this router, oldest first.
+  std::deque<consensus::ProposalResult> finished_proposals_;
   std::optional<core::Deadlines::Key> timer_;
   std::optional<core::Deadlines::Key> load_timer_;
-  // Last, so that they are destroyed first: the jobs of the workers use the wakeup and the members
-  // above.
+  // Declared last, so that they are destroyed first: the jobs of the workers use the members above
+  // and the wakeup.
   net::Wakeup wakeup_;
   ConsensusStorage storage_;
   VersionContents contents_;
--- a/src/control/consensus_storage.cpp
+++ b/src/control/consensus_storage.cpp
@@ -16,7 +16,8 @@
 constexpr std::size_t kMaxStateBytes = 1 << 20;
 constexpr std::string_view kContentPrefix = "content.";
 constexpr std::string_view kUnfinishedSuffix = ".new";
-constexpr std::size_t kMaxContentFileBytes = consensus::kMaxContentBytes + 4096;  // with its header
+/// The size of the largest content, with room for the header of its file.
+constexpr std::size_t kMaxContentFileBytes = consensus::kMaxContentBytes + 4096;
 constexpr std::size_t kMaxLoadedContents = 2 * consensus::kMaxStoredContents;
 
 std::string state_path(const std::string& folder) { return folder + std::string(kStateFile); }
@@ -25,16 +26,18 @@
   return folder + "/" + std::string(kContentPrefix) + digest;
 }
 
-/// Adds the content to those loaded if there is room and its file can be read.
+/// Loads the content with this digest into `start.contents`. Does nothing if its file cannot be
+/// read or kMaxLoadedContents are loaded already.
 void load_content(const std::string& folder, const std::string& digest, consensus::Start& start) {
   if (digest.empty() || start.contents.size() >= kMaxLoadedContents) return;
   const auto file = store::load_file(content_path(folder, digest), kMaxContentFileBytes);
   if (file.payload) start.contents[digest] = *file.payload;
 }
 
-/// Loads every complete content in the folder. If all routers lost power together, the newest
-/// accepted content may be stored without being named in any router's state.
-void load_other_contents(const std::string& folder, consensus::Start& start) {
+/// Loads every completely written content in the folder, including those that the stored state does
+/// not reference. If all routers lost power at the same time, the newest accepted content may be
+/// stored while no router's state references it.
+void load_contents_in_folder(const std::string& folder, consensus::Start& start) {
   std::error_code ignored;
   for (const auto& entry : std::filesystem::directory_iterator(folder, ignored)) {
     const std::string name = entry.path().filename().string();
@@ -43,8 +46,8 @@
   }
 }
 
-/// All that is stored, as far as it can be read.
-consensus::Start load_all(const std::string& folder, consensus::LogStore& log_store) {
+/// Loads the state, the contents and the log. Parts that cannot be read are left empty.
+consensus::Start load_stored_data(const std::string& folder, consensus::LogStore& log_store) {
   consensus::Start start;
   std::error_code ignored;
   std::filesystem::create_directories(folder, ignored);
@@ -54,7 +57,7 @@
   }
   load_content(folder, start.state.current.digest, start);
   if (start.state.accepted) load_content(folder, start.state.accepted->digest, start);
-  load_other_contents(folder, start);
+  load_contents_in_folder(folder, start);
   auto loaded = log_store.load();
   start.log = std::move(loaded.log);
   start.is_log_corrupt = loaded.is_corrupt;
@@ -74,7 +77,7 @@
 
 void ConsensusStorage::load() {
   log_writer_.submit([this, log_store = log_store_, folder = folder_] {
-    wakeup_.post([this, start = load_all(folder, *log_store)] {
+    wakeup_.post([this, start = load_stored_data(folder, *log_store)] {
       if (start.is_log_corrupt) {
         log_.record(kLogModule, log::Level::error, "log_spoilt", {{"folder", folder_}});
       }
--- a/src/control/consensus_storage.h
+++ b/src/control/consensus_storage.h
@@ -1,10 +1,11 @@
-// What the consensus keeps on this router's disk: the voter's log, contents by digest, and the
-// state that survives a restart.
+// The consensus data on this router's disk: the voter's log, the contents of versions by digest,
+// and the state from which the router continues after a restart.
 //
-// Threads: all calls come from the loop's thread. One worker writes the log, another contents and
-// the state; each result is reported on the loop's thread. A disk that hangs holds its worker only.
-// Errors are logged. An action that a worker does not accept, because too many wait for the disk,
-// has failed.
+// Threads: all methods must be called on the event loop's thread. One worker loads the data and
+// writes the log, another writes contents and the state. Results are reported on the loop's thread,
+// so a disk that does not respond blocks only its worker.
+// Errors: failed loads and failed writes of the log or of a content are logged. If the queue of a
+// worker is full, the write is reported as failed.
 #pragma once
 
 #include <chrono>
@@ -20,30 +21,37 @@
 
 namespace alderspur::control {
 
+/// Loads and writes the consensus data of one router.
 class ConsensusStorage {
  public:
   using EventHandler = std::function<void(const consensus::Event& event)>;
 
-  /// `folder` is created with the first load(). The wakeup and the log must outlive this object;
-  /// the handler is called with the result of each action.
+  /// load() creates `folder` if it does not exist. `on_event` receives the result of each action.
+  /// `wakeup` and `log` must outlive this object.
   ConsensusStorage(std::string folder, net::Wakeup& wakeup, EventHandler on_event, log::Log& log);
   ConsensusStorage(const ConsensusStorage&) = delete;
   ConsensusStorage& operator=(const ConsensusStorage&) = delete;
 
   const std::string& folder() const { return folder_; }
-  /// Reports a consensus::Start with all that is stored and can be read.
+
+  /// Loads all readable data and reports it in a consensus::Start event.
   void load();
-  /// Reports a consensus::LogWritten.
+
+  /// Applies the write to the log and reports a consensus::LogWritten event.
   void write_log(consensus::WriteLog action);
-  /// Reports a consensus::ContentWritten.
+
+  /// Stores the content and reports a consensus::ContentWritten event.
   void write_content(consensus::WriteContent action);
-  /// Reports nothing: a start from an older state is conservative until the router has heard of the
-  /// newest version.
+
+  /// Stores the state. Reports no result, because a failed write is safe: after a restart from an
+  /// older state the router acts conservatively until it has received the newest version.
   void persist_state(const consensus::PersistState& action);
-  /// Reports nothing.
+
+  /// Deletes the file of the content. Reports no result.
   void delete_content(const consensus::DeleteContent& action);
-  /// Waits up to `timeout` for each worker. False: one hangs on its disk, and the process can only
-  /// be ended by _exit().
+
+  /// Stops the workers and waits up to `timeout` for each. Returns false if a worker is still
+  /// blocked on its disk; then only _exit() can end the process.
   bool stop_workers(std::chrono::milliseconds timeout);
 
  private:
@@ -51,8 +59,8 @@
   net::Wakeup& wakeup_;
   const EventHandler on_event_;
   log::Log& log_;
-  std::shared_ptr<consensus::LogStore> log_store_;  // used on log_writer_'s thread only
-  // Last, so that they are destroyed first: their jobs use the members above.
+  std::shared_ptr<consensus::LogStore> log_store_;  // used only on the thread of log_writer_
+  // Declared last, so that they are destroyed first: their jobs use the members above.
   file_watch::Worker log_writer_;
   file_watch::Worker content_writer_;
 };
--- a/src/control/endpoint_controller.cpp
+++ b/src/control/endpoint_controller.cpp
@@ -13,19 +13,20 @@
 namespace alderspur::control {
 namespace {
 
-/// How long the start waits until the files do not change any more.
+/// The longest time that the constructor waits, in microseconds, for the files to stop changing.
 constexpr core::Time kFirstReadTimeout = 2'000'000;
-/// Changes within this time are saved together.
+/// The delay between a change and the write of the state, in microseconds. Changes within this time
+/// are written together.
 constexpr core::Time kSaveDelay = 1'000'000;
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
 constexpr const char* kLogModule = "membership";
 
 std::string state_path(const std::string& folder) { return folder + "/membership.state"; }
 
-/// The files that a manifest names. Its findings are reported later, by ListEvaluator, which reads
-/// it once none of its files changes any more.
-std::vector<std::string> piece_names(const std::string& manifest,
-                                     const endpoints::ListLimits& limits) {
+/// Returns the names of the files that the manifest lists. Ignores errors in the manifest, because
+/// ListEvaluator reads it again when the files have stopped changing, and reports them then.
+std::vector<std::string> manifest_piece_files(const std::string& manifest,
+                                              const endpoints::ListLimits& limits) {
   diagnostics::Findings ignored;
   std::vector<std::string> names;
   const auto read = endpoints::read_list(manifest, "manifest.toml", 0, limits, ignored);
@@ -63,7 +64,7 @@
   const file_watch::WatchSettings watch{settings_.list, settings_.unchanged_time,
                                         settings_.poll_interval, settings_.list_limits.max_bytes};
   const auto list_pieces = [limits = settings_.list_limits](const std::string& text) {
-    return piece_names(text, limits);
+    return manifest_piece_files(text, limits);
   };
   const auto evaluate_files =
       [this, evaluator = evaluator_](file_watch::PollResult&& files) -> file_watch::Apply {
@@ -74,8 +75,9 @@
                                                    reader_, watch, list_pieces, evaluate_files);
 }
 
-// The list that was active in an earlier process counts as active: a list of the files with a
-// lower generation is rejected, and servers that are new against it begin with a cold cache.
+// The restored list becomes the active list, so that lists are compared with it as they would have
+// been without the restart: a list from the files with a lower generation is rejected, and a server
+// that the restored list does not contain starts with a cold cache.
 std::optional<endpoints::CandidateList> EndpointController::restore_state(core::Time now) {
   if (settings_.state_directory.empty()) return std::nullopt;
   std::error_code ignored;
@@ -110,13 +112,14 @@
   if (const auto files = watcher_->poll_until_settled(kFirstReadTimeout)) {
     evaluation = evaluator_->evaluate(*files);
   } else {
-    evaluation.rejection = settings_.list + " has not settled";
+    evaluation.rejection = "the files of " + settings_.list + " were still changing after " +
+                           std::to_string(kFirstReadTimeout / kMicrosecondsPerSecond) + " s";
   }
   const bool has_list = evaluation.candidate || evaluation.is_unchanged;
   if (!has_list && !restored && settings_.endpoint_set.authority == endpoints::Authority::files) {
     throw config::Error("no usable list of servers: " + evaluation.rejection);
   }
-  apply_evaluation(evaluation);  // logs the rejection, if it is one
+  apply_evaluation(evaluation);  // logs the reason if the list was rejected
   if (!has_list && restored) continue_from_state(*restored->list, evaluation.rejection, now);
   is_serving_ = true;
 }
@@ -126,8 +129,8 @@
   const core::Time age = now - list.read_at;
   const core::Time age_seconds = age / kMicrosecondsPerSecond;
   if (age > settings_.max_state_age) {
-    throw config::Error("no usable list of servers: " + rejection + "; the last good one is " +
-                        std::to_string(age_seconds) + " s old, over the bound of " +
+    throw config::Error("no usable list of servers: " + rejection + "; the last valid list is " +
+                        std::to_string(age_seconds) + " s old, which exceeds the limit of " +
                         std::to_string(settings_.max_state_age / kMicrosecondsPerSecond) + " s");
   }
   log_.record(kLogModule, log::Level::warning, "started_from_state",
@@ -161,7 +164,8 @@
   const core::Time began_at = net::unix_now();
   const auto before = endpoints_.current_list();
   if (!endpoints_.apply_list(candidate, router_.engine().now())) {
-    watcher_->poll_now();  // another list has become active meanwhile: evaluate against that one
+    // Another list became active during the evaluation: evaluate the files against that list.
+    watcher_->poll_now();
     return;
   }
   evaluator_->set_active_list(endpoints_.current_list());
@@ -187,15 +191,16 @@
   publish_changes();
 }
 
-// The connections learn of a server before the engine does, so that the engine never chooses one
-// that cannot be reached. Departures come before the servers that replace them.
+// Each server is added to the upstream pool before the engine receives the update, so that the
+// engine never selects a server without a connection. take_changes() returns removed servers before
+// the servers that replace them.
 void EndpointController::publish_changes() {
   EndpointUpdate update;
   const auto changes = endpoints_.take_changes();
   update.servers.reserve(changes.size());
   for (const auto& change : changes) {
     const Server& server = change.member.server;
-    if (!is_relevant(server)) continue;
+    if (!track_published_server(server)) continue;
     router_.upstream_pool().update_endpoint(change.member);
     update.servers.push_back(server);
     if (is_serving_) log_change(change);
@@ -222,10 +227,11 @@
                {"why", endpoints::to_string(change.reason)}});
 }
 
-// This router never asks the caches of other locations. Without them, the cost of an update of the
-// engine's view and of each sweep does not grow with a list of a hundred thousand servers. The
-// departure of a server that was published is still published.
-bool EndpointController::is_relevant(const Server& server) {
+// Reports whether a change of this server must be published, and updates published_servers_. Caches
+// of other locations are left out, because this router sends no requests to them. So the costs of
+// an engine update and of each sweep do not grow with a list of a hundred thousand servers. The
+// removal of a server that was published before is still published.
+bool EndpointController::track_published_server(const Server& server) {
   const bool is_local =
       server.role != Role::cache || server.location == router_.config().settings.location;
   if (is_local && server.status != ServerStatus::gone) {
@@ -308,12 +314,12 @@
   const auto number = [](std::uint64_t value) { return std::to_string(value); };
   return "generation " + number(list ? list->generation : 0) + ", known " +
          number(endpoints_.known_count()) + " ready " + number(endpoints_.ready_count()) +
-         "; lists taken " + number(counters_.lists_applied) + " refused " +
+         "; lists applied " + number(counters_.lists_applied) + " rejected " +
          number(counters_.lists_rejected) + ", changes " + number(changes.changes) +
          " departures " + number(changes.departures) + " weight steps " +
-         number(changes.weight_steps) + " held out " + number(changes.suppressed) + " let back " +
-         number(changes.reinstated) + ", saved " + number(counters_.saves) + ", longest hold us " +
-         std::to_string(counters_.longest_apply);
+         number(changes.weight_steps) + " suppressed " + number(changes.suppressed) +
+         " reinstated " + number(changes.reinstated) + ", saved " + number(counters_.saves) +
+         ", longest hold us " + std::to_string(counters_.longest_apply);
 }
 
 }  // namespace alderspur::control
--- a/src/control/endpoint_controller.h
+++ b/src/control/endpoint_controller.h
@@ -1,11 +1,13 @@
-// Keeps the router's set of endpoints current: reads lists of servers from watched files and
-// updates from service discovery, passes the resulting changes to the connections and to the
-// engine, and stores the last valid state on disk for the next process.
+// Keeps the router's set of endpoints current: takes server lists from watched files and updates
+// from service discovery, publishes the resulting changes to the upstream connections and to the
+// engine, and stores the last valid state on disk, so that the next process can start from it.
 //
-// Threads: the loop's thread owns the endpoint set and applies changes. One worker reads, parses
-// and checks the files and computes the difference against the active list; another writes the
-// state. Errors: where a list is rejected, the active one stays. The rejection is logged once for
-// each reason. Times are microseconds.
+// Threads: the event loop's thread owns the endpoint set and applies changes. One worker reads,
+// parses and checks the files and computes the difference from the active list; another writes the
+// state.
+// Errors: if a list is rejected, the active list stays in use. A rejection is logged unless its
+// reason is the same as that of the previous one.
+// All times are in microseconds.
 #pragma once
 
 #include <memory>
@@ -25,38 +27,39 @@
 
 namespace alderspur::control {
 
-/// Counts since the process has started.
+/// Counters since the start of the process.
 struct EndpointControllerCounters {
   std::uint64_t lists_applied = 0;
   std::uint64_t lists_rejected = 0;
   std::uint64_t saves = 0;
   std::uint64_t failed_saves = 0;
-  core::Time longest_apply = 0;  // microseconds for which one change held the loop
+  core::Time longest_apply = 0;  // the longest time for which one change blocked the event loop
 };
 
+/// Applies server lists and discovery updates to one router.
 class EndpointController : public discovery::EndpointSink {
  public:
-  /// Loads the list to start from: that of the files, else the last valid state. Throws
-  /// config::Error where the files are the authority and there is neither. `router` and `log` must
-  /// outlive the controller.
+  /// Loads the initial list from the files, or from the last stored state if the files have no
+  /// valid list. Throws config::Error if neither is usable and the files are the authority, or if
+  /// the stored list is older than the settings allow. `router` and `log` must outlive this object.
   EndpointController(edge_router::EdgeRouter& router, const settings::Membership& settings,
                      log::Log& log);
   ~EndpointController() override;
 
-  /// Applies an update from service discovery. `complete`: it names all members, and all others
-  /// are gone. No effect where the files are the authority.
+  /// Applies an update from service discovery. If `complete`, `members` is the full list, and every
+  /// other member is removed. Has no effect if the files are the authority.
   void update_endpoints(bool complete, const std::vector<config::Member>& members) override;
 
-  /// Begins to watch the files. To be called once the router is complete.
+  /// Starts to watch the files. Must be called after the router has been constructed.
   void start();
 
-  /// Reads the files again now, without waiting for the watcher to see a change.
+  /// Reads the files again immediately, without waiting for the watcher to detect a change.
   void reload();
 
-  /// Writes the state and waits until it is on disk. Blocks the loop's thread.
+  /// Writes the state and blocks the calling thread until it has been written to disk.
   void finish();
 
-  /// Counts and the active generation as one line for the log.
+  /// Returns the active generation and the counters as one line of text for the log.
   std::string summary() const;
 
   const EndpointControllerCounters& counters() const { return counters_; }
@@ -65,9 +68,11 @@
  private:
   void create_watcher();
   void load_initial_list(core::Time now);
-  /// The list in the state of an earlier process; nothing where there is none that can be used.
+  /// Applies the list that an earlier process stored, and returns it. Returns nothing if there is
+  /// no usable stored list.
   std::optional<endpoints::CandidateList> restore_state(core::Time now);
-  /// Throws config::Error where the restored list is older than the settings allow.
+  /// Publishes the restored list, because the files were rejected for the reason `rejection`.
+  /// Throws config::Error if the restored list is older than the settings allow.
   void continue_from_state(const endpoints::Snapshot& list, const std::string& rejection,
                            core::Time now);
   void apply_evaluation(const ListEvaluation& evaluation);
@@ -75,7 +80,7 @@
   void apply_list(const ListEvaluation& evaluation);
   void publish_changes();
   void log_change(const endpoints::EndpointChange& change);
-  bool is_relevant(const Server& server);
+  bool track_published_server(const Server& server);
   void record_hold_time(core::Time began_at);
   void schedule_advance();
   void schedule_save();
@@ -85,16 +90,17 @@
   const settings::Membership settings_;
   log::Log& log_;
   endpoints::EndpointSet endpoints_;
-  std::shared_ptr<ListEvaluator> evaluator_;  // shared with the jobs of the reading worker
+  std::shared_ptr<ListEvaluator> evaluator_;  // shared with the jobs of reader_
   std::optional<core::Deadlines::Key> advance_timer_;
   std::optional<core::Deadlines::Key> save_timer_;
   core::Time advance_at_ = 0;
   std::string last_rejection_;
-  std::unordered_set<std::uint64_t> published_servers_;  // known to the connections and the engine
+  // Ids of the servers that the upstream connections and the engine use.
+  std::unordered_set<std::uint64_t> published_servers_;
   bool is_saving_ = false;
   bool is_serving_ = false;
   EndpointControllerCounters counters_;
-  // Last, so that they are destroyed first: their jobs use the members above.
+  // Declared last, so that they are destroyed first: their jobs use the members above.
   net::Wakeup wakeup_;
   file_watch::Worker reader_;
   file_watch::Worker writer_;
--- a/src/control/list_evaluator.cpp
+++ b/src/control/list_evaluator.cpp
@@ -31,8 +31,9 @@
   if (!read.list) return nullptr;
   if (contents.is_directory) return endpoints::read_pieces(read, contents.pieces, limits, findings);
   if (!read.pieces.empty()) {
-    findings.error("L004", {contents.file, 0, 0}, "a manifest is given by its directory",
-                   "name the directory");
+    findings.error("L004", {contents.file, 0, 0},
+                   "the list is a manifest, which must be configured by its directory",
+                   "configure the directory that contains the manifest");
   }
   return read.list;
 }
--- a/src/control/list_evaluator.h
+++ b/src/control/list_evaluator.h
@@ -1,7 +1,8 @@
-// Checks lists of servers that were read from files: alone, and as a change of the active list.
+// Checks server lists that were read from files: each list by itself, and as a change of the active
+// list.
 //
-// Threads: one worker evaluates; the loop's thread replaces the active list. All functions are
-// thread-safe.
+// Threads: a worker evaluates lists, while the event loop's thread replaces the active list. All
+// methods are thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -16,24 +17,25 @@
 
 namespace alderspur::control {
 
-/// The result of reading and checking the files once: a candidate, no change, or a rejection.
+/// The result of reading and checking the files once: a candidate list, no change, or a rejection.
 struct ListEvaluation {
-  std::optional<endpoints::CandidateList> candidate;  // valid, and of another generation
-  bool is_unchanged = false;      // valid, and of the generation of the active list
-  std::string rejection;          // otherwise: the first error, in one line
-  std::size_t finding_count = 0;  // errors of a rejected list
-  core::Time duration = 0;        // microseconds that the evaluation took
+  std::optional<endpoints::CandidateList> candidate;  // a valid list of a new generation
+  bool is_unchanged = false;      // the list is valid and has the generation of the active list
+  std::string rejection;          // the first error, in one line; empty unless the list is rejected
+  std::size_t finding_count = 0;  // the number of errors of a rejected list
+  core::Time duration = 0;        // the duration of the evaluation in microseconds
 };
 
+/// Parses and checks server lists against the settings and the active list.
 class ListEvaluator {
  public:
-  /// `zones`: the names of the locations, in the order of their numbers.
+  /// `zones` contains the names of the locations, ordered by location number.
   ListEvaluator(settings::Membership settings, std::vector<std::string> zones);
 
-  /// Checks what was read. Blocks for as long as a large list takes to be parsed.
+  /// Parses and checks the files. Blocks the calling thread, for a large list noticeably.
   ListEvaluation evaluate(const file_watch::PollResult& files) const;
 
-  /// The list against which candidates are checked; null: none.
+  /// Returns the list with which new lists are compared, or null if there is none.
   endpoints::SnapshotPtr active_list() const;
   void set_active_list(endpoints::SnapshotPtr list);
 
--- a/src/control/replication_service.cpp
+++ b/src/control/replication_service.cpp
@@ -12,10 +12,11 @@
 
 constexpr const char* kLogModule = "replica";
 constexpr std::size_t kMaxFileBytes = 1 << 20;
-/// Older purges are not applied: beyond the propagation time and this, caches have dropped the
-/// objects by themselves.
+/// A purge older than the propagation time plus this margin is not applied, because by then the
+/// caches have dropped the objects themselves. In microseconds.
 constexpr core::Time kPurgeAgeMargin = 10'000'000;
-/// The shortest time to the next tick, so that a replica that is late does not spin the loop.
+/// The minimum delay of the next tick, in microseconds, so that a replica with an overdue tick does
+/// not keep the event loop busy.
 constexpr core::Time kMinTickDelay = 1'000;
 constexpr core::Time kMicrosecondsPerMillisecond = 1'000;
 constexpr std::chrono::milliseconds kStopTimeout(200);
@@ -40,7 +41,7 @@
       purge_propagation_time_(router.config().settings.purge_propagation_time),
       wakeup_(router.loop()) {
   replication::ReplicaSettings replica_settings;
-  const auto& self = cluster.link().membership().self();
+  const auto& self = cluster.transport().membership().self();
   replica_settings.self = {self.name, self.epoch};
   replica_ = std::make_unique<replication::Replica>(replica_settings, random_seed());
   subscribe_to_router();
@@ -64,21 +65,21 @@
       [this](const std::string& server) { return is_ban_replicated(server); });
   router_.set_readiness_condition([this] { return has_started_ && replica_->is_caught_up(); });
   router_.engine().on_purge([this](const core::PurgeNotice& notice) {
-    if (notice.covers_everything) return;  // it came from the replica
+    if (notice.covers_everything) return;  // apply_global_purge() has issued this purge
     handle(replication::PurgeObserved{
         {notice.object.has_value(), notice.object.value_or(notice.group), notice.unix_time}});
   });
 }
 
 void ReplicationService::subscribe_to_cluster() {
-  cluster_.on_replica([this](const std::string& from, std::string_view bytes) {
+  cluster_.on_replication_frame([this](const std::string& from, std::string_view bytes) {
     if (has_started_) handle(replication::FrameReceived{from, std::string(bytes)});
   });
-  cluster_.on_members([this](const std::vector<std::string>& names) {
+  cluster_.on_members_changed([this](const std::vector<std::string>& names) {
     peers_ = names;
     if (has_started_) handle(replication::PeersChanged{names});
   });
-  cluster_.on_view([this](json::Writer& writer) { write_view(writer); });
+  cluster_.set_view_extension([this](json::Writer& writer) { write_view(writer); });
 }
 
 void ReplicationService::load_stored_bans() {
@@ -92,15 +93,15 @@
   });
 }
 
-// Bans of the router that the file does not hold are added as new ones. So a ban that was lifted
-// elsewhere while an unreadable file was in use may hold again; without this, one that is still
-// wanted would be lost.
+// Bans that are in effect at the router but missing from the file are replicated as new bans. If
+// the file was unreadable, this may restore a ban that another router has lifted in the meantime;
+// without it, bans that are still wanted would be lost.
 void ReplicationService::start_replica(const std::optional<std::string>& stored_payload,
                                        const std::string& error) {
   const auto stored = stored_payload ? replication::BanSet::decode(*stored_payload) : std::nullopt;
   if (!error.empty() || (stored_payload && !stored)) {
     log_.record(kLogModule, log::Level::warning, "not_read",
-                {{"reason", error.empty() ? "not of this form" : error}});
+                {{"reason", error.empty() ? "the file does not contain a valid ban set" : error}});
   }
   has_started_ = true;
   handle(replication::BansLoaded{stored.value_or(replication::BanSet())});
@@ -119,7 +120,8 @@
   is_applying_ban_ = false;
 }
 
-/// A change by an operator of this router. Those of other routers come as SetBan.
+// Replicates a change that an operator made at this router. Changes made at other routers arrive as
+// SetBan actions.
 void ReplicationService::handle_local_ban(const hot_restart::BanChange& change) {
   if (is_applying_ban_) return;
   if (!has_started_) {
@@ -134,7 +136,7 @@
   }
 }
 
-// Once a limit is no longer reached, the bans that it kept back are replicated.
+// Replicates the bans that were refused because the replica was full, when it has room again.
 void ReplicationService::retry_unreplicated_bans() {
   if (unreplicated_bans_.empty() || !replica_->has_room_for_ban()) return;
   for (const auto& server : std::exchange(unreplicated_bans_, {})) handle_local_ban({server, true});
@@ -149,7 +151,8 @@
   replica_->handle(net::steady_now(), replication::ClockRead{net::unix_now()}, actions);
   replica_->handle(net::steady_now(), event, actions);
   for (const auto& action : actions) perform(action);
-  // A purge changes no ban, and there may be many: the digest is not computed for each.
+  // A purge does not change the bans. save() is skipped, because it computes a digest of all bans
+  // and purges may be frequent.
   if (!std::holds_alternative<replication::PurgeObserved>(event)) save();
   schedule_tick();
 }
@@ -166,7 +169,7 @@
 
 void ReplicationService::perform(const replication::Action& action) {
   if (const auto* send = std::get_if<replication::SendFrame>(&action)) {
-    cluster_.send_replica(send->to, send->bytes);
+    cluster_.send_replication_frame(send->to, send->bytes);
   } else if (const auto* ban = std::get_if<replication::SetBan>(&action)) {
     apply_ban(*ban);
   } else if (const auto* purge = std::get_if<replication::ApplyGlobalPurge>(&action)) {
@@ -236,7 +239,7 @@
   }
   if (was_failing) log_.record(kLogModule, log::Level::info, "written");
   saved_digest_ = digest;
-  save();  // what has changed meanwhile
+  save();  // writes the changes made during the write, if there are any
 }
 
 void ReplicationService::write_view(json::Writer& writer) const {
--- a/src/control/replication_service.h
+++ b/src/control/replication_service.h
@@ -1,13 +1,13 @@
-// Runs the replica of manual bans and purges that all routers of a cluster share: connects it with
-// the cluster's transport, with the router that applies its decisions, and with its file.
+// Replicates manual bans and purges among all routers of a cluster. Connects the Replica, which
+// does no I/O, to the cluster transport, to the router that applies its decisions, and to its file.
 //
-// Threads: the loop's thread owns the Replica. A worker reads and writes the file, so that a disk
-// that hangs does not hold the loop.
-// Storage: one file with the bans and all operations on them that this router has seen, replaced
-// atomically. So a ban that was lifted while this router was down is lifted here as well, and any
-// other ban is not lost.
-// Errors: a file that cannot be read or written is logged, once while it lasts; the write is
-// retried with the next event, at least every `compare_interval`.
+// Threads: the event loop's thread owns the Replica. A worker reads and writes the file, so that a
+// disk that does not respond does not block the loop.
+// Storage: one file, replaced atomically, contains the bans and all ban operations that this router
+// has received. After a restart, a ban that was lifted during the downtime is therefore lifted here
+// too, and no other ban is lost.
+// Errors: a failed read is logged. The first of consecutive failed writes is logged; the write is
+// retried with the next event, which follows after at most `compare_interval`.
 #pragma once
 
 #include <memory>
@@ -24,27 +24,27 @@
 
 namespace alderspur::control {
 
-/// The replica of one router; constructed and used on the loop's thread.
+/// Runs the Replica of one router. Must be constructed and used on the event loop's thread.
 class ReplicationService {
  public:
-  /// Begins to read the file; the replica starts on the loop once it has been read. `router`,
-  /// `cluster` and `log` must outlive the service.
+  /// Starts to read the file in the background; the replica starts after the file has been read.
+  /// `router`, `cluster` and `log` must outlive this object.
   ReplicationService(edge_router::EdgeRouter& router, ClusterService& cluster,
                      const settings::Cluster& settings, log::Log& log);
   ~ReplicationService();
   ReplicationService(const ReplicationService&) = delete;
   ReplicationService& operator=(const ReplicationService&) = delete;
 
-  /// Waits a short time for the worker. False: its disk hangs, and the process can only be ended by
-  /// _exit().
+  /// Stops the worker and waits up to 200 ms for it. Returns false if the worker is still blocked
+  /// on its disk; then only _exit() can end the process.
   bool stop_worker();
 
  private:
   void subscribe_to_router();
   void subscribe_to_cluster();
   void load_stored_bans();
-  /// Starts the replica. `stored_payload` is empty where there is no file or it cannot be read;
-  /// `error` then says why not.
+  /// Starts the replica with the stored bans. `stored_payload` is empty if the file does not exist
+  /// or cannot be read; `error` is the reason if it cannot be read.
   void start_replica(const std::optional<std::string>& stored_payload, const std::string& error);
   void apply_replicated_bans();
   void handle_local_ban(const hot_restart::BanChange& change);
@@ -64,20 +64,22 @@
   edge_router::EdgeRouter& router_;
   ClusterService& cluster_;
   log::Log& log_;
-  const std::string path_;  // empty: nothing is stored
+  const std::string path_;  // of the file; empty if bans are not stored
   const core::Time purge_propagation_time_;
   std::unique_ptr<replication::Replica> replica_;
   std::vector<std::string> peers_;
-  std::vector<hot_restart::BanChange> pending_changes_;  // made before the file was read
-  std::set<std::string> unreplicated_bans_;              // they hold at this router only
+  std::vector<hot_restart::BanChange> pending_changes_;  // requested before the file was read
+  std::set<std::string> unreplicated_bans_;              // in effect at this router only
   bool has_started_ = false;
-  bool is_applying_ban_ = false;  // the router's own notice of that ban is then no manual change
+  // Set while a replicated ban is applied, so that the router's notification of that ban is not
+  // taken for a manual change.
+  bool is_applying_ban_ = false;
   bool is_saving_ = false;
-  bool is_save_failing_ = false;    // the last write has failed, which was logged
-  std::uint64_t saved_digest_ = 0;  // of the bans that the file holds
+  bool is_save_failing_ = false;    // the last write failed, and this was logged
+  std::uint64_t saved_digest_ = 0;  // of the bans in the file
   std::optional<core::Deadlines::Key> tick_timer_;
   net::Wakeup wakeup_;
-  file_watch::Worker writer_;  // last: its jobs use the members above
+  file_watch::Worker writer_;  // destroyed first: its jobs use the members above
 };
 
 }  // namespace alderspur::control
--- a/src/control/request_load.h
+++ b/src/control/request_load.h
@@ -1,6 +1,6 @@
-// The load of this router as the consensus leader wants to know it: the rate of requests, which
-// decides this router's share of quotas, and the part of them that failed, by which a canary
-// rollout is judged.
+// Measures the load of this router for the consensus leader: the request rate, by which the leader
+// divides the quotas among the routers, and the ratio of failed requests, by which the leader
+// decides on a canary rollout. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,22 @@
 
 namespace alderspur::control {
 
+/// Computes a smoothed request rate and failure ratio from the engine's counters.
 class RequestLoad {
  public:
-  /// Microseconds between two measurements.
+  /// The interval between two measurements in microseconds.
   static constexpr core::Time kInterval = 500'000;
 
-  /// To be called once in each interval.
+  /// Returns the load since the previous call, smoothed. Must be called once per kInterval.
   consensus::LoadMeasured measure(const core::Counters& counters);
-  /// Counts only failures from now on: another version is active.
+  /// Discards earlier failures. To be called when another version becomes active.
   void reset_failure_ratio() { failure_ratio_ = 0; }
 
  private:
-  std::uint64_t admitted_ = 0;  // at the last measurement, as are the next two
-  std::uint64_t ended_ = 0;
-  std::uint64_t failed_ = 0;
+  // Counters at the previous measurement.
+  std::uint64_t previous_admitted_ = 0;
+  std::uint64_t previous_ended_ = 0;
+  std::uint64_t previous_failed_ = 0;
   double request_rate_ = 0;   // requests per second, smoothed
   double failure_ratio_ = 0;  // smoothed
 };
--- a/src/control/routes.cpp
+++ b/src/control/routes.cpp
@@ -11,9 +11,9 @@
 
 constexpr const char* kLogModule = "routes";
 constexpr std::size_t kMaxReportedErrors = 5;
-/// Of requests whose class sets none, in microseconds.
+/// The time limit of requests whose class sets none, in microseconds.
 constexpr core::Time kDefaultTimeLimit = 2'500'000;
-/// The part of requests whose path names none.
+/// The part that is requested if the path has no {part} capture.
 constexpr const char* kDefaultPart = "0";
 
 limits::Rule to_rule(const routing::Limits& limits) {
@@ -26,26 +26,27 @@
   });
 }
 
-/// The number of the route's class, with a finding where links cannot use the class or the path.
+/// Returns the class id of the route. Adds an error if signed links cannot use the class or the
+/// path.
 std::uint32_t resolve_class(const routing::Route& route, const config::Config& config,
                             diagnostics::Findings& findings) {
   const auto& names = config.names.classes;
   const auto found = std::find(names.begin(), names.end(), route.class_name);
-  const auto number = static_cast<std::uint32_t>(found - names.begin());
+  const auto class_id = static_cast<std::uint32_t>(found - names.begin());
   if (found == names.end()) {
     findings.error("S002", route.declared_at,
                    "the router's configuration has no class " + route.class_name);
-  } else if (config.settings.classes[number].never_cached) {
+  } else if (config.settings.classes[class_id].never_cached) {
     findings.error(
         "S002", route.declared_at,
-        "class " + route.class_name + " runs at the origin and cannot be fetched by links");
+        "class " + route.class_name + " runs at the origin and cannot be fetched by signed links");
   }
   if (!has_capture(route, "object")) {
-    findings.error("S002", route.declared_at,
-                   "the path of route " + route.name + " has no {object}",
-                   "the signed front takes object and part from {object} and {part}");
+    findings.error(
+        "S002", route.declared_at, "the path of route " + route.name + " has no {object} capture",
+        "the signed-URL front reads object and part from the captures {object} and {part}");
   }
-  return number;
+  return class_id;
 }
 
 std::vector<std::string> limit_names(const routing::Table& table) {
@@ -56,7 +57,8 @@
   return names;
 }
 
-/// In microseconds. A policy may only shorten the time limit of the class.
+/// Returns the time limit of a request in microseconds. A policy can shorten the time limit of the
+/// class, but not extend it.
 core::Time time_limit(const CompiledRoutes& routes, std::uint32_t class_id,
                       const routing::Destination& destination) {
   const core::Time class_limit = routes.request_timeouts[class_id];
@@ -93,8 +95,8 @@
   return errors;
 }
 
-/// What a request keeps until its end: the table under which it began, its match, and its
-/// reservation.
+/// The data that a request keeps until it ends: the table that was active when it began, its match
+/// in that table, and its reservation within the limits.
 class Routes::Reservation : public signed_url::LimitReservation {
  public:
   Reservation(CompiledRoutesPtr routes, const routing::Match& match)
@@ -103,29 +105,29 @@
   void release(core::Time now) override { reservation_.release(now); }
 
   signed_url::Admission admit(limits::Limits& limits, core::Time now) {
-    auto admission = limits.acquire(limits_of_request(), now);
+    auto admission = limits.acquire(limit_claims(), now);
     if (!admission.is_admitted) return {false, std::max<core::Time>(1, admission.retry_after)};
     reservation_ = std::move(admission.reservation);
     return {};
   }
 
  private:
-  std::vector<limits::Claim> limits_of_request() const {
+  std::vector<limits::Claim> limit_claims() const {
     const auto& table = *routes_->table;
-    std::vector<limits::Claim> asked{{"route " + route_.name, to_rule(route_.limits)}};
+    std::vector<limits::Claim> claims{{"route " + route_.name, to_rule(route_.limits)}};
     if (destination_.pool) {
       const auto& pool = table.pools()[*destination_.pool];
-      asked.push_back({"pool " + pool.name, to_rule(pool.limits)});
+      claims.push_back({"pool " + pool.name, to_rule(pool.limits)});
     }
     if (destination_.policy) {
       const auto& policy = table.policies()[*destination_.policy];
-      asked.push_back({"policy " + policy.name, to_rule(policy.limits)});
+      claims.push_back({"policy " + policy.name, to_rule(policy.limits)});
     }
-    return asked;
+    return claims;
   }
 
   CompiledRoutesPtr routes_;
-  const routing::Route& route_;  // of routes_
+  const routing::Route& route_;  // in routes_
   routing::Destination destination_;
   limits::Reservation reservation_;
 };
@@ -135,7 +137,8 @@
   auto result = compile_routes(file_, router.config());
   if (!result.routes) {
     const auto errors = first_errors(result.findings);
-    throw config::Error("the routes do not check: " + (errors.empty() ? file_ : errors[0]));
+    throw config::Error("the program of routes has errors: " +
+                        (errors.empty() ? file_ : errors[0]));
   }
   active_ = std::move(result.routes);
   log_.record(kLogModule, log::Level::info, "table_taken",
@@ -214,7 +217,7 @@
 }
 
 signed_url::Admission Routes::admit(signed_url::RouteMatch& match, core::Time now) {
-  // Made by match(), with which all matches begin.
+  // match() creates every reservation that reaches this function.
   return static_cast<Reservation&>(*match.reservation).admit(limits_, now);
 }
 
--- a/src/control/routes.h
+++ b/src/control/routes.h
@@ -1,10 +1,11 @@
-// The routes of the signed-URL front: reads, checks and compiles a program of the configuration
-// language, selects the route of each request, and admits requests within the routes' limits.
+// The routes of the signed-URL front: compiles a program in the configuration language to a route
+// table, selects the route of each request, and enforces the limits of the routes.
 //
-// Threads: the loop's thread owns the table and the limits; a worker compiles. A new table replaces
-// the active one between turns of the loop; limits with the same names keep their state.
-// Errors: where a program has errors the active table stays, and the first errors are logged. A
-// request keeps the table under which it began until its end.
+// Threads: the event loop's thread owns the table and the limits. A worker compiles a reloaded
+// program, and the new table replaces the active one between turns of the loop. Limits whose names
+// are in both tables keep their state.
+// Errors: if the program has errors, the active table stays in use and the first errors are logged.
+// A request keeps the table that was active when it began until it ends.
 #pragma once
 
 #include <cstdint>
@@ -25,36 +26,39 @@
 
 namespace alderspur::control {
 
-/// A table of routes, resolved against the router's configuration. Immutable.
+/// A route table whose classes are resolved against the router's configuration. Immutable.
 struct CompiledRoutes {
   std::unique_ptr<const routing::Table> table;
-  std::vector<std::uint32_t> class_ids;      // by route: its class in the configuration
-  std::vector<core::Time> request_timeouts;  // by class, in microseconds; 0: none
+  std::vector<std::uint32_t> class_ids;      // class in the configuration, by route
+  std::vector<core::Time> request_timeouts;  // in microseconds, by class; 0 if not set
 };
 using CompiledRoutesPtr = std::shared_ptr<const CompiledRoutes>;
 
 /// The result of compiling a program of routes.
 struct CompileResult {
-  CompiledRoutesPtr routes;        // null where there are errors
+  CompiledRoutesPtr routes;        // null if there are errors
   diagnostics::Findings findings;  // errors and warnings
 };
 
-/// Reads, checks and compiles the program of routes in `file`, with the files that it includes.
-/// Errors are also classes that `config` does not have or that links cannot use. Thread-safe.
+/// Reads, checks and compiles the program of routes in `file` and the files that it includes. A
+/// route is also an error if its class is missing in `config` or cannot be used with signed links.
+/// Thread-safe.
 CompileResult compile_routes(const std::string& file, const config::Config& config);
 
-/// The first errors among the findings, one line each; at most five, since one error often causes
-/// many others.
+/// Returns the first errors among the findings, one line for each. Returns at most five, because
+/// one error often causes many others.
 std::vector<std::string> first_errors(const diagnostics::Findings& findings);
 
+/// Selects routes and enforces their limits for the signed-URL front of one router.
 class Routes : public signed_url::RouteSelector {
  public:
-  /// Compiles the file on this thread. Throws config::Error where it has errors. `router` and `log`
-  /// must outlive the routes.
+  /// Compiles `file` on the calling thread. Throws config::Error if it has errors. `router` and
+  /// `log` must outlive this object.
   Routes(edge_router::EdgeRouter& router, std::string file, log::Log& log);
   ~Routes() override;
 
-  /// Compiles the file again on the worker, and once more if called meanwhile.
+  /// Compiles the file again on the worker. If a compilation is running, compiles once more when it
+  /// has finished.
   void reload();
 
   std::optional<signed_url::RouteMatch> match(const http::Request& request, std::string_view path,
@@ -63,7 +67,7 @@
 
   const limits::Limits& limits() const { return limits_; }
 
-  /// The table of the requests that begin now.
+  /// Returns the table that is used for new requests.
   const CompiledRoutesPtr& active() const { return active_; }
 
  private:
@@ -81,7 +85,7 @@
   CompiledRoutesPtr active_;
   bool is_compiling_ = false;
   bool must_compile_again_ = false;
-  // Last, so that they are destroyed first: their jobs use the members above.
+  // Declared last, so that they are destroyed first: their jobs use the members above.
   net::Wakeup wakeup_;
   file_watch::Worker worker_;
 };
--- a/src/control/version_calls.cpp
+++ b/src/control/version_calls.cpp
@@ -22,13 +22,14 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 
-/// The parameter as a number, or `otherwise` where the query lacks it.
-double number_parameter(std::string_view query, std::string_view name, double otherwise) {
+/// Returns the query parameter as a number, or `default_value` if the query does not contain it.
+double number_parameter(std::string_view query, std::string_view name, double default_value) {
   const auto text = http::parameter(query, name);
-  return text ? std::strtod(std::string(*text).c_str(), nullptr) : otherwise;
+  return text ? std::strtod(std::string(*text).c_str(), nullptr) : default_value;
 }
 
-/// Reads one name more than may be given, so that the consensus rejects what is too long.
+/// Splits the text into names. Returns at most one name more than the maximum, so that the
+/// consensus still rejects a list that is too long.
 std::vector<std::string> split_names(std::string_view text, char separator) {
   std::vector<std::string> names;
   std::istringstream stream{std::string(text)};
@@ -93,16 +94,21 @@
   if (path == kRolloutPath) {
     proposal.canary_decision = read_decision(body);
     if (!proposal.canary_decision) {
-      return admin::HttpReply{kBadRequest,
-                              "say go or back, and the number of the version on trial\n"};
+      return admin::HttpReply{
+          kBadRequest,
+          "the body must be go or back, followed by the number of the version in the canary "
+          "rollout\n"};
     }
   } else if (path == kVotersPath) {
     proposal.voters = read_voters(body);
-    if (proposal.voters.empty()) return admin::HttpReply{kBadRequest, "name the voters\n"};
+    if (proposal.voters.empty())
+      return admin::HttpReply{kBadRequest, "the body must contain the names of the voters\n"};
   } else if (path.empty()) {
     auto content = consensus::decode_content(body);
     if (!content) {
-      return admin::HttpReply{kBadRequest, "not a content: use alderspur cluster propose\n"};
+      return admin::HttpReply{
+          kBadRequest,
+          "the body is not an encoded content of a version: use alderspur cluster propose\n"};
     }
     proposal.content = std::move(*content);
   } else {
--- a/src/control/version_calls.h
+++ b/src/control/version_calls.h
@@ -1,5 +1,6 @@
-// Operators' calls on versions: reads proposals from the query and the body of a call.
-// docs/versions.md explains the calls. No I/O and no state.
+// Parses the admin calls by which operators propose versions, changes of the voters and decisions
+// on canary rollouts. docs/versions.md describes the calls. The functions do no I/O and keep no
+// state.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +13,16 @@
 
 namespace alderspur::control {
 
-/// The proposal, or the reply that says why the call is not one.
+/// A proposal, or the error reply to a call that is not a valid proposal.
 using ProposalOrReply = std::variant<consensus::OperatorProposal, admin::HttpReply>;
 
-/// `path`: what follows the common prefix of these calls; `nonce`: of the proposal, unless the
-/// query gives one, as a caller does that has not received the reply to an earlier call.
+/// Parses a proposal. `path` is the path of the call after the common prefix of the version calls.
+/// `nonce` identifies the proposal, unless the query contains a nonce: a client that retries a call
+/// whose reply it has not received sends the nonce of that call.
 ProposalOrReply read_proposal(std::string_view path, std::string_view query,
                               const std::string& body, std::uint64_t nonce);
 
-/// The number at the end of a path; 0: there is none.
+/// Returns the decimal number at the start of `text`, or 0 if there is none.
 std::uint64_t read_number(std::string_view text);
 
 }  // namespace alderspur::control
--- a/src/control/version_contents.cpp
+++ b/src/control/version_contents.cpp
@@ -19,11 +19,11 @@
 constexpr const char* kRoutesDocument = "routes";
 constexpr const char* kCheckedRoutesFile = "/checked.alder";
 
-/// Why a document is not valid, or why a file cannot be written.
+/// The reason why a document is not valid or a file cannot be written.
 struct ContentError {
   std::string message;
 };
-using ContentResult = std::optional<ContentError>;  // empty: no error
+using ContentResult = std::optional<ContentError>;  // empty on success
 
 ContentResult check_servers(const std::string& text, const config::Config& config) {
   diagnostics::Findings findings;
@@ -43,10 +43,10 @@
   const auto result = compile_routes(file, config);
   if (result.routes) return std::nullopt;
   const auto errors = first_errors(result.findings);
-  return ContentError{errors.empty() ? "does not check" : errors[0]};
+  return ContentError{errors.empty() ? "the program of routes is not valid" : errors[0]};
 }
 
-/// The first error of the documents, in the order of their names.
+/// Checks the documents in the order of their names and returns the first error.
 ContentResult check_documents(const consensus::Content& content, const std::string& folder,
                               const config::Config& config) {
   for (const auto& [name, text] : content) {
@@ -56,7 +56,7 @@
     } else if (name == kRoutesDocument) {
       error = check_routes(text, folder, config);
     } else {
-      error = ContentError{"this program knows no document '" + name + "'"};
+      error = ContentError{"this router does not support a document named '" + name + "'"};
     }
     if (error) return error;
   }
@@ -90,11 +90,11 @@
   return std::nullopt;
 }
 
-/// Writes both files; the last error, if there is one.
+/// Writes both files. If both writes fail, returns the error of the routes.
 ContentResult write_all(const consensus::ActiveVersion& active, const VersionFiles& files,
                         std::uint64_t generation) {
-  const ContentResult servers_error = write_servers(active, files.servers, generation);
-  const ContentResult routes_error = write_routes(active, files.routes);
+  const ContentResult servers_error = write_servers(active, files.servers_path, generation);
+  const ContentResult routes_error = write_routes(active, files.routes_path);
   return routes_error ? routes_error : servers_error;
 }
 
@@ -123,7 +123,7 @@
 }
 
 void VersionContents::write_active_files() {
-  if (!active_.content || (files_.servers.empty() && files_.routes.empty())) return;
+  if (!active_.content || (files_.servers_path.empty() && files_.routes_path.empty())) return;
   if (std::exchange(is_writing_, true)) {
     must_write_again_ = true;
     return;
--- a/src/control/version_contents.h
+++ b/src/control/version_contents.h
@@ -1,9 +1,10 @@
-// The documents of a version: checks them by the checkers of the files that they replace, and
-// writes the files of the active version (the endpoint list and the program of routes), from which
-// the router then acts as from any other file.
+// The documents of a version. Checks them in the same way as the files that they replace, and
+// writes the files of the active version (the endpoint list and the program of routes), which the
+// router then loads like any other files.
 //
-// Threads: all calls come from the loop's thread; one worker checks and writes, so that a disk that
-// hangs does not hold the loop. Results are reported on the loop's thread.
+// Threads: all methods must be called on the event loop's thread. One worker checks and writes, so
+// that a disk that does not respond does not block the loop. Results are reported on the loop's
+// thread.
 #pragma once
 
 #include <chrono>
@@ -21,30 +22,34 @@
 
 /// The files that are written when a version becomes active.
 struct VersionFiles {
-  std::string servers;               // the endpoint list; empty: not used by this router
-  std::string routes;                // the program of routes; empty: not used by this router
-  std::function<void()> on_written;  // the files may have changed
-  std::function<std::uint64_t()> list_generation;  // of the active endpoint list
+  std::string servers_path;  // path of the endpoint list; empty if this router uses none
+  std::string routes_path;   // path of the program of routes; empty if this router uses none
+  std::function<void()> on_written;                // called after each attempt to write the files
+  std::function<std::uint64_t()> list_generation;  // returns the generation of the active list
 };
 
+/// Checks the contents of versions and writes the files of the active version.
 class VersionContents {
  public:
   using CheckHandler = std::function<void(const consensus::ContentChecked& result)>;
 
-  /// `folder` holds temporary files. The configuration, the wakeup and the log must outlive this
+  /// Temporary files are written to `folder`. `config`, `wakeup` and `log` must outlive this
   /// object.
   VersionContents(VersionFiles files, std::string folder, const config::Config& config,
                   net::Wakeup& wakeup, log::Log& log);
   VersionContents(const VersionContents&) = delete;
   VersionContents& operator=(const VersionContents&) = delete;
 
-  /// Calls `done` later, unless too many jobs wait for the disk; the consensus then asks again.
+  /// Checks a content on the worker and passes the result to `done` later. If the worker's queue is
+  /// full, `done` is never called, and the consensus repeats the request.
   void check(const consensus::CheckContent& action, CheckHandler done);
-  /// Writes the files of this version, merged with the newer contents; after the write under way,
-  /// if there is one.
+
+  /// Writes the files of this version, merged with its newer contents. If a write is in progress,
+  /// starts when that write has finished.
   void write_files(const consensus::ActiveVersion& active);
-  /// Waits up to `timeout`. False: the worker hangs on its disk, and the process can only be ended
-  /// by _exit().
+
+  /// Stops the worker and waits up to `timeout` for it. Returns false if it is still blocked on its
+  /// disk; then only _exit() can end the process.
   bool stop_worker(std::chrono::milliseconds timeout) { return worker_.stop(timeout); }
 
  private:
@@ -58,7 +63,7 @@
   consensus::ActiveVersion active_;
   bool is_writing_ = false;
   bool must_write_again_ = false;
-  file_watch::Worker worker_;  // last: its jobs use the members above
+  file_watch::Worker worker_;  // destroyed first: its jobs use the members above
 };
 
 }  // namespace alderspur::control
--- a/src/control/versions_view.cpp
+++ b/src/control/versions_view.cpp
@@ -1,5 +1,5 @@
-// The view of versions as JSON. docs/versions.md explains its fields, whose names and order are
-// fixed.
+// Renders the versions view as JSON. docs/versions.md describes the fields; their names and order
+// are fixed.
 #include <string>
 #include <vector>
 
@@ -31,7 +31,7 @@
   writer.Double(share);
 }
 
-/// An object; its key, if it has one, is written already.
+/// Writes the version as a JSON object. The caller has written the key, if the object has one.
 void write_version(json::Writer& writer, const consensus::Version& version, const char* state) {
   writer.StartObject();
   write_count(writer, "number", version.number);
@@ -73,7 +73,7 @@
   write_names(writer, "behind", status.routers_behind);
 }
 
-/// The routers to which this leader has granted leases.
+/// Writes the routers to which this leader has granted leases.
 void write_lease_holders(json::Writer& writer, const consensus::LeaseTable& leases,
                          core::Time now) {
   writer.Key("holders");
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -1,5 +1,5 @@
-// The route table in service over loopback: the signed front follows a table that is replaced, and
-// its limits.
+// Tests control::Routes in a running router over loopback: the signed-URL front uses the new table
+// after a reload and enforces the limits of the routes.
 #include "control/routes.h"
 
 #include <gtest/gtest.h>
@@ -42,6 +42,7 @@
   void write(const std::string& program) const {
     std::ofstream(file, std::ios::trunc) << kClasses << program;
   }
+  /// Returns the declaration of a route; `more` contains further fields.
   static std::string route(const std::string& name, const std::string& path,
                            const std::string& class_name, const std::string& more = "") {
     return "route " + name + " {\n  path = \"" + path + "\"\n  class = " + class_name + "\n" +
@@ -70,17 +71,19 @@
     router->add({[this] { front->end_turn(); }, {}, {}});
     router->loop().on_turn([this] { router->turn(); });
   }
-  bool run_until(const std::function<bool()>& holds, core::Time timeout = 20'000'000) {
+  /// Runs the router, the cache and the clients until the condition holds. Returns false after the
+  /// timeout, in microseconds.
+  bool run_until(const std::function<bool()>& condition, core::Time timeout = 20'000'000) {
     for (const core::Time end = net::unix_now() + timeout; net::unix_now() < end;) {
       ev_run(router->loop().raw(), EVRUN_NOWAIT);
       cache.poll();
       for (auto& client : clients) client->poll();
-      if (holds()) return true;
+      if (condition()) return true;
       ::usleep(200);
     }
     return false;
   }
-  // Sends a request on a connection of its own.
+  /// Sends a request with a signed link on a new connection. If `forged`, the signature is invalid.
   loopback::TestSocket& send_request(const std::string& path, bool forged = false,
                                      const std::string& headers = "") {
     const auto text = path + "?exp=" + std::to_string(net::unix_now() / 1'000'000 + 60) + "&kid=k";
@@ -91,6 +94,7 @@
                           headers + "\r\n");
     return *clients.back();
   }
+  /// Returns the status code of the response, or 0 if it has not been received yet.
   static int status(const loopback::TestSocket& socket) {
     return socket.received.size() > 12 ? std::stoi(socket.received.substr(9, 3)) : 0;
   }
@@ -98,6 +102,7 @@
     EXPECT_TRUE(run_until([&] { return status(socket) > 0; }));
     return status(socket);
   }
+  /// Responds to all fetches that have not been answered yet.
   void respond_to_all() {
     for (; responded < cache.commands.size(); ++responded) {
       if (cache.commands[responded].verb == "fetch") {
@@ -106,9 +111,9 @@
       }
     }
   }
-  bool has_logged(const std::string& what) const {
+  bool has_logged(const std::string& text) const {
     return std::any_of(lines.begin(), lines.end(),
-                       [&](auto& line) { return line.find(what) != std::string::npos; });
+                       [&](auto& line) { return line.find(text) != std::string::npos; });
   }
 
   std::string folder;
@@ -150,8 +155,8 @@
   EXPECT_EQ(wait_for_status(send_request("/a/zz")), 404);
 }
 
-// Three routes change while requests are in flight: none is lost, each ends by the table that it
-// began with, and an invalid program changes nothing.
+// Replaces a table of three routes while requests are in flight. No request is lost, each request
+// keeps the table that was active when it began, and an invalid program changes nothing.
 TEST_F(RoutesTest, ReplacesTableAtomicallyUnderLoad) {
   const auto version = [&](const char* class_name, const char* max_in_flight) {
     std::string text;
@@ -172,7 +177,7 @@
     }
     const auto fetches = sockets.size();
     ASSERT_TRUE(run_until([&] { return cache.count("fetch") == fetches; }));
-    // All three of one round were routed by one table.
+    // The three requests of a round were routed by the same table.
     const auto& commands = cache.commands;
     for (std::size_t i = commands.size() - 3; i < commands.size(); ++i) {
       EXPECT_EQ(commands[i].fields.at("lane"), round % 2 ? "video" : "asset") << round;
@@ -183,10 +188,10 @@
     ASSERT_TRUE(run_until([&] { return routes->active() != before; }));
     ++swaps;
     EXPECT_EQ(routes->limits().in_flight("route x"), static_cast<std::size_t>(round + 1))
-        << "kept when the table is replaced";
+        << "requests in flight are still counted after the table is replaced";
   }
   EXPECT_EQ(swaps, 12u);
-  const auto in_force = routes->active();
+  const auto active_table = routes->active();
   write("route x {\n");
   routes->reload();
   ASSERT_TRUE(run_until([&] { return has_logged("event=table_refused"); }));
@@ -194,7 +199,7 @@
   lines.clear();
   routes->reload();
   ASSERT_TRUE(run_until([&] { return has_logged("event=table_refused"); }));
-  EXPECT_EQ(routes->active(), in_force);
+  EXPECT_EQ(routes->active(), active_table);
   respond_to_all();
   for (auto* socket : sockets) EXPECT_EQ(wait_for_status(*socket), 200);
   EXPECT_EQ(routes->limits().in_flight("route x"), 0u);
@@ -207,7 +212,7 @@
   start();
   for (int i = 0; i < 3; ++i) {
     EXPECT_EQ(wait_for_status(send_request("/f/" + object, true)), 403)
-        << "a forged link takes no capacity";
+        << "a forged link must not use up capacity";
   }
   auto& first = send_request("/f/" + object);
   auto& second = send_request("/f/" + object);
@@ -223,9 +228,10 @@
   EXPECT_EQ(wait_for_status(first), 200);
   EXPECT_EQ(wait_for_status(second), 200);
   EXPECT_EQ(wait_for_status(other_route), 200);
-  auto& next = send_request("/f/" + object);  // there is capacity again
+  // The responses have released capacity.
+  auto& next = send_request("/f/" + object);
   ASSERT_TRUE(run_until([&] { return cache.count("fetch") == 4; }));
-  next.close();  // and when a client leaves
+  next.close();  // a disconnected client must release its capacity, too
   ASSERT_TRUE(run_until([&] { return routes->limits().in_flight("route few") == 0; }));
 }
 
@@ -233,7 +239,7 @@
   write("route x {\n");
   EXPECT_THROW(start(), config::Error);
   write(route("x", "/x/{part}", "asset"));
-  EXPECT_THROW(start(), config::Error) << "no {object}";
+  EXPECT_THROW(start(), config::Error) << "the path has no {object} capture";
 }
 
 }  // namespace
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,5 +1,5 @@
-// Watched lists in service: a writer that injects faults, stand-in caches that count, and a router
-// in between.
+// Tests the watched server list of a running router. The tests write valid and faulty lists while a
+// client sends requests, and fake caches count the requests that they receive.
 #include <gtest/gtest.h>
 #include <sys/inotify.h>
 #include <sys/stat.h>
@@ -26,10 +26,11 @@
 namespace fs = std::filesystem;
 using loopback::FakeCache;
 
-// Three caches and an origin; a router whose servers come from a watched path; a client that sends
-// requests all the time.
+// Runs a router whose servers come from a watched path, three fake caches, a fake origin, and a
+// client that sends requests continuously.
 class WatchedListTest : public ::testing::Test {
  protected:
+  /// The maximum delay from a write of the list until it is active, in microseconds.
   static constexpr core::Time kMaxDelay = 1'000'000;
 
   void SetUp() override {
@@ -49,8 +50,9 @@
     std::string id;
     const FakeCache* cache;
     std::string state = "in_service";
-    std::string address = {};  // empty: the cache's
+    std::string address = {};  // empty: use the address of the cache
   };
+  /// Returns the text of a list with these caches and the origin.
   std::string list(std::uint64_t generation, const std::vector<Entry>& entries,
                    const std::string& head = "") {
     std::string text = "format = 1\ngeneration = " + std::to_string(generation) +
@@ -67,12 +69,13 @@
   static void write(const std::string& to, const std::string& text) {
     std::ofstream(to, std::ios::binary | std::ios::trunc) << text;
   }
-  void rename_in(const std::string& text) {
+  /// Replaces the list atomically by renaming a new file to its path.
+  void replace_list(const std::string& text) {
     write(path + ".next", text);
     fs::rename(path + ".next", path);
   }
 
-  std::string known_events;  // of the discovery server, known from the start
+  std::string known_events;  // events of the discovery server in the initial configuration
   void start() {
     auto config = config::read(
         R"({"name":"n","seed":"7","listen":"127.0.0.1:0","known":{"rev":1,"notices":[)" +
@@ -103,12 +106,13 @@
     router.reset();
     log.reset();
   }
-  // Runs all, with requests for ever new objects in flight, until it holds.
-  bool run_until(const std::function<bool()>& holds, core::Time timeout = 20'000'000) {
+  /// Runs the router and its peers until the condition holds. Meanwhile the client sends requests,
+  /// each for a new object. Returns false after the timeout, in microseconds.
+  bool run_until(const std::function<bool()>& condition, core::Time timeout = 20'000'000) {
     for (const core::Time end = net::unix_now() + timeout; net::unix_now() < end;) {
       ev_run(router->loop().raw(), EVRUN_NOWAIT);
       poll_peers();
-      if (holds()) return true;
+      if (condition()) return true;
       ::usleep(200);
     }
     return false;
@@ -118,7 +122,7 @@
   }
   void poll_peers() {
     client->poll();
-    // Served, or rejected while the policy learns the capacity of the caches.
+    // A request is served, or rejected while the policy still measures the capacity of the caches.
     for (const std::string mark : {"bytes of", "Busy"}) {
       for (auto at = client->received.find(mark); at != std::string::npos;
            at = client->received.find(mark)) {
@@ -148,7 +152,7 @@
       }
     }
   }
-  // Each request has one response: nothing is lost and nothing arrives twice.
+  /// Checks that each request receives exactly one response.
   void expect_all_responses() {
     is_sending = false;
     EXPECT_TRUE(run_until([&] { return responses == requests; }))
@@ -157,18 +161,19 @@
     EXPECT_EQ(responses, requests);
     is_sending = true;
   }
-  bool has_logged(const std::string& what) const {
+  bool has_logged(const std::string& text) const {
     return std::any_of(lines.begin(), lines.end(),
-                       [&](auto& line) { return line.find(what) != std::string::npos; });
+                       [&](auto& line) { return line.find(text) != std::string::npos; });
   }
-  bool is_in_force(std::uint64_t generation) {
+  bool is_active(std::uint64_t generation) {
     return controller->endpoints().current_list()->generation == generation;
   }
-  // Makes a change, and waits until its generation is in force; the time that it took.
-  core::Time change(const std::function<void()>& what, std::uint64_t generation) {
+  /// Makes a change and waits until the list of this generation is active. Returns the time that
+  /// this took, in microseconds.
+  core::Time time_until_active(const std::function<void()>& make_change, std::uint64_t generation) {
     const core::Time started_at = net::unix_now();
-    what();
-    EXPECT_TRUE(run_until([&] { return is_in_force(generation); }))
+    make_change();
+    EXPECT_TRUE(run_until([&] { return is_active(generation); }))
         << generation << (lines.empty() ? "" : lines.back());
     return net::unix_now() - started_at;
   }
@@ -178,7 +183,7 @@
   settings::Membership settings;
   std::array<FakeCache, 3> caches;
   FakeCache origin;
-  FakeCache unlisted;  // named by rejected lists only
+  FakeCache unlisted;  // a server that no active list contains
   std::unique_ptr<log::Log> log;
   std::unique_ptr<edge_router::EdgeRouter> router;
   control::EndpointController* controller = nullptr;
@@ -202,11 +207,11 @@
   settings.list = path = folder + "/now/servers.toml";
   write(path, list_of_generation(1));
   start();
-  EXPECT_TRUE(is_in_force(1));
-  EXPECT_LT(change([&] { rename_in(list_of_generation(2)); }, 2), kMaxDelay);
-  EXPECT_LT(change([&] { write(path, list_of_generation(3)); }, 3), kMaxDelay)
+  EXPECT_TRUE(is_active(1));
+  EXPECT_LT(time_until_active([&] { replace_list(list_of_generation(2)); }, 2), kMaxDelay);
+  EXPECT_LT(time_until_active([&] { write(path, list_of_generation(3)); }, 3), kMaxDelay)
       << "written in place";
-  EXPECT_LT(change(
+  EXPECT_LT(time_until_active(
                 [&] {
                   write(folder + "/v2/servers.toml", list_of_generation(4));
                   fs::create_directory_symlink("v2", folder + "/now.next");
@@ -215,7 +220,7 @@
                 4),
             kMaxDelay)
       << "a parent directory is replaced";
-  EXPECT_LT(change(
+  EXPECT_LT(time_until_active(
                 [&] {
                   fs::rename(folder + "/v2", folder + "/v9");
                   run_for(200'000);
@@ -224,10 +229,10 @@
                 },
                 5),
             kMaxDelay + 200'000)
-      << "the directory is absent for a while";
-  EXPECT_LT(change(
+      << "the directory is temporarily absent";
+  EXPECT_LT(time_until_active(
                 [&] {
-                  // The same size and the same mtime: only the ctime differs.
+                  // The new file has the same size and mtime; only the ctime differs.
                   struct stat before {};
                   ::stat(path.c_str(), &before);
                   write(path, list_of_generation(6) + std::string());
@@ -237,7 +242,7 @@
                 6),
             kMaxDelay)
       << "the mtime is unchanged";
-  EXPECT_LT(change(
+  EXPECT_LT(time_until_active(
                 [&] {
                   fs::rename(path, folder + "/v2/real");
                   write(folder + "/v2/real", list_of_generation(7));
@@ -246,19 +251,21 @@
                 7),
             kMaxDelay)
       << "the file is a symlink";
-  EXPECT_LT(change([&] { std::thread([&] { rename_in(list_of_generation(8)); }).join(); }, 8),
+  EXPECT_LT(time_until_active(
+                [&] { std::thread([&] { replace_list(list_of_generation(8)); }).join(); }, 8),
             kMaxDelay);
-  EXPECT_LE(controller->counters().lists_rejected, 1u) << "while the directory was gone";
+  EXPECT_LE(controller->counters().lists_rejected, 1u) << "only while the directory was absent";
   expect_all_responses();
 }
 
 TEST_F(WatchedListTest, SendsNothingToServersOfRejectedLists) {
   const auto good = list(1, {{"a", &caches[0]}, {"b", &caches[1]}});
-  rename_in(good);
+  replace_list(good);
   start();
   ASSERT_TRUE(run_until([&] { return responses > 20; }));
   const auto with_unlisted = list(2, {{"a", &caches[0]}, {"b", &caches[1]}, {"x", &unlisted}});
-  // Truncated at every line, in place; some for long enough to be checked.
+  // Writes the list in place, truncated after each line. Some versions stay long enough to be
+  // checked.
   std::size_t cuts = 0;
   for (std::size_t at = with_unlisted.find('\n'); at + 1 < with_unlisted.size();
        at = with_unlisted.find('\n', at + 1), ++cuts) {
@@ -275,28 +282,29 @@
       {"unknown keys", with_unlisted + "colour = \"red\"\n"},
       {"unknown location",
        [&] {
-         auto t = with_unlisted;
-         for (std::size_t i; (i = t.find("\"edge\"")) != std::string::npos;) {
-           t.replace(i, 6, "\"egde\"");
+         auto text = with_unlisted;
+         for (std::size_t at; (at = text.find("\"edge\"")) != std::string::npos;) {
+           text.replace(at, 6, "\"egde\"");
          }
-         return t;
+         return text;
        }()},
   };
   for (const auto& [name, text] : bad) {
     const auto before = controller->counters().lists_rejected;
-    rename_in(text);
+    replace_list(text);
     EXPECT_TRUE(run_until([&] { return controller->counters().lists_rejected > before; })) << name;
   }
-  // The same rejected content written again is counted, and logged once.
+  // A rejected list that is written again with the same content is counted again, but not logged
+  // again.
   const auto logged_before = lines.size();
-  rename_in(bad[0].second);
+  replace_list(bad[0].second);
   ASSERT_TRUE(run_until([&] { return lines.size() > logged_before; }));
-  run_for(700'000);  // old enough that its mtime shows every change
+  run_for(700'000);  // until the file is old enough that its mtime reveals every change
   const auto rejected = controller->counters().lists_rejected;
-  rename_in(bad[0].second);
+  replace_list(bad[0].second);
   ASSERT_TRUE(run_until([&] { return controller->counters().lists_rejected > rejected; }));
   EXPECT_EQ(lines.size(), logged_before + 1);
-  // Byte by byte, with pauses, up to the half.
+  // Writes the first half of the list byte by byte, with pauses.
   {
     std::ofstream slow(path, std::ios::binary | std::ios::trunc);
     for (std::size_t i = 0; i < with_unlisted.size() / 2; ++i) {
@@ -305,7 +313,7 @@
     }
   }
   run_for(300'000);
-  // Two writers in place at once.
+  // Two writers write in place at the same time.
   for (int i = 0; i < 10; ++i) {
     std::thread one([&] { write(path, with_unlisted.substr(0, with_unlisted.size() / 3)); });
     std::thread two([&] { write(path, good.substr(0, good.size() / 2)); });
@@ -315,19 +323,20 @@
   }
   fs::remove(path);
   run_for(200'000);
-  fs::create_directory(path);  // something else in its place
+  fs::create_directory(path);  // a directory instead of the file
   run_for(200'000);
   fs::remove(path);
-  ASSERT_EQ(::mkfifo(path.c_str(), 0600), 0) << "a reader must not wait for a writer";
+  ASSERT_EQ(::mkfifo(path.c_str(), 0600), 0)
+      << "the watcher must not wait for a writer of the FIFO";
   run_for(200'000);
   fs::remove(path);
-  EXPECT_TRUE(is_in_force(1));
-  EXPECT_TRUE(unlisted.connections.empty()) << "not even a connect";
+  EXPECT_TRUE(is_active(1));
+  EXPECT_TRUE(unlisted.connections.empty()) << "the router must not even connect";
   EXPECT_TRUE(has_logged("event=list_refused"));
-  // A valid list after all of that is applied at once.
-  EXPECT_LT(change(
+  // A valid list is still applied without delay after all these faults.
+  EXPECT_LT(time_until_active(
                 [&] {
-                  rename_in(list(4, {{"a", &caches[0]}, {"b", &caches[1]}, {"c", &caches[2]}}));
+                  replace_list(list(4, {{"a", &caches[0]}, {"b", &caches[1]}, {"c", &caches[2]}}));
                 },
                 4),
             kMaxDelay);
@@ -336,16 +345,16 @@
 
 TEST_F(WatchedListTest, SendsNothingNewToDrainedOrRemovedServers) {
   settings.change_limits.max_lost_fraction = 1;
-  rename_in(list(1, {{"a", &caches[0]}, {"b", &caches[1]}, {"c", &caches[2]}}));
+  replace_list(list(1, {{"a", &caches[0]}, {"b", &caches[1]}, {"c", &caches[2]}}));
   start();
   ASSERT_TRUE(run_until([&] {
     return caches[0].count("fetch") > 3 && caches[1].count("fetch") > 3 &&
            caches[2].count("fetch") > 3;
   }));
-  // The address of b is drained, then given to a new id.
-  EXPECT_LT(change(
+  // Server b is drained; then a server with a new id takes over its address.
+  EXPECT_LT(time_until_active(
                 [&] {
-                  rename_in(list(
+                  replace_list(list(
                       2, {{"a", &caches[0]}, {"b", &caches[1], "draining"}, {"c", &caches[2]}}));
                 },
                 2),
@@ -354,17 +363,18 @@
   const auto drained = caches[1].count("fetch");
   run_for(500'000);
   EXPECT_EQ(caches[1].count("fetch"), drained);
-  EXPECT_LT(change(
-                [&] {
-                  rename_in(list(3, {{"a", &caches[0]}, {"new", &caches[1]}, {"c", &caches[2]}}));
-                },
-                3),
-            kMaxDelay);
+  EXPECT_LT(
+      time_until_active(
+          [&] {
+            replace_list(list(3, {{"a", &caches[0]}, {"new", &caches[1]}, {"c", &caches[2]}}));
+          },
+          3),
+      kMaxDelay);
   EXPECT_TRUE(run_until([&] { return caches[1].count("fetch") > drained; }))
-      << "the address serves under its new id";
-  EXPECT_LT(change(
+      << "the address must receive requests under its new id";
+  EXPECT_LT(time_until_active(
                 [&] {
-                  rename_in(list(4, {{"a", &caches[0]}, {"new", &caches[1]}}));
+                  replace_list(list(4, {{"a", &caches[0]}, {"new", &caches[1]}}));
                 },
                 4),
             kMaxDelay);
@@ -378,60 +388,62 @@
 TEST_F(WatchedListTest, AppliesDirectoryOnlyWhenComplete) {
   settings.list = folder + "/servers.d";
   fs::create_directories(settings.list);
-  const auto piece = [&](const std::vector<Entry>& e) {
-    std::string t;
-    for (const auto& x : e) t += server(x, "cache", "point = \"edge\"");
-    return t;
+  const auto piece = [&](const std::vector<Entry>& entries) {
+    std::string text;
+    for (const auto& entry : entries) text += server(entry, "cache", "point = \"edge\"");
+    return text;
   };
-  const auto manifest = [&](std::uint64_t g, const std::vector<std::string>& texts, std::size_t n) {
-    auto t = list(g, {});
-    t = t.substr(0, t.find("[[server]]"));
-    t.replace(t.find("servers = 1"), 11, "servers = " + std::to_string(n));
-    for (std::size_t i = 0; i < texts.size(); ++i) {
-      t += "[[piece]]\nfile = \"p" + std::to_string(i) + ".toml\"\ndigest = \"" +
-           endpoints::format_digest(endpoints::compute_digest(texts[i])) + "\"\n";
+  const auto manifest = [&](std::uint64_t generation, const std::vector<std::string>& pieces,
+                            std::size_t server_count) {
+    auto text = list(generation, {});
+    text = text.substr(0, text.find("[[server]]"));
+    text.replace(text.find("servers = 1"), 11, "servers = " + std::to_string(server_count));
+    for (std::size_t i = 0; i < pieces.size(); ++i) {
+      text += "[[piece]]\nfile = \"p" + std::to_string(i) + ".toml\"\ndigest = \"" +
+              endpoints::format_digest(endpoints::compute_digest(pieces[i])) + "\"\n";
     }
-    return t;
+    return text;
   };
   const auto put = [&](const std::string& name, const std::string& text) {
     write(settings.list + "/" + name, text);
   };
-  const auto o = server({"o", &origin, "in_service", {}}, "origin", "hub = \"hub\"");
-  std::vector<std::string> texts = {piece({{"a", &caches[0]}}), piece({{"b", &caches[1]}}) + o};
+  const auto origin_entry = server({"o", &origin, "in_service", {}}, "origin", "hub = \"hub\"");
+  std::vector<std::string> texts = {piece({{"a", &caches[0]}}),
+                                    piece({{"b", &caches[1]}}) + origin_entry};
   put("p0.toml", texts[0]);
   put("p1.toml", texts[1]);
   put("manifest.toml", manifest(1, texts, 3));
   start();
-  EXPECT_TRUE(is_in_force(1));
-  // The manifest first: rejected until its pieces are complete.
+  EXPECT_TRUE(is_active(1));
+  // The manifest is written first, so it is rejected until all its pieces are present.
   texts[0] = piece({{"a", &caches[0]}, {"c", &caches[2]}});
   put("manifest.toml", manifest(2, texts, 4));
   EXPECT_TRUE(run_until([&] { return controller->counters().lists_rejected > 0; }));
-  EXPECT_TRUE(is_in_force(1));
-  EXPECT_LT(change([&] { put("p0.toml", texts[0]); }, 2), kMaxDelay);
+  EXPECT_TRUE(is_active(1));
+  EXPECT_LT(time_until_active([&] { put("p0.toml", texts[0]); }, 2), kMaxDelay);
   put("p1.toml", texts[1].substr(0, 20));
   run_for(200'000);
-  EXPECT_TRUE(is_in_force(2));
+  EXPECT_TRUE(is_active(2));
   expect_all_responses();
 }
 
 TEST_F(WatchedListTest, KeepsLastValidListThroughARestart) {
   settings.state_directory = folder + "/state";
-  rename_in(list(5, {{"a", &caches[0]}, {"b", &caches[1]}}));
+  replace_list(list(5, {{"a", &caches[0]}, {"b", &caches[1]}}));
   start();
   stop();
   write(path, "format = 1\ngeneration");
   start();
-  EXPECT_TRUE(is_in_force(5)) << "from the state";
+  EXPECT_TRUE(is_active(5)) << "started from the stored state";
   EXPECT_TRUE(has_logged("event=started_from_state generation=5"));
   ASSERT_TRUE(run_until([&] { return responses > 5; }));
-  // What was in force before the restart still counts: the generation does not go back, and a new
-  // server is in slow start.
-  rename_in(list(4, {{"a", &caches[0]}, {"b", &caches[1]}}));
+  // The list that was active before the restart still counts: a lower generation is rejected, and a
+  // new server is in slow start.
+  replace_list(list(4, {{"a", &caches[0]}, {"b", &caches[1]}}));
   EXPECT_TRUE(run_until([&] { return has_logged("L020"); }));
-  EXPECT_LT(change(
+  EXPECT_LT(time_until_active(
                 [&] {
-                  rename_in(list(6, {{"a", &caches[0]}, {"b", &caches[1]}, {"c", &caches[2]}}));
+                  replace_list(list(6, {{"a", &caches[0]}, {"b", &caches[1]}, {"c", &caches[2]}}));
                 },
                 6),
             kMaxDelay);
@@ -439,31 +451,31 @@
   const auto saved = store::load_endpoint_state(settings.state_directory + "/membership.state");
   ASSERT_TRUE(saved.state) << to_string(*saved.error);
   EXPECT_EQ(saved.state->list->generation, 6u);
-  ASSERT_EQ(saved.state->remembered.size(), 1u) << "c is new, so in slow start";
+  ASSERT_EQ(saved.state->remembered.size(), 1u) << "server c is new and therefore in slow start";
   fs::remove(path);
   settings.max_state_age = 1;
-  EXPECT_THROW(start(), config::Error) << "too old to start from";
+  EXPECT_THROW(start(), config::Error) << "the stored list is too old";
   controller = nullptr;
   fs::remove_all(settings.state_directory);
-  EXPECT_THROW(start(), config::Error) << "no list and no state";
+  EXPECT_THROW(start(), config::Error) << "there is neither a list nor a stored state";
   controller = nullptr;
 }
 
-// The watching threads lose the permission to read what only root may read: theirs alone, by the
-// raw system call.
+// The raw system call changes the effective user id of the calling thread only. The threads that
+// the router starts inherit it, so that they cannot read a file that only root may read.
 TEST_F(WatchedListTest, KeepsListWhenFileBecomesUnreadable) {
-  if (::geteuid() != 0) GTEST_SKIP() << "needs the right to become somebody else";
-  rename_in(list(1, {{"a", &caches[0]}}));
+  if (::geteuid() != 0) GTEST_SKIP() << "needs root privileges to change the user id";
+  replace_list(list(1, {{"a", &caches[0]}}));
   fs::permissions(folder, fs::perms{0755});
   ::syscall(SYS_setresuid, -1, 65534, -1);
   start();
   ::syscall(SYS_setresuid, -1, 0, -1);
   ::chmod(path.c_str(), 0000);
   EXPECT_TRUE(run_until([&] { return has_logged("Permission denied"); }));
-  EXPECT_TRUE(is_in_force(1));
-  EXPECT_LT(change(
+  EXPECT_TRUE(is_active(1));
+  EXPECT_LT(time_until_active(
                 [&] {
-                  rename_in(list(2, {{"a", &caches[0]}, {"b", &caches[1]}}));
+                  replace_list(list(2, {{"a", &caches[0]}, {"b", &caches[1]}}));
                 },
                 2),
             kMaxDelay);
@@ -482,13 +494,13 @@
                  member("b", caches[1], "edge", "small") + "," +
                  member("o", origin, "hub", "origin") + "]}}";
   settings.endpoint_set.authority = endpoints::Authority::both;
-  rename_in(list(1, {{"a", &caches[0]}, {"b", &caches[1]}, {"x", &unlisted}}));
+  replace_list(list(1, {{"a", &caches[0]}, {"b", &caches[1]}, {"x", &unlisted}}));
   start();
   ASSERT_TRUE(
       run_until([&] { return caches[0].count("fetch") > 3 && caches[1].count("fetch") > 3; }));
-  EXPECT_LT(change(
+  EXPECT_LT(time_until_active(
                 [&] {
-                  rename_in(list(
+                  replace_list(list(
                       2, {{"a", &caches[0], "draining"}, {"b", &caches[1]}, {"x", &unlisted}}));
                 },
                 2),
@@ -497,27 +509,27 @@
   const auto drained = caches[0].count("fetch");
   run_for(300'000);
   EXPECT_EQ(caches[0].count("fetch"), drained)
-      << "the file's drain applies though the discovery server says in service";
+      << "the drain in the file applies although the discovery server lists a as in service";
   EXPECT_TRUE(unlisted.connections.empty());
   expect_all_responses();
 }
 
 TEST_F(WatchedListTest, PollsPathWhenInotifyIsUnavailable) {
   settings.poll_interval = 100'000;
-  rename_in(list(1, {{"a", &caches[0]}}));
-  // This process can get no inotify instance: all its descriptors of that kind are taken.
-  std::vector<net::Fd> taken;
+  replace_list(list(1, {{"a", &caches[0]}}));
+  // Exhausts the inotify instances, so that the watcher cannot create one.
+  std::vector<net::Fd> instances;
   for (int i = 0; i < 4096; ++i) {
     net::Fd fd(::inotify_init1(IN_CLOEXEC));
     if (fd.get() < 0) break;
-    taken.push_back(std::move(fd));
+    instances.push_back(std::move(fd));
   }
-  ASSERT_LT(taken.size(), 4096u);
+  ASSERT_LT(instances.size(), 4096u);
   start();
-  taken.clear();
-  EXPECT_LT(change(
+  instances.clear();
+  EXPECT_LT(time_until_active(
                 [&] {
-                  rename_in(list(2, {{"a", &caches[0]}, {"b", &caches[1]}}));
+                  replace_list(list(2, {{"a", &caches[0]}, {"b", &caches[1]}}));
                 },
                 2),
             kMaxDelay);
