--- a/src/control/cluster_service.h
+++ b/src/control/cluster_service.h
@@ -37,14 +37,14 @@
   /// Receives the names of all other members that are alive or suspect.
   using MembersHandler = std::function<void(const std::vector<std::string>& names)>;
 
-  /// Reads the cluster secret, starts a new epoch and joins the cluster. Throws config::Error,
-  /// whose message is one line, if the secret or the member name cannot be used. `router` and `log`
-  /// must outlive this object.
+  /// Reads the cluster secret, starts a new epoch and joins the cluster. Throws config::Error with
+  /// a one-line message on failure. `router` and `log` must outlive this object.
   ClusterService(edge_router::EdgeRouter& router, const settings::Cluster& settings, log::Log& log);
 
   /// Returns the cluster view as JSON, including the members that the view extension writes.
   std::string view() const;
 
+  /// Returns the transport, which provides the membership and the address of this member.
   const cluster_transport::ClusterTransport& transport() const { return *transport_; }
 
   /// Sends a consensus frame to the member `to`. Delivery is not guaranteed, and a loss is not
--- a/src/control/consensus_service.cpp
+++ b/src/control/consensus_service.cpp
@@ -13,9 +13,10 @@
 namespace {
 
 constexpr const char* kLogModule = "agreement";
+/// The number of proposal results that are kept for operators who poll them.
 constexpr std::size_t kMaxFinishedProposals = 16;
 constexpr std::size_t kMaxRequestBodyBytes = 4 << 20;
-/// The fraction of each quota that all routers without a lease use together.
+/// The fraction of each quota that all routers without a lease may use together.
 constexpr double kUnleasedFraction = 1 - consensus::kLeasedFraction;
 /// The unleased fraction is divided among at least this number of routers.
 constexpr std::uint32_t kMinRouters = 8;
@@ -29,8 +30,8 @@
 
 static_assert(settings::kMaxVoters == consensus::kMaxVoters);
 
-/// Returns the fraction of each quota that this router uses without a lease. Divides the unleased
-/// fraction by twice the configured number of routers, because more routers may run than
+/// Returns the fraction of each quota that this router may use without a lease. Divides the
+/// unleased fraction by twice the configured number of routers, because more routers may run than
 /// configured.
 double unleased_share(const config::Config& config) {
   return kUnleasedFraction / 2 / std::max(kMinRouters, config.settings.router_count);
--- a/src/control/consensus_service.h
+++ b/src/control/consensus_service.h
@@ -41,8 +41,8 @@
   ConsensusService(const ConsensusService&) = delete;
   ConsensusService& operator=(const ConsensusService&) = delete;
 
-  /// Stops the workers and waits up to 200 ms for each. Returns false if a worker is still blocked
-  /// on its disk; then only _exit() can end the process.
+  /// Stops the workers one after another and waits a short time for each. Returns false as soon as
+  /// one of them is still blocked on its disk; then only _exit() can end the process.
   bool stop_workers();
 
  private:
--- a/src/control/consensus_storage.h
+++ b/src/control/consensus_storage.h
@@ -50,8 +50,8 @@
   /// Deletes the file of the content. Reports no result.
   void delete_content(const consensus::DeleteContent& action);
 
-  /// Stops the workers and waits up to `timeout` for each. Returns false if a worker is still
-  /// blocked on its disk; then only _exit() can end the process.
+  /// Stops the workers one after another and waits up to `timeout` for each. Returns false as soon
+  /// as one of them is still blocked on its disk; then only _exit() can end the process.
   bool stop_workers(std::chrono::milliseconds timeout);
 
  private:
--- a/src/control/endpoint_controller.cpp
+++ b/src/control/endpoint_controller.cpp
@@ -13,7 +13,7 @@
 namespace alderspur::control {
 namespace {
 
-/// The longest time that the constructor waits, in microseconds, for the files to stop changing.
+/// The maximum time for which the constructor waits until the files stop changing, in microseconds.
 constexpr core::Time kFirstReadTimeout = 2'000'000;
 /// The delay between a change and the write of the state, in microseconds. Changes within this time
 /// are written together.
@@ -172,15 +172,15 @@
   last_rejection_.clear();
   ++counters_.lists_applied;
   publish_changes();
-  const core::Time hold_time = net::unix_now() - began_at;
-  if (is_serving_) record_hold_time(began_at);
+  const core::Time apply_duration = net::unix_now() - began_at;
+  if (is_serving_) record_apply_duration(began_at);
   const auto& list = *candidate.list;
   log_.record(kLogModule, log::Level::info, "list_taken",
               {{"generation", list.generation},
                {"servers", list.servers.size()},
                {"change", endpoints::summary(before.get(), list, candidate.difference)},
                {"judged_us", evaluation.duration},
-               {"held_us", hold_time}});
+               {"held_us", apply_duration}});
   schedule_save();
 }
 
@@ -241,7 +241,7 @@
   return published_servers_.erase(server.id.value) > 0;
 }
 
-void EndpointController::record_hold_time(core::Time began_at) {
+void EndpointController::record_apply_duration(core::Time began_at) {
   counters_.longest_apply = std::max(counters_.longest_apply, net::unix_now() - began_at);
 }
 
@@ -259,7 +259,7 @@
     const core::Time began_at = net::unix_now();
     endpoints_.advance(router_.engine().now());
     publish_changes();
-    record_hold_time(began_at);
+    record_apply_duration(began_at);
   });
 }
 
--- a/src/control/endpoint_controller.h
+++ b/src/control/endpoint_controller.h
@@ -81,7 +81,7 @@
   void publish_changes();
   void log_change(const endpoints::EndpointChange& change);
   bool track_published_server(const Server& server);
-  void record_hold_time(core::Time began_at);
+  void record_apply_duration(core::Time began_at);
   void schedule_advance();
   void schedule_save();
   void save();
--- a/src/control/list_evaluator.h
+++ b/src/control/list_evaluator.h
@@ -32,7 +32,7 @@
   /// `zones` contains the names of the locations, ordered by location number.
   ListEvaluator(settings::Membership settings, std::vector<std::string> zones);
 
-  /// Parses and checks the files. Blocks the calling thread, for a large list noticeably.
+  /// Parses and checks the files on the calling thread, which takes long for a large list.
   ListEvaluation evaluate(const file_watch::PollResult& files) const;
 
   /// Returns the list with which new lists are compared, or null if there is none.
--- a/src/control/replication_service.h
+++ b/src/control/replication_service.h
@@ -35,7 +35,7 @@
   ReplicationService(const ReplicationService&) = delete;
   ReplicationService& operator=(const ReplicationService&) = delete;
 
-  /// Stops the worker and waits up to 200 ms for it. Returns false if the worker is still blocked
+  /// Stops the worker and waits a short time for it. Returns false if the worker is still blocked
   /// on its disk; then only _exit() can end the process.
   bool stop_worker();
 
--- a/src/control/version_calls.cpp
+++ b/src/control/version_calls.cpp
@@ -40,6 +40,7 @@
   return names;
 }
 
+/// Reads names separated by white space, with the same maximum as split_names().
 std::vector<std::string> read_voters(const std::string& body) {
   std::vector<std::string> names;
   std::istringstream stream(body);
@@ -48,6 +49,7 @@
   return names;
 }
 
+/// Reads the canary rollout from the query. Returns a rollout without routers if it requests none.
 consensus::CanaryRollout read_canary(std::string_view query) {
   consensus::CanaryRollout canary;
   const auto routers = http::parameter(query, "first");
@@ -62,6 +64,7 @@
   return canary;
 }
 
+/// Reads a verdict and the version number. Returns nothing if the body has another form.
 std::optional<consensus::CanaryDecision> read_decision(const std::string& body) {
   std::istringstream words(body);
   std::string verdict;
@@ -72,6 +75,7 @@
   return decision;
 }
 
+/// Returns a proposal with the parameters that the query contains.
 consensus::OperatorProposal read_parameters(std::string_view query, std::uint64_t nonce) {
   consensus::OperatorProposal proposal;
   proposal.nonce = nonce;
@@ -101,8 +105,9 @@
     }
   } else if (path == kVotersPath) {
     proposal.voters = read_voters(body);
-    if (proposal.voters.empty())
+    if (proposal.voters.empty()) {
       return admin::HttpReply{kBadRequest, "the body must contain the names of the voters\n"};
+    }
   } else if (path.empty()) {
     auto content = consensus::decode_content(body);
     if (!content) {
--- a/src/control/version_contents.cpp
+++ b/src/control/version_contents.cpp
@@ -25,6 +25,7 @@
 };
 using ContentResult = std::optional<ContentError>;  // empty on success
 
+/// Checks an endpoint list by itself and against the locations of the configuration.
 ContentResult check_servers(const std::string& text, const config::Config& config) {
   diagnostics::Findings findings;
   const auto read = endpoints::read_list(text, kServersDocument, 0, {}, findings);
@@ -36,6 +37,7 @@
   return ContentError{diagnostics::to_string(findings.list()[0])};
 }
 
+/// Compiles a program of routes from a temporary file in `folder`.
 ContentResult check_routes(const std::string& text, const std::string& folder,
                            const config::Config& config) {
   const std::string file = folder + kCheckedRoutesFile;
@@ -63,6 +65,8 @@
   return std::nullopt;
 }
 
+/// Merges the endpoint lists of the active and the newer contents and writes the result. Does
+/// nothing if the version has no list or the router uses none.
 ContentResult write_servers(const consensus::ActiveVersion& active, const std::string& path,
                             std::uint64_t generation) {
   const auto own = active.content->find(kServersDocument);
@@ -81,6 +85,7 @@
   return std::nullopt;
 }
 
+/// Writes the program of routes. Does nothing if the version has none or the router uses none.
 ContentResult write_routes(const consensus::ActiveVersion& active, const std::string& path) {
   const auto document = active.content->find(kRoutesDocument);
   if (document == active.content->end() || path.empty()) return std::nullopt;
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -20,9 +20,8 @@
 class RoutesTest : public ::testing::Test {
  protected:
   static constexpr const char* kClasses =
-      "class asset {\n  repeat = safe\n  deadline = 2 s\n}\nclass video {\n  repeat = safe\n  "
-      "deadline = 2 "
-      "s\n}\n";
+      "class asset {\n  repeat = safe\n  deadline = 2 s\n}\n"
+      "class video {\n  repeat = safe\n  deadline = 2 s\n}\n";
 
   void SetUp() override {
     char name[] = "/tmp/alderspur-routes-XXXXXX";
@@ -158,7 +157,7 @@
 // Replaces a table of three routes while requests are in flight. No request is lost, each request
 // keeps the table that was active when it began, and an invalid program changes nothing.
 TEST_F(RoutesTest, ReplacesTableAtomicallyUnderLoad) {
-  const auto version = [&](const char* class_name, const char* max_in_flight) {
+  const auto program = [&](const char* class_name, const char* max_in_flight) {
     std::string text;
     for (const char* name : {"x", "y", "z"}) {
       text += route(name, std::string("/") + name + "/{object}", class_name,
@@ -166,7 +165,7 @@
     }
     return text;
   };
-  write(version("asset", "100"));
+  write(program("asset", "100"));
   start();
   const auto first_table = routes->active();
   std::vector<loopback::TestSocket*> sockets;
@@ -183,7 +182,7 @@
       EXPECT_EQ(commands[i].fields.at("lane"), round % 2 ? "video" : "asset") << round;
     }
     const auto before = routes->active();
-    write(version(round % 2 ? "asset" : "video", round % 2 ? "100" : "99"));
+    write(program(round % 2 ? "asset" : "video", round % 2 ? "100" : "99"));
     routes->reload();
     ASSERT_TRUE(run_until([&] { return routes->active() != before; }));
     ++swaps;
