--- a/src/control/version_contents.cpp
+++ b/src/control/version_contents.cpp
@@ -19,12 +19,13 @@
 constexpr const char* kRoutesDocument = "routes";
 constexpr const char* kCheckedRoutesFile = "/checked.alder";
 
-/// Why a document is not valid, or why a file cannot be written.
+/// The reason why a document is not valid or a file cannot be written.
 struct ContentError {
   std::string message;
 };
-using ContentResult = std::optional<ContentError>;  // empty: no error
+using ContentResult = std::optional<ContentError>;  // empty on success
 
+/// Checks an endpoint list by itself and against the locations of the configuration.
 ContentResult check_servers(const std::string& text, const config::Config& config) {
   diagnostics::Findings findings;
   const auto read = endpoints::read_list(text, kServersDocument, 0, {}, findings);
@@ -36,6 +37,7 @@
   return ContentError{diagnostics::to_string(findings.list()[0])};
 }
 
+/// Compiles a program of routes from a temporary file in `folder`.
 ContentResult check_routes(const std::string& text, const std::string& folder,
                            const config::Config& config) {
   const std::string file = folder + kCheckedRoutesFile;
@@ -46,7 +48,7 @@
   return ContentError{errors.empty() ? "does not check" : errors[0]};
 }
 
-/// The first error of the documents, in the order of their names.
+/// Checks the documents in the order of their names and returns the first error.
 ContentResult check_documents(const consensus::Content& content, const std::string& folder,
                               const config::Config& config) {
   for (const auto& [name, text] : content) {
@@ -63,6 +65,8 @@
   return std::nullopt;
 }
 
+/// Merges the endpoint lists of the active and the newer contents and writes the result. Does
+/// nothing if the version has no list or the router uses none.
 ContentResult write_servers(const consensus::ActiveVersion& active, const std::string& path,
                             std::uint64_t generation) {
   const auto own = active.content->find(kServersDocument);
@@ -81,6 +85,7 @@
   return std::nullopt;
 }
 
+/// Writes the program of routes. Does nothing if the version has none or the router uses none.
 ContentResult write_routes(const consensus::ActiveVersion& active, const std::string& path) {
   const auto document = active.content->find(kRoutesDocument);
   if (document == active.content->end() || path.empty()) return std::nullopt;
@@ -90,11 +95,11 @@
   return std::nullopt;
 }
 
-/// Writes both files; the last error, if there is one.
+/// Writes both files. If both writes fail, returns the error of the routes.
 ContentResult write_all(const consensus::ActiveVersion& active, const VersionFiles& files,
                         std::uint64_t generation) {
-  const ContentResult servers_error = write_servers(active, files.servers, generation);
-  const ContentResult routes_error = write_routes(active, files.routes);
+  const ContentResult servers_error = write_servers(active, files.servers_path, generation);
+  const ContentResult routes_error = write_routes(active, files.routes_path);
   return routes_error ? routes_error : servers_error;
 }
 
@@ -123,7 +128,7 @@
 }
 
 void VersionContents::write_active_files() {
-  if (!active_.content || (files_.servers.empty() && files_.routes.empty())) return;
+  if (!active_.content || (files_.servers_path.empty() && files_.routes_path.empty())) return;
   if (std::exchange(is_writing_, true)) {
     must_write_again_ = true;
     return;
