--- a/bench/consensus/consensus_processes.cpp
+++ b/bench/consensus/consensus_processes.cpp
@@ -59,7 +59,7 @@
     Durations idle;
     Durations changing;
     Durations* measured = &idle;
-    on_answer = [&](std::size_t, Time duration, bool) { measured->add(duration); };
+    on_response = [&](std::size_t, Time duration, bool) { measured->add(duration); };
     is_sending = true;
     cluster->run(8 * kSecond);
     measured = &changing;
@@ -68,7 +68,7 @@
       change(processes_ - 1);
       cluster->run(300'000);
     }
-    on_answer = {};
+    on_response = {};
     std::printf("  requests: p99 %.2f ms at rest (%zu), ", idle.quantile_ms(0.99), idle.count());
     std::printf("%.2f ms while versions change (%zu)\n", changing.quantile_ms(0.99),
                 changing.count());
--- a/tests/consensus/canary_rollout_test.cpp
+++ b/tests/consensus/canary_rollout_test.cpp
@@ -1,4 +1,5 @@
-// Versions that apply to a few routers first, on a simulated network.
+// Tests of canary rollouts, in which a version first applies to a few routers, on a simulated
+// network.
 #include <gtest/gtest.h>
 
 #include "consensus/simulated_cluster.h"
@@ -21,21 +22,22 @@
       EXPECT_TRUE(cluster.uses(i, "one")) << seed << " r" << i;
     }
     for (const std::size_t i : {1u, 4u}) {
-      EXPECT_TRUE(cluster.uses(i, "two")) << "under a lease all the time";
+      EXPECT_TRUE(cluster.uses(i, "two")) << "canary routers keep their leases";
     }
     const auto other = cluster.propose("r3", "three");
     ASSERT_TRUE(cluster.wait_for_result(other));
-    EXPECT_FALSE(cluster.result(other)->is_accepted) << "one at a time";
-    const auto wrong = cluster.decide_canary("r0", 7, true);
-    ASSERT_TRUE(cluster.wait_for_result(wrong));
-    EXPECT_FALSE(cluster.result(wrong)->is_accepted);
-    const auto go = cluster.decide_canary("r0", 2, true);
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.result(go) && cluster.all_use("two"); }))
-        << cluster.describe();
-    EXPECT_TRUE(cluster.result(go)->is_accepted);
+    EXPECT_FALSE(cluster.result(other)->is_accepted) << "a canary rollout is in progress";
+    const auto wrong_number = cluster.decide_canary("r0", 7, true);
+    ASSERT_TRUE(cluster.wait_for_result(wrong_number));
+    EXPECT_FALSE(cluster.result(wrong_number)->is_accepted);
+    const auto promotion = cluster.decide_canary("r0", 2, true);
+    ASSERT_TRUE(cluster.run_until([&] {
+      return cluster.result(promotion) && cluster.all_use("two");
+    })) << cluster.describe();
+    EXPECT_TRUE(cluster.result(promotion)->is_accepted);
     EXPECT_EQ(cluster.router(3).active.version.number, 2u);
     EXPECT_TRUE(cluster.run_until([&] { return !cluster.router(1).active.version.is_canary(); }))
-        << "it is none any more";
+        << "a promoted version is no longer a canary";
     ASSERT_NO_VIOLATION(cluster);
   }
 }
@@ -46,8 +48,8 @@
     ASSERT_TRUE(cluster.start_with("r4", "one"));
     cluster.propose("r4", "two", {}, make_canary({"r3"}, 600 * kSecond, false));
     ASSERT_TRUE(cluster.run_until([&] { return cluster.uses(3, "two"); }));
-    const auto back = cluster.decide_canary("r1", 2, false);
-    ASSERT_TRUE(cluster.wait_for_result(back));
+    const auto rollback = cluster.decide_canary("r1", 2, false);
+    ASSERT_TRUE(cluster.wait_for_result(rollback));
     const Time from = cluster.now();
     ASSERT_TRUE(cluster.run_until([&] {
       return cluster.all_use("one") && cluster.router(3).active.version.number == 3;
@@ -71,7 +73,8 @@
     EXPECT_EQ(cluster.router(3).active.version.number, everywhere ? 2u : 3u);
     ASSERT_NO_VIOLATION(cluster);
   }
-  SimulatedCluster cluster(5, 5, 3);  // too few requests tell nothing
+  SimulatedCluster cluster(5, 5, 3);
+  // Failures are not judged on too few requests.
   ASSERT_TRUE(cluster.start_with("r4", "one"));
   cluster.propose("r4", "two", {}, make_canary({"r3"}, 600 * kSecond, false));
   ASSERT_TRUE(cluster.run_until([&] { return cluster.uses(3, "two"); }));
@@ -80,7 +83,7 @@
   EXPECT_TRUE(cluster.uses(3, "two"));
 }
 
-TEST(CanaryRolloutTest, EndsAsDeclaredWhenItsTimeIsOverDespiteANewLeader) {
+TEST(CanaryRolloutTest, EndsAsConfiguredAtItsExpiryDespiteANewLeader) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     const bool promote = seed % 2;
     SimulatedCluster cluster(seed, 5, 3);
@@ -95,7 +98,7 @@
       if (!cluster.is_running(name)) cluster.start(name);
     }
     cluster.run_for(2 * kSecond);
-    EXPECT_FALSE(cluster.uses(4, "two")) << "a new leader watches it for its whole time";
+    EXPECT_FALSE(cluster.uses(4, "two")) << "a new leader restarts the duration of the rollout";
     ASSERT_TRUE(cluster.run_until([&] {
       return cluster.all_use(promote ? "two" : "one") &&
              cluster.router(4).active.version.number == (promote ? 2u : 3u);
@@ -106,30 +109,34 @@
   }
 }
 
-// A voter whose program passes by what it does not know would make another state of the same log.
+// A voter with an older program would ignore commands that it does not support, so its replicated
+// state would diverge from that of the other voters.
 TEST(CanaryRolloutTest, IsRejectedWhileAVoterOrTheLeaderDoesNotSupportIt) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulatedCluster cluster(seed, 5, 3);
     ASSERT_TRUE(cluster.start_with("r4", "one"));
-    auto old = cluster.leader();
-    if (seed % 2) old = old == "r0" ? "r1" : "r0";  // else the leader itself
-    cluster.kill(old);
-    cluster.routers().at(old).protocol_version = 0;
-    cluster.start(old);
+    // With an odd seed, the old program runs at a voter that is not the leader.
+    auto old_voter = cluster.leader();
+    if (seed % 2) old_voter = old_voter == "r0" ? "r1" : "r0";
+    cluster.kill(old_voter);
+    cluster.routers().at(old_voter).protocol_version = 0;
+    cluster.start(old_voter);
     cluster.run_for(6 * kSecond);
-    const auto no = cluster.propose("r4", "two", {}, make_canary({"r3"}, 2 * kSecond, true));
-    ASSERT_TRUE(cluster.wait_for_result(no)) << seed << cluster.describe();
-    EXPECT_FALSE(cluster.result(no)->is_accepted);
-    EXPECT_NE(cluster.result(no)->reason.find("knows no trials"), std::string::npos)
-        << cluster.result(no)->reason;
-    cluster.kill(old);
-    cluster.routers().at(old).protocol_version = kProtocolVersion;
-    cluster.start(old);
+    const auto rejected = cluster.propose("r4", "two", {}, make_canary({"r3"}, 2 * kSecond, true));
+    ASSERT_TRUE(cluster.wait_for_result(rejected)) << seed << cluster.describe();
+    EXPECT_FALSE(cluster.result(rejected)->is_accepted);
+    EXPECT_NE(cluster.result(rejected)->reason.find("knows no trials"), std::string::npos)
+        << cluster.result(rejected)->reason;
+    cluster.kill(old_voter);
+    cluster.routers().at(old_voter).protocol_version = kProtocolVersion;
+    cluster.start(old_voter);
     cluster.run_for(6 * kSecond);
-    const auto yes = cluster.propose("r4", "two", {}, make_canary({"r3"}, 2 * kSecond, true));
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.result(yes) && cluster.all_use("two"); }))
-        << seed << cluster.describe();
-    EXPECT_TRUE(cluster.result(yes)->is_accepted);
+    const auto accepted = cluster.propose("r4", "two", {}, make_canary({"r3"}, 2 * kSecond, true));
+    ASSERT_TRUE(cluster.run_until([&] {
+      return cluster.result(accepted) && cluster.all_use("two");
+    })) << seed
+        << cluster.describe();
+    EXPECT_TRUE(cluster.result(accepted)->is_accepted);
     ASSERT_NO_VIOLATION(cluster);
   }
 }
@@ -137,14 +144,14 @@
 TEST(CanaryRolloutTest, IsRejectedWithTooManyRoutersOrWithoutACurrentVersion) {
   SimulatedCluster cluster(6, 4, 3);
   cluster.wait_for_leader();
-  const auto none = cluster.propose("r3", "one", {}, make_canary({"r3"}, kSecond, true));
-  ASSERT_TRUE(cluster.wait_for_result(none));
-  EXPECT_NE(cluster.result(none)->reason.find("go back to"), std::string::npos)
-      << cluster.result(none)->reason;
-  const auto many = cluster.propose("r3", "one", {},
-                                    make_canary(std::vector<std::string>(8, "r1"), kSecond, true));
-  ASSERT_TRUE(cluster.wait_for_result(many));
-  EXPECT_FALSE(cluster.result(many)->is_accepted);
+  const auto without_base = cluster.propose("r3", "one", {}, make_canary({"r3"}, kSecond, true));
+  ASSERT_TRUE(cluster.wait_for_result(without_base));
+  EXPECT_NE(cluster.result(without_base)->reason.find("go back to"), std::string::npos)
+      << cluster.result(without_base)->reason;
+  const auto too_many = cluster.propose(
+      "r3", "one", {}, make_canary(std::vector<std::string>(8, "r1"), kSecond, true));
+  ASSERT_TRUE(cluster.wait_for_result(too_many));
+  EXPECT_FALSE(cluster.result(too_many)->is_accepted);
   ASSERT_NO_VIOLATION(cluster);
 }
 
--- a/tests/consensus/consensus_node_test.cpp
+++ b/tests/consensus/consensus_node_test.cpp
@@ -1,4 +1,5 @@
-// Versions, leases and voters of a cluster on a simulated network with simulated disks.
+// Tests of versions, leases and changes of the voters in a cluster with a simulated network and
+// simulated disks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,9 +20,9 @@
         << seed;
     ASSERT_NO_VIOLATION(cluster);
     EXPECT_TRUE(cluster.result(first)->is_accepted) << cluster.result(first)->reason;
-    const auto old = cluster.propose("r3", "two", 0);
-    ASSERT_TRUE(cluster.wait_for_result(old));
-    EXPECT_FALSE(cluster.result(old)->is_accepted) << "made from an outdated base";
+    const auto outdated = cluster.propose("r3", "two", 0);
+    ASSERT_TRUE(cluster.wait_for_result(outdated));
+    EXPECT_FALSE(cluster.result(outdated)->is_accepted) << "its base version is outdated";
     const auto next = cluster.propose("r3", "two");
     ASSERT_TRUE(cluster.run_until([&] { return cluster.result(next) && cluster.all_use("two"); }))
         << seed;
@@ -34,12 +35,12 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedCluster cluster(seed, 5, 3);
     cluster.wait_for_leader();
-    const auto a = cluster.propose("r3", "a");
-    const auto b = cluster.propose("r4", "b");
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.result(a) && cluster.result(b); }));
-    EXPECT_NE(cluster.result(a)->is_accepted, cluster.result(b)->is_accepted);
+    const auto first = cluster.propose("r3", "a");
+    const auto second = cluster.propose("r4", "b");
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.result(first) && cluster.result(second); }));
+    EXPECT_NE(cluster.result(first)->is_accepted, cluster.result(second)->is_accepted);
     ASSERT_TRUE(cluster.run_until(
-        [&] { return cluster.all_use(cluster.result(a)->is_accepted ? "a" : "b"); }));
+        [&] { return cluster.all_use(cluster.result(first)->is_accepted ? "a" : "b"); }));
     ASSERT_NO_VIOLATION(cluster);
   }
 }
@@ -60,8 +61,8 @@
   ASSERT_NO_VIOLATION(cluster);
 }
 
-// A router whose program cannot read a version delays the others by no more than the bound.
-TEST(ConsensusNodeTest, ActsConservativelyWhereAVersionCannotBeReadAndGoesOnElsewhere) {
+// A router that finds a version invalid delays the others by no more than a bounded time.
+TEST(ConsensusNodeTest, ActsConservativelyWhereAVersionIsInvalidAndActivatesItElsewhere) {
   SimulatedCluster cluster(2, 5, 3);
   ASSERT_TRUE(cluster.start_with("r0", "one"));
   cluster.router(4).checker = [](const Content&) { return std::string("unknown key"); };
@@ -75,7 +76,8 @@
            cluster.router(4).active.newer_contents.size() == 1;
   }));
   EXPECT_EQ(cluster.router(4).active.content->at("servers"), "one");
-  EXPECT_EQ(cluster.router(4).active.newer_contents[0]->at("servers"), "two") << "to be merged in";
+  EXPECT_EQ(cluster.router(4).active.newer_contents[0]->at("servers"), "two")
+      << "the later version is to be merged in";
   ASSERT_NO_VIOLATION(cluster);
 }
 
@@ -84,18 +86,20 @@
     SimulatedCluster cluster(seed, 5, 5);
     ASSERT_TRUE(cluster.start_with("r0", "one"));
     cluster.partition({"r0", "r1"});
-    const auto no = cluster.propose("r0", "no");
+    const auto minority_proposal = cluster.propose("r0", "no");
     cluster.run_for(kMaxStaleTime);
     EXPECT_TRUE(cluster.router(0).active.is_conservative &&
                 cluster.router(1).active.is_conservative)
         << seed;
-    const auto yes = cluster.propose("r3", "yes");
-    ASSERT_TRUE(cluster.wait_for_result(yes));
-    EXPECT_TRUE(cluster.result(yes)->is_accepted);
+    const auto majority_proposal = cluster.propose("r3", "yes");
+    ASSERT_TRUE(cluster.wait_for_result(majority_proposal));
+    EXPECT_TRUE(cluster.result(majority_proposal)->is_accepted);
     EXPECT_EQ(cluster.router(0).active.content->at("servers"), "one");
     cluster.restore_links();
-    ASSERT_TRUE(cluster.run_until([&] { return cluster.all_use("yes") && cluster.result(no); }));
-    EXPECT_FALSE(cluster.result(no)->is_accepted) << "it was made from the first";
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return cluster.all_use("yes") && cluster.result(minority_proposal); }));
+    EXPECT_FALSE(cluster.result(minority_proposal)->is_accepted)
+        << "its base is version 1, which is no longer current";
     ASSERT_NO_VIOLATION(cluster);
   }
 }
@@ -104,13 +108,13 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedCluster cluster(seed, 5, 3);
     ASSERT_TRUE(cluster.start_with("r4", "one"));
-    const auto old = cluster.leader();
-    cluster.pause(old);
-    ASSERT_TRUE(
-        cluster.run_until([&] { return !cluster.leader().empty() && cluster.leader() != old; }));
+    const auto old_leader = cluster.leader();
+    cluster.pause(old_leader);
+    ASSERT_TRUE(cluster.run_until(
+        [&] { return !cluster.leader().empty() && cluster.leader() != old_leader; }));
     const auto two = cluster.propose("r4", "two");
     ASSERT_TRUE(cluster.wait_for_result(two));
-    cluster.resume(old);
+    cluster.resume(old_leader);
     ASSERT_TRUE(cluster.run_until([&] { return cluster.all_use("two"); }));
     ASSERT_NO_VIOLATION(cluster);
   }
@@ -119,23 +123,24 @@
 TEST(ConsensusNodeTest, ReusesTheSharesOfCrashedRouters) {
   SimulatedCluster cluster(3, 6, 3);
   ASSERT_TRUE(cluster.start_with("r0", "one"));
-  const auto used = [&] {
+  const auto used_share = [&] {
     double sum = 0;
     for (const auto& [name, router] : cluster.routers()) {
       if (router.node) sum += router.active.total_share;
     }
     return sum;
   };
-  ASSERT_TRUE(cluster.run_until([&] { return used() > 0.84; }));
-  std::vector<std::string> lost = {"r5", "r4", cluster.leader()};
-  for (const auto& name : lost) cluster.kill(name);
-  EXPECT_LT(used(), 0.5);
+  ASSERT_TRUE(cluster.run_until([&] { return used_share() > 0.84; }));
+  std::vector<std::string> killed = {"r5", "r4", cluster.leader()};
+  for (const auto& name : killed) cluster.kill(name);
+  EXPECT_LT(used_share(), 0.5);
   const Time from = cluster.now();
-  ASSERT_TRUE(cluster.run_until([&] { return used() > 0.8; }));
+  ASSERT_TRUE(cluster.run_until([&] { return used_share() > 0.8; }));
   EXPECT_LE(cluster.now() - from, 6 * kSecond);
   ASSERT_NO_VIOLATION(cluster);
 }
 
+// Returns true if the leader's Raft configuration consists of exactly these voters.
 bool has_exactly_voters(SimulatedCluster& cluster, const std::vector<std::string>& voters) {
   const auto leader = cluster.leader();
   if (leader.empty()) return false;
@@ -170,7 +175,7 @@
   ASSERT_NO_VIOLATION(cluster);
 }
 
-// The disk reports success and keeps nothing; then the power is lost.
+// The disk reports successful syncs without storing the data, and then the router loses power.
 TEST(ConsensusNodeTest, RejoinsAsALearnerWhenTheDiskIgnoredSyncs) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedCluster cluster(seed, 4, 3);
@@ -214,8 +219,8 @@
   ASSERT_NO_VIOLATION(cluster);
 }
 
-// A full disk refuses at once: writes are retried, but not as fast as they are refused.
-TEST(ConsensusNodeTest, GoesOnWithFullDisksAndRetriesThemWithPauses) {
+// A full disk rejects writes immediately. They must be retried, but with a delay.
+TEST(ConsensusNodeTest, AcceptsVersionsWithFullDisksAndRetriesWritesWithADelay) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedCluster cluster(seed, 5, 3);
     ASSERT_TRUE(cluster.start_with("r4", "one"));
@@ -226,7 +231,7 @@
     EXPECT_TRUE(cluster.result(two)->is_accepted) << cluster.result(two)->reason;
     cluster.run_for(10 * kSecond);
     EXPECT_LE(cluster.totals().content_writes - writes, 80u)
-        << "5 routers, and two a second of each full disk";
+        << "one write per router and two retries per second and full disk";
     EXPECT_TRUE(cluster.router(4).active.is_conservative);
     for (const std::size_t i : {1u, 4u}) cluster.router(i).disk.rejects_writes = false;
     ASSERT_TRUE(cluster.run_until([&] {
@@ -252,14 +257,14 @@
   }
   cluster.start("r4");
   const Time from = cluster.now();
-  std::set<std::uint64_t> seen;
+  std::set<std::uint64_t> active_numbers;
   ASSERT_TRUE(cluster.run_until([&] {
-    seen.insert(cluster.router(4).active.version.number);
+    active_numbers.insert(cluster.router(4).active.version.number);
     return cluster.all_use(std::to_string(versions));
   }));
   EXPECT_LE(cluster.now() - from, 2 * kSecond);
-  EXPECT_LE(seen.size(), 3u) << "never each step";
-  // And a voter that is back after the log was cut off behind a snapshot.
+  EXPECT_LE(active_numbers.size(), 3u) << "intermediate versions are skipped";
+  // The same for a voter that restarts after the leader's log was truncated by a snapshot.
   cluster.kill("r2");
   for (int i = versions + 1; i <= versions + 120; ++i) {
     const auto proposal = cluster.propose("r3", std::to_string(i));
@@ -274,20 +279,22 @@
   ASSERT_NO_VIOLATION(cluster);
 }
 
-// Plays one random fault or proposal at a time.
+// Injects one random fault, recovery or proposal at a time.
 class RandomSchedule {
  public:
   explicit RandomSchedule(SimulatedCluster& cluster) : cluster_(cluster) {}
 
-  void play(int steps) {
+  /// Runs a number of random steps with random delays between them.
+  void run(int steps) {
     cluster_.run_for(2 * kSecond);
     for (int step = 0; step < steps && cluster_.violation().empty(); ++step) {
       const auto name = random_router();
       const auto other = random_router();
-      play_step(name, other);
+      run_step(name, other);
       cluster_.run_for(static_cast<Time>(random() % 2'000'000));
     }
   }
+  /// Restores the network, resumes all paused routers and starts all killed ones.
   void end_all_faults() {
     cluster_.restore_links();
     for (const auto& name : paused_) {
@@ -305,7 +312,7 @@
   }
   std::string next_text() { return "v" + std::to_string(++last_value_); }
 
-  void play_step(const std::string& name, const std::string& other) {
+  void run_step(const std::string& name, const std::string& other) {
     switch (random() % 12) {
       case 0:
       case 1:
@@ -362,17 +369,17 @@
   int last_value_ = 0;
 };
 
-// Whatever crashes, pauses, partitions and losses happen in whatever order: no invariant is
-// violated, and once all faults are over, all routers act on one version.
+// No sequence of crashes, pauses, partitions and message losses may violate an invariant. After the
+// faults have ended, all routers must act on the same version.
 TEST(ConsensusNodeTest, ConvergesWithoutViolationsAfterRandomFaults) {
   const std::size_t seeds = 24 * exploration_factor();
   std::size_t versions = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SimulatedCluster cluster(seed * 7919, 5 + seed % 3, seed % 4 == 0 ? 5 : 3);
     RandomSchedule schedule(cluster);
-    schedule.play(25);
+    schedule.run(25);
     schedule.end_all_faults();
-    // What was pending before is decided first: a rejected proposal is made again.
+    // The proposal is rejected while an earlier one is pending, so it is repeated until accepted.
     std::uint64_t last = 0;
     const auto has_converged = [&] {
       if (last == 0 || (cluster.result(last) && !cluster.result(last)->is_accepted)) {
@@ -386,7 +393,7 @@
     versions += cluster.router(0).active.version.number;
     if (HasFailure()) break;
   }
-  EXPECT_GT(versions, seeds * 3) << "the schedules change something";
+  EXPECT_GT(versions, seeds * 3) << "the schedules must produce accepted versions";
 }
 
 }  // namespace
--- a/tests/consensus/conservative_merge_test.cpp
+++ b/tests/consensus/conservative_merge_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the conservative merge of endpoint lists.
 #include "consensus/conservative_merge.h"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,8 @@
 namespace alderspur::consensus {
 namespace {
 
-// Two characters a server: its name, upper case if it is draining, and its weight.
+// Makes a list from a shorthand with two characters per server: its name, in upper case if it is
+// draining, and its weight.
 endpoints::SnapshotPtr make_list(const std::string& servers) {
   std::string text = "format = 1\ngeneration = 3\nservers = " + std::to_string(servers.size() / 2) +
                      "\n[[hub]]\nname = \"h\"\n[[point]]\nname = \"p\"\nhub = \"h\"\n";
@@ -24,8 +26,8 @@
   return result.list;
 }
 
-// The reverse of make_list, in the order of the names.
-std::string shorthand(const endpoints::Snapshot& list) {
+// Returns the shorthand of a list, sorted by server name; the inverse of make_list().
+std::string to_shorthand(const endpoints::Snapshot& list) {
   std::string text;
   for (const char id : std::string("abcdef")) {
     for (const auto& server : list.servers) {
@@ -38,26 +40,28 @@
   return text;
 }
 
+// Merges the lists, oldest first, and returns the shorthand of the result.
 std::string merge(const std::vector<std::string>& lists) {
   std::vector<endpoints::SnapshotPtr> parsed;
   parsed.reserve(lists.size());
   for (const auto& list : lists) parsed.push_back(make_list(list));
-  return shorthand(merge_conservatively(parsed));
+  return to_shorthand(merge_conservatively(parsed));
 }
 
 TEST(ConservativeMerge, TakesTheStricterStateAndTheSmallerWeight) {
   EXPECT_EQ(merge({"a4b4c4", "a2b4"}), "a2b4");
-  EXPECT_EQ(merge({"a1b4", "a4b4d4"}), "a1b4") << "a new server is not used yet";
+  EXPECT_EQ(merge({"a1b4", "a4b4d4"}), "a1b4")
+      << "a server that only one list contains is not used";
   EXPECT_EQ(merge({"a4B4", "a4b4"}), "a4B4");
   EXPECT_EQ(merge({"a4b4", "a4B4", "a4b4"}), "a4B4");
-  EXPECT_EQ(merge({"a4b4", "c4d4"}), "c4d4") << "no location is left without a server";
+  EXPECT_EQ(merge({"a4b4", "c4d4"}), "c4d4") << "a location must not be left without servers";
   const auto merged = merge_conservatively({make_list("a4b4c4"), make_list("a2b4")});
   const auto text = to_text(merged, 41);
   diagnostics::Findings findings;
   const auto reread = endpoints::read_list(text, "list", 0, {}, findings);
   ASSERT_TRUE(findings.is_ok() && reread.list);
   EXPECT_EQ(reread.list->generation, 41u);
-  EXPECT_EQ(shorthand(*reread.list), "a2b4");
+  EXPECT_EQ(to_shorthand(*reread.list), "a2b4");
 }
 
 }  // namespace
--- a/tests/consensus/faulty_disk.cpp
+++ b/tests/consensus/faulty_disk.cpp
@@ -1,11 +1,16 @@
-// A disk with faults and a wall clock that jumps: a library that is preloaded into a process of the
-// program, in place of the C library's calls.
+// Simulates disk faults and jumps of the wall clock in a process of the program. This library is
+// preloaded and replaces functions of the C library.
 //
-// Files under LIAR_FOLDER are watched. The real files always get what is written; what would be
-// left after a loss of power is kept beside them in LIAR_SHADOW: a copy of each file as of its last
-// true sync (by inode), and the names as of the last true sync of the folder. The test puts that
-// back. LIAR_CONTROL is a file of two numbers of 64 bits, read on each call: the fault, and by how
-// many microseconds the wall clock is off.
+// Environment variables:
+//   LIAR_FOLDER   the folder whose files are subject to the faults
+//   LIAR_SHADOW   a folder that receives the state that would remain after a power loss: a copy of
+//                 each file as of its last real sync, named by its inode, and the file `names` with
+//                 the file names as of the last real sync of LIAR_FOLDER. To simulate a power loss,
+//                 the test replaces the files with these copies.
+//   LIAR_CONTROL  a file with two 64-bit numbers, which are read at each call: the fault, and the
+//                 offset of the wall clock in microseconds
+//
+// Writes always reach the real files unless a fault rejects them.
 #include <dirent.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -23,20 +28,21 @@
 
 namespace {
 
+/// The fault that is simulated. The test writes the number to the control file.
 enum class Fault : std::int64_t {
   none = 0,
-  sync_ignored = 1,
-  sync_fails = 2,
-  disk_full = 3,
-  hangs = 4,
-  read_fails = 5
+  sync_ignored = 1,  // a sync reports success and does nothing
+  sync_fails = 2,    // a sync fails with EIO
+  disk_full = 3,     // a write fails with ENOSPC
+  hangs = 4,         // a sync blocks until the fault ends
+  read_fails = 5     // a read fails with EIO
 };
 
 constexpr std::size_t kControlBytes = 2 * sizeof(std::int64_t);
 constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
-constexpr useconds_t kHangPollInterval = 10'000;
+constexpr useconds_t kHangPollInterval = 10'000;  // microseconds
 
-// Null without LIAR_CONTROL.
+// Returns null if LIAR_CONTROL is not set or the file cannot be mapped.
 const volatile std::int64_t* map_control() {
   const char* path = std::getenv("LIAR_CONTROL");
   if (!path) return nullptr;
@@ -52,8 +58,9 @@
   return mapped;
 }
 
-Fault fault() { return control() ? static_cast<Fault>(control()[0]) : Fault::none; }
+Fault current_fault() { return control() ? static_cast<Fault>(control()[0]) : Fault::none; }
 
+// Returns the C library's function that this library replaces.
 template <class Function>
 Function real_function(const char* name) {
   return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
@@ -64,7 +71,7 @@
   return -1;
 }
 
-// True, with its path, if the file is under LIAR_FOLDER.
+// Reports whether the file is under LIAR_FOLDER. If it is, sets `path` to its path.
 bool is_watched(int file, char* path) {
   const char* folder = std::getenv("LIAR_FOLDER");
   if (!folder) return false;
@@ -81,40 +88,41 @@
   return is_watched(file, path);
 }
 
+// Sets `path` to the path of a file in LIAR_SHADOW.
 void shadow_path(char* path, const char* name) {
   std::snprintf(path, PATH_MAX, "%s/%s", std::getenv("LIAR_SHADOW"), name);
 }
 
-// Replaces the copy of a file as a whole, by a rename.
+// Copies a file to LIAR_SHADOW. The earlier copy is replaced atomically by a rename.
 void copy_file(const char* path, std::uint64_t inode) {
   char name[32];
   char target[PATH_MAX];
-  char fresh[PATH_MAX + 8];
+  char temporary[PATH_MAX + 8];
   char buffer[65536];
   std::snprintf(name, sizeof name, "%llu", static_cast<unsigned long long>(inode));
   shadow_path(target, name);
-  std::snprintf(fresh, sizeof fresh, "%s.new", target);
-  const int in = ::open(path, O_RDONLY | O_CLOEXEC);
-  const int out = ::open(fresh, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+  std::snprintf(temporary, sizeof temporary, "%s.new", target);
+  const int source = ::open(path, O_RDONLY | O_CLOEXEC);
+  const int copy = ::open(temporary, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   static const auto real_write = real_function<ssize_t (*)(int, const void*, std::size_t)>("write");
-  if (in >= 0 && out >= 0) {
-    for (ssize_t size = 0; (size = ::read(in, buffer, sizeof buffer)) > 0;) {
-      if (real_write(out, buffer, static_cast<std::size_t>(size)) < 0) break;
+  if (source >= 0 && copy >= 0) {
+    for (ssize_t size = 0; (size = ::read(source, buffer, sizeof buffer)) > 0;) {
+      if (real_write(copy, buffer, static_cast<std::size_t>(size)) < 0) break;
     }
   }
-  if (in >= 0) ::close(in);
-  if (out >= 0) ::close(out);
-  ::rename(fresh, target);
+  if (source >= 0) ::close(source);
+  if (copy >= 0) ::close(copy);
+  ::rename(temporary, target);
 }
 
-// A line for each file: inode and name.
+// Writes the file `names` to LIAR_SHADOW: a line with inode and name for each file in the folder.
 void copy_names(const char* folder) {
   char target[PATH_MAX];
-  char fresh[PATH_MAX + 8];
+  char temporary[PATH_MAX + 8];
   shadow_path(target, "names");
-  std::snprintf(fresh, sizeof fresh, "%s.new", target);
+  std::snprintf(temporary, sizeof temporary, "%s.new", target);
   DIR* directory = ::opendir(folder);
-  FILE* out = std::fopen(fresh, "we");
+  FILE* out = std::fopen(temporary, "we");
   if (directory && out) {
     for (const dirent* entry = nullptr; (entry = ::readdir(directory));) {
       if (entry->d_type != DT_REG) continue;
@@ -123,18 +131,19 @@
   }
   if (directory) ::closedir(directory);
   if (out) std::fclose(out);
-  ::rename(fresh, target);
+  ::rename(temporary, target);
 }
 
-// Copying syncs nothing itself, but a call from within must not be counted.
+// Copies the file or the folder's names to LIAR_SHADOW and calls the real function, unless a fault
+// is set. A nested call while copying makes no copy.
 int sync_file(int file, const char* function) {
-  static thread_local bool is_inside = false;
+  static thread_local bool is_copying = false;
   char path[PATH_MAX];
-  if (!is_inside && is_watched(file, path)) {
-    while (fault() == Fault::hangs) ::usleep(kHangPollInterval);
-    if (fault() == Fault::sync_fails) return fail_with(EIO);
-    if (fault() == Fault::sync_ignored) return 0;
-    is_inside = true;
+  if (!is_copying && is_watched(file, path)) {
+    while (current_fault() == Fault::hangs) ::usleep(kHangPollInterval);
+    if (current_fault() == Fault::sync_fails) return fail_with(EIO);
+    if (current_fault() == Fault::sync_ignored) return 0;
+    is_copying = true;
     struct stat status {};
     if (::fstat(file, &status) == 0) {
       if (S_ISDIR(status.st_mode)) {
@@ -143,7 +152,7 @@
         copy_file(path, status.st_ino);
       }
     }
-    is_inside = false;
+    is_copying = false;
   }
   return real_function<int (*)(int)>(function)(file);
 }
@@ -158,20 +167,20 @@
 ssize_t pwrite64(int file, const void* bytes, std::size_t size, off64_t offset) {
   static const auto real_pwrite =
       real_function<ssize_t (*)(int, const void*, std::size_t, off64_t)>("pwrite64");
-  if (fault() == Fault::disk_full && is_watched(file)) return fail_with(ENOSPC);
+  if (current_fault() == Fault::disk_full && is_watched(file)) return fail_with(ENOSPC);
   return real_pwrite(file, bytes, size, offset);
 }
 
 ssize_t write(int file, const void* bytes, std::size_t size) {
   static const auto real_write = real_function<ssize_t (*)(int, const void*, std::size_t)>("write");
-  if (fault() == Fault::disk_full && is_watched(file)) return fail_with(ENOSPC);
+  if (current_fault() == Fault::disk_full && is_watched(file)) return fail_with(ENOSPC);
   return real_write(file, bytes, size);
 }
 
 ssize_t pread64(int file, void* bytes, std::size_t size, off64_t offset) {
   static const auto real_pread =
       real_function<ssize_t (*)(int, void*, std::size_t, off64_t)>("pread64");
-  if (fault() == Fault::read_fails && is_watched(file)) return fail_with(EIO);
+  if (current_fault() == Fault::read_fails && is_watched(file)) return fail_with(EIO);
   return real_pread(file, bytes, size, offset);
 }
 
--- a/tests/consensus/linearizability_test.cpp
+++ b/tests/consensus/linearizability_test.cpp
@@ -1,4 +1,5 @@
-// Histories of two clients on the simulated network, judged for linearizability.
+// Tests of the linearizability checker, and of the histories of two clients on the simulated
+// network.
 #include "linearizability.h"
 
 #include <gtest/gtest.h>
@@ -24,22 +25,23 @@
   return {Operation::Kind::change, called_at, answered_at, base, number, false};
 }
 
-TEST(LinearizabilityTest, AcceptsHistoriesThatAnOrderExplainsAndNoOthers) {
+TEST(LinearizabilityTest, AcceptsExactlyTheLinearizableHistories) {
   EXPECT_TRUE(is_linearizable(
       {change(0, 10, 0, 1), read(11, 12, 1), change(13, 20, 1, 2), read(14, 19, 1)}));
   EXPECT_TRUE(is_linearizable({change(0, 10, 0, 1), read(5, 6, 0), read(7, 8, 1)}));
   EXPECT_FALSE(is_linearizable({change(0, 10, 0, 1), read(11, 12, 0)}))
-      << "read after its response, and not there";
+      << "a read after the response of the change does not return the change";
   EXPECT_FALSE(is_linearizable({change(0, 10, 0, 1), read(5, 6, 1), read(7, 8, 0)}))
-      << "it went back";
-  EXPECT_FALSE(is_linearizable({change(0, 10, 0, 1), change(0, 10, 0, 2)})) << "both from one base";
+      << "the second read returns an older value than the first";
+  EXPECT_FALSE(is_linearizable({change(0, 10, 0, 1), change(0, 10, 0, 2)}))
+      << "two changes have the same base";
   EXPECT_TRUE(is_linearizable({change(0, kNoResponse, 0, 0), read(5, 6, 3), change(7, 9, 3, 4)}));
   EXPECT_FALSE(is_linearizable({change(8, kNoResponse, 0, 0), read(5, 6, 3)}))
-      << "before it was called";
+      << "a read returns the change before it was called";
 }
 
-// Reads and proposes at random routers, one operation at a time. A read counts where the router
-// says that it leads: nobody else promises the newest version.
+// A client that reads and proposes at random routers, one operation at a time. Only reads at the
+// leader are recorded, because other routers do not guarantee to return the newest version.
 class Client {
  public:
   Client(SimulatedCluster& cluster, std::vector<Operation>& history)
@@ -47,7 +49,7 @@
 
   void step(int& last_value) {
     if (open_change_) {
-      take_response();
+      handle_response();
       return;
     }
     const auto name = SimulatedCluster::name(cluster_.random()() % 5);
@@ -68,7 +70,9 @@
   std::size_t reads() const { return reads_; }
 
  private:
-  void take_response() {
+  // Records the result of the open change if there is one. A change without a definite result stays
+  // in the history without a response.
+  void handle_response() {
     const ProposalResult* result = cluster_.result(nonce_);
     if (result) {
       const bool is_unknown = !result->is_accepted && result->reason.starts_with("no answer");
@@ -83,21 +87,22 @@
         ++accepted_;
       }
     }
-    // After that time it was lost with its router.
+    // If there is no result by then, the proposal was lost with its router.
     if (result || cluster_.now() > give_up_at_) open_change_.reset();
   }
 
   SimulatedCluster& cluster_;
   std::vector<Operation>& history_;
-  std::optional<std::size_t> open_change_;  // in the history
+  std::optional<std::size_t> open_change_;  // index in the history
   std::uint64_t nonce_ = 0;
-  std::uint64_t known_number_ = 0;
+  std::uint64_t known_number_ = 0;  // the base of the next change
   Time give_up_at_ = 0;
   std::size_t accepted_ = 0;
   std::size_t reads_ = 0;
 };
 
-// At most one router is killed and one paused at a time.
+// Injects one random fault, or ends one, at each step. At most one router is killed and one paused
+// at a time.
 class RandomFaults {
  public:
   explicit RandomFaults(SimulatedCluster& cluster) : cluster_(cluster) {}
@@ -139,7 +144,7 @@
   std::string paused_;
 };
 
-TEST(LinearizabilityTest, HoldsForWhatTwoClientsSeeOfProposalsAndReads) {
+TEST(LinearizabilityTest, ProposalsAndReadsOfTwoClientsAreLinearizable) {
   const std::size_t seeds = 12 * exploration_factor();
   std::size_t accepted = 0;
   std::size_t reads = 0;
@@ -151,7 +156,7 @@
     int last_value = 0;
     for (int step = 0; step < 60 && cluster.violation().empty(); ++step) {
       faults.step();
-      for (int k = 0; k < 10; ++k) {
+      for (int round = 0; round < 10; ++round) {
         for (auto& client : clients) client.step(last_value);
         cluster.run_for(static_cast<Time>(cluster.random()() % 60'000));
       }
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -1,5 +1,5 @@
-// A voter's disk, damaged in every way that a file can be: it is used as it was written, or not at
-// all.
+// Tests of LogStore with damaged files: a log is either loaded exactly as it was written or not
+// used at all.
 #include "consensus/log_store.h"
 
 #include <gtest/gtest.h>
@@ -13,6 +13,7 @@
 
 class LogStoreTest : public ::testing::Test {
  protected:
+  // Writes a log with a term, a vote, four entries and a snapshot that covers two of them.
   void write_log() {
     LogStore store(folder().path());
     ASSERT_EQ(store.load().status.message(), "");
@@ -25,6 +26,7 @@
       ASSERT_EQ(store.apply(write).message(), "");
     }
   }
+  // Returns true if the log is the one that write_log() writes.
   static bool is_as_written(const PersistedLog& log) {
     return log.term == 2 && log.vote == 77 && log.first_index == 2 && log.entries.size() == 3 &&
            log.entries[2].data == "four" && log.snapshot && log.snapshot->data == "state" &&
@@ -37,7 +39,7 @@
   TemporaryFolder folder_;
 };
 
-TEST_F(LogStoreTest, LoadsWhatWasWrittenAndKeepsTheChecksumsChainedWhenCutAtEitherEnd) {
+TEST_F(LogStoreTest, LoadsTheWrittenLogAndKeepsItsChecksumChainAfterTruncationAtEitherEnd) {
   write_log();
   {
     LogStore store(folder().path());
@@ -52,11 +54,11 @@
   const auto loaded = store.load();
   EXPECT_EQ(loaded.status.message(), "");
   EXPECT_EQ(loaded.log.last_index(), 5u);
-  EXPECT_EQ(loaded.log.vote, 0u) << "a vote belongs to its term";
+  EXPECT_EQ(loaded.log.vote, 0u) << "a new term clears the vote";
   EXPECT_EQ(store.apply(SaveSnapshot{{9, 3, {}, "all"}, 0}).message(), "");
 }
 
-TEST_F(LogStoreTest, DetectsAnyAlteredByteAndAnyTruncationUnlessNothingIsChangedByIt) {
+TEST_F(LogStoreTest, DetectsAlteredBytesAndTruncationUnlessTheLoadedLogIsUnchanged) {
   write_log();
   const auto database = folder().read("agree.db");
   const auto mark = folder().read("agree.mark");
@@ -70,7 +72,7 @@
     }
     ++detected;
     EXPECT_TRUE(loaded.is_corrupt) << damage;
-    EXPECT_TRUE(loaded.log.is_empty()) << damage << ": nothing of it is used";
+    EXPECT_TRUE(loaded.log.is_empty()) << damage << ": no part of the log may be loaded";
   };
   const auto restore = [&](const std::string& database_bytes) {
     for (const auto& file : std::filesystem::directory_iterator(folder().path())) {
@@ -83,22 +85,22 @@
     auto damaged = database;
     damaged[offset] = static_cast<char>(damaged[offset] ^ 0x15);
     restore(damaged);
-    load_and_check("altered at " + std::to_string(offset));
+    load_and_check("byte altered at offset " + std::to_string(offset));
   }
   for (std::size_t size = 0; size < database.size(); size += 1021) {
     restore(database.substr(0, size));
-    load_and_check("cut off at " + std::to_string(size));
+    load_and_check("database truncated to " + std::to_string(size) + " bytes");
   }
   EXPECT_GT(detected, 20u);
   restore(database);
   folder().write("agree.mark", "garbage");
-  load_and_check("mark");
+  load_and_check("mark overwritten");
   std::filesystem::remove(folder().path("agree.mark"));
   LogStore store(folder().path());
-  EXPECT_TRUE(store.load().is_corrupt) << "the mark is gone";
+  EXPECT_TRUE(store.load().is_corrupt) << "the mark does not exist";
 }
 
-TEST_F(LogStoreTest, DetectsAnOlderDatabaseAndTakesOnlyAResetThen) {
+TEST_F(LogStoreTest, DetectsAnOlderDatabaseAndThenAcceptsOnlyAReset) {
   write_log();
   const auto old_database = folder().read("agree.db");
   {
@@ -110,7 +112,7 @@
   folder().write("agree.db", old_database);
   LogStore store(folder().path());
   EXPECT_TRUE(store.load().is_corrupt);
-  EXPECT_NE(store.apply(SetVote{6}).message(), "") << "nothing is taken before the reset";
+  EXPECT_NE(store.apply(SetVote{6}).message(), "") << "no other write is accepted before the reset";
   EXPECT_EQ(store.apply(ResetLog{}).message(), "");
   EXPECT_EQ(store.apply(SetTerm{3}).message(), "");
   EXPECT_TRUE(std::filesystem::exists(folder().path("agree.db.bad")));
--- a/tests/consensus/mangled_messages_test.cpp
+++ b/tests/consensus/mangled_messages_test.cpp
@@ -1,4 +1,5 @@
-// What a router does with mangled messages of consensus and stored state: none is decoded in part.
+// Tests that mangled consensus messages, commands and snapshots are rejected and never decoded in
+// part.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -24,27 +25,27 @@
   return version;
 }
 
-// One message of each kind.
+// Returns one message of each kind.
 std::vector<Message> all_messages() {
   LeaseGrant grant;
   grant.current = some_version();
   grant.pending = some_version();
   grant.voters = {"r1", "r2"};
-  VersionResponse news;
-  news.current = some_version();
-  news.accepted = some_version();
+  VersionResponse versions;
+  versions.current = some_version();
+  versions.accepted = some_version();
   ProposeRequest proposal;
   proposal.version = some_version();
   proposal.voters = {"r1"};
   return {RaftFrame{"bytes"}, LeaseRequest{}, grant,       Redirect{"r1"},
           FetchRequest{},     ContentChunk{}, proposal,    LogStatus{},
-          VersionQuery{},     news,           RenewHint{}, CanaryDecision{},
+          VersionQuery{},     versions,       RenewHint{}, CanaryDecision{},
           ProposeResponse{}};
 }
 
-// Guards against messages of which a part is taken, and against elements of another type that count
-// as empty.
-TEST(MangledMessages, AreNotDecoded) {
+// Guards against messages that are decoded in part, and against elements of a wrong type that are
+// treated as empty.
+TEST(MangledMessages, MessagesAreNotDecoded) {
   std::set<std::size_t> kinds;
   for (const auto& message : all_messages()) {
     kinds.insert(message.index());
@@ -74,8 +75,8 @@
   }
 }
 
-// A snapshot that cannot be read leaves the state as it was.
-TEST(MangledMessages, SnapshotsChangeNothing) {
+// A snapshot that cannot be decoded must leave the state unchanged.
+TEST(MangledMessages, SnapshotsDoNotChangeTheState) {
   std::ifstream file(test_data::path("consensus/applied_state.bin"), std::ios::binary);
   const std::string bytes{std::istreambuf_iterator<char>(file), {}};
   AppliedState state;
--- a/tests/consensus/router_fleet.cpp
+++ b/tests/consensus/router_fleet.cpp
@@ -9,10 +9,11 @@
 namespace net = alderspur::net;
 namespace consensus = alderspur::consensus;
 
-constexpr Time kRequestInterval = 15'000;
-constexpr std::size_t kAnswersPerConnection = 100;
+constexpr Time kRequestInterval = 15'000;  // microseconds
+constexpr std::size_t kResponsesPerConnection = 100;
 constexpr int kProposalAttempts = 4;
 
+// Returns true if the text is the final result of a proposal.
 bool is_final(const std::string& result) {
   return result.starts_with("yes") || result.starts_with("no");
 }
@@ -84,7 +85,7 @@
   return has_no_consensus || cluster->until([&] { return leader() < routers; });
 }
 
-// ---- What the routers say
+// ---- Status of the routers
 
 RouterFleet::Status RouterFleet::status(std::size_t router) {
   Status status;
@@ -149,7 +150,7 @@
   return 0;
 }
 
-// ---- Stand-ins and clients
+// ---- Fake servers and clients
 
 void RouterFleet::step() {
   const Time now = net::unix_now();
@@ -157,7 +158,7 @@
   for (auto& server : discovery_servers) server.poll();
   if (!is_sending) return;
   for (std::size_t router = 0; router < clients.size(); ++router) {
-    take_answers(router, now);
+    receive_responses(router, now);
     send_request(router, now);
   }
 }
@@ -167,12 +168,12 @@
   fake_cache.poll();
   for (auto& command : fake_cache.commands) {
     if (command.verb == "stats") loopback::FakeCache::respond(command, "green");
-    if (command.verb == "fetch") answer_fetch(cache, command, now);
+    if (command.verb == "fetch") respond_to_fetch(cache, command, now);
   }
   fake_cache.commands.clear();
 }
 
-void RouterFleet::answer_fetch(std::size_t cache, loopback::CacheCommand& command, Time now) {
+void RouterFleet::respond_to_fetch(std::size_t cache, loopback::CacheCommand& command, Time now) {
   last_request_at.at(cache) = now;
   ++requests_received.at(cache);
   auto& fields = command.fields;
@@ -184,19 +185,19 @@
   loopback::FakeCache::respond(command, is_cache_broken.at(cache) ? "crashed" : "served", "bytes");
 }
 
-void RouterFleet::take_answers(std::size_t router, Time now) {
+void RouterFleet::receive_responses(std::size_t router, Time now) {
   Client& client = clients[router];
   if (!client.socket) return;
   client.socket->poll();
-  const auto answers = loopback::decode_responses(client.socket->received);
-  for (std::size_t i = client.answers_seen; i < answers.size(); ++i) {
-    const bool is_served = answers[i].error.empty();
+  const auto responses = loopback::decode_responses(client.socket->received);
+  for (std::size_t i = client.responses_seen; i < responses.size(); ++i) {
+    const bool is_served = responses[i].error.empty();
     ++(is_served ? served_count : rejected_count);
-    if (on_answer) on_answer(router, now - client.sent_at[answers[i].id], is_served);
+    if (on_response) on_response(router, now - client.sent_at[responses[i].id], is_served);
   }
-  client.answers_seen = answers.size();
-  // Clients come and go.
-  if (client.socket->is_closed || client.answers_seen > kAnswersPerConnection) client = {};
+  client.responses_seen = responses.size();
+  // The next request opens a new connection.
+  if (client.socket->is_closed || client.responses_seen > kResponsesPerConnection) client = {};
 }
 
 bool RouterFleet::connect(std::size_t router) {
@@ -215,7 +216,7 @@
   if (now < client.next_request_at) return;
   client.next_request_at = now + (request_interval ? request_interval(router) : kRequestInterval);
   if (!client.socket && !connect(router)) return;
-  // Spread by Fibonacci hashing: each request is for another object.
+  // Each request is for a different object. Fibonacci hashing spreads the ids.
   ++requests_sent;
   char id[17];
   std::snprintf(id, sizeof id, "%016llx",
--- a/tests/consensus/router_fleet_test.cpp
+++ b/tests/consensus/router_fleet_test.cpp
@@ -1,5 +1,6 @@
-// Versions agreed by several processes of the program, with faults between them and under their
-// disks, judged by what the stand-in caches receive and by each process's own status.
+// Tests of versions that are replicated between several processes of the program, with faults of
+// the links and the disks. The tests check the requests that the fake caches receive and the status
+// that each process reports.
 #include "consensus/router_fleet.h"
 
 #include <algorithm>
@@ -14,8 +15,8 @@
 using rig::Time;
 namespace consensus = alderspur::consensus;
 namespace net = alderspur::net;
-constexpr Time kBusyMachineTime = 2 * kSecond;  // added to bounds: other tests run as well
-constexpr Time kRecoveryTime = 40 * kSecond;    // of a voter that lost its log
+constexpr Time kBusyMachineTime = 2 * kSecond;  // added to time limits; other tests may run
+constexpr Time kRecoveryTime = 40 * kSecond;    // for a voter that lost its log
 
 class ConsensusFleetTest : public ::testing::Test, protected fleet::RouterFleet {
  protected:
@@ -25,7 +26,7 @@
   bool wait_until_all_use(std::uint64_t number) {
     return cluster->until([&] { return all_use(number, cluster->all()); });
   }
-  // The leader and enough of the last routers to be half of six.
+  // Returns three of six routers: the leader and the last ones of the others.
   std::vector<std::size_t> half_with_leader() {
     std::vector<std::size_t> routers = {leader()};
     for (const std::size_t router : {5u, 4u, 3u}) {
@@ -33,6 +34,7 @@
     }
     return routers;
   }
+  // Sends an operator's decision on the canary rollout to router 0 and returns its result.
   std::string decide_canary(const std::string& decision) {
     const auto nonce = cluster->put(0, "/control/versions/rollout", decision);
     cluster->until([&] {
@@ -43,24 +45,25 @@
   }
 };
 
-TEST_F(ConsensusFleetTest, SendsNothingToARemovedCacheOnceTheVersionIsInForce) {
+TEST_F(ConsensusFleetTest, SendsNoRequestsToARemovedCacheOnceTheVersionIsActive) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(5, {0, 1, 2}));
   is_sending = true;
   cluster->run(kSecond);
   EXPECT_GT(requests_received[2], 10u);
   const auto number = propose(4, "ab");
   ASSERT_EQ(number, 1u) << last_result;
-  const Time in_force = net::unix_now();
+  const Time activated_at = net::unix_now();
   ASSERT_TRUE(wait_until_all_use(number));
   cluster->run(kMaxStaleTime);
   const auto before = requests_received[2];
   cluster->run(kSecond);
   EXPECT_EQ(requests_received[2], before);
-  EXPECT_LE(last_request_at[2], in_force + kMaxStaleTime + kBusyMachineTime);
+  EXPECT_LE(last_request_at[2], activated_at + kMaxStaleTime + kBusyMachineTime);
   EXPECT_GT(requests_received[0], 50u);
-  EXPECT_EQ(propose(0, "abc", "?base=0"), 0u) << "made from what was before";
+  EXPECT_EQ(propose(0, "abc", "?base=0"), 0u) << "derived from an outdated version";
   EXPECT_NE(last_result.find("made from 0"), std::string::npos) << last_result;
-  EXPECT_EQ(propose(0, ""), 0u) << "no server: refused where it is proposed";
+  EXPECT_EQ(propose(0, ""), 0u)
+      << "a list without servers is rejected by the router that receives the proposal";
   EXPECT_NE(last_result.find("refused here"), std::string::npos) << last_result;
 }
 
@@ -73,8 +76,8 @@
     ASSERT_LT(old_leader, 5u);
     const auto nonce = cluster->put(4, "/control/versions",
                                     consensus::encode({{"servers", endpoint_list(lists[round])}}));
-    cluster->run(static_cast<Time>(round) *
-                 15'000);  // offered, agreed, in force: whatever it has come to
+    // In each round, the proposal has reached another state when the leader is killed.
+    cluster->run(static_cast<Time>(round) * 15'000);
     cluster->kill(old_leader);
     std::string result;
     ASSERT_TRUE(cluster->until([&] {
@@ -85,7 +88,7 @@
     ASSERT_TRUE(cluster->until([&] { return cluster->whole(cluster->all()) && leader() < 5; }));
     if (result.starts_with("yes")) {
       const auto number = std::stoull(result.substr(4));
-      EXPECT_GT(number, last) << "numbers never go back";
+      EXPECT_GT(number, last) << "version numbers never decrease";
       last = number;
       EXPECT_TRUE(wait_until_all_use(number)) << round;
     }
@@ -110,9 +113,9 @@
   cluster->run(200'000);
   EXPECT_FALSE(status(old_leader).is_leader);
   ASSERT_TRUE(wait_until_all_use(number));
-  const Time since = net::unix_now();
+  const Time activated_at = net::unix_now();
   cluster->run(kSecond);
-  EXPECT_LE(last_request_at[2], since + kBusyMachineTime);
+  EXPECT_LE(last_request_at[2], activated_at + kBusyMachineTime);
 }
 
 TEST_F(ConsensusFleetTest, ServesConservativelyOnTheMinoritySideOfAPartition) {
@@ -135,25 +138,26 @@
   EXPECT_TRUE(wait_until_all_use(number));
 }
 
-TEST_F(ConsensusFleetTest, GoesOnDespiteAOneWayPartitionAndAStalledLink) {
+TEST_F(ConsensusFleetTest, AcceptsVersionsDespiteAOneWayPartitionAndAStalledLink) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(5, {0, 1, 2}));
-  const auto leading = leader();
-  cluster->way(4, leading).cut = true;
-  cluster->way(3, leading).stall = cluster->way(leading, 3).stall = true;
+  const auto current_leader = leader();
+  cluster->way(4, current_leader).cut = true;
+  cluster->way(3, current_leader).stall = cluster->way(current_leader, 3).stall = true;
   cluster->run(300'000);
   const Time from = net::unix_now();
-  const auto number = propose_with_retries(leading == 0 ? 1 : 0, "ab");
+  const auto number = propose_with_retries(current_leader == 0 ? 1 : 0, "ab");
   EXPECT_GT(number, 0u) << last_result;
   EXPECT_LE(net::unix_now() - from, kMaxStaleTime + 3 * kBusyMachineTime);
-  // They hear of it from others, and act on the conservative merge with it.
+  // Routers 3 and 4 receive the new version from other routers and act on the conservative merge
+  // with it.
   for (const std::size_t router : {3u, 4u}) {
     EXPECT_TRUE(cluster->until([&] {
       const auto current = status(router);
       return current.active_number == number || current.newer_versions > 0;
     })) << router;
   }
-  cluster->way(4, leading).cut = false;
-  cluster->way(3, leading).stall = cluster->way(leading, 3).stall = false;
+  cluster->way(4, current_leader).cut = false;
+  cluster->way(3, current_leader).stall = cluster->way(current_leader, 3).stall = false;
   EXPECT_TRUE(wait_until_all_use(number));
 }
 
@@ -174,23 +178,24 @@
   EXPECT_EQ(number, 2u) << last_result;
 }
 
-// All lose their power at once, and one disk has ignored syncs, is altered, empty or old.
+// All routers lose power at once, and the disk of one of them has ignored syncs, is altered, is
+// empty or was restored from an old copy.
 TEST_F(ConsensusFleetTest, RecoversFromAPowerLossWithOneUnsyncedAlteredLostOrOldDisk) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(4, {0, 1, 2}));
   ASSERT_EQ(propose(3, "ab"), 1u) << last_result;
-  const auto wait_for_recovery = [&](std::uint64_t number, const char* what) {
+  const auto wait_for_recovery = [&](std::uint64_t number, const char* fault) {
     ASSERT_TRUE(cluster->until([&] { return leader() < 4 && all_use(number, cluster->all()); },
                                kRecoveryTime))
-        << what << "\n"
+        << fault << "\n"
         << cluster->log(0).substr(cluster->log(0).size() / 2);
     ASSERT_TRUE(cluster->until([&] {
       return status(0).role == "voter" && status(1).role == "voter" && status(2).role == "voter";
-    })) << what;
+    })) << fault;
   };
   const auto lose_all_power = [&] {
     for (std::size_t i = 0; i < 4; ++i) cluster->lose_power(i);
   };
-  // One whose syncs reported success and did nothing.
+  // The syncs of one disk report success and do nothing.
   cluster->lie(1, kSyncIgnored);
   const auto two = propose_with_retries(3, "abc");
   ASSERT_GT(two, 1u) << last_result;
@@ -198,7 +203,7 @@
   cluster->lie(1, kNoFault);
   cluster->start_all();
   wait_for_recovery(two, "unsynced");
-  // One byte of its log altered; another's folder gone.
+  // One byte of a log is altered; then the folder of another router is lost.
   lose_all_power();
   std::fstream database(cluster->state(1) + "/agree.db",
                         std::ios::in | std::ios::out | std::ios::binary);
@@ -206,12 +211,12 @@
   database.put('\x5a');
   database.close();
   cluster->start_all();
-  wait_for_recovery(two, "flipped");
+  wait_for_recovery(two, "altered");
   lose_all_power();
   std::filesystem::remove_all(cluster->state(2));
   cluster->start_all();
   wait_for_recovery(two, "lost");
-  // An old copy of the log restored, beside a newer mark.
+  // An old copy of the log is restored beside a newer mark.
   std::filesystem::copy_file(cluster->state(0) + "/agree.db", cluster->state(0) + "/old");
   const auto three = propose_with_retries(3, "ab");
   ASSERT_GT(three, two) << last_result;
@@ -222,7 +227,7 @@
   EXPECT_NE(cluster->log(0).find("log_spoilt"), std::string::npos);
 }
 
-TEST_F(ConsensusFleetTest, ServesAndAgreesDespiteAHungOrFailingDisk) {
+TEST_F(ConsensusFleetTest, ServesRequestsAndAcceptsVersionsDespiteAHangingOrFailingDisk) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(4, {0, 1, 2}));
   ASSERT_EQ(propose(3, "ab"), 1u) << last_result;
   is_sending = true;
@@ -232,7 +237,7 @@
   EXPECT_GT(two, 1u) << last_result;
   const auto before = served_count;
   cluster->run(kSecond);
-  EXPECT_GT(served_count, before + 30) << "its clients too";
+  EXPECT_GT(served_count, before + 30) << "the clients of router 2 are served as well";
   cluster->lie(2, kNoFault);
   EXPECT_TRUE(wait_until_all_use(two));
   cluster->lie(2, kSyncFails);
@@ -243,9 +248,9 @@
       [&] { return all_use(three, cluster->all()) && status(2).role == "voter"; }, kRecoveryTime));
 }
 
-// Half of the routers, the leader among them, are killed at once: their shares go to the others,
-// and not before their leases have run out.
-TEST_F(ConsensusFleetTest, ReusesTheSharesOfKilledRoutersAndNeverTwice) {
+// Half of the routers, including the leader, are killed at once. Their shares are granted to the
+// other routers, but only after their leases have expired.
+TEST_F(ConsensusFleetTest, ReassignsSharesOfKilledRoutersOnlyAfterTheirLeasesExpire) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(6, {0, 1, 2}));
   is_sending = true;
   double highest = 0;
@@ -264,8 +269,8 @@
   EXPECT_LE(highest, 0.8501);
 }
 
-// A list that applies to one router first: rolled back by an operator, rolled back because of the
-// failures that this router sees, and promoted.
+// Three canary rollouts: the first is rolled back by an operator, the second is rolled back because
+// of failures at the canary router, and the third is promoted.
 TEST_F(ConsensusFleetTest, AppliesACanaryToItsRoutersOnlyAndRollsItBackOnFailures) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(4, {0, 1, 2}));
   ASSERT_EQ(propose(3, "abc"), 1u) << last_result;
@@ -274,29 +279,30 @@
   ASSERT_EQ(propose(3, "ab", "?first=n3&hold=600&harm=0.5"), 2u) << last_result;
   ASSERT_TRUE(cluster->until([&] { return all_use(2, {3}); }));
   cluster->run(2 * kSecond);
-  EXPECT_TRUE(all_use(1, {0, 1, 2})) << "all others as before, under their leases";
+  EXPECT_TRUE(all_use(1, {0, 1, 2})) << "the other routers act on version 1 under their leases";
   EXPECT_FALSE(decide_canary("go 7").starts_with("yes")) << last_result;
   ASSERT_TRUE(decide_canary("back 2").starts_with("yes")) << last_result;
   ASSERT_TRUE(cluster->until([&] { return all_use(3, cluster->all()); },
                              kMaxStaleTime + 2 * kBusyMachineTime));
-  // The canary router finds its only cache broken.
+  // The only cache of the canary router fails all requests.
   is_cache_broken[2] = true;
   ASSERT_EQ(propose(3, "c", "?first=n3&hold=600&then=go"), 4u) << last_result;
   ASSERT_TRUE(wait_until_all_use(5));
-  std::size_t leading = 0;
+  std::size_t current_leader = 0;
   ASSERT_TRUE(cluster->until([&] {
-    leading = leader();
-    return leading < 4;
+    current_leader = leader();
+    return current_leader < 4;
   }));
-  EXPECT_NE(cluster->get(leading, "/control/versions").find("ended badly"), std::string::npos);
+  EXPECT_NE(cluster->get(current_leader, "/control/versions").find("ended badly"),
+            std::string::npos);
   is_cache_broken[2] = false;
   cluster->run(4 * kSecond);  // its concurrency limit recovers
-  const auto good = propose(3, "ab", "?first=n3,n0&hold=3&harm=0.5&then=go");
-  ASSERT_EQ(good, 6u) << last_result;
+  const auto promoted = propose(3, "ab", "?first=n3,n0&hold=3&harm=0.5&then=go");
+  ASSERT_EQ(promoted, 6u) << last_result;
   EXPECT_TRUE(wait_until_all_use(6));
 }
 
-TEST_F(ConsensusFleetTest, GoesOnWithAFullDiskAndTakesItsRouterBackOnceThereIsSpace) {
+TEST_F(ConsensusFleetTest, AcceptsVersionsWithAFullDiskAndReadmitsTheVoterWhenSpaceIsFreed) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(4, {0, 1, 2}));
   ASSERT_EQ(propose(3, "ab"), 1u) << last_result;
   is_sending = true;
@@ -306,17 +312,17 @@
   EXPECT_TRUE(cluster->until([&] { return all_use(two, all_except(2)); }));
   const auto before = served_count;
   cluster->run(2 * kSecond);
-  EXPECT_GT(served_count, before + 60) << "its clients too";
-  EXPECT_TRUE(status(2).is_conservative) << "it holds nothing that it could not keep";
+  EXPECT_GT(served_count, before + 60) << "the clients of router 2 are served as well";
+  EXPECT_TRUE(status(2).is_conservative) << "it holds no lease on a version that it cannot store";
   cluster->lie(2, kNoFault);
   EXPECT_TRUE(cluster->until(
       [&] { return all_use(two, cluster->all()) && status(2).role == "voter"; }, kRecoveryTime));
 }
 
-// What a cache that has just started gets, against its slow start budget.
+// Compares the requests that a newly started cache receives with its slow start budget.
 class SlowStartTest : public ConsensusFleetTest {
  protected:
-  // As the settings below have them.
+  // The values of the settings below.
   static constexpr double kInitialShare = 0.2;
   static constexpr double kRampSeconds = 60;
   static constexpr double kUtilization = 0.75;
@@ -324,15 +330,16 @@
   static constexpr double kSecondsPerAnswer = 90.0 / 9000;
   static constexpr std::size_t kNewCache = 2;
 
-  // Requests a second, of all routers: what the settings leave, of one weight.
+  // Returns the budget of the new cache, which has weight 1, in requests per second from all
+  // routers.
   double budget_at(Time time) const {
     const double age = static_cast<double>(time - added_at_) / 1e6;
     const double share = kInitialShare + (1 - kInitialShare) * age / kRampSeconds;
     return kUtilization * share / kSecondsPerAnswer;
   }
-  // The part of its budget that the cache gets in the next while. It never exceeds the budget; in a
-  // short window, what is saved up for a burst and the one request that each router may overdraw
-  // come on top.
+  // Returns the part of its budget that the new cache receives during the next `duration`, and
+  // checks that the budget is not exceeded. In a short window, the tokens saved for a burst and one
+  // request by which each router may overdraw its tokens are allowed in addition.
   double measure_used_budget(Time duration) {
     const auto before = requests_received[kNewCache];
     const Time from = net::unix_now();
@@ -345,13 +352,15 @@
     EXPECT_LE(rate, budget * (1 + kBurstSeconds / seconds) + 6 / seconds);
     return rate / budget;
   }
-  Time added_at_ = 0;  // before any router knows of the cache, but for the duration of a call
+  // When the result of the proposal with the new cache was received. Routers may have started to
+  // use the cache earlier, but by no more than the duration of a call.
+  Time added_at_ = 0;
 };
 
-// A cache that has just started may be sent, by all routers together, a stated part of what it can
-// do. Half of the routers are killed while it warms up, the leader among them. The cache counts:
-// never more than its budget, and within the stated time four fifths of it again, by the others
-// alone.
+// All routers together may send a newly started cache only a configured part of its capacity. Half
+// of the routers, including the leader, are killed while the cache warms up. The cache must never
+// receive more than its budget, and the other routers alone must use four fifths of it again in
+// time.
 TEST_F(SlowStartTest, KeepsTheBudgetWithHalfOfTheRoutersKilled) {
   obligations =
       R"("weights":"nominal","obligations":{"cold-from":0.2,"cold":60000000,"fall":1000000},)";
@@ -359,12 +368,12 @@
   server_weight = 1;
   ASSERT_NO_FATAL_FAILURE(start_fleet(6, {0, 1, 2}));
   is_sending = true;
-  cluster->run(2 * kSecond);  // shares follow the request rates
+  cluster->run(2 * kSecond);  // until the shares follow the request rates
   const auto number = propose_with_retries(5, "abc");
   ASSERT_GT(number, 0u) << last_result;
   added_at_ = net::unix_now();
   ASSERT_TRUE(wait_until_all_use(number));
-  EXPECT_GT(measure_used_budget(2 * kSecond), 0.5) << "its budget binds";
+  EXPECT_GT(measure_used_budget(2 * kSecond), 0.5) << "the budget limits the requests";
   for (const auto router : half_with_leader()) cluster->kill(router);
   const Time killed_at = net::unix_now();
   double lowest = 1;
@@ -374,13 +383,14 @@
     lowest = std::min(lowest, used);
   }
   EXPECT_LE(net::unix_now() - killed_at, 15 * kSecond);
-  EXPECT_LT(lowest, 0.7) << "the killed routers' shares stay unused until their leases run out";
+  EXPECT_LT(lowest, 0.7)
+      << "the shares of the killed routers stay unused until their leases expire";
   const double steady = measure_used_budget(5 * kSecond);
   EXPECT_GE(steady, 0.8);
   EXPECT_LE(steady, 1.0);
 }
 
-// Guards against leases, deadlines and timers that use a clock that somebody sets.
+// Guards against leases, deadlines and timers that use the wall clock, which can be set.
 TEST_F(ConsensusFleetTest, IgnoresWallClocksThatDifferAndJump) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(4, {0, 1, 2}));
   is_sending = true;
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -6,14 +6,16 @@
 namespace alderspur::consensus {
 namespace {
 
-constexpr Time kStep = 20'000;          // between two looks at a condition
-constexpr Time kCheckInterval = 5'000;  // of the invariants
-constexpr Time kCheckerTime = 200;      // of a content
+// Times in microseconds.
+constexpr Time kConditionInterval = 20'000;  // between two evaluations in run_until()
+constexpr Time kInvariantInterval = 5'000;   // between two checks of the invariants
+constexpr Time kContentCheckTime = 200;
 constexpr Time kTimerLateness = 100;
-constexpr double kClockRateStep = 1e-5;  // of 1000 steps either way: within 1%
-constexpr double kRounding = 1e-6;
+constexpr double kClockRateStep = 1e-5;   // rates differ from 1 by up to 1000 steps, which is 1%
+constexpr double kShareTolerance = 1e-6;  // for rounding errors in sums of shares
 constexpr std::size_t kDescribedLogEvents = 4;
 
+// Returns true if the router acts on the version with this text and is not conservative.
 bool is_using(const SimulatedCluster::Router& router, const std::string& text) {
   const ActiveVersion& active = router.active;
   return !active.is_conservative && active.content && active.content->at("servers") == text;
@@ -159,7 +161,7 @@
   const Time end = now_ + max_duration;
   while (now_ < end && violation_.empty()) {
     if (condition()) return true;
-    run_for(kStep);
+    run_for(kConditionInterval);
   }
   return condition();
 }
@@ -179,7 +181,7 @@
   queue_.emplace(now_ + delay, std::move(action));
 }
 
-// ---- What all routers do
+// ---- State of the routers
 
 bool SimulatedCluster::uses(std::size_t index, const std::string& text) const {
   return is_using(routers_.at(name(index)), text);
@@ -202,10 +204,10 @@
 
 std::string SimulatedCluster::describe(const Router& router) const {
   std::string text = router.name + (router.is_paused ? " paused" : "");
-  if (!router.node) return text + " down\n";
+  if (!router.node) return text + " is not running\n";
   const NodeStatus status = router.node->status(clock_of(router));
-  text += std::string(" ") + role_name(status.role) + (status.is_leader ? " leads" : "") +
-          " acts on " + std::to_string(status.active.version.number) +
+  text += std::string(" ") + role_name(status.role) + (status.is_leader ? " (leader)" : "") +
+          " acts on version " + std::to_string(status.active.version.number) +
           (status.active.is_conservative ? " conservatively" : "") + ", leader " + status.leader +
           ", term " + std::to_string(status.term) + ", log " +
           std::to_string(status.last_log_index);
@@ -227,15 +229,17 @@
     text += "    " + *event + "\n";
   }
   for (const auto& result : router.results) {
-    text += "    result " + std::to_string(result.version_number) + " " + result.reason + "\n";
+    text +=
+        "    result: version " + std::to_string(result.version_number) + " " + result.reason + "\n";
   }
   return text;
 }
 
 std::string SimulatedCluster::describe() const {
-  std::string text = "now " + std::to_string(now_) + " queue " + std::to_string(queue_.size());
-  if (!queue_.empty()) text += " first " + std::to_string(queue_.begin()->first);
-  text += violation_ + "\n";
+  std::string text =
+      "at " + std::to_string(now_) + " us, " + std::to_string(queue_.size()) + " scheduled actions";
+  if (!queue_.empty()) text += ", the first at " + std::to_string(queue_.begin()->first) + " us";
+  text += "\n" + violation_ + "\n";
   for (const auto& [name, router] : routers_) text += describe(router);
   return text;
 }
@@ -279,12 +283,12 @@
 
 // ---- Disks
 
-// Writes of one router are done one after another.
+// The writes of one router are performed one after another.
 void SimulatedCluster::schedule_disk_write(Router& router, std::function<Event(bool is_ok)> write) {
   Time& last = last_disk_write_[router.name];
   last = std::max(last, now_ + router.disk.latency);
   queue_.emplace(last, [this, &router, generation = router.generation, write = std::move(write)] {
-    if (router.generation != generation) return;  // killed before it was done
+    if (router.generation != generation) return;  // the process was killed before the write
     const Event event = write(!router.disk.rejects_writes);
     deliver(router, event);
   });
@@ -292,7 +296,7 @@
 
 void SimulatedCluster::apply_append(PersistedLog& log, const AppendEntries& append) {
   if (append.first_index != log.last_index() + 1) {
-    return report_violation("an entry is appended out of order");
+    return report_violation("an entry was appended at an index that is not the next one");
   }
   log.entries.insert(log.entries.end(), append.entries.begin(), append.entries.end());
 }
@@ -322,7 +326,7 @@
     apply_append(log, *append);
   } else if (const auto* truncation = std::get_if<TruncateFrom>(&write)) {
     if (truncation->index < log.first_index) {
-      return report_violation("more is cut off than there is");
+      return report_violation("the log was truncated before its first index");
     }
     log.entries.resize(truncation->index - log.first_index);
   } else if (const auto* save = std::get_if<SaveSnapshot>(&write)) {
@@ -341,10 +345,11 @@
 void SimulatedCluster::perform(Router& router, const SendMessage& action) {
   ++totals_.messages;
   totals_.message_bytes += action.bytes.size();
-  const Link& way = links_[{router.name, action.to}];
-  if (!routers_.contains(action.to) || way.is_cut || random_() % 100 < way.loss_percent) return;
-  const auto jitter = random_() % static_cast<std::uint64_t>(way.jitter + 1);
-  schedule(way.delay + static_cast<Time>(jitter),
+  const Link& outgoing = links_[{router.name, action.to}];
+  if (!routers_.contains(action.to) || outgoing.is_cut || random_() % 100 < outgoing.loss_percent)
+    return;
+  const auto jitter = random_() % static_cast<std::uint64_t>(outgoing.jitter + 1);
+  schedule(outgoing.delay + static_cast<Time>(jitter),
            [this, from = router.name, to = action.to, bytes = action.bytes] {
              if (!links_[{from, to}].is_cut) deliver(routers_.at(to), MessageReceived{from, bytes});
            });
@@ -371,7 +376,7 @@
 void SimulatedCluster::perform(Router& router, const CheckContent& action) {
   const std::string reason = router.checker ? router.checker(*action.content) : "";
   const ContentChecked event{action.digest, reason.empty(), reason};
-  schedule(kCheckerTime, [this, &router, generation = router.generation, event] {
+  schedule(kContentCheckTime, [this, &router, generation = router.generation, event] {
     if (router.generation == generation) deliver(router, event);
   });
 }
@@ -410,29 +415,30 @@
   const std::uint64_t number = next.version.number;
   const std::uint64_t previous = router.active.version.number;
   if (number < router.highest_number && number < previous) {
-    report_violation(router.name + " went back from " + std::to_string(previous) + " to " +
-                     std::to_string(number));
+    report_violation(router.name + " returned from version " + std::to_string(previous) +
+                     " to version " + std::to_string(number));
   }
   if (number == 0) return;
   const auto digest = digests_.try_emplace(number, next.version.digest).first;
   if (digest->second != next.version.digest) {
-    report_violation("two contents of number " + std::to_string(number));
+    report_violation("version " + std::to_string(number) + " has two different contents");
   }
   if (!next.version.is_canary()) {
     first_used_at_.try_emplace(number, now_);
   } else if (!next.version.canary.includes(router.name)) {
-    report_violation(router.name + " acts on " + std::to_string(number) +
-                     ", which is in a canary rollout elsewhere");
+    report_violation(router.name + " acts on version " + std::to_string(number) +
+                     ", which is in a canary rollout at other routers only");
   }
 }
 
-// A lease ends by the router's own clock, whether or not the router has noticed.
+// A lease expires by the router's own clock, even if the router has not handled its expiry yet.
 bool SimulatedCluster::has_lease(const Router& router) const {
   return router.node && !router.active.is_conservative &&
          router.node->status(clock_of(router)).lease_left > 0;
 }
 
-// If some router acts on a later version already: for how long?
+// Measures for how long this router has acted on its version under a lease while a later version is
+// active at some router.
 void SimulatedCluster::check_staleness(const Router& router) {
   const std::uint64_t number = router.active.version.number;
   const auto later = first_used_at_.upper_bound(number);
@@ -440,14 +446,15 @@
   const Time stale_time = now_ - later->second;
   longest_stale_lease_ = std::max(longest_stale_lease_, stale_time);
   if (stale_time > kMaxStaleTime) {
-    report_violation(router.name + " acts on " + std::to_string(number) + " although " +
-                     std::to_string(later->first) + " has been in force for over T");
+    report_violation(router.name + " acts on version " + std::to_string(number) +
+                     " under a lease, but version " + std::to_string(later->first) +
+                     " was activated more than kMaxStaleTime ago");
   }
 }
 
 void SimulatedCluster::check_invariants() {
   if (now_ < next_check_) return;
-  next_check_ = now_ + kCheckInterval;
+  next_check_ = now_ + kInvariantInterval;
   double total_share = 0;
   std::map<std::string, double> location_shares;
   std::size_t leaders = 0;
@@ -459,13 +466,14 @@
     location_shares[location_of(name)] += router.active.location_share;
     check_staleness(router);
   }
-  if (leaders > 1) report_violation("two lead at once");
-  if (total_share > kLeasedFraction + kRounding) {
-    report_violation("shares add up to " + std::to_string(total_share));
+  if (leaders > 1) report_violation("there is more than one leader");
+  if (total_share > kLeasedFraction + kShareTolerance) {
+    report_violation("the leased shares of all routers add up to " + std::to_string(total_share));
   }
   for (const auto& [location, share] : location_shares) {
-    if (share > kLeasedFraction + kRounding) {
-      report_violation("shares of " + location + " add up to " + std::to_string(share));
+    if (share > kLeasedFraction + kShareTolerance) {
+      report_violation("the leased shares of location " + location + " add up to " +
+                       std::to_string(share));
     }
   }
 }
--- a/tests/consensus/simulated_cluster.h
+++ b/tests/consensus/simulated_cluster.h
@@ -1,6 +1,10 @@
-// Many ConsensusNodes in one process on a simulated clock: a network with faults on each link,
-// router clocks that run at different rates, and disks that keep, lose or refuse writes. Invariants
-// are checked at each step; the first violation stops the run and names the seed and the time.
+// Simulates a cluster of ConsensusNodes in one process on a simulated clock: a network with faults
+// on each link, router clocks that run at different rates, and disks that store, lose or reject
+// writes.
+//
+// The invariants are checked at a fixed interval of simulated time. The first violation stops the
+// simulation; its message contains the seed and the time. A run depends on the seed and on the
+// calls of the test only, so it can be repeated exactly. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -16,63 +20,70 @@
 
 #include "consensus/consensus_node.h"
 
-// A check for tests; it says what was violated.
+// Fails the test if an invariant was violated, and prints the violation.
 #define ASSERT_NO_VIOLATION(cluster) ASSERT_EQ((cluster).violation(), "")
 
 namespace alderspur::consensus {
 
-constexpr Time kSecond = 1'000'000;
-// For how long a router may act on an older version under a lease, once a newer one is in use.
+constexpr Time kSecond = 1'000'000;  // microseconds
+/// The longest time for which a router may act on an older version under a lease after a newer
+/// version has been activated at another router.
 constexpr Time kMaxStaleTime = 2 * kSecond;
 
-/// How many times as many schedules are played; the environment's ALDERSPUR_EXPLORE, or 1.
+/// Returns the factor by which randomized and explored tests multiply their number of runs: the
+/// value of the environment variable ALDERSPUR_EXPLORE, or 1 if it is not set.
 std::size_t exploration_factor();
 
+/// Returns a canary rollout that tolerates 5 percentage points more failures at the canary routers.
 inline CanaryRollout make_canary(std::vector<std::string> routers, Time duration,
                                  bool promote_on_expiry) {
   return {std::move(routers), duration, 0.05, promote_on_expiry};
 }
 
-/// One direction between two routers.
+/// The network from one router to another. Times are in microseconds.
 struct Link {
   bool is_cut = false;
   unsigned loss_percent = 0;
   Time delay = 1'000;
-  Time jitter = 2'000;
+  Time jitter = 2'000;  // maximum of the random delay added to `delay`
 };
 
+/// The disk of a simulated router and its faults.
 struct SimulatedDisk {
-  PersistedLog synced_log;   // what a loss of power leaves
-  PersistedLog written_log;  // what a restarted process finds
+  PersistedLog synced_log;   // remains after a power loss
+  PersistedLog written_log;  // remains after the process is killed
   PersistedState state;
-  std::map<std::string, std::string> contents;
-  bool ignores_sync = false;
-  bool rejects_writes = false;
-  bool is_log_corrupt = false;
-  Time latency = 500;
+  std::map<std::string, std::string> contents;  // encoded, by digest
+  bool ignores_sync = false;    // reports success, but writes are lost with the power
+  bool rejects_writes = false;  // every write of the log or of a content fails
+  bool is_log_corrupt = false;  // the next start finds the log corrupt
+  Time latency = 500;           // microseconds per write
 };
 
+/// A cluster of simulated routers named r0, r1, ... and its network, disks and clock.
 class SimulatedCluster {
  public:
+  /// A simulated router. It remains when its process is not running.
   struct Router {
     std::string name;
-    std::unique_ptr<ConsensusNode> node;  // null: the process is not running
+    std::unique_ptr<ConsensusNode> node;  // null if the process is not running
     SimulatedDisk disk;
-    double clock_rate = 1;
+    double clock_rate = 1;  // seconds of the router's clock per simulated second
     Time clock_offset = 0;
     bool is_paused = false;
     std::uint64_t epoch = 0;
-    std::uint64_t generation = 0;                       // of the process: starts and kills
-    std::uint64_t protocol_version = kProtocolVersion;  // from the next start on
-    std::vector<Event> deferred_events;                 // while it is paused
+    std::uint64_t generation = 0;                       // incremented at each start and kill
+    std::uint64_t protocol_version = kProtocolVersion;  // takes effect at the next start
+    std::vector<Event> deferred_events;                 // received while paused
     ActiveVersion active;
     std::uint64_t highest_number = 0;
     std::vector<ProposalResult> results;
     std::vector<std::string> log_events;
-    std::function<std::string(const Content&)> checker;  // why a content is invalid; empty: valid
+    // Returns why a content is invalid, or an empty string. Null: all contents are valid.
+    std::function<std::string(const Content&)> checker;
   };
 
-  /// Routers r0, r1, ... of which the first `voters` vote; all are started.
+  /// Creates and starts `routers` routers; the first `voters` of them are voters.
   SimulatedCluster(std::uint64_t seed, std::size_t routers, std::size_t voters);
 
   static std::string name(std::size_t index) { return "r" + std::to_string(index); }
@@ -83,31 +94,37 @@
   // Processes.
   void start(const std::string& name);
   void kill(const std::string& name);
-  /// As kill(); what was not truly synced is gone.
+  /// Kills the process and discards the log writes that were not synced.
   void lose_power(const std::string& name);
+  /// Stops the process without ending it; its events are deferred until resume().
   void pause(const std::string& name) { routers_.at(name).is_paused = true; }
   void resume(const std::string& name);
   bool is_running(const std::string& name) { return routers_.at(name).node != nullptr; }
 
-  // The network.
+  // Network.
+  /// Returns a link, which the caller may change.
   Link& link(const std::string& from, const std::string& to) { return links_[{from, to}]; }
-  /// Cuts all links between these routers and the others.
+  /// Cuts all links between the routers in `side` and the other routers.
   void partition(const std::set<std::string>& side);
+  /// Removes all faults of all links.
   void restore_links() { links_.clear(); }
 
-  // Operators; each returns the nonce of the proposal.
+  // Operators' proposals. Each function submits one at the named router and returns its nonce.
+  /// Proposes a version whose only document is "servers" with this text.
   std::uint64_t propose(const std::string& name, const std::string& text,
                         std::optional<std::uint64_t> base_number = {}, CanaryRollout canary = {});
   std::uint64_t propose_voters(const std::string& name, std::vector<std::string> voters);
   std::uint64_t decide_canary(const std::string& name, std::uint64_t number, bool promote);
-  /// Null until the proposal is finished.
+  /// Returns the result of a proposal; null until it is finished.
   const ProposalResult* result(std::uint64_t nonce) const;
 
+  /// Sets the measured load of a router: requests per second, and failures per request.
   void set_load(const std::string& name, double request_rate, double failure_ratio);
 
   // Time.
   void run_for(Time duration);
-  /// False if the condition does not hold in time, or an invariant is violated.
+  /// Runs until the condition holds. Returns whether it holds at the end of `max_duration`, or when
+  /// an invariant is violated, at the latest.
   bool run_until(const std::function<bool()>& condition, Time max_duration = 30 * kSecond);
   bool wait_for_leader() {
     return run_until([this] { return !leader().empty(); });
@@ -115,22 +132,27 @@
   bool wait_for_result(std::uint64_t nonce) {
     return run_until([&] { return result(nonce) != nullptr; });
   }
-  /// Waits for a leader, and for a first version to be in use everywhere.
+  /// Waits for a leader, proposes a first version at the named router, and waits until all routers
+  /// use it. Returns false if this takes too long.
   bool start_with(const std::string& name, const std::string& text);
+  /// Returns the time of a router's own clock.
   Time clock_of(const Router& router) const;
 
-  /// True if that router acts on that text under a lease.
+  /// Returns true if a router acts on the version with this text and is not conservative.
   bool uses(std::size_t index, const std::string& text) const;
-  /// True if all running routers act on that text under a lease.
+  /// Returns true if uses() holds for all routers that are running and not paused.
   bool all_use(const std::string& text) const;
-  std::string leader() const;  // empty: none
-  /// The state of all routers, for the message of a failed check.
+  /// Returns the name of the leader; empty if there is none.
+  std::string leader() const;
+  /// Describes the state of all routers, for the message of a failed check.
   std::string describe() const;
 
   Time now() const { return now_; }
   std::mt19937_64& random() { return random_; }
-  const std::string& violation() const { return violation_; }  // empty: all invariants hold
+  /// Returns the first violation of an invariant; empty if there is none.
+  const std::string& violation() const { return violation_; }
 
+  /// Counts of messages sent and writes requested by all routers.
   struct Totals {
     std::uint64_t messages = 0;
     std::uint64_t message_bytes = 0;
@@ -138,7 +160,7 @@
     std::uint64_t content_writes = 0;
   };
   const Totals& totals() const { return totals_; }
-  /// The longest time for which a router acted on an older version under a lease.
+  /// Returns the longest time for which a router acted on an older version under a lease.
   Time longest_stale_lease() const { return longest_stale_lease_; }
 
  private:
--- a/tests/consensus/stored_data_test.cpp
+++ b/tests/consensus/stored_data_test.cpp
@@ -1,7 +1,7 @@
-// Files that an earlier version of the program has written must be read unchanged. Those under
-// tests/data/consensus were written before the
-// types that hold them were renamed: a log with a snapshot and a vote, the state that a router
-// keeps, the replicated state's snapshot, and a content.
+// Tests that files written by an earlier version of the program are read unchanged. The files under
+// tests/data/consensus were written before the types that represent them were renamed: a log with a
+// snapshot and a vote, the persisted state of a router, a snapshot of the replicated state, and a
+// content.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -19,6 +19,7 @@
 namespace alderspur::consensus {
 namespace {
 
+// Digests of the contents of the two versions in the files.
 constexpr const char* kFirstDigest =
     "608c227972934d713807fb14478e01067c64787656e96e4e18a762a9c793e3c3";
 constexpr const char* kSecondDigest =
@@ -57,7 +58,7 @@
   return version;
 }
 
-TEST(StoredData, ReadsContentWrittenBeforeTheRename) {
+TEST(StoredData, ReadsContentOfAnEarlierProgramVersion) {
   const auto bytes = read_data("content.bin");
   const auto content = decode_content(bytes);
   ASSERT_TRUE(content);
@@ -67,9 +68,9 @@
   EXPECT_EQ(encode(*content), bytes);
 }
 
-TEST(StoredData, ReadsPersistedStateWrittenBeforeTheRename) {
+TEST(StoredData, ReadsPersistedStateOfAnEarlierProgramVersion) {
   const auto file = store::load_file(data_path("agree.kept"), 1 << 20);
-  ASSERT_TRUE(file.payload) << (file.error ? to_string(*file.error) : "no such file");
+  ASSERT_TRUE(file.payload) << (file.error ? to_string(*file.error) : "the file does not exist");
   const auto state = decode_persisted_state(*file.payload);
   ASSERT_TRUE(state);
   EXPECT_EQ(state->current, first_version());
@@ -78,7 +79,7 @@
   EXPECT_EQ(encode(*state), *file.payload);
 }
 
-TEST(StoredData, RestoresAppliedStateWrittenBeforeTheRename) {
+TEST(StoredData, RestoresAppliedStateOfAnEarlierProgramVersion) {
   const auto bytes = read_data("applied_state.bin");
   AppliedState state;
   ASSERT_TRUE(state.restore(bytes));
@@ -98,8 +99,8 @@
   EXPECT_EQ(state.snapshot(), bytes);
 }
 
-TEST(StoredData, ReadsLogWrittenBeforeTheRename) {
-  // The store opens its files for writing: a copy.
+TEST(StoredData, ReadsLogOfAnEarlierProgramVersion) {
+  // The store opens its files for writing, so the test uses copies.
   const TemporaryFolder folder;
   for (const char* name : {"agree.db", "agree.mark"}) {
     std::filesystem::copy_file(data_path(name), folder.path(name));
@@ -127,7 +128,7 @@
   EXPECT_EQ(store.apply(AppendEntries{5, {{3, 1, "next"}}}).message(), "");
 }
 
-TEST(StoredData, ReadsCommandsInALogWrittenBeforeTheRename) {
+TEST(StoredData, ReadsLoggedCommandsOfAnEarlierProgramVersion) {
   const TemporaryFolder folder;
   for (const char* name : {"agree.db", "agree.mark"}) {
     std::filesystem::copy_file(data_path(name), folder.path(name));
