--- a/tests/consensus/canary_rollout_test.cpp
+++ b/tests/consensus/canary_rollout_test.cpp
@@ -74,7 +74,7 @@
     ASSERT_NO_VIOLATION(cluster);
   }
   SimulatedCluster cluster(5, 5, 3);
-  // Failures are not judged on too few requests.
+  // With too few requests, the failure ratio is not evaluated.
   ASSERT_TRUE(cluster.start_with("r4", "one"));
   cluster.propose("r4", "two", {}, make_canary({"r3"}, 600 * kSecond, false));
   ASSERT_TRUE(cluster.run_until([&] { return cluster.uses(3, "two"); }));
--- a/tests/consensus/consensus_node_test.cpp
+++ b/tests/consensus/consensus_node_test.cpp
@@ -61,7 +61,7 @@
   ASSERT_NO_VIOLATION(cluster);
 }
 
-// A router that finds a version invalid delays the others by no more than a bounded time.
+// A router that finds a version invalid must not delay the others for more than a bounded time.
 TEST(ConsensusNodeTest, ActsConservativelyWhereAVersionIsInvalidAndActivatesItElsewhere) {
   SimulatedCluster cluster(2, 5, 3);
   ASSERT_TRUE(cluster.start_with("r0", "one"));
@@ -264,7 +264,7 @@
   }));
   EXPECT_LE(cluster.now() - from, 2 * kSecond);
   EXPECT_LE(active_numbers.size(), 3u) << "intermediate versions are skipped";
-  // The same for a voter that restarts after the leader's log was truncated by a snapshot.
+  // A voter must also catch up if the entries that it lacks were replaced by a snapshot.
   cluster.kill("r2");
   for (int i = versions + 1; i <= versions + 120; ++i) {
     const auto proposal = cluster.propose("r3", std::to_string(i));
--- a/tests/consensus/explored_schedules_test.cpp
+++ b/tests/consensus/explored_schedules_test.cpp
@@ -11,10 +11,11 @@
 namespace alderspur::consensus {
 namespace {
 
-// Both faults begin within this time after the proposal; without faults, a version becomes current
-// within it.
+// Times in microseconds. Both faults begin within kFaultWindow after the proposal; without faults,
+// a version becomes current within this time.
 constexpr Time kFaultWindow = 1'200'000;
 constexpr Time kPartitionDuration = 2'000'000;
+constexpr Time kObservationInterval = 20'000;
 
 // Returns a hash of the state of the whole cluster: of each router, the version that it acts on,
 // whether it is conservative or the leader, and the pending and current versions of its replicated
@@ -41,7 +42,7 @@
 struct Schedule {
   std::size_t crashed = 0;  // index of the router that is killed
   Time crash_at = 0;
-  Time down_time = 0;
+  Time down_time = 0;          // from the crash to the restart
   std::set<std::string> side;  // routers on one side of the partition
   Time partition_at = 0;
 
@@ -78,7 +79,7 @@
   std::size_t accepted = 0;                  // proposals accepted despite both faults
 };
 
-// Runs the schedule, starting now, and calls `observe` every 20 ms at the latest.
+// Runs the schedule, starting now, and calls `observe` at least once per kObservationInterval.
 void run_schedule(const Schedule& schedule, SimulatedCluster& cluster,
                   const std::function<void()>& observe) {
   struct Event {
@@ -96,7 +97,7 @@
   const Time from = cluster.now();
   for (const auto& event : events) {
     while (cluster.now() < from + event.at) {
-      cluster.run_for(std::min<Time>(20'000, from + event.at - cluster.now()));
+      cluster.run_for(std::min<Time>(kObservationInterval, from + event.at - cluster.now()));
       observe();
     }
     event.action();
--- a/tests/consensus/faulty_disk.cpp
+++ b/tests/consensus/faulty_disk.cpp
@@ -53,6 +53,7 @@
   return memory == MAP_FAILED ? nullptr : static_cast<const volatile std::int64_t*>(memory);
 }
 
+// Returns the two numbers of LIAR_CONTROL, or null.
 const volatile std::int64_t* control() {
   static const volatile std::int64_t* const mapped = map_control();
   return mapped;
@@ -134,8 +135,8 @@
   ::rename(temporary, target);
 }
 
-// Copies the file or the folder's names to LIAR_SHADOW and calls the real function, unless a fault
-// is set. A nested call while copying makes no copy.
+// Copies the file or the folder's names to LIAR_SHADOW and then calls the real function, unless a
+// fault prevents the sync. A nested call during the copy goes straight to the real function.
 int sync_file(int file, const char* function) {
   static thread_local bool is_copying = false;
   char path[PATH_MAX];
--- a/tests/consensus/router_fleet.h
+++ b/tests/consensus/router_fleet.h
@@ -47,7 +47,7 @@
   ~DiscoveryServer();
   DiscoveryServer(const DiscoveryServer&) = delete;
   DiscoveryServer& operator=(const DiscoveryServer&) = delete;
-  /// Returns the address on which it listens, as host and port.
+  /// Returns the IP address and port on which it listens.
   std::string address() const;
   /// Accepts connections and reads what has arrived, without blocking.
   void poll();
@@ -77,7 +77,7 @@
 
   /// A router's own report of its status.
   struct Status {
-    bool has_answered = false;  // if false, the other fields are not set
+    bool has_answered = false;  // if false, the other fields have their defaults
     bool is_leader = false;
     bool is_conservative = true;
     std::uint64_t active_number = 0;
@@ -119,9 +119,10 @@
 
   // Clients.
   bool is_sending = false;  // clients send requests to all routers
+  // Called for each response, if not null. `duration` is the time since the request.
   std::function<void(std::size_t router, Time duration, bool is_served)> on_response;
-  std::uint64_t served_count = 0;
-  std::uint64_t rejected_count = 0;
+  std::uint64_t served_count = 0;    // responses without an error
+  std::uint64_t rejected_count = 0;  // responses with an error
 
   // Requests received by the fake caches; arrays are indexed by cache.
   std::array<Time, kCacheCount> last_request_at{};
--- a/tests/consensus/router_fleet_test.cpp
+++ b/tests/consensus/router_fleet_test.cpp
@@ -15,7 +15,7 @@
 using rig::Time;
 namespace consensus = alderspur::consensus;
 namespace net = alderspur::net;
-constexpr Time kBusyMachineTime = 2 * kSecond;  // added to time limits; other tests may run
+constexpr Time kBusyMachineTime = 2 * kSecond;  // added to time limits for a busy machine
 constexpr Time kRecoveryTime = 40 * kSecond;    // for a voter that lost its log
 
 class ConsensusFleetTest : public ::testing::Test, protected fleet::RouterFleet {
@@ -161,7 +161,7 @@
   EXPECT_TRUE(wait_until_all_use(number));
 }
 
-TEST_F(ConsensusFleetTest, ReplacesAllVotersInService) {
+TEST_F(ConsensusFleetTest, ReplacesAllVotersOfARunningCluster) {
   ASSERT_NO_FATAL_FAILURE(start_fleet(6, {0, 1, 2}));
   ASSERT_EQ(propose(5, "ab"), 1u) << last_result;
   const std::vector<std::string> steps = {"n3\nn1\nn2\n", "n3\nn4\nn2\n", "n3\nn4\nn5\n"};
@@ -337,9 +337,10 @@
     const double share = kInitialShare + (1 - kInitialShare) * age / kRampSeconds;
     return kUtilization * share / kSecondsPerAnswer;
   }
-  // Returns the part of its budget that the new cache receives during the next `duration`, and
-  // checks that the budget is not exceeded. In a short window, the tokens saved for a burst and one
-  // request by which each router may overdraw its tokens are allowed in addition.
+  // Returns the ratio of the requests that the new cache receives during `duration` to its budget,
+  // and checks that the budget is not exceeded. The check allows for two effects that matter in a
+  // short window: tokens saved for a burst, and one request by which each router may overdraw its
+  // tokens.
   double measure_used_budget(Time duration) {
     const auto before = requests_received[kNewCache];
     const Time from = net::unix_now();
@@ -368,7 +369,7 @@
   server_weight = 1;
   ASSERT_NO_FATAL_FAILURE(start_fleet(6, {0, 1, 2}));
   is_sending = true;
-  cluster->run(2 * kSecond);  // until the shares follow the request rates
+  cluster->run(2 * kSecond);  // lets the shares adapt to the request rates
   const auto number = propose_with_retries(5, "abc");
   ASSERT_GT(number, 0u) << last_result;
   added_at_ = net::unix_now();
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -40,6 +40,7 @@
   }
 }
 
+// Routers with even and odd numbers are in different locations.
 std::string SimulatedCluster::location_of(const std::string& name) {
   return "p" + std::to_string(std::stoi(name.substr(1)) % 2);
 }
--- a/tests/consensus/simulated_cluster.h
+++ b/tests/consensus/simulated_cluster.h
@@ -2,9 +2,15 @@
 // on each link, router clocks that run at different rates, and disks that store, lose or reject
 // writes.
 //
-// The invariants are checked at a fixed interval of simulated time. The first violation stops the
-// simulation; its message contains the seed and the time. A run depends on the seed and on the
-// calls of the test only, so it can be repeated exactly. Not thread-safe.
+// The simulation checks these invariants:
+// - There is at most one leader.
+// - The version number on which a router acts does not decrease, and a number has one content.
+// - A version in a canary rollout is active at the canary routers only.
+// - No router acts on an older version under a lease for more than kMaxStaleTime.
+// - The leased shares add up to at most kLeasedFraction, in total and per location.
+// The first violation stops the simulation; its message contains the seed and the time. A run
+// depends only on the seed and on the calls of the test, so it can be repeated exactly. Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -48,13 +54,13 @@
   Time jitter = 2'000;  // maximum of the random delay added to `delay`
 };
 
-/// The disk of a simulated router and its faults.
+/// The disk of a simulated router and its faults. A power loss affects the log only.
 struct SimulatedDisk {
   PersistedLog synced_log;   // remains after a power loss
   PersistedLog written_log;  // remains after the process is killed
   PersistedState state;
   std::map<std::string, std::string> contents;  // encoded, by digest
-  bool ignores_sync = false;    // reports success, but writes are lost with the power
+  bool ignores_sync = false;    // syncs have no effect, so a power loss discards writes
   bool rejects_writes = false;  // every write of the log or of a content fails
   bool is_log_corrupt = false;  // the next start finds the log corrupt
   Time latency = 500;           // microseconds per write
@@ -76,7 +82,7 @@
     std::uint64_t protocol_version = kProtocolVersion;  // takes effect at the next start
     std::vector<Event> deferred_events;                 // received while paused
     ActiveVersion active;
-    std::uint64_t highest_number = 0;
+    std::uint64_t highest_number = 0;  // of all versions on which it has acted
     std::vector<ProposalResult> results;
     std::vector<std::string> log_events;
     // Returns why a content is invalid, or an empty string. Null: all contents are valid.
@@ -122,9 +128,10 @@
   void set_load(const std::string& name, double request_rate, double failure_ratio);
 
   // Time.
+  /// Runs all scheduled actions of the next `duration`. Stops early if an invariant is violated.
   void run_for(Time duration);
-  /// Runs until the condition holds. Returns whether it holds at the end of `max_duration`, or when
-  /// an invariant is violated, at the latest.
+  /// Runs until the condition holds, `max_duration` has passed, or an invariant is violated.
+  /// Returns whether the condition holds then.
   bool run_until(const std::function<bool()>& condition, Time max_duration = 30 * kSecond);
   bool wait_for_leader() {
     return run_until([this] { return !leader().empty(); });
