--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -347,8 +347,9 @@
   ++totals_.messages;
   totals_.message_bytes += action.bytes.size();
   const Link& outgoing = links_[{router.name, action.to}];
-  if (!routers_.contains(action.to) || outgoing.is_cut || random_() % 100 < outgoing.loss_percent)
+  if (!routers_.contains(action.to) || outgoing.is_cut || random_() % 100 < outgoing.loss_percent) {
     return;
+  }
   const auto jitter = random_() % static_cast<std::uint64_t>(outgoing.jitter + 1);
   schedule(outgoing.delay + static_cast<Time>(jitter),
            [this, from = router.name, to = action.to, bytes = action.bytes] {
