--- a/src/consensus/consensus_node.h
+++ b/src/consensus/consensus_node.h
@@ -10,11 +10,10 @@
 //   ProposalQueue  sends the open proposals of this router's operators
 //   Voter          maintains the Raft log and the replicated state; only a few routers are voters
 //   Leader         acts at the voter that leads: it grants leases (LeaseTable) and moves the
-//   pending
-//                  version forward (VersionRollout). An offered version is accepted once a majority
-//                  of the voters, and every voter that has a lease and answers in time, has stored
-//                  it and found it valid. An accepted version becomes current once every router has
-//                  stored it or has lost its lease.
+//                  pending version forward (VersionRollout). An offered version is accepted once a
+//                  majority of the voters, and every voter that has a lease and answers in time,
+//                  has stored it and found it valid. An accepted version becomes current once every
+//                  router has stored it or has lost its lease.
 #pragma once
 
 #include <cstdint>
