--- a/src/rpc_front/rpc_client.h
+++ b/src/rpc_front/rpc_client.h
@@ -1,5 +1,6 @@
-// The state of a client's connection, and the bounds that the sources of RpcFront share. Internal
-// to RpcFront. The loop's thread only; times are microseconds.
+// The state of one client's connection, and the limits that several source files of RpcFront use.
+// Internal to RpcFront: only its source files include this header. Used on the event loop's thread
+// only. Times are in microseconds.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +13,32 @@
 
 namespace alderspur::rpc_front {
 
-/// The platform's bound on open calls of one connection.
+/// The platform allows at most this many open calls on one connection.
 constexpr std::size_t kMaxOpenCalls = 32;
-/// A client that has sent nothing, or no further part of an incomplete message, for this time is
-/// closed.
+/// A connection is closed if its client has not sent a first message, or has not continued an
+/// incomplete message, for this time.
 constexpr core::Time kSilenceTimeout = 2'000'000;
-/// The first message of a client that has just connected arrives in this time.
+/// The first message of a new client is expected within this time. Until then, a graceful shutdown
+/// and the choice of an idle connection to close both spare the client.
 constexpr core::Time kNewClientGrace = 150'000;
 
-/// One client's connection with its open calls.
+/// One client's connection, its open calls and the state that its timeouts and limits depend on.
 struct RpcFront::Client {
   std::unique_ptr<net::Connection> connection;
   std::unordered_map<std::uint64_t, core::RequestHandle> open_calls;
   bool is_closed = false;
-  bool lingers = false;                // closed, and what was written to it is still sent
-  bool is_ending = false;              // closes once its calls are answered; new ones are rejected
-  bool may_have_disconnected = false;  // it waited long to be accepted
-  bool has_sent_message = false;       // at least one complete message
-  bool has_sent_request = false;       // of a kind that could be admitted
+  bool lingers = false;                // closed; its queued responses are still sent
+  bool is_ending = false;              // closes once all calls are answered; new calls are rejected
+  bool may_have_disconnected = false;  // waited longer than kMaxAcceptDelay to be accepted
+  bool has_sent_message = false;       // sent at least one complete message
+  bool has_sent_request = false;       // sent at least one request that was admitted
   core::Time accepted_at = 0;
-  core::Time partial_since = 0;                   // of an incomplete message; 0: there is none
-  core::Time idle_since = 0;                      // when its last open call ended
-  core::Time last_delivery_at = 0;                // when bytes last left its write queue
-  std::uint64_t delivered_bytes = 0;              // bytes that have left its write queue
-  std::size_t queued_bytes = 0;                   // as counted in queued_bytes_
-  std::size_t unread_bytes = 0;                   // as counted in unread_bytes_
+  core::Time partial_since = 0;                   // start of an incomplete message; 0: none
+  core::Time idle_since = 0;                      // when its last open call ended, or its accept
+  core::Time last_delivery_at = 0;                // last time when bytes left the write queue
+  std::uint64_t delivered_bytes = 0;              // total bytes that have left the write queue
+  std::size_t queued_bytes = 0;                   // its share of RpcFront::queued_bytes_
+  std::size_t unread_bytes = 0;                   // its share of RpcFront::unread_bytes_
   std::size_t index = 0;                          // position in clients_
   std::size_t fewest_open_calls = kMaxOpenCalls;  // minimum since the handoff began
   bool is_marked_changed = false;                 // listed in changed_clients_
--- a/src/rpc_front/rpc_codec.cpp
+++ b/src/rpc_front/rpc_codec.cpp
@@ -12,14 +12,14 @@
 using msgpack_codec::MeasureStatus;
 using msgpack_codec::Writer;
 
-// Types of MessagePack-RPC messages, and the number of items in each.
+// The types of MessagePack-RPC messages, and the number of items in a message of each type.
 constexpr std::uint64_t kRequestType = 0;
 constexpr std::uint64_t kResponseType = 1;
 constexpr std::uint64_t kNotificationType = 2;
 constexpr std::uint32_t kRequestItems = 4;
 constexpr std::uint32_t kResponseItems = 4;
 constexpr std::uint32_t kNotificationItems = 3;
-// First bytes of arrays of three and of four items.
+// The first byte of a MessagePack array with three items, and with four.
 constexpr unsigned char kArrayOfThree = 0x93;
 constexpr unsigned char kArrayOfFour = 0x94;
 
@@ -41,7 +41,7 @@
 constexpr std::string_view kRetryAfterField = "later";
 constexpr std::string_view kNotModifiedField = "current";
 
-/// A field of a request by its name on the wire.
+/// Maps the name of a request's field on the wire to the member of Call that holds its value.
 struct RequestField {
   std::string_view name;
   std::string_view Call::*value;
@@ -71,7 +71,8 @@
   return {};
 }
 
-// Reads a map of strings to strings, and ignores unknown names. False: it is no such map.
+// Reads the fields of a request from a map of strings to strings and ignores unknown names. Returns
+// false if `map` is not a map of strings to strings.
 bool read_fields(const msgpack_object& map, Call& call) {
   if (map.type != MSGPACK_OBJECT_MAP) return false;
   for (std::uint32_t i = 0; i < map.via.map.size; ++i) {
@@ -139,7 +140,7 @@
   return time_limit;
 }
 
-// 0 where the client does not state it.
+// Returns 0 if the client did not send a size, and nullopt if the size is invalid.
 std::optional<double> read_size_kb(const Call& call) {
   if (call.size_kb.empty()) return 0;
   const auto size_kb = core::parse_number<double>(call.size_kb);
--- a/src/rpc_front/rpc_front.cpp
+++ b/src/rpc_front/rpc_front.cpp
@@ -10,11 +10,12 @@
 namespace alderspur::rpc_front {
 namespace {
 
-/// The wait that is asked of a client whose call exceeds a limit of the front.
+/// The retry-after time in the rejection of a call that exceeds a limit of this process.
 constexpr core::Time kRetryAfter = 500'000;
-/// Bounds the arrival of a message of a class without a time limit.
+/// The time in which a whole message must arrive if its class has no time limit.
 constexpr core::Time kDefaultMessageTimeout = 5'000'000;
-/// A client that waited longer than this to be accepted, and has ended its side, has disconnected.
+/// A client that waited longer than this to be accepted, and has closed its sending side, is
+/// treated as disconnected.
 constexpr core::Time kMaxAcceptDelay = 100'000;
 
 }  // namespace
@@ -73,8 +74,9 @@
   ++client_count_;
 }
 
-// Only clients that were read, written to or closed need work when the turn ends. A walk over all
-// of them would cost every turn as much as there are idle connections.
+// Only clients that were read from, written to or closed need work when the turn ends. If
+// end_turn() visited all clients, the cost of a turn would grow with the number of idle
+// connections.
 void RpcFront::mark_changed(Client& client) {
   if (std::exchange(client.is_marked_changed, true)) return;
   changed_clients_.push_back(&client);
@@ -87,9 +89,9 @@
   clients_.pop_back();
 }
 
-// A client that ends its side has disconnected or still waits for responses. Attempts in flight may
-// complete, and their responses are passed on; no further attempt is made. After a reset no
-// response can be delivered.
+// A client that closes its sending side has either disconnected or still waits for responses. So
+// the attempts in flight may complete and their responses are sent, but no further attempt starts.
+// After a reset no response can be delivered.
 void RpcFront::on_closed(Client& client, net::CloseReason reason) {
   mark_changed(client);
   client.is_ending = true;
@@ -98,7 +100,7 @@
   for (const auto& [call_id, request] : client.open_calls) engine_.stop_retrying(request);
 }
 
-// Every end of a client's connection comes by way of this function.
+// Every client's connection is closed by this function, whatever the reason.
 void RpcFront::close(Client& client, CloseMode mode) {
   if (client.is_closed) return;
   client.is_closed = true;
@@ -145,8 +147,8 @@
 
 std::ptrdiff_t RpcFront::on_data(Client& client, std::string_view bytes) {
   mark_changed(client);
-  // The client has ended its side already, although its requests are read first: forwarding them
-  // would be of no use.
+  // A client that waited long to be accepted and has closed its sending side has disconnected. Its
+  // requests are read only now, and forwarding them would be of no use.
   if (std::exchange(client.may_have_disconnected, false) && client.connection->peer_ended()) {
     close(client, CloseMode::immediate);
     return static_cast<std::ptrdiff_t>(bytes.size());
@@ -175,7 +177,8 @@
   return static_cast<std::ptrdiff_t>(size_before - bytes.size());
 }
 
-// False: a call with this id is still open, so that responses with the id would be ambiguous.
+// Returns false if a call with the same id is still open, since a response with that id would be
+// ambiguous.
 bool RpcFront::on_call(Client& client, const Call& call) {
   switch (call.kind) {
     case CallKind::ignored:
@@ -197,7 +200,7 @@
 
 void RpcFront::on_cancellation(Client& client, std::uint64_t call_id) {
   const auto found = client.open_calls.find(call_id);
-  if (found == client.open_calls.end()) return;  // its response has been sent
+  if (found == client.open_calls.end()) return;  // the response has already been sent
   engine_.cancel_request(found->second);
   open_calls_.erase(found->second);
   client.open_calls.erase(found);
@@ -212,8 +215,9 @@
   if (!view || engine_.conflicts_with_open_request(*view)) {
     return reject_invalid(client, call, request_class.id);
   }
-  // A request with this id is still open or being aborted. Another attempt would run beside the one
-  // in flight, which may also have run already: a retry is only offered where that is harmless.
+  // A request with this id is still open or being aborted. An attempt of it may be in flight or may
+  // already have been executed. A retry would run beside it or after it, so the client is told to
+  // retry only if the class allows repeated execution.
   if (engine_.is_open(view->id)) {
     return reject(client, call.id, request_class.id, request_class.rules.may_repeat_anywhere);
   }
@@ -232,7 +236,8 @@
   reply(client, call.id, {});
 }
 
-// A request that may have run must not be retried: it is answered as failed, not as rejected.
+// A client may retry a rejected request. A request that may have been executed must not be retried,
+// so it gets the status `failed` instead.
 void RpcFront::reject(Client& client, std::uint64_t call_id, std::uint32_t class_id,
                       bool may_retry) {
   core::Response response;
@@ -249,7 +254,7 @@
 
 void RpcFront::respond(core::RequestHandle request, const core::Response& response) {
   const auto found = open_calls_.find(request);
-  if (found == open_calls_.end()) return;  // cancelled, or its connection is closed
+  if (found == open_calls_.end()) return;  // the call was cancelled or the connection closed
   const OpenCall call = found->second;
   open_calls_.erase(found);
   call.client->open_calls.erase(call.call_id);
--- a/src/rpc_front/rpc_front.h
+++ b/src/rpc_front/rpc_front.h
@@ -1,9 +1,10 @@
-// The server side of the platform's client protocol: connections, MessagePack-RPC calls and their
-// responses. It bounds connections, open calls and memory, and drains its clients before a graceful
-// shutdown or a handoff to a successor process. The loop's thread only; times are microseconds.
+// The server side of the platform's client protocol: accepts connections, decodes MessagePack-RPC
+// calls and sends their responses. It limits connections, open calls and memory, and drains its
+// clients before a graceful shutdown or a handoff to a successor process. Used on the event loop's
+// thread only. Times are in microseconds.
 //
-// Its sources: rpc_front.cpp (connections, calls, responses), rpc_front_limits.cpp (timeouts and
-// bounds), rpc_front_drain.cpp (graceful shutdown, handoff).
+// Source files: rpc_front.cpp (connections, calls, responses), rpc_front_limits.cpp (timeouts and
+// limits), rpc_front_drain.cpp (graceful shutdown, handoff).
 #pragma once
 
 #include <memory>
@@ -19,56 +20,62 @@
 
 namespace alderspur::rpc_front {
 
-/// Accepts clients, admits their calls to the engine and sends its responses back.
+/// Accepts clients, passes their calls to the engine and sends the engine's responses to them.
 class RpcFront : public core::Front {
  public:
-  /// Listens at once. Throws std::runtime_error if the address cannot be bound. What is passed by
-  /// reference must outlive the front.
+  /// Starts to listen immediately. Throws std::runtime_error if the address cannot be bound. All
+  /// arguments passed by reference must outlive this object.
   RpcFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
            const sockaddr_in& listen_address, const config::Config& config);
   ~RpcFront() override;
 
+  /// Sends the final response of a request to its client. Does nothing if the call was cancelled or
+  /// the connection is closed.
   void respond(core::RequestHandle request, const core::Response& response) override;
-  /// To be called at the end of each turn of the loop: releases the read buffers and the clients
-  /// that were closed in it.
+  /// Must be called at the end of each turn of the event loop. Releases the input that was consumed
+  /// in the turn and destroys the clients that were closed in it.
   void end_turn();
 
-  /// A successor process accepts new clients on the same address. The clients of this process are
-  /// closed, so that they connect to the successor: idle ones at once, the others when few of their
-  /// calls are open, and all of them by `drain_by`.
+  /// Hands the clients over to a successor process that listens on the same address and accepts new
+  /// clients. Closes the clients of this process so that they reconnect to the successor: idle
+  /// clients at once, active clients when few of their calls are open, and all of them by
+  /// `drain_by`.
   void start_handoff(core::Time drain_by);
-  /// The successor has ended: this process accepts clients again.
+  /// Accepts clients again, because the successor has ended before the handoff was complete.
   void cancel_handoff();
-  /// Starts a graceful shutdown, with a successor or without. No client is accepted once the queue
-  /// of the listening socket is empty, new calls are rejected at once, and each client is closed,
-  /// by a lingering close, once it has its responses.
+  /// Starts a graceful shutdown, with or without a successor. Accepts the connections in the queue
+  /// of the listening socket and then stops listening, rejects new calls, and closes each client by
+  /// a lingering close once all of its responses have been sent.
   void drain();
-  /// The time to drain is over: every open call gets its final response in this turn.
+  /// Ends the drain because its time is over: stops listening and sends a final response to every
+  /// open call in this turn.
   void finish_all_now();
-  /// Closes all remaining connections, whether their responses have been sent or not.
+  /// Closes all remaining connections immediately and discards unsent responses.
   void close_all();
-  /// Whether no connection is left after drain().
+  /// Returns whether the listening socket and all connections, lingering ones too, are closed.
   bool is_drained() const;
 
-  /// Sets the number of processes that share the limits on descriptors and memory; at least 1.
+  /// Sets the number of processes that share the limits on descriptors and memory, at least 1. May
+  /// close idle clients to meet the new limit.
   void set_process_count(std::uint32_t processes);
-  /// Whether no call is open and all responses have been written.
+  /// Returns whether no call is open and all responses have been written to their sockets.
   bool is_idle() const;
-  /// The address that the front listens on, with the port that the kernel chose for port 0.
+  /// Returns the listening address. Port 0 is replaced by the port that the kernel assigned.
   sockaddr_in address() const { return address_; }
 
  private:
   struct Client;
-  /// A class of requests, by its number in the settings.
+  /// A request class: its index in the settings and its validation rules.
   struct RequestClass {
     std::uint32_t id = 0;
     RequestRules rules;
   };
-  /// The call that an admitted request answers.
+  /// The client and the call that the response to an admitted request belongs to.
   struct OpenCall {
     Client* client = nullptr;
     std::uint64_t call_id = 0;
   };
+  /// `lingering` sends the queued responses first; `immediate` discards them.
   enum class CloseMode { lingering, immediate };
 
   // Connections, calls and responses.
@@ -86,7 +93,7 @@
   void mark_changed(Client& client);
   void remove(Client& client);
 
-  // Timeouts and bounds.
+  // Timeouts and limits.
   bool may_accept();
   bool close_idlest_client();
   bool has_capacity_for_call(const Client& client) const;
@@ -112,20 +119,20 @@
   std::unordered_map<std::string, RequestClass> classes_;
   std::size_t max_clients_;
   std::size_t memory_limit_;
-  core::Time message_timeout_;  // for all of a message, however steadily it arrives
-  std::vector<std::unique_ptr<Client>> clients_;  // in no order
-  std::vector<Client*> changed_clients_;          // in this turn, each once: end_turn() visits them
-  std::size_t client_count_ = 0;                  // without closed ones
-  std::size_t queued_bytes_ = 0;                  // of responses that were not sent yet
-  std::size_t unread_bytes_ = 0;                  // of incomplete messages
+  core::Time message_timeout_;  // for a whole message, even one that arrives steadily
+  std::vector<std::unique_ptr<Client>> clients_;  // in no particular order
+  std::vector<Client*> changed_clients_;  // changed in this turn, each listed once; for end_turn()
+  std::size_t client_count_ = 0;          // clients that are not closed
+  std::size_t queued_bytes_ = 0;          // bytes of responses that were not sent yet
+  std::size_t unread_bytes_ = 0;          // bytes of incomplete messages
   std::unordered_map<core::RequestHandle, OpenCall> open_calls_;
   bool is_handing_off_ = false;
   bool is_draining_ = false;
-  bool checks_drain_ = false;  // check_drain() runs at intervals
+  bool checks_drain_ = false;  // check_drain() is scheduled
   core::Time handoff_started_at_ = 0;
   core::Time drain_by_ = 0;
   sockaddr_in address_{};
-  std::unique_ptr<net::Listener> listener_;  // null: no client is accepted any more
+  std::unique_ptr<net::Listener> listener_;  // null: no more clients are accepted
 };
 
 }  // namespace alderspur::rpc_front
--- a/src/rpc_front/rpc_front_drain.cpp
+++ b/src/rpc_front/rpc_front_drain.cpp
@@ -1,4 +1,5 @@
-// RpcFront: graceful shutdown, and the handoff of clients to a successor process.
+// Implements the part of RpcFront that drains clients: graceful shutdown, and the handoff of
+// clients to a successor process.
 #include <algorithm>
 #include <stdexcept>
 
@@ -9,16 +10,17 @@
 namespace alderspur::rpc_front {
 namespace {
 
-/// TCP handshakes in progress when new connections are steered to the successor finish in this
-/// time.
+/// A TCP handshake that is in progress when the kernel starts to steer new connections to the
+/// successor is expected to finish within this time.
 constexpr core::Time kHandshakeTime = 100'000;
 constexpr core::Time kDrainCheckInterval = 10'000;
 
 }  // namespace
 
-// The listening socket has established connections in its queue, and others whose handshake is in
-// progress. New ones are steered to the successor first; the others are accepted here, and the
-// socket closes once their handshakes must have finished.
+// The queue of the listening socket contains established connections, and connections whose
+// handshake is in progress. First the kernel is told to steer new connections to the successor.
+// This process still accepts the connections in its queue, and closes the socket once their
+// handshakes must have finished.
 void RpcFront::start_handoff(core::Time drain_by) {
   if (std::exchange(is_handing_off_, true)) return;
   const bool is_steering = listener_ && listener_->steer_to_successor();
@@ -38,7 +40,7 @@
   try {
     listen(address_);
   } catch (const std::runtime_error&) {
-    // Another process has bound the address and accepts these clients.
+    // Another process has bound the address, so it accepts the clients.
   }
 }
 
@@ -53,7 +55,8 @@
     listener_->accept_rest_and_stop(net::Listener::AcceptRest::all);
     listener_.reset();
   }
-  // Calls of clients that have just connected are rejected; check_drain() closes these clients.
+  // Clients that have just connected are skipped: their calls are rejected, and check_drain()
+  // closes them.
   const core::Time now = engine_.now();
   for (auto& client : clients_) {
     if (client->is_closed) continue;
@@ -92,10 +95,10 @@
   deadlines_.set(now + kDrainCheckInterval, [this] { check_drain(); });
 }
 
-// A handoff fails the calls that are open when an active client is closed, so the client should be
-// closed when few are open. The first third of the time only records the minimum; in the second
-// third the client is closed when it is down to that minimum, in the last third when it is within
-// one of it, and at the end in any case.
+// Closing an active client during a handoff fails its open calls, so the client should be closed
+// when few calls are open. In the first third of the drain time, this function only records the
+// minimum number of open calls. In the second third it closes the client when the number is down to
+// that minimum, in the last third when it is at most one above it, and at the end in any case.
 void RpcFront::check_client_drain(Client& client, core::Time now) {
   if (may_close_now(client)) {
     if (client.has_sent_message || now > client.accepted_at + kNewClientGrace) {
@@ -114,10 +117,11 @@
   if (open_calls <= client.fewest_open_calls + tolerance || now >= drain_by_) finish_now(client);
 }
 
-// A client is closed at the first moment at which it has all of its responses and no request
-// pending: how long it has been idle does not predict when its next request comes. A client that
-// never has such a moment may go on sending requests, and those open when the process ends are
-// lost. Bytes that have arrived and were not read yet count as a pending request.
+// A client may be closed as soon as all of its responses have been written and no request is
+// pending. There is no need to wait longer: the time for which a client has been idle does not
+// predict when it sends its next request. A client that always has a request pending is not closed
+// here, and the calls that it has open when the process ends are lost. Bytes that have arrived but
+// were not read yet count as a pending request.
 bool RpcFront::may_close_now(const Client& client) const {
   if (!is_handing_off_ && !is_draining_) return false;
   const net::Connection& connection = *client.connection;
@@ -125,7 +129,7 @@
          connection.unread() == 0 && !connection.has_input_waiting();
 }
 
-// The final responses are given in this turn; later calls are rejected.
+// Sends the final responses to all open calls in this turn. Later calls are rejected.
 void RpcFront::finish_now(Client& client) {
   client.is_ending = true;
   for (const auto& [call_id, request] : client.open_calls) engine_.finish_now(request);
--- a/src/rpc_front/rpc_front_limits.cpp
+++ b/src/rpc_front/rpc_front_limits.cpp
@@ -1,5 +1,5 @@
-// RpcFront: limits on connections, open calls and memory, and the timeouts of silent, idle and slow
-// clients.
+// Implements the part of RpcFront that enforces limits on connections, open calls and memory, and
+// the timeouts of silent, idle and slow clients.
 #include <algorithm>
 #include <tuple>
 
@@ -10,25 +10,29 @@
 namespace alderspur::rpc_front {
 namespace {
 
-/// Unsent bytes of one client's responses: above the first limit its new calls are rejected, above
-/// the second it is closed (responses to 32 requests of 240,000 bytes fit). To stop reading instead
-/// would hide cancellations and the client's end.
+/// Limits on the unsent response bytes of one client. Above the first limit, its new calls are
+/// rejected. Above the second limit, its connection is closed; 32 responses of 240,000 bytes fit.
+/// Backpressure by not reading from the client is no alternative: its cancellations and the end of
+/// its connection would then go unnoticed.
 constexpr std::size_t kMaxQueueBytesForNewCalls = 2 << 20;
 constexpr std::size_t kMaxQueueBytes = 12 << 20;
-/// Fractions of the memory limit: for request bodies and responses, and for incomplete messages. A
-/// buffer may be twice as large as its content.
+/// The divisors that give the fraction of the memory limit for request bodies and responses, and
+/// the fraction for incomplete messages. The fractions are small because a buffer may be twice as
+/// large as its content.
 constexpr std::size_t kQueuedMemoryDivisor = 4;
 constexpr std::size_t kUnreadMemoryDivisor = 16;
 constexpr core::Time kCheckInterval = 200'000;
-/// The platform's own clients close their connections after 4 s idle.
+/// Longer than the 4 s of idle time after which the platform's own clients close a connection.
 constexpr core::Time kIdleTimeout = 5'000'000;
 constexpr core::Time kSlowReaderTimeout = 5'000'000;
-/// An idle client is not closed in favour of another before a request in transit can arrive.
+/// An idle client is not closed to make room for a new one until this time has passed, because its
+/// next request may be in transit.
 constexpr core::Time kServedClientGrace = 250'000;
-/// Descriptors of one process besides those of clients and servers.
+/// The descriptors that one process needs for purposes other than clients and servers.
 constexpr std::size_t kOwnDescriptors = 28;
 constexpr std::size_t kMinDescriptors = 16;
-/// Connections accepted above the limit while draining, so that their calls can be rejected.
+/// While draining, this many connections above the limit are accepted, so that their calls can be
+/// rejected.
 constexpr std::size_t kExtraClientsWhileDraining = 8;
 
 }  // namespace
@@ -38,15 +42,15 @@
 
 // ---- Connections ----
 
-// Lingering connections hold descriptors as well; they are closed first.
+// Lingering connections use descriptors as well, and they are closed before active ones.
 bool RpcFront::may_accept() {
   const std::size_t limit = max_clients_ + (is_draining_ ? kExtraClientsWhileDraining : 0);
   return loop_.lingering().make_room(client_count_, limit) || close_idlest_client();
 }
 
-// Idle connections would keep new clients waiting to be accepted. Those that only sent liveness
-// queries or invalid requests are closed first, without a grace time; then those that never sent a
-// message; then the one that has been idle for longest.
+// Closes one idle connection so that a new client can be accepted; returns false if there is none.
+// Connections that only sent liveness queries or invalid requests are closed first and without a
+// grace time, then connections that never sent a message, then the one that has been idle longest.
 bool RpcFront::close_idlest_client() {
   const auto grace = [](const Client& client) {
     if (client.has_sent_request) return kServedClientGrace;
@@ -69,7 +73,8 @@
     return false;
   }
   ++engine_.counters().idle_clients;
-  // Its descriptor is needed now. With nothing unread, the close does not reset the connection.
+  // An immediate close frees the descriptor now. It does not reset the connection, since no input
+  // is unread.
   close(*best, CloseMode::immediate);
   return true;
 }
@@ -88,8 +93,8 @@
 
 // ---- Calls and memory ----
 
-// These limits are of this process, not of the service: nothing has run, so a retry is harmless.
-// While draining, a new call could not be completed in time.
+// These limits belong to this process, not to the service behind it. A call that exceeds them has
+// not been executed, so a retry is safe. While draining, a new call could not be completed in time.
 bool RpcFront::has_capacity_for_call(const Client& client) const {
   if (is_draining_ || client.is_ending) return false;
   if (client.queued_bytes > kMaxQueueBytesForNewCalls) return false;
@@ -104,7 +109,8 @@
   unread_bytes_ += unread - std::exchange(client.unread_bytes, unread);
 }
 
-// Slow or numerous readers would otherwise use up the memory of all clients.
+// Closes the client with the most unsent bytes if a limit on unsent bytes is exceeded. Otherwise
+// slow readers, or many readers, would use up the memory that all clients share.
 void RpcFront::close_slow_readers(const Client& last_written) {
   if (last_written.queued_bytes <= kMaxQueueBytes && queued_bytes_ <= queued_bytes_limit()) return;
   const auto slowest = std::max_element(
@@ -114,7 +120,8 @@
   close(**slowest, CloseMode::immediate);
 }
 
-// Where incomplete messages together exceed their memory limit, the oldest are closed.
+// Closes the clients with the oldest incomplete messages until all incomplete messages together fit
+// into their memory limit.
 void RpcFront::close_oldest_partial_messages() {
   const auto rank = [](const auto& client) {
     return std::tuple(client->unread_bytes == 0, client->partial_since);
@@ -138,8 +145,8 @@
   }
 }
 
-// A message may be long and the network slow: while parts of it keep arriving, it may take as long
-// as a request's time limit.
+// A message may be long and the network may be slow. As long as parts of a message keep arriving,
+// it may take up to message_timeout_, the longest time limit of any request class.
 void RpcFront::check_client(Client& client, core::Time now) {
   const auto delivered_bytes = client.connection->written_total();
   if (client.queued_bytes == 0 || delivered_bytes != client.delivered_bytes) {
--- a/tests/rpc_front/rpc_front_test.cpp
+++ b/tests/rpc_front/rpc_front_test.cpp
@@ -1,4 +1,4 @@
-// The front for the platform's clients over loopback.
+// Tests of RpcFront with clients and caches on the loopback interface.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,29 +19,31 @@
 
 TEST_F(RpcFrontTest, ForwardsRequestUnchangedAndReturnsWholeBodyWhenBytesArriveOneByOne) {
   auto client = connect_client(client_front->address());
-  const std::string all = encode_request(
+  const std::string message = encode_request(
       1, "plan-accept", {{"unique", kIdempotencyKey}, {"slice", "3"}, {"seen", "ab"}}, "pay\r\nme");
-  for (const char byte : all) {  // one byte at a time
+  for (const char byte : message) {
     client->write(std::string_view(&byte, 1));
     ev_run(loop.raw(), EVRUN_NOWAIT);
   }
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
-  const CacheCommand got = *fetch_command();
-  EXPECT_EQ(got.id, "9b1f03aa5c7e2d41");
-  EXPECT_EQ(got.body, "pay\r\nme");
-  const std::map<std::string, std::string> want{
+  const CacheCommand command = *fetch_command();
+  EXPECT_EQ(command.id, "9b1f03aa5c7e2d41");
+  EXPECT_EQ(command.body, "pay\r\nme");
+  const std::map<std::string, std::string> expected_fields{
       {"lane", "plan-accept"}, {"name", "7f3a9c21e0b4d655"},
       {"piece", "3"},          {"dedupe", kIdempotencyKey},
       {"next", "s-o"},         {"cached", "ab"}};
-  for (const auto& [name, value] : want) EXPECT_EQ(got.fields.at(name), value) << name;
-  EXPECT_LT(std::stoi(got.fields.at("ttl")), 20000);
+  for (const auto& [name, value] : expected_fields) {
+    EXPECT_EQ(command.fields.at(name), value) << name;
+  }
+  EXPECT_LT(std::stoi(command.fields.at("ttl")), 20000);
   const std::string body(240'000, 'x');
-  FakeCache::respond(got, "served", body);
+  FakeCache::respond(command, "served", body);
   ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 1; }));
   EXPECT_EQ(decode_responses(client->received)[0].body, body);
   client->write(encode_request(2, "asset", {{"seen", "ab"}}));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
-  FakeCache::respond(got.id == fetch_command(2)->id ? *fetch_command(1) : *fetch_command(2),
+  FakeCache::respond(command.id == fetch_command(2)->id ? *fetch_command(1) : *fetch_command(2),
                      "still_good", {}, loopback::fresh_copy_fields("ab"));
   ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 2; }));
   EXPECT_EQ(decode_responses(client->received)[1].fields["current"], "1");
@@ -59,9 +61,9 @@
   EXPECT_EQ(engine->counters().late_responses, 1u);
 }
 
-// Guards against sending caches what they cannot read: they would close the connection, and with it
-// the requests of others.
-TEST_F(RpcFrontTest, ClosesOnlyItsConnectionWhenFrameIsUnreadableAndRejectsInvalidFields) {
+// A cache closes its connection when it cannot parse a request, which fails the other requests on
+// that connection. So invalid input of a client must never be forwarded.
+TEST_F(RpcFrontTest, ClosesOnlyTheConnectionWithUnreadableFrameAndFailsRequestsWithInvalidFields) {
   auto bad = connect_client(client_front->address());
   auto good = connect_client(client_front->address());
   bad->write("\xc1garbage");
@@ -85,26 +87,27 @@
   for (const auto& response : decode_responses(good->received)) {
     EXPECT_EQ(response.error, "Failed") << response.id;
   }
-  // Each response is counted, though nothing was forwarded.
+  // Every invalid request is counted as admitted and failed, although none was forwarded.
   EXPECT_EQ(engine->counters().admitted, id);
   EXPECT_EQ(engine->counters().failed, id);
   EXPECT_EQ(engine->counters().forwarded, 0u);
 }
 
 TEST_F(RpcFrontTest, RejectsSecondRequestWhenOpenIdNamesAnotherObject) {
-  auto usual = connect_client(client_front->address());
+  auto normal = connect_client(client_front->address());
   auto bad = connect_client(client_front->address());
-  usual->write(encode_request(1, "asset", {}));
+  normal->write(encode_request(1, "asset", {}));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
   bad->write(encode_request(1, "asset", {{"item", "0000000000000001"}}));
   ASSERT_TRUE(run_until([&] { return decode_responses(bad->received).size() == 1; }));
   EXPECT_EQ(decode_responses(bad->received)[0].error, "Failed");
   FakeCache::respond(*fetch_command(), "served", "complete");
-  ASSERT_TRUE(run_until([&] { return decode_responses(usual->received).size() == 1; }));
-  EXPECT_EQ(decode_responses(usual->received)[0].body, "complete");
+  ASSERT_TRUE(run_until([&] { return decode_responses(normal->received).size() == 1; }));
+  EXPECT_EQ(decode_responses(normal->received)[0].body, "complete");
   bad->write(
       encode_request(2, "asset", {{"item", "0000000000000001"}, {"txn", "9b1f03aa5c7e2d41"}}));
-  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; })) << "the id is free again";
+  ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }))
+      << "the id can be reused once its request is complete";
 }
 
 TEST_F(RpcFrontTest, RejectsWithRetryAfterWhenClientHasTooManyOpenCalls) {
@@ -116,29 +119,32 @@
   }
 }
 
-// Guards against clients that keep a slot and send nothing, a partial message, or one request only.
-TEST_F(RpcFrontTest, ClosesSilentClientsAfterTimeoutAndIdleOnesWhenPlacesRunOut) {
-  const auto started = net::unix_now();
+// Guards against clients that occupy a connection slot but send nothing, only a partial message, or
+// only one request.
+TEST_F(RpcFrontTest, ClosesSilentClientsAfterTimeoutAndIdleClientsWhenConnectionSlotsRunOut) {
+  const auto started_at = net::unix_now();
   auto silent = connect_client(client_front->address());
   auto partial = connect_client(client_front->address());
   auto idle = connect_client(client_front->address());
   partial->write(encode_request(1, "asset", {}).substr(0, 30));
   idle->write(encode_request(1, "no-such-class", {}));
   ASSERT_TRUE(run_until([&] { return silent->is_closed && partial->is_closed; }));
-  EXPECT_GT(net::unix_now(), started + 1'500'000);
+  EXPECT_GT(net::unix_now(), started_at + 1'500'000);
   EXPECT_FALSE(idle->is_closed);
-  std::vector<std::unique_ptr<loopback::TestSocket>> many;
-  many.reserve(70);
+  std::vector<std::unique_ptr<loopback::TestSocket>> new_clients;
+  new_clients.reserve(70);
   for (int i = 0; i < 70; ++i) {
-    many.push_back(connect_client(client_front->address()));  // of 64 slots
+    // The front has 64 connection slots.
+    new_clients.push_back(connect_client(client_front->address()));
   }
-  auto& last = *many.back();
+  auto& last = *new_clients.back();
   last.write(encode_request(1, "asset", {}));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
   FakeCache::respond(*fetch_command(), "served", "in time");
   ASSERT_TRUE(run_until([&] { return decode_responses(last.received).size() == 1; }));
   EXPECT_TRUE(idle->is_closed);
-  EXPECT_GE(std::count_if(many.begin(), many.end(), [](auto& socket) { return socket->is_closed; }),
+  EXPECT_GE(std::count_if(new_clients.begin(), new_clients.end(),
+                          [](auto& socket) { return socket->is_closed; }),
             6);
 }
 
@@ -153,12 +159,12 @@
   EXPECT_EQ(decode_responses(client->received)[0].body, "still here");
 }
 
-TEST_F(RpcFrontTest, ClosesAnsweredClientsAtOnceWhenPlacesRunOut) {
+TEST_F(RpcFrontTest, ClosesAnsweredClientsImmediatelyWhenConnectionSlotsRunOut) {
   std::vector<std::unique_ptr<loopback::TestSocket>> bad;
-  auto usual = connect_client(client_front->address());
-  usual->write(encode_request(1, "asset", {}));
+  auto normal = connect_client(client_front->address());
+  normal->write(encode_request(1, "asset", {}));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
-  polled_sockets.assign(1, usual.get());
+  polled_sockets.assign(1, normal.get());
   for (int i = 0; i < 400; ++i) {
     bad.push_back(loopback::connect_to(client_front->address()));
     bad.back()->write(encode_request(1, i % 2 ? "no-such-class" : "status", {}));
@@ -171,11 +177,12 @@
       encode_request(1, "asset", {{"item", "0000000000000002"}, {"txn", "0000000000000001"}}));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 2; }));
   EXPECT_EQ(engine->counters().deferred_accepts, 0u);
-  EXPECT_FALSE(usual->is_closed);
+  EXPECT_FALSE(normal->is_closed);
 }
 
-// Guards against a listener that spins, or forgets its clients, once all slots have open requests.
-TEST_F(RpcFrontTest, DefersAcceptsUntilClientsLeaveWhenAllPlacesAreBusy) {
+// Guards against a listener that spins, or never accepts the waiting clients, while every
+// connection slot has an open request.
+TEST_F(RpcFrontTest, DefersAcceptsUntilClientsDisconnectWhenAllConnectionSlotsAreBusy) {
   std::vector<std::unique_ptr<loopback::TestSocket>> clients;
   for (int i = 0; i < 64; ++i) {
     clients.push_back(connect_client(client_front->address()));
@@ -188,14 +195,15 @@
   last.write(encode_request(2, "asset", {{"ram", "9"}}));
   run_briefly();
   EXPECT_GT(engine->counters().deferred_accepts, 0u);
-  EXPECT_LT(engine->counters().deferred_accepts, 40u) << "it pauses between attempts";
+  EXPECT_LT(engine->counters().deferred_accepts, 40u)
+      << "the listener must pause between attempts to accept";
   polled_sockets.assign(1, &last);
   for (int i = 0; i < 20; ++i) clients[static_cast<std::size_t>(i)]->reset();
   ASSERT_TRUE(run_until([&] { return fetch_count() == 65; }));
 }
 
-// Guards against a slow reader that delays others or loses bytes of its own.
-TEST_F(RpcFrontTest, DeliversEverythingWithoutDelayingOthersWhenReaderIsSlow) {
+// Guards against a slow reader that delays other clients or loses bytes of its own responses.
+TEST_F(RpcFrontTest, DeliversAllResponsesWithoutDelayingOtherClientsWhenReaderIsSlow) {
   auto slow = connect_client(client_front->address());
   auto quick = connect_client(client_front->address());
   polled_sockets.assign(1, quick.get());
@@ -206,9 +214,9 @@
     const CacheCommand command = *fetch_command(i);
     const std::string head =
         command.id + " served " + loopback::fresh_copy_fields("t") + " 240000\r\n";
-    // The cache writes as the kernel takes it; the router reads meanwhile.
-    std::string all = head + body + "\r\n";
-    ASSERT_TRUE(write_all(*command.connection, all));
+    // The cache writes as much as the kernel accepts at a time, and the router reads meanwhile.
+    std::string encoded_response = head + body + "\r\n";
+    ASSERT_TRUE(write_all(*command.connection, encoded_response));
   }
   quick->write(encode_request(1, "asset", {}));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 25; }));
--- a/tests/support/rpc_messages.h
+++ b/tests/support/rpc_messages.h
@@ -1,4 +1,5 @@
-// The messages of the platform's clients: calls as they send them, responses as they read them.
+// The client's side of the platform's client protocol, for tests: encodes calls and decodes
+// responses.
 #pragma once
 
 #include <msgpack.h>
@@ -13,10 +14,10 @@
 
 namespace loopback {
 
-/// Of requests that may be retried with a key only.
+/// The idempotency key of requests whose class requires one.
 inline const std::string kIdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-/// The bytes that `pack` packs.
+/// Returns the bytes that `pack` writes to the packer that it is called with.
 inline std::string pack_message(const std::function<void(msgpack_packer*)>& pack) {
   msgpack_sbuffer buffer;
   msgpack_packer packer;
@@ -28,12 +29,13 @@
   return bytes;
 }
 
+/// Packs a string.
 inline void pack_text(msgpack_packer* packer, const std::string& text) {
   msgpack_pack_str_with_body(packer, text.data(), text.size());
 }
 
-/// A request of a class. Fields that are not given have defaults; each id has a transaction of its
-/// own.
+/// Encodes a request of a class. Fields that are not given have default values; the default `txn`
+/// is derived from `id`, so that it is different for each id.
 inline std::string encode_request(unsigned id, const std::string& class_name,
                                   std::map<std::string, std::string> fields,
                                   const std::string& body = {}) {
@@ -59,7 +61,7 @@
   });
 }
 
-/// Cancels the request with this id.
+/// Encodes the notification that cancels the call with this id.
 inline std::string encode_cancel(unsigned id) {
   return pack_message([&](msgpack_packer* packer) {
     msgpack_pack_array(packer, 3);
@@ -70,14 +72,16 @@
   });
 }
 
+/// A response as a client decodes it.
 struct RpcResponse {
   std::uint64_t id = 0;
-  std::string error;  // empty: success
+  std::string error;  // empty on success
   std::string body;
   std::map<std::string, std::string> fields;
 };
 
-/// All complete responses in what a client has received; `consumed`: the bytes that they take.
+/// Decodes all complete responses in `received`, the bytes that a client has received. Sets
+/// `consumed` to the number of bytes that they occupy.
 inline std::vector<RpcResponse> decode_responses(const std::string& received,
                                                  std::size_t& consumed) {
   const auto text = [](const msgpack_object& object) {
@@ -109,6 +113,7 @@
   msgpack_unpacked_destroy(&message);
   return responses;
 }
+/// Decodes all complete responses in `received`.
 inline std::vector<RpcResponse> decode_responses(const std::string& received) {
   std::size_t consumed = 0;
   return decode_responses(received, consumed);
