--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -56,7 +56,7 @@
       listener_(
           loop, deadlines, listen, [this] { return make_room(); },
           [this](net::Fd fd) { accept(std::move(fd)); }) {
-  listener_.keep_spare();
+  listener_.reserve_descriptor();
 }
 
 AdminServer::~AdminServer() {
@@ -197,7 +197,7 @@
     if (caller->is_answered && caller->connection->unwritten() == 0) close_with_linger(*caller);
   }
   std::erase_if(callers_, [](const auto& caller) { return caller->is_closed; });
-  listener_.keep_spare();
+  listener_.reserve_descriptor();
 }
 
 }  // namespace alderspur::admin
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// Numeric IPv4 socket addresses, and the owner of a file descriptor.
+// Numeric IPv4 socket addresses, and an owning wrapper of a file descriptor.
 #pragma once
 
 #include <netinet/in.h>
@@ -10,13 +10,13 @@
 
 namespace alderspur::net {
 
-/// From a text such as "127.0.0.4:4100"; host names are not resolved. Nothing if it has another
-/// form.
+/// Parses a text such as "127.0.0.4:4100". Returns nullopt if the text is not a numeric IPv4
+/// address followed by a port; host names are not resolved.
 std::optional<sockaddr_in> parse_address(std::string_view text);
-/// The form that parse_address() reads.
+/// Formats an address as parse_address() reads it.
 std::string to_string(const sockaddr_in& address);
 
-/// Owns a file descriptor and closes it in its destructor; -1: none.
+/// Owns a file descriptor and closes it in its destructor. The value -1 means no descriptor.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -39,10 +39,9 @@
   watcher_->want((reads ? EV_READ : 0) | (writes ? EV_WRITE : 0));
 }
 
-// ---- Ends ----
+// ---- Closing ----
 
-// Unsent bytes are discarded. The read buffer stays, since its slices may still be in use in this
-// turn.
+// Keeps the read buffer, since views of it may still be in use in this turn.
 void Connection::close() {
   if (is_closed_) return;
   is_closed_ = true;
@@ -67,14 +66,14 @@
 void Connection::linger(std::function<void()> on_end) {
   if (is_closed_ || is_lingering_) return;
   is_lingering_ = true;
-  has_input_ended_ = false;  // reads again: a lingering close ends with the input
+  has_input_ended_ = false;  // reads again, because a lingering close ends with the end of input
   on_linger_end_ = std::move(on_end);
-  if (!is_connecting_ && unwritten() == 0) end_own_side();
+  if (!is_connecting_ && unwritten() == 0) shut_down_sending();
   update_watcher();
 }
 
-void Connection::end_own_side() {
-  if (std::exchange(has_own_side_ended_, true)) return;
+void Connection::shut_down_sending() {
+  if (std::exchange(has_shut_down_sending_, true)) return;
   ::shutdown(fd_.get(), SHUT_WR);
   has_input_ended_ = false;
 }
@@ -88,7 +87,7 @@
     if (discarded_bytes_ <= kMaxLingerBytes) return;
   }
   has_input_ended_ = received == 0;
-  if (received != 0 || has_own_side_ended_) fail(CloseReason::by_peer);
+  if (received != 0 || has_shut_down_sending_) fail(CloseReason::by_peer);
 }
 
 bool Connection::peer_ended() const {
@@ -110,7 +109,7 @@
     flush();
     if (is_closed_) return;
     if (is_lingering_ && unwritten() == 0) {
-      end_own_side();
+      shut_down_sending();
     } else if (!is_lingering_ && handler_.on_written) {
       handler_.on_written();
     }
@@ -136,7 +135,8 @@
   if (!is_closed_) update_watcher();
 }
 
-// Reads once a turn: a second read could move the buffer while slices of it are in use.
+// Reads at most once per turn, because a second read could move the buffer while views of it are in
+// use.
 void Connection::read() {
   if (consumed_bytes_) return;
   if (buffer_.size() - buffered_bytes_ < kMinReadBytes) {
@@ -173,7 +173,7 @@
   std::memmove(buffer_.data(), buffer_.data() + consumed_bytes_, buffered_bytes_ - consumed_bytes_);
   buffered_bytes_ -= consumed_bytes_;
   consumed_bytes_ = 0;
-  // Most connections are idle and should not keep a buffer.
+  // Most connections are idle. Releasing their empty buffers saves memory.
   if (buffered_bytes_ == 0) std::string().swap(buffer_);
 }
 
@@ -191,7 +191,8 @@
     msghdr message{};
     message.msg_iov = buffers;
     message.msg_iovlen = kMaxWriteParts;
-    // An error is reported again when the socket is ready; only there may fail() call the owner.
+    // An error is ignored here, because fail() must not call the owner from within write(). The
+    // kernel reports the error again when the socket is ready.
     const ssize_t result = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
     std::size_t sent = result < 0 ? 0 : static_cast<std::size_t>(result);
     for (auto& part : parts) {
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,6 +1,6 @@
-// A TCP connection on the event loop: a read buffer whose slices stay valid until the turn ends, a
-// write queue, and counts of the bytes queued and written. The loop's thread only; times are
-// microseconds.
+// A TCP connection on the event loop. It has a read buffer, whose contents stay valid until the
+// turn of the loop ends, a write queue, and counts of the bytes queued and written. Used on the
+// loop's thread only. Times are in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -15,66 +15,72 @@
 
 namespace alderspur::net {
 
-/// Why a connection was closed other than by its owner.
+/// The reason for the end of a connection that its owner did not close.
 enum class CloseReason {
-  by_peer,     // end of input
-  reset,       // an error in reading or writing
-  refused,     // the connect has failed
+  by_peer,     // the peer has closed its sending side
+  reset,       // reading or writing has failed
+  refused,     // the connection could not be established
   unreadable,  // the handler could not parse the input
 };
-/// A lingering close discards at most this much input.
+/// The maximum number of input bytes that a lingering close discards.
 constexpr std::size_t kMaxLingerBytes = 1 << 20;
 
-/// Owns a connected or connecting socket.
+/// Owns a socket that is connected or connecting.
 class Connection {
  public:
   /// The owner's callbacks.
   struct Handler {
-    /// Consumes input from the front of the bytes; returns the number of bytes consumed, or -1 if
-    /// they cannot be parsed.
+    /// Receives all input that is not consumed yet. Returns the number of bytes that it has
+    /// consumed from the front, or -1 if the input cannot be parsed.
     std::function<std::ptrdiff_t(std::string_view)> on_data;
-    /// Called when bytes have left the write queue, or the connect has succeeded.
+    /// Called when bytes have left the write queue, and when the connection is established.
     std::function<void()> on_written;
-    /// Called once, at the end; the owner destroys the connection after the turn. After
-    /// `unreadable` nothing more is read, but what was written can still be sent by linger().
+    /// Called once, when the connection ends other than by close() or linger(). The owner destroys
+    /// the connection after the turn. After `unreadable` no more input is read, but linger() still
+    /// sends the queued bytes.
     std::function<void(CloseReason)> on_close;
-    /// If set, the connection can still be written to after on_close(by_peer).
+    /// If true, the connection can still be written to after on_close(by_peer).
     bool allows_half_close = false;
   };
-  /// Takes over a connected socket, or one that is connecting.
+  /// Takes ownership of a socket that is connected, or connecting if `is_connecting` is true.
   Connection(Loop& loop, Fd fd, bool is_connecting, Handler handler);
 
-  /// Sends all parts in one call if the queue is empty; only what the socket does not accept is
-  /// copied into the queue.
+  /// Sends the parts in this order. If the queue is empty, tries to send them in one system call
+  /// and copies only the bytes that the socket does not accept into the queue.
   void write(std::string_view head, std::string_view body = {}, std::string_view tail = {});
-  /// Discards the consumed input. Slices that were passed to on_data must no longer be used.
+  /// Discards the consumed input. Views passed to on_data are invalid afterwards.
   void end_turn();
-  /// Passes the input that was not consumed to on_data again; true if some of it was consumed.
+  /// Passes the input that was not consumed to on_data again. Returns whether any of it was
+  /// consumed.
   bool reoffer_unread();
-  /// Closes at once, without on_close: unsent bytes are discarded, and unread input resets the
-  /// connection.
+  /// Closes the connection immediately and does not call on_close. Discards unsent bytes. If input
+  /// is unread, the kernel resets the connection.
   void close();
-  /// Lingering close: ends this side once everything is written, and discards input, at most
-  /// kMaxLingerBytes, until the peer has ended too. No handler is called any more; `on_end` is
-  /// called once, never from within this call. Closing with unread input would reset the connection
-  /// and discard what the peer has not read yet.
+  /// Starts a lingering close: shuts down the sending side once the queue is written, and discards
+  /// up to kMaxLingerBytes of input until the peer has closed its sending side too. Without this, a
+  /// close with unread input would reset the connection, and the peer would lose the bytes that it
+  /// has not read yet. The handler's functions are no longer called. Calls `on_end` once, never
+  /// from within this function.
   void linger(std::function<void()> on_end);
 
-  /// Whether input has arrived that was not read from the socket yet.
+  /// Returns whether the kernel holds input that was not read from the socket yet.
   bool has_input_waiting() const;
-  /// Whether the peer has ended its side; input from before may not have been read yet.
+  /// Returns whether the peer has closed its sending side. Earlier input may still be unread.
   bool peer_ended() const;
+  /// Returns whether the connection is not established yet.
   bool connecting() const { return is_connecting_; }
+  /// Returns whether the socket is closed.
   bool closed() const { return is_closed_; }
-  /// Bytes in the write queue.
+  /// Returns the number of bytes in the write queue.
   std::size_t unwritten() const { return queue_.size() - queue_position_; }
-  /// Bytes of input that were not consumed, such as those of an incomplete message.
+  /// Returns the number of input bytes that were read but not consumed, for example those of an
+  /// incomplete message.
   std::size_t unread() const { return buffered_bytes_ - consumed_bytes_; }
-  /// Bytes passed to write() since the connection was made.
+  /// Returns the total number of bytes passed to write().
   std::uint64_t queued_total() const { return queued_total_; }
-  /// Those of them that the socket has accepted.
+  /// Returns the total number of bytes that the socket has accepted.
   std::uint64_t written_total() const { return queued_total_ - unwritten(); }
-  /// Unix time of the last input; 0: there was none.
+  /// Returns the Unix time of the last input, or 0 if there was none.
   core::Time last_read_at() const { return last_read_at_; }
 
  private:
@@ -84,7 +90,7 @@
   void flush();
   void fail(CloseReason reason);
   void update_watcher();
-  void end_own_side();
+  void shut_down_sending();
   void discard_input();
 
   Fd fd_;
@@ -94,12 +100,12 @@
   bool has_input_ended_ = false;
   bool is_unreadable_ = false;
   bool is_lingering_ = false;
-  bool has_own_side_ended_ = false;  // while lingering
+  bool has_shut_down_sending_ = false;  // only set while lingering
   std::size_t discarded_bytes_ = 0;
   std::function<void()> on_linger_end_;
   std::string buffer_;
   std::size_t buffered_bytes_ = 0;
-  std::size_t consumed_bytes_ = 0;  // of those, in this turn
+  std::size_t consumed_bytes_ = 0;  // of the buffered bytes, in this turn
   std::string queue_;
   std::size_t queue_position_ = 0;
   std::uint64_t queued_total_ = 0;
@@ -107,8 +113,9 @@
   std::unique_ptr<IoWatcher> watcher_;
 };
 
-/// Starts to connect. Null if there is no free descriptor or the connect fails at once. `source`:
-/// the address to connect from, if it can be bound; null: any.
+/// Starts to connect to `address`. Returns null if no descriptor is free or the attempt fails
+/// immediately. Connects from `source` if it is not null and can be bound, otherwise from any local
+/// address.
 std::unique_ptr<Connection> connect(Loop& loop, const sockaddr_in& address,
                                     Connection::Handler handler,
                                     const sockaddr_in* source = nullptr);
--- a/src/net/lingering.cpp
+++ b/src/net/lingering.cpp
@@ -24,7 +24,8 @@
   position->connection->linger([this, position] { end(position); });
 }
 
-// The connection is destroyed when the turn ends, since its callback may be running.
+// The connection is destroyed only when the turn ends, because this function may have been called
+// by the connection's own callback.
 void Lingering::end(Position position) {
   if (std::exchange(position->has_ended, true)) return;
   deadlines_.cancel(position->timeout);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -16,7 +16,7 @@
 constexpr core::Time kAcceptPause = 10'000;
 
 bool is_out_of_descriptors(int error) { return error == EMFILE || error == ENFILE; }
-bool is_connection_gone(int error) { return error == EINTR || error == ECONNABORTED; }
+bool is_accept_retryable(int error) { return error == EINTR || error == ECONNABORTED; }
 
 }  // namespace
 
@@ -41,8 +41,9 @@
 }
 Listener::~Listener() { *is_alive_ = false; }
 
-// The classic BPF program selects the second socket of the group, in the order in which they began
-// to listen. Without a second socket, connections are spread as before.
+// The classic BPF program selects the second socket of the SO_REUSEPORT group, in the order in
+// which the sockets started to listen. If there is no second socket, the kernel distributes
+// connections as before.
 bool Listener::steer_to_successor() {
   sock_filter code[] = {{BPF_RET | BPF_K, 0, 0, 1}};
   const sock_fprog program{1, code};
@@ -55,8 +56,9 @@
   (void)::setsockopt(fd_.get(), SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, &unused, sizeof unused);
 }
 
-void Listener::keep_spare() {
-  if (spare_.get() < 0 && fd_.get() >= 0) spare_ = Fd(::fcntl(fd_.get(), F_DUPFD_CLOEXEC, 0));
+void Listener::reserve_descriptor() {
+  if (reserved_descriptor_.get() >= 0 || fd_.get() < 0) return;
+  reserved_descriptor_ = Fd(::fcntl(fd_.get(), F_DUPFD_CLOEXEC, 0));
 }
 
 Fd Listener::accept_one() {
@@ -65,7 +67,7 @@
 
 bool Listener::accept_rest_and_stop(AcceptRest rest) {
   const bool is_limited = rest == AcceptRest::within_limits;
-  spare_ = Fd();
+  reserved_descriptor_ = Fd();
   while (watcher_) {
     if (is_limited && !may_accept_()) return false;
     Fd fd = accept_one();
@@ -73,7 +75,7 @@
       on_accept_(std::move(fd));
     } else if (is_limited && is_out_of_descriptors(errno)) {
       return false;
-    } else if (!is_connection_gone(errno)) {
+    } else if (!is_accept_retryable(errno)) {
       break;
     }
   }
@@ -82,7 +84,7 @@
 }
 
 void Listener::stop() {
-  spare_ = Fd();
+  reserved_descriptor_ = Fd();
   watcher_.reset();
   fd_ = Fd();
 }
@@ -103,19 +105,20 @@
       continue;
     }
     const int error = errno;
-    if (is_out_of_descriptors(error) && spare_.get() >= 0) {
-      spare_ = Fd();
+    if (is_out_of_descriptors(error) && reserved_descriptor_.get() >= 0) {
+      reserved_descriptor_ = Fd();
       continue;
     }
-    if (error == EAGAIN) full_since_ = 0;
-    if (error == EAGAIN || is_connection_gone(error)) return;
+    if (error == EAGAIN) paused_since_ = 0;
+    if (error == EAGAIN || is_accept_retryable(error)) return;
     return pause();
   }
 }
 
-// Without capacity or descriptors the socket stays readable, and the loop would spin on it.
+// Stops watching the socket for a short time. While connections cannot be accepted, the socket
+// stays readable, and the loop would spin on it.
 void Listener::pause() {
-  if (!full_since_) full_since_ = unix_now();
+  if (!paused_since_) paused_since_ = unix_now();
   watcher_->want(0);
   deadlines_.set(unix_now() + kAcceptPause, [this, is_alive = is_alive_] {
     if (*is_alive && watcher_) watcher_->want(EV_READ);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,6 +1,6 @@
-// A listening TCP socket on the event loop. It accepts connections while its owner has capacity,
-// pauses otherwise, and can steer new connections to another process on the same address. The
-// loop's thread only; times are microseconds.
+// A listening TCP socket on the event loop. It accepts connections while its owner has capacity and
+// pauses otherwise. It can steer new connections to another process that listens on the same
+// address. Used on the loop's thread only. Times are in microseconds.
 #pragma once
 
 #include <functional>
@@ -12,40 +12,43 @@
 
 namespace alderspur::net {
 
-/// Owns the socket.
+/// Owns a listening socket and passes accepted connections to a callback.
 class Listener {
  public:
-  /// Throws std::runtime_error if the address cannot be bound. `may_accept` is asked before each
-  /// connection is accepted. `is_shared`: another process may listen on the same address, and the
-  /// kernel spreads connections over both.
+  /// Starts to listen. Throws std::runtime_error if the address cannot be bound. `may_accept` is
+  /// called before each connection is accepted and returns whether the owner has capacity for it.
+  /// If `is_shared` is true, another process may listen on the same address, and the kernel
+  /// distributes connections to both.
   Listener(Loop& loop, core::Deadlines& deadlines, const sockaddr_in& address,
            std::function<bool()> may_accept, std::function<void(Fd)> on_accept,
            bool is_shared = false);
   ~Listener();
 
-  /// Steers all new connections to the process that began to listen after this one; false: the
-  /// kernel does not allow it, and connections are spread as before.
+  /// Steers all new connections to the process that started to listen after this one. Returns false
+  /// if the kernel does not allow it; connections are then distributed as before.
   bool steer_to_successor();
+  /// Lets the kernel distribute new connections to all listening processes again.
   void stop_steering();
-  /// Reserves a descriptor, so that one more connection can be accepted when the process has none
-  /// left. To be called again after each use.
-  void keep_spare();
+  /// Reserves a descriptor, so that one more connection can be accepted when the process has no
+  /// free descriptor. Must be called again after each use of the reserved descriptor.
+  void reserve_descriptor();
 
   /// Which of the established connections accept_rest_and_stop() accepts.
   enum class AcceptRest {
-    within_limits,  // as long as may_accept() holds and there are descriptors
-    all,            // whatever may_accept() says
+    within_limits,  // accepts while may_accept() returns true and descriptors are free
+    all,            // accepts regardless of may_accept()
   };
-  /// Accepts the established connections in the socket's queue, which closing it would reset, then
-  /// stops. False: some of them could not be accepted, and the socket is still listening.
+  /// Accepts the established connections in the socket's queue, because closing the socket would
+  /// reset them, then closes the socket. Returns false if some connections could not be accepted;
+  /// the socket is then still listening.
   bool accept_rest_and_stop(AcceptRest rest);
-  /// Closes the socket.
+  /// Closes the socket. Connections in its queue are reset.
   void stop();
 
-  /// The bound address, with the port that the kernel chose for port 0.
+  /// Returns the bound address. Port 0 is replaced by the port that the kernel assigned.
   sockaddr_in address() const;
-  /// The longest time that a connection accepted now may have waited in the queue.
-  core::Time accept_delay() const { return full_since_ ? unix_now() - full_since_ : 0; }
+  /// Returns the longest time that a connection accepted now may have waited in the socket's queue.
+  core::Time accept_delay() const { return paused_since_ ? unix_now() - paused_since_ : 0; }
 
  private:
   Fd accept_one();
@@ -57,9 +60,9 @@
   std::function<bool()> may_accept_;
   std::function<void(Fd)> on_accept_;
   std::unique_ptr<IoWatcher> watcher_;
-  Fd spare_;
-  core::Time full_since_ = 0;  // 0: the queue was empty since
-  /// False once this is destroyed; for the deadline that ends a pause.
+  Fd reserved_descriptor_;
+  core::Time paused_since_ = 0;  // first pause since the queue was last empty; 0: no pause since
+  /// False once this object is destroyed. Checked by the deadline that ends a pause.
   std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -12,11 +12,12 @@
 
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
 constexpr core::Time kNanosecondsPerMicrosecond = 1'000;
-/// The wall clock is compared at this interval.
+/// The interval at which unix_now() compares its time with the wall clock.
 constexpr core::Time kClockCheckInterval = 100'000;
-/// The correction is at most a fiftieth of the time that passes.
+/// A correction is at most the time since the last check divided by this number.
 constexpr core::Time kMaxSlewDivisor = 50;
-/// Bounds each wait of the loop, so that a step of the wall clock cannot delay deadlines.
+/// The maximum duration of one wait of the loop, so that a step of the wall clock cannot delay
+/// deadlines.
 constexpr core::Time kMaxWait = kMicrosecondsPerSecond;
 
 core::Time to_microseconds(const timespec& time) {
@@ -47,9 +48,9 @@
   return to_microseconds(time);
 }
 
-// A wall clock that is set back by an hour would delay all deadlines by an hour, and one that is
-// set forward would run them all at once. This is the steady clock, gradually corrected towards the
-// wall clock.
+// Returns the steady clock's time, gradually corrected towards the wall clock. The wall clock
+// itself would be unsuitable for deadlines: setting it back by an hour would delay all of them by
+// an hour, and setting it forward would run them all at once.
 core::Time unix_now() {
   static const core::Time initial_offset = wall_now() - steady_now();
   static std::atomic<core::Time> correction{0};
@@ -57,7 +58,7 @@
   const core::Time steady = steady_now();
   core::Time last = last_check.load(std::memory_order_relaxed);
   const bool is_due = steady - last >= kClockCheckInterval;
-  // Only one thread makes each check; the first check only records its time.
+  // Only one thread performs each check. The first check only records its time.
   if (is_due && last_check.compare_exchange_strong(last, steady, std::memory_order_relaxed) &&
       last) {
     const core::Time error =
@@ -136,7 +137,7 @@
   static_cast<Loop*>(watcher->data)->end_turn();
 }
 
-// Sets the timer for the next deadline at the end.
+// Performs the work of a turn, then sets the timer for the next deadline.
 void Loop::end_turn() {
   if (turn_callback_) turn_callback_();
   lingering_->end_turn();
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,5 @@
-// The event loop, on libev: one turn of work before each wait. All but the clocks and
-// hold_signals() is for the loop's thread only. Times are microseconds.
+// The event loop, based on libev. It performs one turn of work before each wait for events. Only
+// the clocks and hold_signals() may be used on other threads. Times are in microseconds.
 #pragma once
 
 #include <ev.h>
@@ -12,19 +12,22 @@
 
 namespace alderspur::net {
 
-/// Unix time. Follows the wall clock, but never by steps: see loop.cpp. Any thread.
+/// Returns the Unix time. It follows the wall clock gradually and never jumps; see loop.cpp. May be
+/// called on any thread.
 core::Time unix_now();
-/// The time of a clock that is never set and also runs while the machine sleeps. Any thread.
+/// Returns the time of a clock that is never set and that also runs while the machine is suspended.
+/// May be called on any thread.
 core::Time steady_now();
 
-/// Watches a descriptor for as long as it exists.
+/// Calls a function when a descriptor is ready, until this object is destroyed. Does not own the
+/// descriptor, which must stay open as long.
 class IoWatcher {
  public:
   IoWatcher(struct ev_loop* loop, int fd, std::function<void(int events)> on_ready);
   ~IoWatcher();
   IoWatcher(const IoWatcher&) = delete;
   IoWatcher& operator=(const IoWatcher&) = delete;
-  /// Sets the events to watch for: EV_READ, EV_WRITE, both or 0. None at first.
+  /// Sets the events to watch for: EV_READ, EV_WRITE, both or 0. A new watcher watches for none.
   void want(int events);
 
  private:
@@ -37,36 +40,39 @@
 
 class Lingering;
 
-/// Blocks SIGTERM, SIGHUP and SIGUSR1 until Loop::run(), which handles them in its first turn. To
-/// be called before a program starts threads, which inherit the signal mask.
+/// Blocks SIGTERM, SIGHUP and SIGUSR1 until Loop::run() unblocks them. Signals that arrive
+/// meanwhile are handled in the first turn of the loop. Must be called before the program starts
+/// threads, because they inherit the signal mask.
 void hold_signals();
 
-/// Waits for descriptors, signals and deadlines, and performs turns.
+/// The event loop: waits for descriptors, signals and deadlines, and calls their handlers.
 class Loop {
  public:
-  /// `deadlines` must outlive the loop, which wakes up for each of them; the callback of on_turn()
-  /// has to run them.
+  /// The loop wakes up for each of the `deadlines`, but the callback set by on_turn() must run
+  /// those that are due. `deadlines` must outlive the loop.
   explicit Loop(core::Deadlines& deadlines);
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  /// For libev's watchers.
+  /// Returns the libev loop, to start watchers on.
   struct ev_loop* raw() {
     return loop_;
   }
-  /// Called before each wait, after all ready descriptors have been read.
+  /// Sets the function that is called in each turn: after all ready descriptors have been handled
+  /// and before the loop waits.
   void on_turn(std::function<void()> callback) { turn_callback_ = std::move(callback); }
-  /// Calls `callback` in the loop's thread when the signal arrives.
+  /// Calls `callback` on the loop's thread whenever the signal `number` arrives.
   void on_signal(int number, std::function<void()> callback);
   /// Performs turns until stop() is called.
   void run();
+  /// Ends run() after the current turn.
   void stop();
-  /// The connections in a lingering close.
+  /// Returns the owner of the connections that are in a lingering close.
   Lingering& lingering() { return *lingering_; }
 
  private:
-  /// A signal that is handled.
+  /// A signal with its watcher and its handler.
   struct Signal {
     ev_signal watcher{};
     std::function<void()> callback;
--- a/src/net/wakeup.cpp
+++ b/src/net/wakeup.cpp
@@ -21,7 +21,8 @@
   static_cast<Wakeup*>(watcher->data)->run_posted();
 }
 
-// The lock is not held while they run: a function may post another, for the next event.
+// The functions run without the lock, because a function may post another one, which runs at the
+// next event.
 void Wakeup::run_posted() {
   std::vector<std::function<void()>> functions;
   {
--- a/src/net/wakeup.h
+++ b/src/net/wakeup.h
@@ -1,4 +1,4 @@
-// Runs functions of other threads on the loop's thread.
+// Lets other threads run functions on the event loop's thread.
 #pragma once
 
 #include <ev.h>
@@ -11,15 +11,16 @@
 
 namespace alderspur::net {
 
-/// Must outlive all threads that post. Functions that have not run when it is destroyed never run.
+/// A queue of functions that the loop's thread runs. Must outlive all threads that call post().
+/// Functions that have not run when it is destroyed are discarded.
 class Wakeup {
  public:
   explicit Wakeup(Loop& loop);
   ~Wakeup();
   Wakeup(const Wakeup&) = delete;
   Wakeup& operator=(const Wakeup&) = delete;
-  /// From any thread. The functions run on the loop's thread, in the order of their posting, before
-  /// the turn that follows.
+  /// Queues a function to run on the loop's thread. Functions run in the order in which they were
+  /// posted, before the next turn. May be called on any thread.
   void post(std::function<void()> function);
 
  private:
--- a/tests/support/test_socket.h
+++ b/tests/support/test_socket.h
@@ -1,4 +1,5 @@
-// Sockets on the loopback interface, as the peers of a router under test use them.
+// Sockets on the loopback interface for tests, which use them as clients and servers of the router
+// under test.
 #pragma once
 
 #include <arpa/inet.h>
@@ -17,7 +18,7 @@
 
 namespace loopback {
 
-/// One end of a connection. It owns its descriptor and never blocks; poll() reads what has come.
+/// One end of a TCP connection. It owns its descriptor, never blocks, and reads input in poll().
 class TestSocket {
  public:
   explicit TestSocket(int fd) : fd_(fd) { ::fcntl(fd_, F_SETFL, O_NONBLOCK); }
@@ -28,30 +29,32 @@
   void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
-  /// Ends the connection with a reset.
+  /// Closes the connection with a reset.
   void reset() {
     const linger at_once{1, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     close();
   }
+  /// Closes the sending side only.
   void half_close() { ::shutdown(fd_, SHUT_WR); }
 
-  /// What the kernel does not take at once is lost.
+  /// Sends bytes and drops those that the kernel does not accept immediately.
   void write(std::string_view bytes) {
     if (fd_ >= 0) (void)!::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
-  /// The number of bytes that the kernel has taken.
+  /// Sends bytes and returns the number of bytes that the kernel has accepted.
   std::size_t write_some(std::string_view bytes) {
     const ssize_t written = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     return written > 0 ? static_cast<std::size_t>(written) : 0;
   }
 
-  /// Appends all that can be read to `received`, and notices the end of the connection.
+  /// Reads until no input is available. Appends the input to `received`, and sets `is_closed` and
+  /// `was_reset` if the connection has ended.
   void poll() {
     while (poll_once()) {
     }
   }
-  /// The same with 64 KB at most; false if nothing was read.
+  /// Does the same with a single read of at most 64 KB. Returns false if nothing was read.
   bool poll_once() {
     if (fd_ < 0) return false;
     char buffer[65536];
@@ -63,15 +66,15 @@
   }
 
   std::string received;
-  bool is_closed = false;  // by the peer
-  bool was_reset = false;  // by the peer
+  bool is_closed = false;  // the peer has closed or reset the connection
+  bool was_reset = false;  // the peer has reset the connection
 
  private:
   int fd_;
 };
 
-/// A socket bound to a free port; `address` receives it. The port can be bound again at once after
-/// the socket is closed.
+/// Returns a socket that is bound to a free port and sets `address` to the bound address. The port
+/// can be bound again as soon as the socket is closed.
 inline int bind_socket(sockaddr_in& address) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
@@ -85,8 +88,8 @@
   return fd;
 }
 
-/// An address whose port was free a moment ago; the host is one of this process's own, in
-/// 127.1.0.0/16, so that other tests do not take the port meanwhile.
+/// Returns an address whose port was free at the time of the call. The host in 127.1.0.0/16 is
+/// derived from the process id, so that concurrent tests do not bind the port in the meantime.
 inline sockaddr_in free_address() {
   constexpr unsigned kNetwork = 0x7f010000U;
   sockaddr_in address{};
@@ -100,6 +103,7 @@
   return address;
 }
 
+/// Connects to `address`; blocks until the connection is established.
 inline std::unique_ptr<TestSocket> connect_to(const sockaddr_in& address) {
   const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
   EXPECT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
