--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -18,31 +18,31 @@
 constexpr std::string_view kUnbanSuffix = "/online";
 constexpr std::string_view kContentType = "text/plain; version=0.0.4; charset=utf-8";
 
-HttpReply no_such_call() { return {404, "no such call\n"}; }
+HttpReply unknown_path() { return {404, "unknown admin path\n"}; }
 
 bool is_read_only_path(std::string_view path) {
   return path == kReadyPath || path == kMetricsPath || path == kClusterPath;
 }
 
 HttpReply handle_read_only(std::string_view path, http::Method method, AdminHandler& handler) {
-  if (method != http::Method::get) return {405, "ask with GET\n", "GET"};
+  if (method != http::Method::get) return {405, "method not allowed: use GET\n", "GET"};
   if (path == kReadyPath) {
     if (handler.is_ready()) return {200, "ready\n"};
     return {503, "not ready\n"};
   }
   if (path == kMetricsPath) return {200, handler.render_metrics()};
   if (auto view = handler.render_cluster_view()) return {200, std::move(*view)};
-  return {404, "this router is in no cluster\n"};
+  return {404, "this router is not in a cluster\n"};
 }
 
 }  // namespace
 
-/// One operator's connection.
+/// One operator's connection with the state of its call.
 struct AdminServer::Caller {
-  std::uint64_t number = 0;
+  std::uint64_t id = 0;  // unique in this server
   std::unique_ptr<net::Connection> connection;
   core::Deadlines::Key timeout{};
-  bool has_request = false;  // the request is complete
+  bool has_request = false;  // a complete request was received
   bool is_answered = false;
   bool is_closed = false;
 };
@@ -63,8 +63,9 @@
   for (auto& caller : callers_) close(*caller);
 }
 
-// Closes the oldest connection without a complete request if all are in use: otherwise callers that
-// connect and send nothing would block all others.
+// Returns whether one more connection may be accepted. If all connections are in use, closes the
+// oldest one without a complete request. Otherwise callers that connect and send nothing would lock
+// out all others.
 bool AdminServer::make_room() {
   const auto open_count = std::count_if(callers_.begin(), callers_.end(),
                                         [](const auto& caller) { return !caller->is_closed; });
@@ -79,35 +80,35 @@
 
 void AdminServer::accept(net::Fd fd) {
   auto caller = std::make_unique<Caller>();
-  Caller* raw = caller.get();
-  raw->number = ++last_number_;
+  Caller* added = caller.get();
+  added->id = ++last_caller_id_;
   net::Connection::Handler handler;
   handler.allows_half_close = true;
-  handler.on_data = [this, raw](std::string_view bytes) { return on_data(*raw, bytes); };
-  handler.on_close = [this, raw](net::CloseReason reason) {
-    // A caller may shut down its sending side after the request and still wait for the reply.
-    if (reason != net::CloseReason::by_peer || !raw->has_request) close(*raw);
+  handler.on_data = [this, added](std::string_view bytes) { return on_data(*added, bytes); };
+  handler.on_close = [this, added](net::CloseReason reason) {
+    // A caller may close its sending side after the request and still wait for the reply.
+    if (reason != net::CloseReason::by_peer || !added->has_request) close(*added);
   };
-  raw->connection =
+  added->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
-  raw->timeout = deadlines_.set(now_() + kCallTimeout, [this, raw] { close(*raw); });
+  added->timeout = deadlines_.set(now_() + kCallTimeout, [this, added] { close(*added); });
   callers_.push_back(std::move(caller));
 }
 
-// Returns how many bytes are consumed; what follows the first request is discarded.
+// Returns the number of bytes consumed. Input after the first request is discarded.
 std::ptrdiff_t AdminServer::on_data(Caller& caller, std::string_view bytes) {
-  const auto all = static_cast<std::ptrdiff_t>(bytes.size());
-  if (caller.has_request) return all;
+  const auto input_size = static_cast<std::ptrdiff_t>(bytes.size());
+  if (caller.has_request) return input_size;
   const auto request = http::next_request(bytes, {kMaxHeadBytes, handler_.max_body_bytes()});
   if (!request) return 0;
   caller.has_request = true;
   handle(caller, *request);
-  return all;
+  return input_size;
 }
 
 void AdminServer::handle(Caller& caller, const http::Request& request) {
   if (request.error_status) {
-    respond(caller, {request.error_status, "not a request that can be read\n"});
+    respond(caller, {request.error_status, "the request is malformed or exceeds a size limit\n"});
     return;
   }
   const auto path = request.target.substr(0, request.target.find('?'));
@@ -122,41 +123,44 @@
 
 HttpReply AdminServer::handle_versions(std::string_view path, const http::Request& request) {
   const bool is_put = request.method == http::Method::put;
-  if (!is_put && request.method != http::Method::get) return {405, "GET or PUT\n", "GET, PUT"};
+  if (!is_put && request.method != http::Method::get) {
+    return {405, "method not allowed: use GET or PUT\n", "GET, PUT"};
+  }
   const auto query = request.target.substr(std::min(path.size() + 1, request.target.size()));
   auto reply = handler_.handle_versions_call(path.substr(kVersionsPrefix.size()), query,
                                              is_put ? request.body : std::string());
   if (reply) return std::move(*reply);
-  return {404, "this router agrees on no versions\n"};
+  return {404, "configuration versions are not enabled on this router\n"};
 }
 
-// PUT /control/caches/SERVER/offline or /online
+// Handles PUT /control/caches/SERVER/offline, which bans a server, and PUT .../online, which lifts
+// its ban.
 void AdminServer::handle_ban(Caller& caller, std::string_view path, const http::Request& request) {
   const bool is_ban = path.ends_with(kBanSuffix);
   const bool is_unban = path.ends_with(kUnbanSuffix);
   if (!path.starts_with(kCachesPrefix) || (!is_ban && !is_unban)) {
-    respond(caller, no_such_call());
+    respond(caller, unknown_path());
     return;
   }
   const auto last_slash = path.rfind('/');
-  if (last_slash <= kCachesPrefix.size()) {  // no name between prefix and suffix
-    respond(caller, no_such_call());
+  if (last_slash <= kCachesPrefix.size()) {  // the name of the server is empty
+    respond(caller, unknown_path());
     return;
   }
   if (request.method != http::Method::put) {
-    respond(caller, {405, "ask with PUT\n", "PUT"});
+    respond(caller, {405, "method not allowed: use PUT\n", "PUT"});
     return;
   }
   const auto server = path.substr(kCachesPrefix.size(), last_slash - kCachesPrefix.size());
-  // By number, since the connection may have been closed before the reply comes.
-  handler_.change_ban(server, is_ban, [this, number = caller.number](const HttpReply& reply) {
-    if (Caller* waiting = find(number)) respond(*waiting, reply);
+  // Captures the id instead of a pointer, because the caller may be destroyed before the reply.
+  handler_.change_ban(server, is_ban, [this, id = caller.id](const HttpReply& reply) {
+    if (Caller* waiting = find(id)) respond(*waiting, reply);
   });
 }
 
-AdminServer::Caller* AdminServer::find(std::uint64_t number) {
+AdminServer::Caller* AdminServer::find(std::uint64_t id) {
   for (auto& caller : callers_) {
-    if (caller->number == number && !caller->is_closed) return caller.get();
+    if (caller->id == id && !caller->is_closed) return caller.get();
   }
   return nullptr;
 }
@@ -174,7 +178,8 @@
   caller.connection->write(http::encode_response_head(head), reply.body);
 }
 
-// Marks the caller as closed; false if it was already. It is destroyed at the end of the turn.
+// Marks the caller as closed, to be destroyed at the end of the turn. Returns false if it was
+// closed already.
 bool AdminServer::mark_closed(Caller& caller) {
   if (std::exchange(caller.is_closed, true)) return false;
   deadlines_.cancel(caller.timeout);
@@ -185,7 +190,8 @@
   if (mark_closed(caller)) caller.connection->close();
 }
 
-// For answered callers: a lingering close, so that unread input does not cut off the reply.
+// Closes an answered caller by a lingering close, because a reset caused by unread input could
+// discard the reply.
 void AdminServer::close_with_linger(Caller& caller) {
   if (mark_closed(caller)) loop_.lingering().add(std::move(caller.connection));
 }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,11 +1,13 @@
-// The operators' HTTP/1.1 server, on an address of its own; one call per connection. It parses
-// calls and finds the function of the AdminHandler that answers each.
+// The operators' HTTP/1.1 server, which listens on an address of its own and handles one call per
+// connection. It parses each call and passes it to the matching function of the AdminHandler.
 //
-// Bounded: at most kMaxConnections connections, each with a request head of 2 KB, a body only where
-// the handler accepts one, and kCallTimeout to complete its request; when all connections are in
-// use, the oldest one without a complete request is closed. Calls are answered in the turn of the
-// event loop in which they arrive; only a ban waits until it is on the disk, for kDiskTimeout at
-// most. Runs on the event loop's thread. Times are microseconds.
+// Limits: at most kMaxConnections connections. A request head has at most 2 KB, a body is accepted
+// only if the handler accepts one, and a call must end within kCallTimeout. When all connections
+// are in use, the oldest one without a complete request is closed.
+//
+// Calls are answered in the turn of the event loop in which they arrive, except that the reply to a
+// ban waits until the ban is on the disk, for at most kDiskTimeout. Used on the event loop's thread
+// only. Times are in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -24,23 +26,28 @@
 
 namespace alderspur::admin {
 
+/// The maximum number of open connections.
 constexpr std::size_t kMaxConnections = 16;
+/// A connection is closed this long after it was accepted, answered or not.
 constexpr core::Time kCallTimeout = 3'000'000;
-constexpr core::Time kDiskTimeout = 700'000;  // operators' tools wait 1 s for a reply
+/// The maximum wait for a ban to be on the disk. Operators' tools wait 1 s for a reply.
+constexpr core::Time kDiskTimeout = 700'000;
 
-/// Accepts the calls; see the top of this file.
+/// Accepts operators' connections and replies to their calls; see the top of this file.
 class AdminServer {
  public:
-  /// Throws std::runtime_error if the address cannot be bound. `now`: the Unix time.
+  /// Starts to listen. Throws std::runtime_error if the address cannot be bound. `now` returns the
+  /// Unix time. All arguments passed by reference must outlive the server.
   AdminServer(net::Loop& loop, core::Deadlines& deadlines, const sockaddr_in& listen,
               AdminHandler& handler, std::function<core::Time()> now);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  /// To be called at the end of each turn of the event loop: writes replies and closes connections.
+  /// Closes the connections whose replies are written, and destroys closed ones. Must be called at
+  /// the end of each turn of the event loop.
   void end_turn();
-  /// The address that it listens on.
+  /// Returns the listening address.
   sockaddr_in address() const { return listener_.address(); }
 
  private:
@@ -55,14 +62,14 @@
   void close(Caller& caller);
   void close_with_linger(Caller& caller);
   bool mark_closed(Caller& caller);
-  Caller* find(std::uint64_t number);
+  Caller* find(std::uint64_t id);
 
   net::Loop& loop_;
   core::Deadlines& deadlines_;
   AdminHandler& handler_;
   std::function<core::Time()> now_;
-  std::uint64_t last_number_ = 0;
-  // At most kMaxConnections, and those closed in this turn.
+  std::uint64_t last_caller_id_ = 0;
+  // At most kMaxConnections open ones, and those that were closed in this turn. Oldest first.
   std::vector<std::unique_ptr<Caller>> callers_;
   net::Listener listener_;
 };
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -10,7 +10,7 @@
 
 using core::ClassCounters;
 
-/// A counter with one value for each request class.
+/// A counter metric with one value for each request class.
 struct ClassMetric {
   const char* name;
   const char* help;
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -1,8 +1,8 @@
-// The metrics for operators' scrapers in the Prometheus text exposition format. No I/O.
+// Renders the metrics in the Prometheus text exposition format. Performs no I/O.
 //
-// Each value is read where it is counted: the engine's counters, its attempts written whole to the
-// caches, and the routing policy's own view of the caches. All counters start at 0 with the
-// process.
+// All values come from the engine: its counters, including the attempts that were written
+// completely to the caches, and the routing policy's view of the caches. All counters start at 0
+// when the process starts.
 #pragma once
 
 #include <string>
@@ -12,7 +12,8 @@
 
 namespace alderspur::admin {
 
-/// `class_names`: the names of the request classes, in the order of the settings.
+/// Returns the text of all metrics. `class_names` contains the names of the request classes, in the
+/// order of the settings.
 std::string render_metrics(core::Engine& engine, const std::vector<std::string>& class_names);
 
 }  // namespace alderspur::admin
--- a/src/admin/router_admin_handler.cpp
+++ b/src/admin/router_admin_handler.cpp
@@ -10,11 +10,12 @@
 namespace alderspur::admin {
 namespace {
 
-// How long readiness waits until the other processes can see in the shared directory that this one
-// serves.
+// The maximum time for which a new process is not ready because the shared directory does not show
+// yet to the other processes that this process serves clients.
 constexpr core::Time kPublishTimeout = 500'000;
 
-/// A reply that is given once: by the disk or by the timeout, whichever comes first.
+/// A reply that is given exactly once: after the write to disk or after the timeout, whichever is
+/// first.
 struct PendingReply {
   AdminHandler::ReplyCallback done;
   core::Deadlines::Key timeout{};
@@ -62,11 +63,11 @@
   const bool is_valid_name = core::is_plain_word(server);
   const bool was_banned = is_valid_name && hot_restart_.is_banned(name);
   if (!was_banned && (!is_valid_name || !router_.is_listed(server))) {
-    done({404, "no such cache\n"});
+    done({404, "no cache with this name is listed\n"});
     return;
   }
   if (was_banned != is_banned && hot_restart_.is_full()) {
-    done({503, "too many changes wait for the disk, call again\n"});
+    done({503, "too many ban changes are waiting for the disk; retry later\n"});
     return;
   }
   if (was_banned == is_banned && hot_restart_.is_saved(name)) {
@@ -76,13 +77,14 @@
   save_ban({name, is_banned}, std::move(done));
 }
 
-// The reply for a change that is on the disk.
+// Returns the reply to a change that is on the disk.
 HttpReply RouterAdminHandler::ban_reply(const hot_restart::BanChange& change) const {
-  if (!change.is_banned) return {200, change.server + " may serve\n"};
+  if (!change.is_banned) return {200, change.server + " is not banned\n"};
   if (!is_ban_replicated_ || is_ban_replicated_(change.server)) {
-    return {200, change.server + " is out\n"};
+    return {200, change.server + " is banned\n"};
   }
-  return {503, "it holds at this router only: the replicated bans have reached a limit\n"};
+  return {503,
+          "the ban is in effect on this router only: the limit of replicated bans is reached\n"};
 }
 
 void RouterAdminHandler::save_ban(const hot_restart::BanChange& change, ReplyCallback done) {
@@ -93,7 +95,8 @@
     deadlines_.cancel(pending->timeout);
     const auto reply = std::exchange(pending->done, {});
     if (error) {
-      reply({503, "it holds in this process, but is not on the disk: " + to_string(*error) + "\n"});
+      reply({503, "the change is in effect in this process but is not on the disk: " +
+                      to_string(*error) + "\n"});
     } else {
       reply(ban_reply(change));
     }
--- a/src/admin/router_admin_handler.h
+++ b/src/admin/router_admin_handler.h
@@ -1,6 +1,6 @@
-// Answers the operators' calls for one router: readiness, metrics, manual bans, and what the
-// services that run beside the router add (cluster view, versions). Runs on the event loop's
-// thread.
+// Handles the operators' calls for one router: readiness, metrics and bans, and the calls that
+// other services of the process add (cluster view, configuration versions). Used on the event
+// loop's thread only.
 #pragma once
 
 #include <cstddef>
@@ -17,20 +17,20 @@
 
 namespace alderspur::admin {
 
-/// The handler of one router.
+/// The AdminHandler of one router.
 class RouterAdminHandler : public AdminHandler {
  public:
-  /// What the handler asks of the router that it belongs to.
+  /// Functions that return the state of the router.
   struct RouterState {
-    std::function<bool()> is_draining;  // a planned shutdown has begun
-    std::function<bool(std::string_view server)> is_listed;
+    std::function<bool()> is_draining;                       // a graceful shutdown has started
+    std::function<bool(std::string_view server)> is_listed;  // is in the endpoint list
   };
-  /// Answers calls about configuration versions; see AdminHandler::handle_versions_call().
+  /// Handles calls about configuration versions; see AdminHandler::handle_versions_call().
   using VersionsHandler = std::function<HttpReply(std::string_view path, std::string_view query,
                                                   const std::string& body)>;
 
-  /// `class_names`: of the request classes, in the order of the settings. What is passed by
-  /// reference must outlive the handler.
+  /// `class_names` contains the names of the request classes, in the order of the settings. All
+  /// arguments passed by reference must outlive the handler.
   RouterAdminHandler(core::Deadlines& deadlines, core::Engine& engine,
                      hot_restart::HotRestartCoordinator& hot_restart,
                      const std::vector<std::string>& class_names, RouterState router);
@@ -41,23 +41,27 @@
   std::optional<HttpReply> handle_versions_call(std::string_view path, std::string_view query,
                                                 const std::string& body) override;
   std::size_t max_body_bytes() override { return max_body_bytes_; }
-  /// An unknown server gets 404; a call that changes nothing gets 200 like the first. The ban takes
-  /// effect in this turn of the loop; the 200 follows once it is on the disk. Where that fails or
-  /// takes longer than kDiskTimeout: 503, and the ban stays in effect all the same. The same where
-  /// the ban cannot be replicated to the other routers.
+  /// Bans a server or lifts its ban. The change takes effect in this turn of the loop. The reply
+  /// has status 200 and is given once the change is on the disk. A call that changes nothing gets
+  /// 200 as well, and an unknown server gets 404. The status is 503 if the change cannot be written
+  /// to the disk within kDiskTimeout, or if a ban cannot be replicated to the other routers; the
+  /// change stays in effect nevertheless.
   void change_ban(std::string_view server, bool is_banned, ReplyCallback done) override;
 
-  /// Sets the view of the cluster, as JSON; without it there is none.
+  /// Sets the function that returns the view of the cluster as JSON. Until it is set, or if it
+  /// returns an empty string, there is no view.
   void set_cluster_view(std::function<std::string()> view) { cluster_view_ = std::move(view); }
-  /// The process reports itself as not ready until this returns true.
+  /// Sets a condition for readiness: is_ready() returns false while `condition` returns false.
   void set_readiness_condition(std::function<bool()> condition) {
     readiness_condition_ = std::move(condition);
   }
-  /// Sets what tells whether a ban that is in effect here is known to the other routers too.
+  /// Sets the function that returns whether a ban in effect here is replicated to the other
+  /// routers.
   void set_ban_replication_check(std::function<bool(const std::string& server)> is_replicated) {
     is_ban_replicated_ = std::move(is_replicated);
   }
-  /// Sets the handler of calls about versions with bodies of at most `max_body_bytes`.
+  /// Sets the handler of calls about configuration versions. Their bodies may have at most
+  /// `max_body_bytes`.
   void set_versions_handler(VersionsHandler handler, std::size_t max_body_bytes) {
     versions_handler_ = std::move(handler);
     max_body_bytes_ = max_body_bytes;
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,4 +1,4 @@
-// The operators' calls and the metrics that they read.
+// Tests of the admin server and of the metrics.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -17,26 +17,29 @@
 
 constexpr std::string_view kEndOfHead = " HTTP/1.1\r\nHost: x\r\n\r\n";
 
-std::string call_of(std::string_view method_and_path) {
+/// Encodes a request without a body.
+std::string encode_call(std::string_view method_and_path) {
   return std::string(method_and_path) + std::string(kEndOfHead);
 }
 
-/// Takes requests and never answers them by itself.
-struct SilentUpstream : core::UpstreamClient {
-  void send(core::AttemptId attempt, ServerId /*server*/) override { open.push_back(attempt); }
-  void abort(core::AttemptId attempt) override { std::erase(open, attempt); }
+/// Records the open attempts. It never responds to them; the tests do so.
+struct RecordingUpstream : core::UpstreamClient {
+  void send(core::AttemptId attempt, ServerId /*server*/) override {
+    open_attempts.push_back(attempt);
+  }
+  void abort(core::AttemptId attempt) override { std::erase(open_attempts, attempt); }
   void send_health_check(ServerId /*server*/) override {}
 
-  std::vector<core::AttemptId> open;
+  std::vector<core::AttemptId> open_attempts;
 };
 
-/// Checks that each request gets one final response.
+/// Records the open requests and checks that each gets exactly one final response.
 struct RecordingFront : core::Front {
   void respond(core::RequestHandle request, const core::Response& /*response*/) override {
-    EXPECT_TRUE(open.erase(request)) << "one final response";
+    EXPECT_TRUE(open_requests.erase(request)) << "a request got more than one final response";
   }
 
-  std::set<core::RequestHandle> open;
+  std::set<core::RequestHandle> open_requests;
 };
 
 Server cache(std::uint64_t id, std::uint32_t zone = 0) {
@@ -56,25 +59,25 @@
     const auto event = random_() % 8;
     if (event < 3) {
       admit();
-    } else if (event == 3 && !front_.open.empty()) {
-      const auto request = *front_.open.begin();
-      front_.open.erase(request);
+    } else if (event == 3 && !front_.open_requests.empty()) {
+      const auto request = *front_.open_requests.begin();
+      front_.open_requests.erase(request);
       engine_.cancel_request(request);
-    } else if (event == 4 && !front_.open.empty()) {
-      engine_.finish_now(*front_.open.rbegin());
+    } else if (event == 4 && !front_.open_requests.empty()) {
+      engine_.finish_now(*front_.open_requests.rbegin());
     } else if (event == 5) {
       engine_.count_rejected(
           random_() % 2, random_() % 2 ? core::FinalStatus::rejected : core::FinalStatus::failed);
     } else if (event == 6) {
       now_ += static_cast<core::Time>(random_() % 400'000);
       deadlines_.run_due(now_);
-    } else if (!upstream_.open.empty()) {
-      answer();
+    } else if (!upstream_.open_attempts.empty()) {
+      respond_to_attempt();
     }
     engine_.run();
   }
   core::Engine& engine() { return engine_; }
-  std::size_t unanswered_requests() const { return front_.open.size(); }
+  std::size_t unanswered_requests() const { return front_.open_requests.size(); }
 
  private:
   static Settings settings() {
@@ -93,15 +96,15 @@
     request.time_limit = 1'000'000;
     request.size_kb = 100;
     request.id = "x";
-    front_.open.insert(engine_.admit(front_, request));
+    front_.open_requests.insert(engine_.admit(front_, request));
   }
-  void answer() {
+  void respond_to_attempt() {
     using Result = AttemptResult;
     constexpr std::array kResults{Result::ok,    Result::ok,    Result::overloaded,
                                   Result::error, Result::reset, Result::connect_failed};
-    const auto attempt = upstream_.open[random_() % upstream_.open.size()];
+    const auto attempt = upstream_.open_attempts[random_() % upstream_.open_attempts.size()];
     if (random_() % 4) engine_.mark_written(attempt);
-    std::erase(upstream_.open, attempt);
+    std::erase(upstream_.open_attempts, attempt);
     engine_.on_upstream_response(
         attempt, {kResults[random_() % kResults.size()], false, "bytes", "t", 0, {}});
   }
@@ -109,11 +112,12 @@
   std::mt19937 random_;
   core::Time now_ = 1'000'000'000;
   core::Deadlines deadlines_;
-  SilentUpstream upstream_;
+  RecordingUpstream upstream_;
   RecordingFront front_;
   core::Engine engine_;
 };
 
+/// Returns the counters of all request classes added up.
 core::ClassCounters sum_over_classes(core::Engine& engine) {
   core::ClassCounters sum;
   for (const auto& counters : engine.class_counters()) {
@@ -125,9 +129,9 @@
   return sum;
 }
 
-// After each of many random events: every admitted request is counted once as ended or open, and
-// the classes add up to the whole.
-TEST(MetricsTest, AddUpInAnyOrderOfEvents) {
+// Checks after each of many random events that every admitted request is counted exactly once, as
+// ended or as open, and that the counters of the classes add up to the totals.
+TEST(MetricsTest, CountersAddUpInAnyOrderOfEvents) {
   std::uint64_t total_served = 0;
   std::uint64_t total_cancelled = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
@@ -153,12 +157,12 @@
   EXPECT_GT(total_cancelled, 100U);
 }
 
-TEST(MetricsTest, CountAvoidedCachesInTheExpositionFormat) {
+TEST(MetricsTest, RendersAvoidedCachesInTheExpositionFormat) {
   core::Deadlines deadlines;
   Settings settings;
   settings.classes.resize(1);
   core::Engine engine(settings, 1, deadlines, [] { return core::Time{1'000'000}; });
-  SilentUpstream upstream;
+  RecordingUpstream upstream;
   engine.attach(upstream);
   Server parent = cache(3);
   parent.role = Role::parent;
@@ -175,7 +179,8 @@
   }
 }
 
-/// Knows one cache, s-1, and does not answer changes of the server "later" by itself.
+/// Accepts ban changes of the cache s-1, stores the reply callback of a change of the server
+/// "later", and replies with 404 for all other servers.
 struct ScriptedAdminHandler : admin::AdminHandler {
   bool is_ready() override { return true; }
   std::string render_metrics() override { return "f 1\n"; }
@@ -199,11 +204,13 @@
       server.end_turn();
     });
   }
+  /// Connects to the server and sends bytes.
   SocketPtr send(const std::string& bytes) const {
     auto socket = loopback::connect_to(server.address());
     socket->write(bytes);
     return socket;
   }
+  /// Runs the loop and reads from the sockets until the condition holds. Returns false after 10 s.
   bool run_until(const std::function<bool()>& condition,
                  const std::vector<loopback::TestSocket*>& sockets) {
     for (const core::Time end = net::unix_now() + 10'000'000; net::unix_now() < end;) {
@@ -214,7 +221,7 @@
     }
     return false;
   }
-  /// The status of the reply to a call; 0 without one.
+  /// Sends a call and returns the status of the reply, or 0 if there was no reply.
   int status_of(const std::string& call) {
     const auto socket = send(call);
     EXPECT_TRUE(run_until([&] { return socket->is_closed; }, {socket.get()})) << call;
@@ -228,67 +235,68 @@
                             net::unix_now};
 };
 
-TEST_F(AdminServerTest, AnswersEachCallWithItsStatus) {
-  EXPECT_EQ(status_of(call_of("GET /control/ready")), 200);
-  EXPECT_EQ(status_of(call_of("GET /control/counters?x=1")), 200);
-  EXPECT_EQ(status_of(call_of("PUT /control/ready")), 405);
-  EXPECT_EQ(status_of(call_of("GET /control/caches/s-1/offline")), 405);
-  EXPECT_EQ(status_of(call_of("PUT /control/caches/s-1/offline")), 200);
+TEST_F(AdminServerTest, RepliesToEachCallWithItsStatus) {
+  EXPECT_EQ(status_of(encode_call("GET /control/ready")), 200);
+  EXPECT_EQ(status_of(encode_call("GET /control/counters?x=1")), 200);
+  EXPECT_EQ(status_of(encode_call("PUT /control/ready")), 405);
+  EXPECT_EQ(status_of(encode_call("GET /control/caches/s-1/offline")), 405);
+  EXPECT_EQ(status_of(encode_call("PUT /control/caches/s-1/offline")), 200);
   EXPECT_EQ(
       status_of("PUT /control/caches/s-1/online HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"),
       200);
-  EXPECT_EQ(status_of(call_of("PUT /control/caches/s-2/online")), 404);
-  EXPECT_EQ(status_of(call_of("PUT /control/caches//online")), 404);
-  EXPECT_EQ(status_of(call_of("PUT /control/caches/online")), 404);
-  EXPECT_EQ(status_of(call_of("PUT /control/caches/a/b/online")), 404);
-  EXPECT_EQ(status_of(call_of("DELETE /")), 404);
+  EXPECT_EQ(status_of(encode_call("PUT /control/caches/s-2/online")), 404);
+  EXPECT_EQ(status_of(encode_call("PUT /control/caches//online")), 404);
+  EXPECT_EQ(status_of(encode_call("PUT /control/caches/online")), 404);
+  EXPECT_EQ(status_of(encode_call("PUT /control/caches/a/b/online")), 404);
+  EXPECT_EQ(status_of(encode_call("DELETE /")), 404);
   EXPECT_EQ(status_of("\x16\x03\x01 no http\r\n\r\n"), 400);
   EXPECT_EQ(status_of("GET /control/ready HTTP/1.1\r\nX: " + std::string(4000, 'x')), 431);
 }
 
-/// A sanitizer opens a pipe when it first sees a type: this uses the types that a listener's pause
-/// needs while there are still descriptors.
+/// A sanitizer opens a pipe when it first checks a type. This function uses the types that the
+/// pause of a listener needs, while descriptors are still free.
 void use_shared_pointers_once() {
   const std::shared_ptr<bool> first = std::make_shared<bool>(true);
   std::shared_ptr<bool> second = first;
   second.reset();
 }
 
-// Guards against clients that use up all descriptors: then above all, operators need an answer.
-TEST_F(AdminServerTest, AnswersWhileTheProcessHasNoDescriptorsLeft) {
+// Guards against an admin server that cannot accept a call because clients use all descriptors of
+// the process. Operators need the server most in that situation.
+TEST_F(AdminServerTest, RepliesWhileTheProcessHasNoFreeDescriptors) {
   use_shared_pointers_once();
-  ASSERT_EQ(status_of(call_of("GET /control/ready")), 200);
-  // The descriptor of that call is free again before the others are used up.
-  const core::Time rest = net::unix_now() + 200'000;
-  run_until([&] { return net::unix_now() > rest; }, {});
+  ASSERT_EQ(status_of(encode_call("GET /control/ready")), 200);
+  // Waits until the descriptor of that call is free again.
+  const core::Time wait_end = net::unix_now() + 200'000;
+  run_until([&] { return net::unix_now() > wait_end; }, {});
   std::vector<SocketPtr> sockets(3);
-  for (auto& socket : sockets) socket = send(call_of("GET /control/ready"));
-  rlimit before{};
-  ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &before), 0);
-  rlimit low = before;
-  low.rlim_cur = 256;
-  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &low), 0);
-  std::vector<net::Fd> taken;
-  for (int fd = ::dup(0); fd >= 0; fd = ::dup(0)) taken.emplace_back(fd);
+  for (auto& socket : sockets) socket = send(encode_call("GET /control/ready"));
+  rlimit original_limit{};
+  ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &original_limit), 0);
+  rlimit low_limit = original_limit;
+  low_limit.rlim_cur = 256;
+  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &low_limit), 0);
+  std::vector<net::Fd> used_descriptors;
+  for (int fd = ::dup(0); fd >= 0; fd = ::dup(0)) used_descriptors.emplace_back(fd);
   EXPECT_EQ(errno, EMFILE);
   for (auto& socket : sockets) {
     EXPECT_TRUE(run_until([&] { return socket->is_closed; },
                           {sockets[0].get(), sockets[1].get(), sockets[2].get()}));
     EXPECT_TRUE(socket->received.starts_with("HTTP/1.1 200")) << socket->received;
   }
-  taken.clear();
-  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &before), 0);
+  used_descriptors.clear();
+  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &original_limit), 0);
 }
 
-// Guards against connections without a complete request that keep everybody else out.
-TEST_F(AdminServerTest, ClosesSilentConnectionsWhenAllAreInUse) {
+// Guards against connections without a complete request that lock out all other callers.
+TEST_F(AdminServerTest, ClosesSilentConnectionsWhenAllConnectionsAreInUse) {
   std::vector<SocketPtr> silent(120);
   for (std::size_t i = 0; i < 60; ++i) silent[i] = send(i % 2 ? "GET /control/re" : "");
-  EXPECT_EQ(status_of(call_of("GET /control/ready")), 200);
-  const auto waiting = send(call_of("PUT /control/caches/later/offline"));
+  EXPECT_EQ(status_of(encode_call("GET /control/ready")), 200);
+  const auto waiting = send(encode_call("PUT /control/caches/later/offline"));
   ASSERT_TRUE(run_until([&] { return static_cast<bool>(handler.pending_reply); }, {waiting.get()}));
   for (std::size_t i = 60; i < silent.size(); ++i) silent[i] = send("");
-  EXPECT_EQ(status_of(call_of("GET /control/ready")), 200);
+  EXPECT_EQ(status_of(encode_call("GET /control/ready")), 200);
   handler.pending_reply({200, "done\n"});  // a call in progress keeps its connection
   ASSERT_TRUE(run_until([&] { return waiting->is_closed; }, {waiting.get()}));
   EXPECT_NE(waiting->received.find(" 200 OK"), std::string::npos);
--- a/tests/replication/replicated_test.cpp
+++ b/tests/replication/replicated_test.cpp
@@ -69,11 +69,11 @@
 
 TEST_F(ReplicatedProcesses, BansAtAllRoutersWhenOneIsAskedAndLiftsWhenAnotherIs) {
   ASSERT_NO_FATAL_FAILURE(begin(4));
-  EXPECT_NE(request_change(0, "offline").find("is out"), std::string::npos);
+  EXPECT_NE(request_change(0, "offline").find("is banned"), std::string::npos);
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), true); }, 15 * kSecond));
   cluster->run(kSecond);  // requests in flight end
   EXPECT_EQ(requests_within(2 * kSecond), 0u);
-  EXPECT_NE(request_change(3, "online").find("may serve"), std::string::npos);
+  EXPECT_NE(request_change(3, "online").find("is not banned"), std::string::npos);
   ASSERT_TRUE(cluster->until([&] { return banned_at(cluster->all(), false); }, 15 * kSecond));
   EXPECT_TRUE(cluster->until([&] { return requests_within(500'000) > 0; }));
 }
@@ -218,12 +218,12 @@
   ASSERT_TRUE(cluster->until([&] { return cluster->whole(cluster->all()) && all_caught_up(); }));
   for (int call = 0; call < 2; ++call) {
     const auto reply = request_change(0, "offline");
-    EXPECT_NE(reply.find("holds at this router only"), std::string::npos) << reply;
+    EXPECT_NE(reply.find("is in effect on this router only"), std::string::npos) << reply;
   }
   EXPECT_NE(cluster->log(0).find("event=ban_not_replicated"), std::string::npos);
   EXPECT_NE(cluster->log(0).find("event=bound_reached"), std::string::npos);
   EXPECT_TRUE(banned_at({1}, false));
-  EXPECT_NE(request_change(0, "online").find("may serve"), std::string::npos);
+  EXPECT_NE(request_change(0, "online").find("is not banned"), std::string::npos);
 }
 
 // Guards against a line of log with every event while a disk takes no bans.
