--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -22,19 +22,21 @@
 
 // ---- Callbacks of http-parser ----
 
-/// What the callbacks collect of one request.
+/// The state that the callbacks collect while one request is parsed.
 struct ParserState {
   Request& request;
   const bool reads_body;
-  std::string_view field_name;  // of the value that comes next
+  std::string_view field_name;  // the header field whose value is parsed next
   bool is_head_complete = false;
   bool is_complete = false;
   bool has_repeated_authorization = false;
 };
 
+/// Returns the state that `parser` was given.
 ParserState& state_of(http_parser* parser) { return *static_cast<ParserState*>(parser->data); }
 
-/// The member of the request that holds the field; null where no member does.
+/// Returns the member of the request that holds the value of this header field, or null if there is
+/// no such member.
 std::string_view* known_field(Request& request, std::string_view name) {
   struct KnownField {
     std::string_view name;
@@ -52,7 +54,7 @@
 
 int on_url(http_parser* parser, const char* data, std::size_t size) {
   auto& target = state_of(parser).request.target;
-  // Further parts follow the first one directly in the same buffer.
+  // The parser may pass the target in several parts, which are adjacent in the same buffer.
   const char* begin = target.empty() ? data : target.data();
   target = std::string_view(begin, target.size() + size);
   return 0;
@@ -129,16 +131,17 @@
   }
 }
 
-/// Also where the body is announced but has not arrived: bytes that will not be read are not
-/// waited for.
+/// Returns whether the body exceeds the limit. A body whose announced length exceeds the limit is
+/// rejected before it arrives, since it will not be read anyway.
 bool is_body_too_large(const http_parser& parser, const ParserState& state, std::size_t limit) {
   if (state.request.body.size() > limit) return true;
-  // While a body is read, content_length is what has yet to come of it.
+  // While a body is parsed, content_length is the number of its bytes that have not arrived yet.
   const bool is_announced = (parser.flags & F_CONTENTLENGTH) != 0 && !state.is_complete;
   return is_announced && parser.content_length > limit;
 }
 
-/// Sets what depends on the complete head: method, keep_alive, and rejections.
+/// Sets the members of the request that depend on its complete head: method, keep_alive, and
+/// error_status if the request is rejected.
 void finish_request(const http_parser& parser, const ParserState& state) {
   Request& request = state.request;
   const bool has_body = (parser.flags & F_CHUNKED) != 0 ||
@@ -147,7 +150,7 @@
   request.keep_alive = http_should_keep_alive(&parser) != 0;
   const bool is_read = request.method == Method::get || request.method == Method::head;
   const bool leaves_body_unread = !state.reads_body && has_body;
-  // Behind a body that is not read, the next request could not be told from the body.
+  // The start of the next request is unknown after a body that was not read.
   if (leaves_body_unread || (!state.reads_body && !is_read)) request.keep_alive = false;
   if (state.has_repeated_authorization || parser.upgrade || (leaves_body_unread && is_read)) {
     request.error_status = 400;
@@ -210,7 +213,8 @@
   Request request;
   if (!has_head && bytes.size() >= limits.max_head_bytes) return rejected(std::move(request), 431);
 
-  // An incomplete head is parsed too: what can never become a request is rejected now.
+  // An incomplete head is parsed too, so that input that cannot become a valid request is rejected
+  // without waiting for the rest.
   const bool reads_body = limits.max_body_bytes > 0;
   const auto input = has_head && !reads_body ? bytes.substr(0, head_end + kHeadEnd.size()) : bytes;
   ParserState state{request, reads_body, {}};
--- a/tests/invalid_input_test.cpp
+++ b/tests/invalid_input_test.cpp
@@ -1,5 +1,5 @@
-// Corrupted input to every codec: no crash, no read out of bounds. The seeds are fixed, so that the
-// result is always the same.
+// Passes corrupted input to every codec and checks that none crashes or reads out of bounds. The
+// random seeds are fixed, so that the results are reproducible.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -20,8 +20,10 @@
 
 using namespace alderspur;
 
-// Calls `read` with many corrupted copies of `valid`, each in memory of exactly its size.
-void read_corrupted(const std::string& valid, const std::function<void(std::string_view)>& read) {
+// Calls `read` with many corrupted copies of `valid`. Each copy is in a memory block of exactly its
+// size, so that the sanitizer detects a read out of bounds.
+void for_each_corrupted_copy(const std::string& valid,
+                             const std::function<void(std::string_view)>& read) {
   std::mt19937 random(7);
   for (int round = 0; round < 3000; ++round) {
     std::string text = valid;
@@ -32,8 +34,8 @@
     if (random() % 5 == 0) {
       text.insert(random() % (text.size() + 1), text.substr(0, random() % (text.size() + 1)));
     }
-    const std::vector<char> exact(text.begin(), text.end());
-    read({exact.data(), exact.size()});
+    const std::vector<char> exact_copy(text.begin(), text.end());
+    read({exact_copy.data(), exact_copy.size()});
   }
 }
 
@@ -41,10 +43,10 @@
   const std::string valid =
       loopback::encode_request(1, "pay", {{"unique", std::string(32, 'a')}}, "xyz");
   int complete_calls = 0;
-  read_corrupted(valid, [&](std::string_view bytes) {
+  for_each_corrupted_copy(valid, [&](std::string_view bytes) {
     rpc_front::Call call;
-    for (auto before = bytes.size() + 1; bytes.size() < before;) {
-      before = bytes.size();
+    for (auto previous_size = bytes.size() + 1; bytes.size() < previous_size;) {
+      previous_size = bytes.size();
       if (rpc_front::next_call(bytes, call) != core::ParseStatus::complete) break;
       const auto request = rpc_front::to_request_view(call, {true, true, false});
       if (!request) continue;
@@ -56,16 +58,17 @@
   EXPECT_GT(complete_calls, 100);
 }
 
-// Guards against lengths and counts beyond the limit: the frame is rejected at its header.
-TEST(InvalidInputTest, RejectsFrameAtOnceWhenItsLengthExceedsTheLimit) {
+// Guards against waiting for the rest of a frame whose header contains a length or a count that
+// exceeds the limit.
+TEST(InvalidInputTest, RejectsFrameByItsHeaderWhenLengthExceedsLimit) {
   using namespace std::string_literals;
-  for (const auto& claim :
+  for (const auto& item_header :
        {"\xc6\x03\x93\x87\x00"s, "\xdb\xff\xff\xff\xff"s, "\xdd\xff\xff\xff\xff"s,
         "\xdf\xff\xff\xff\xff"s, "\xc9\x7f\xff\xff\xff"s, "\xc1"s}) {
     const std::string message =
         "\x94\x00\x01\xa5"
         "asset"s +
-        claim;
+        item_header;
     std::string_view bytes = message;
     rpc_front::Call call;
     EXPECT_EQ(rpc_front::next_call(bytes, call), core::ParseStatus::invalid) << message;
@@ -73,13 +76,13 @@
 }
 
 TEST(InvalidInputTest, SurvivesCorruptedCacheResponses) {
-  read_corrupted(
+  for_each_corrupted_copy(
       "9b1f served sum=ab,t0=1764576000000,rep=inflight:7;x1:0.5 5\r\nbytes\r\np1 green - "
       "0\r\n\r\n",
       [](std::string_view bytes) {
         upstream::CacheResponse response;
-        for (auto before = bytes.size() + 1; bytes.size() < before;) {
-          before = bytes.size();
+        for (auto previous_size = bytes.size() + 1; bytes.size() < previous_size;) {
+          previous_size = bytes.size();
           if (upstream::next_response(bytes, response) != core::ParseStatus::complete) break;
           upstream::parse_load_report(response.report);
           EXPECT_LE(response.body.size(), 240'000u);
@@ -94,14 +97,14 @@
   const signed_url::TokenVerifier verifier({key}, 5);
   ASSERT_EQ(verifier.verify("/asset/7f3a9c21e0b4d655/0", link, 100).status,
             signed_url::TokenStatus::accepted);
-  read_corrupted(link, [&](std::string_view bytes) {
+  for_each_corrupted_copy(link, [&](std::string_view bytes) {
     if (bytes == link) return;
     EXPECT_NE(verifier.verify("/asset/7f3a9c21e0b4d655/0", bytes, 100).status,
               signed_url::TokenStatus::accepted)
         << bytes;
     signed_url::decode_base64url(bytes);
   });
-  read_corrupted(
+  for_each_corrupted_copy(
       "GET " + link +
           " HTTP/1.1\r\nHost: x\r\nCookie: a=b; alderspur=c\r\nIf-None-Match: \"t\"\r\n\r\n",
       [](std::string_view bytes) {
@@ -110,7 +113,7 @@
         EXPECT_LE(bytes.size(), head.size());
         http::cookie_value(request.cookie, "alderspur");
         http::bare_tag(request.if_none_match);
-        // Of a request that is incomplete no fields are returned: the bytes stand for them.
+        // An incomplete request has no fields, so the corrupted bytes are parsed as fields as well.
         http::cookie_value(head, "alderspur");
         http::bare_tag(head);
       });
@@ -118,11 +121,11 @@
 
 TEST(InvalidInputTest, SurvivesCorruptedEventsSettingsAndDiscoveryRequests) {
   const config::Names names;
-  read_corrupted(
+  for_each_corrupted_copy(
       R"({"rev":41,"pool":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:1","size":4}]},
          "flush":{"asset":"7f3a","ms":1764576000123}})",
       [&](std::string_view bytes) { config::read_watch_event(bytes, names); });
-  read_corrupted(
+  for_each_corrupted_copy(
       R"({"limits":{"sockets":64},"settings":{"classes":[{"name":"a","target":1e6}],"ceilings":{"max-attempts":3}}})",
       [](std::string_view bytes) {
         try {
@@ -130,7 +133,7 @@
         } catch (const config::Error&) {
         }
       });
-  read_corrupted(
+  for_each_corrupted_copy(
       R"({"type_url":"","version_info":"1","resource_names":["c"]})", [](std::string_view bytes) {
         xds::answer_discovery_request(bytes, "c", {}, [](auto) { return std::string(); });
       });
