--- a/src/hot_restart/ban_store.cpp
+++ b/src/hot_restart/ban_store.cpp
@@ -8,7 +8,8 @@
 namespace alderspur::hot_restart {
 namespace {
 
-// The payload is one line "bans 1 SERIAL", then one line with a server's name for each ban.
+// The payload consists of the line "bans 1 SERIAL" and one line with the server's name for each
+// ban.
 constexpr std::string_view kFormatPrefix = "bans 1 ";
 
 /// Removes the first line from `text` and returns it without its line break.
@@ -19,6 +20,7 @@
   return line;
 }
 
+/// Reports whether one of the changes concerns the server.
 bool contains(const std::vector<BanChange>& changes, const std::string& server) {
   return std::any_of(changes.begin(), changes.end(),
                      [&](const BanChange& change) { return change.server == server; });
@@ -63,7 +65,7 @@
 }
 
 void BanStore::begin_change(const BanChange& change) {
-  // The new change replaces an earlier one of the same server that could not be saved.
+  // The new change replaces an earlier change of the same server that could not be saved.
   std::erase_if(failed_, [&](const BanChange& failed) { return failed.server == change.server; });
   pending_.push_back(change);
 }
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -9,12 +9,14 @@
 namespace alderspur::hot_restart {
 namespace {
 
-constexpr double kMinShare = 0.05;  // for a process without requests, so that it can begin
-constexpr double kEvenShare = 0.5;  // while neither this process nor its peers have requests
-// Weight of the newest measurement in the mean request rate: a time constant of about half a
-// second.
+// A process without requests still gets this share, so that it can start to serve.
+constexpr double kMinShare = 0.05;
+// The share while neither this process nor its peers have requests.
+constexpr double kEvenShare = 0.5;
+// Weight of the newest measurement in the moving average of the request rate. It gives a time
+// constant of about half a second.
 constexpr double kRateSmoothing = 0.25;
-constexpr std::chrono::milliseconds kStopTimeout(200);  // a poll takes under one
+constexpr std::chrono::milliseconds kStopTimeout(200);  // a poll takes under 1 ms
 constexpr std::chrono::milliseconds kRegistrationPause(10);
 constexpr double kMicrosecondsPerSecond = 1e6;
 
@@ -35,7 +37,7 @@
   directory_ = std::make_shared<SharedDirectory>(directory, key);
   wakeup_ = std::make_unique<net::Wakeup>(loop);
   worker_ = std::make_unique<file_watch::Worker>();
-  begin();
+  run_first_poll();
 }
 
 HotRestartCoordinator::~HotRestartCoordinator() {
@@ -43,8 +45,8 @@
   worker_.reset();
 }
 
-// On the worker's thread: claims a slot, waits until the peers have found this process, and takes
-// the first share.
+// Claims a slot, waits until the peers have found this process, and acquires the first share. Runs
+// on the worker thread.
 HotRestartCoordinator::PollResult HotRestartCoordinator::register_process(
     SharedDirectory& directory) {
   using std::chrono::microseconds, std::chrono::steady_clock;
@@ -52,31 +54,31 @@
   result.error = directory.claim_slot();
   result.peers = directory.read_peers();
   const auto deadline = steady_clock::now() + microseconds(kRegistrationTimeout);
-  while (!result.error && !result.peers.all_know_a_peer && steady_clock::now() < deadline) {
+  while (!result.error && !result.peers.all_have_found_a_peer && steady_clock::now() < deadline) {
     std::this_thread::sleep_for(kRegistrationPause);
     result.peers = directory.read_peers();
   }
   result.bans = directory.read_bans();
   result.published.known_peers = result.peers.count;
   if (result.error) {
-    result.published.share = 1;  // no peer can be found
+    result.published.share = 1;  // without the directory, no peer can be found
   } else {
     result.error = directory.raise_share(result.published, result.peers.count ? kMinShare : 1);
   }
   return result;
 }
 
-// Waits for the first poll for a bounded time; nothing is served yet.
-void HotRestartCoordinator::begin() {
+// Waits for the first poll for at most kStartTimeout. The process does not serve clients yet.
+void HotRestartCoordinator::run_first_poll() {
   auto promise = std::make_shared<std::promise<PollResult>>();
   auto future = promise->get_future();
   worker_->submit(
       [directory = directory_, promise] { promise->set_value(register_process(*directory)); });
   if (future.wait_for(std::chrono::microseconds(kStartTimeout)) == std::future_status::ready) {
-    handle(future.get());
+    apply_poll_result(future.get());
   } else {
     status_.share = 1;
-    log_if_new("the shared folder does not answer, starting without what it holds",
+    log_if_new("the shared directory does not respond; starting without its bans and peers",
                last_poll_problem_);
   }
   schedule_poll();
@@ -103,7 +105,7 @@
   status_.concurrency_limit = load.concurrency_limit;
 }
 
-// In proportion to the request rates, with at least kMinShare for each process.
+// Returns the share in proportion to the request rates, with at least kMinShare for each process.
 double HotRestartCoordinator::wanted_share() const {
   if (!peers_.count) return 1;
   const double total_rate = request_rate_ + peers_.request_rate;
@@ -111,7 +113,9 @@
                     1 - kMinShare * peers_.count);
 }
 
-// On the worker's thread.
+// Publishes the status, raises the share if it is below `wanted_share`, and reads peers and bans.
+// Writes the bans to the disk again if the list there is older than `known_bans`. Runs on the
+// worker thread.
 HotRestartCoordinator::PollResult HotRestartCoordinator::poll(SharedDirectory& directory,
                                                               const ProcessStatus& status,
                                                               double wanted_share,
@@ -132,7 +136,8 @@
 }
 
 void HotRestartCoordinator::start_poll() {
-  if (is_polling_) return;  // the disk does not respond: share, peers and bans stay as they are
+  // While the disk does not respond, the share, the peers and the bans stay unchanged.
+  if (is_polling_) return;
   for (const auto& change : bans_.retry_failed_changes()) save(change, {});
   measure_load();
   status_.known_peers = peers_.count;
@@ -146,12 +151,12 @@
         wakeup_->post([this, result = poll(*directory, status, wanted, known_bans)] {
           is_polling_ = false;
           is_published_ |= result.published.phase == ProcessPhase::serving;
-          handle(result);
+          apply_poll_result(result);
         });
       });
 }
 
-void HotRestartCoordinator::handle(const PollResult& result) {
+void HotRestartCoordinator::apply_poll_result(const PollResult& result) {
   const auto& problem = result.error ? result.error : result.bans.error;
   log_if_new(problem ? to_string(*problem) : std::string(), last_poll_problem_);
   bans_.on_list_read(result.bans.list);
@@ -163,14 +168,15 @@
   status_.share = result.published.share;
   if (count_changed) {
     log_("peer_processes",
-         std::to_string(peers_.count) + " other processes of this router are there");
+         std::to_string(peers_.count) + " other processes of this router are running");
   }
   if (any_changed) callbacks_.on_peers_changed(peers_, status_.share);
-  // A new peer waits until this process publishes that it has found it.
+  // A new peer waits until this process publishes that it has found the peer.
   if (count_changed && worker_) start_poll();
 }
 
-// The same problem is logged only once in a row; an empty text means that there is none.
+// Logs a problem unless it is the same as the last one. An empty `problem` means that the operation
+// succeeded.
 void HotRestartCoordinator::log_if_new(const std::string& problem, std::string& last_problem) {
   if (problem == last_problem) return;
   last_problem = problem;
@@ -179,7 +185,8 @@
 
 void HotRestartCoordinator::report_ban_changes() {
   for (const auto& change : bans_.take_effective_changes()) {
-    log_("ban", change.server + (change.is_banned ? " is out by hand" : " may serve again"));
+    log_("ban",
+         change.server + (change.is_banned ? " is banned manually" : " is no longer banned"));
     callbacks_.on_ban_changed(change);
   }
 }
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -1,19 +1,20 @@
-// Coordinates this process with others of the same router: the one that it replaces, or the one
-// that replaces it. Also the way to the bans that they share.
+// Coordinates this process with the other processes of the same router during a hot restart: the
+// process that it replaces, or the process that replaces it. Also stores and reads the bans that
+// these processes share.
 //
-// A worker thread polls the shared directory every kPollInterval and posts what it found to the
-// event loop. The loop never waits for the disk, with one bounded exception at the start, before
-// the process listens (kStartTimeout): the bans must apply to the first request that is sent, and a
-// process that is already there must first have made room in the slow-start budgets.
+// A worker thread polls the shared directory every kPollInterval and posts the result to the event
+// loop. The loop never waits for the disk, with one bounded exception at the start, before the
+// process listens (kStartTimeout). The bans must apply to the first request that is sent, and a
+// process that is already running must first have released part of the slow-start budgets.
 //
-// Budgets: each process holds a share of what the router may do and publishes it. It lowers its
-// share at once and publishes that afterwards; it raises its share only into what the published
-// shares of the others leave free, and uses the raise only once it is published. The sum of all
-// shares in use therefore never exceeds 1, whichever process stalls or is killed in between. The
-// wanted share follows each process's request rate. A new process starts with none and serves once
-// all others have found it, or after kRegistrationTimeout.
+// Each process holds a share of the router's budgets and publishes it. A process lowers its share
+// immediately and publishes the lower share afterwards. It raises its share only by what the
+// published shares of the other processes leave free, and uses the raise only once it is published.
+// The sum of all shares in use therefore never exceeds 1, even if a process stalls or is killed in
+// between. The wanted share is proportional to the process's request rate. A new process starts
+// without a share and serves once all other processes have found it, or after kRegistrationTimeout.
 //
-// All functions are for the event loop's thread. Times are microseconds.
+// Call all functions on the event loop's thread. Times are in microseconds.
 #pragma once
 
 #include <cstdint>
@@ -32,31 +33,35 @@
 
 namespace alderspur::hot_restart {
 
+/// The time between two polls of the shared directory.
 constexpr core::Time kPollInterval = 150'000;
-constexpr core::Time kRegistrationTimeout = 700'000;  // to be found by the other processes
-constexpr core::Time kStartTimeout = 1'500'000;       // for the first poll of the directory
+/// A new process waits for at most this time until the other processes have found it.
+constexpr core::Time kRegistrationTimeout = 700'000;
+/// The start waits for at most this time for the first poll of the shared directory.
+constexpr core::Time kStartTimeout = 1'500'000;
 
-/// One process's part in the coordination.
+/// Represents one process in the coordination with the router's other processes.
 class HotRestartCoordinator {
  public:
   /// Receives each log event with its text.
   using LogSink = std::function<void(const std::string& event, const std::string& text)>;
-  /// The load of this process.
+  /// The measured load of this process.
   struct Load {
     std::uint64_t admitted_requests = 0;  // since the start of the process
     double concurrency_limit = 0;         // see alderspur::BudgetShare
   };
-  /// What the coordinator asks of its owner and reports to it.
+  /// Functions of the owner that the coordinator calls. All of them must be set.
   struct Callbacks {
     std::function<Load()> measure_load;
     std::function<void(const BanChange&)> on_ban_changed;
-    /// The set of peers, or this process's share, has changed.
+    /// Called when the set of peers or this process's share has changed.
     std::function<void(const PeerSummary&, double share)> on_peers_changed;
   };
-  /// Called once; without an error, the change is on the disk.
+  /// Called once, when a change has been saved or has failed to be saved. Without an error, the
+  /// change is stored on the disk.
   using SaveCallback = std::function<void(const std::optional<SharedDirectoryError>& error)>;
 
-  /// With an empty `directory` there are no peers, and bans live only as long as this process.
+  /// If `directory` is empty, there are no peers, and bans are lost when this process ends.
   HotRestartCoordinator(net::Loop& loop, core::Deadlines& deadlines,
                         std::function<core::Time()> now, const std::string& directory,
                         std::string_view key, LogSink log, Callbacks callbacks);
@@ -64,34 +69,35 @@
   HotRestartCoordinator(const HotRestartCoordinator&) = delete;
   HotRestartCoordinator& operator=(const HotRestartCoordinator&) = delete;
 
-  /// This process accepts clients from now on.
+  /// Publishes that this process accepts clients from now on.
   void start_serving();
-  /// Whether start_serving() has been published; true at once without a directory.
+  /// Reports whether the effect of start_serving() has been published. Without a directory, the
+  /// result is always true.
   bool is_published() const { return is_published_; }
-  /// A planned shutdown has begun: polls at once for a successor.
+  /// Publishes that a graceful shutdown has begun, and polls immediately for a successor.
   void start_draining();
-  /// Before the destructor: false if the disk hangs, so that the worker thread cannot be joined and
-  /// the process has to end without it.
+  /// Stops the worker thread. Call this before the destructor. Returns false if the disk does not
+  /// respond, so that the thread cannot be joined and the process has to end without joining it.
   bool stop_worker();
-  /// The other processes as the last poll has found them.
+  /// Returns the other processes that the last poll found.
   const PeerSummary& peers() const { return peers_; }
-  /// This process's share of the router's budgets, 0 to 1.
+  /// Returns this process's share of the router's budgets, 0 to 1.
   double share() const { return status_.share; }
 
-  /// Bans a server manually or lifts its ban. Takes effect here at once, even if it cannot be
-  /// saved.
+  /// Bans a server manually or lifts its ban. The change takes effect in this process immediately,
+  /// even if it cannot be saved.
   void change_ban(const BanChange& change, const SaveCallback& done);
-  /// The banned servers as last read from the disk.
+  /// Returns the banned servers in the newest list that is known to be stored on the disk.
   const std::set<std::string>& saved_bans() const { return bans_.saved_list().servers; }
-  /// Whether a ban of the server is in effect here.
+  /// Reports whether a ban of the server is in effect in this process.
   bool is_banned(const std::string& server) const { return bans_.is_banned(server); }
-  /// Whether no change of this server waits for the disk.
+  /// Reports whether every change of this server is stored on the disk.
   bool is_saved(const std::string& server) const { return bans_.is_saved(server); }
-  /// Whether no further change can be accepted now.
+  /// Reports whether no further change can be accepted at present.
   bool is_full() const { return bans_.is_full(); }
 
  private:
-  /// What the worker found, and the status that it published.
+  /// The result of one poll by the worker thread, with the status that the poll published.
   struct PollResult {
     PeerSummary peers;
     ProcessStatus published;
@@ -101,10 +107,10 @@
   static PollResult register_process(SharedDirectory& directory);
   static PollResult poll(SharedDirectory& directory, const ProcessStatus& status,
                          double wanted_share, const BanList& known_bans);
-  void begin();
+  void run_first_poll();
   void schedule_poll();
   void start_poll();
-  void handle(const PollResult& result);
+  void apply_poll_result(const PollResult& result);
   double wanted_share() const;
   void measure_load();
   void log_if_new(const std::string& problem, std::string& last_problem);
@@ -125,11 +131,11 @@
   core::Time measured_at_ = 0;
   bool is_published_ = true;
   bool is_polling_ = false;
-  std::string last_poll_problem_;  // empty: the last poll had none
-  std::string last_save_problem_;  // the same for saves
+  std::string last_poll_problem_;  // empty if the last poll succeeded
+  std::string last_save_problem_;  // empty if the last save succeeded
   core::Deadlines::Key next_poll_{};
   std::unique_ptr<net::Wakeup> wakeup_;
-  // Last, so that it ends first: its jobs use the members above.
+  // Declared last so that it is destroyed first, because its jobs use the members above.
   std::unique_ptr<file_watch::Worker> worker_;
 };
 
--- a/src/hot_restart/process_status.cpp
+++ b/src/hot_restart/process_status.cpp
@@ -6,7 +6,7 @@
 namespace alderspur::hot_restart {
 namespace {
 
-constexpr int kFieldCount = 7;    // of a record, without the format
+constexpr int kFieldCount = 7;    // fields in a record, not counting the format prefix
 constexpr double kMaxRate = 1e9;  // requests per second
 constexpr double kMaxConcurrencyLimit = 1e9;
 
@@ -16,7 +16,8 @@
          status.concurrency_limit < kMaxConcurrencyLimit;
 }
 
-// A number that a later version may use counts as `starting`: such a process is not a successor.
+// Converts a stored number to a phase. A number that only a later version defines is read as
+// `starting`, so that such a process does not count as a successor.
 ProcessPhase phase_from(int number) {
   if (number == static_cast<int>(ProcessPhase::serving)) return ProcessPhase::serving;
   if (number == static_cast<int>(ProcessPhase::draining)) return ProcessPhase::draining;
--- a/src/hot_restart/shared_directory.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -13,26 +13,29 @@
 
 constexpr int kSlotCount = 4;
 constexpr mode_t kFileMode = 0640;
-constexpr double kShareRounding = 1e-3;  // of a sum of shares, which are written with four digits
+// Tolerance for rounding in a sum of shares, which are written with four digits.
+constexpr double kShareRounding = 1e-3;
 constexpr const char* kBanFileA = ".bans.a";
 constexpr const char* kBanFileB = ".bans.b";
 constexpr const char* kLockFile = ".lock";
 
 std::string describe(const store::FileError& error) { return store::to_string(error); }
 std::string describe(const NoFreeSlot& error) {
-  return "all places in " + error.path_prefix + " are taken";
+  return "other processes hold all slots (" + error.path_prefix + ".place*)";
 }
 std::string describe(const UnknownFormat& error) {
-  return error.path + " has a form that this version does not know";
+  return error.path + " is in a format that this version does not support";
+}
+std::string describe(const NotResponding&) { return "the disk does not respond"; }
+std::string describe(const TooManyPendingChanges&) {
+  return "too many ban changes wait to be stored on the disk";
 }
-std::string describe(const NotResponding&) { return "the disk does not answer"; }
-std::string describe(const TooManyPendingChanges&) { return "too many changes wait for the disk"; }
 
 net::Fd open_or_create(const std::string& path) {
   return net::Fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, kFileMode));
 }
 
-/// A lock description for fcntl() that covers a whole file.
+/// Returns the argument for fcntl() that locks a whole file.
 struct flock whole_file_lock(decltype(flock::l_type) type) {
   struct flock lock {};
   lock.l_type = type;
@@ -40,7 +43,7 @@
   return lock;
 }
 
-/// The key without characters that have a meaning in paths and addresses.
+/// Returns the key with '-' in place of the characters that separate parts of paths and addresses.
 std::string file_name_part(std::string_view key) {
   std::string part(key);
   std::replace_if(
@@ -105,8 +108,8 @@
   const bool is_readable = ::pread(file.get(), text.data(), kSlotRecordBytes, 0) > 0;
   auto record = is_readable ? decode_slot_record(text) : std::nullopt;
   if (!record) {
-    // A process that has not published yet, or in another format, knows nothing of this one and
-    // may hold the whole of the router's budgets.
+    // A process that has not published a status yet, or publishes it in another format, has not
+    // found this process and may use all of the router's budgets.
     record.emplace();
     record->status.share = 1;
   }
@@ -114,16 +117,17 @@
   ++summary.count;
   summary.has_successor |=
       status.phase == ProcessPhase::serving && record->claimed_at > claimed_at_;
-  summary.all_know_a_peer &= status.known_peers > 0;
+  summary.all_have_found_a_peer &= status.known_peers > 0;
   summary.share += status.share;
   summary.request_rate += status.request_rate;
   summary.concurrency_limit = std::max(summary.concurrency_limit, status.concurrency_limit);
 }
 
 // Two processes that raise their shares at the same time could each read the other's old share, and
-// together hold more than the whole. Each therefore publishes before it reads again, so that at
-// least one of them sees the other's raise, and one that sees a sum over 1 takes its own raise
-// back. No process uses its new share before this has returned.
+// their shares could add up to more than 1. Each process therefore publishes its raise and then
+// reads the peers again. At least one of the two then reads the other's raise, and a process that
+// finds a sum over 1 withdraws its own raise. No process uses its new share before this function
+// returns.
 std::optional<SharedDirectoryError> SharedDirectory::raise_share(ProcessStatus& status,
                                                                  double wanted) {
   const double previous = status.share;
--- a/tests/hot_restart/ban_store_test.cpp
+++ b/tests/hot_restart/ban_store_test.cpp
@@ -1,4 +1,4 @@
-// The bans in effect in one process, in any order of changes, saves and reads.
+// Tests which bans are in effect in one process for any order of changes, saves and reads.
 #include "hot_restart/ban_store.h"
 
 #include <gtest/gtest.h>
@@ -16,11 +16,11 @@
   ASSERT_EQ(store.take_effective_changes().size(), 1U);
   store.begin_change({"b", true});
   EXPECT_TRUE(store.is_banned("b"));
-  store.on_list_read({4, {"a", "c"}});  // another process's change is faster than this one's
+  store.on_list_read({4, {"a", "c"}});  // another process has saved its change first
   EXPECT_TRUE(store.is_banned("b"));
   EXPECT_TRUE(store.is_banned("c"));
   store.on_saved({5, {"a", "b", "c"}});
-  store.on_list_read({4, {}});  // read earlier, delivered late
+  store.on_list_read({4, {}});  // a list that was read earlier and is delivered late
   EXPECT_TRUE(store.is_banned("a") && store.is_banned("b") && store.is_banned("c"));
   EXPECT_EQ(store.take_effective_changes().size(), 2U);
   store.begin_change({"a", false});
@@ -33,7 +33,7 @@
   EXPECT_TRUE(store.is_saved("a"));
 }
 
-// A BanStore and a simulated disk whose saves end in the order in which they began.
+// A BanStore and a simulated disk whose saves finish in the order in which they began.
 struct SimulatedStore {
   void begin_change(const std::string& server, bool is_banned) {
     if (store.is_full()) return;
@@ -59,8 +59,8 @@
   std::map<std::string, bool> last_requested;
 };
 
-// In any order of changes, failing saves and reads: the last change requested for a server is in
-// effect until a newer list, made with it, says otherwise.
+// For any order of changes, failing saves and reads, the change of a server that was requested last
+// stays in effect until a newer list that includes it has a different state.
 TEST(BanStore, KeepsTheLastChangeOfAServerInEffectInAnyOrderOfEvents) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
--- a/tests/hot_restart/coordinator_test.cpp
+++ b/tests/hot_restart/coordinator_test.cpp
@@ -1,4 +1,4 @@
-// The coordinator's start, and changes of bans through it.
+// Tests how the coordinator starts and how it saves changes of bans.
 #include "hot_restart/coordinator.h"
 
 #include <ev.h>
@@ -35,13 +35,13 @@
         [this](const std::string& kind, const std::string&) { logged_kinds.push_back(kind); },
         std::move(callbacks));
   }
-  /// Runs the loop until it holds; false after five seconds.
-  bool run_until(const std::function<bool()>& holds) {
-    for (int i = 0; i < 5000 && !holds(); ++i) {
+  /// Runs the loop until the condition is true. Returns false if it is not true after five seconds.
+  bool run_until(const std::function<bool()>& condition) {
+    for (int round = 0; round < 5000 && !condition(); ++round) {
       ev_run(loop.raw(), EVRUN_NOWAIT);
       ::usleep(1000);
     }
-    return holds();
+    return condition();
   }
 
   core::Deadlines deadlines;
@@ -50,9 +50,9 @@
   std::vector<std::string> logged_kinds;
 };
 
-// Guards against requests sent before the bans are known, and against reporting a ban as saved that
-// is on no disk.
-TEST_F(HotRestartCoordinatorTest, KnowsBansAtStartAndReportsChangesThatAreNotSaved) {
+// Guards against requests that are sent before the bans have been read, and against a ban that is
+// reported as saved although it is not stored on the disk.
+TEST_F(HotRestartCoordinatorTest, ReadsBansAtStartAndReportsChangesThatAreNotSaved) {
   ASSERT_FALSE(process().change_ban({}, {"s-1", true}).error);
   EXPECT_TRUE(start(directory)->is_banned("s-1"));
   EXPECT_EQ(reported_bans, std::vector<std::string>{"s-1"});
@@ -65,14 +65,14 @@
   });
   ASSERT_TRUE(run_until([&] { return is_finished; }));
   EXPECT_TRUE(error);
-  EXPECT_TRUE(without_disk->is_banned("s-2")) << "the ban is in effect all the same";
+  EXPECT_TRUE(without_disk->is_banned("s-2")) << "the ban is in effect even if it is not saved";
 }
 
-// Guards against restored bans that hide a status that could not be published: the next poll logged
-// the same problem as a new one.
+// Guards against a poll that restores bans and thereby hides that the status could not be
+// published: the next poll then logged the same problem as if it were new.
 TEST_F(HotRestartCoordinatorTest, LogsALastingProblemOnceWhenBansAreRestored) {
   std::vector<SharedDirectory> others;
-  for (int i = 0; i < 4; ++i) {  // all slots
+  for (int slot = 0; slot < 4; ++slot) {  // claims all slots
     others.push_back(process());
     ASSERT_FALSE(others.back().claim_slot());
   }
@@ -82,25 +82,26 @@
   ASSERT_TRUE(run_until([&] { return is_saved; }));
   std::filesystem::remove(path_of(".bans.a"));
   std::filesystem::remove(path_of(".bans.b"));
-  coordinator->start_serving();  // polls
+  coordinator->start_serving();  // starts a poll
   ASSERT_TRUE(run_until([&] { return process().read_bans().list.serial > 0; }));
   for (int i = 0; i < 3; ++i) {
     run_until([end = net::unix_now() + 50'000] { return net::unix_now() >= end; });
-    coordinator->start_draining();  // polls again
+    coordinator->start_draining();  // starts another poll
   }
   run_until([end = net::unix_now() + 50'000] { return net::unix_now() >= end; });
   EXPECT_EQ(std::count(logged_kinds.begin(), logged_kinds.end(), "shared_folder"), 1);
 }
 
-// Guards against polls that work and make the same failing save look new at each try.
-TEST_F(HotRestartCoordinatorTest, LogsASaveThatKeepsFailingOnceBesidePollsThatWork) {
+// Guards against successful polls that reset the record of the last problem, so that a save that
+// keeps failing is logged as a new problem at each retry.
+TEST_F(HotRestartCoordinatorTest, LogsASaveThatKeepsFailingOnceWhilePollsSucceed) {
   std::filesystem::create_directory(path_of(".lock"));  // cannot be locked as a file
   const auto coordinator = start(directory);
   bool is_finished = false;
   coordinator->change_ban({"s-1", true}, [&](const auto&) { is_finished = true; });
   ASSERT_TRUE(run_until([&] { return is_finished; }));
   for (int i = 0; i < 5; ++i) {
-    coordinator->start_draining();  // polls, and tries to save once more
+    coordinator->start_draining();  // starts a poll and retries the save
     run_until([end = net::unix_now() + 50'000] { return net::unix_now() >= end; });
   }
   EXPECT_EQ(std::count(logged_kinds.begin(), logged_kinds.end(), "shared_folder"), 1);
@@ -110,22 +111,22 @@
   EXPECT_TRUE(run_until([&] { return coordinator->is_saved("s-1"); }));
 }
 
-// The coordinator's first callback comes while the router is still under construction. Guards
-// against use of members that are not initialized yet: the outcome would depend on what the memory
-// held before.
-TEST_F(HotRestartCoordinatorTest, EdgeRouterStartsWhateverItsMemoryHeldBefore) {
+// The coordinator calls its first callback while the router is still being constructed. Guards
+// against the use of members that are not initialized yet, which would make the result depend on
+// the previous content of the memory.
+TEST_F(HotRestartCoordinatorTest, EdgeRouterStartsInMemoryThatIsNotZeroed) {
   const std::string file = directory + "/config.json";
   std::ofstream(file) << R"({"listen":"127.0.0.1:0","settings":{"azs":["edge"],"zone":0,
       "classes":[{"name":"asset","target":5000000,"points":1,"repeat":"safe"}]}})";
   auto config = config::read_file(file);
   config.operators_address = "127.0.0.1:0";
   config.shared_directory = directory;
-  std::size_t room = sizeof(edge_router::EdgeRouter) + alignof(edge_router::EdgeRouter);
-  std::vector<std::byte> memory(room);
+  std::size_t size = sizeof(edge_router::EdgeRouter) + alignof(edge_router::EdgeRouter);
+  std::vector<std::byte> memory(size);
   void* address = memory.data();
-  std::memset(address, 0xff, room);
+  std::memset(address, 0xff, size);
   ASSERT_TRUE(
-      std::align(alignof(edge_router::EdgeRouter), sizeof(edge_router::EdgeRouter), address, room));
+      std::align(alignof(edge_router::EdgeRouter), sizeof(edge_router::EdgeRouter), address, size));
   auto* router = new (address)
       edge_router::EdgeRouter(std::move(config), [](const std::string&, const std::string&) {});
   router->turn();
--- a/tests/hot_restart/replacement_fixture.cpp
+++ b/tests/hot_restart/replacement_fixture.cpp
@@ -16,11 +16,13 @@
 using loopback::CacheCommand;
 using loopback::FakeCache;
 
-// A request that crosses the close of its connection is sent again: 50 ms, and time for a slow
-// machine.
+// A request may cross the close of its connection on the way to the router and is then sent again.
+// This takes up to 50 ms; the rest is a margin for a slow machine.
 constexpr core::Time kCrossingTime = 100'000;
-constexpr core::Time kSendInterval = 8'000;                     // of each client
-constexpr std::uint64_t kIdMultiplier = 0x9e3779b97f4a7c15ULL;  // spreads ids over all values
+// The time between two requests of one client.
+constexpr core::Time kSendInterval = 8'000;
+// Spreads the ids over all values.
+constexpr std::uint64_t kIdMultiplier = 0x9e3779b97f4a7c15ULL;
 
 std::string hex_id(std::uint64_t value) {
   std::array<char, 17> text{};
@@ -136,11 +138,11 @@
 void ReplacementTest::read(Client& client) {
   if (!client.socket) return;
   client.socket->poll();
-  for (const auto& answer : loopback::decode_responses(client.socket->received)) {
-    const auto it = client.open.find(answer.id);
-    if (it == client.open.end()) continue;  // counted before
-    ++(answer.error.empty() ? served : answer.error == "Busy" ? busy : failed);
-    client.open.erase(it);
+  for (const auto& response : loopback::decode_responses(client.socket->received)) {
+    const auto request = client.open.find(response.id);
+    if (request == client.open.end()) continue;  // counted by an earlier call
+    ++(response.error.empty() ? served : response.error == "Busy" ? busy : failed);
+    client.open.erase(request);
   }
   if (!client.socket->is_closed) return;
   client.socket.reset();
@@ -164,8 +166,8 @@
   for (auto& connection : board_connections) connection->poll();
 }
 
-// Whether the command is done with.
-bool ReplacementTest::answer_if_due(std::size_t index, CacheCommand& command) {
+// Returns whether the command is complete, so that it can be removed.
+bool ReplacementTest::respond_if_due(std::size_t index, CacheCommand& command) {
   if (command.verb == "stats") {
     FakeCache::respond(command, "green");
     return true;
@@ -175,10 +177,10 @@
   const auto [due, is_new] = fetch_due_at.try_emplace(command.id, now + cache_latency);
   if (now < due->second) return false;
   fetch_due_at.erase(due);
-  ++answered_fetches[index];
+  ++completed_fetches[index];
   const auto item = command.fields["name"];
   if (!command.fields["agelim"].empty()) age_limits[item] = command.fields["agelim"];
-  const auto body = large_items.contains(item) ? std::string(kLargeAnswerBytes, 'x') : "bytes";
+  const auto body = large_items.contains(item) ? std::string(kLargeResponseBytes, 'x') : "bytes";
   FakeCache::respond(command, "served", body);
   return true;
 }
@@ -186,7 +188,7 @@
 void ReplacementTest::step_cache(std::size_t index) {
   caches[index].poll();
   std::erase_if(caches[index].commands,
-                [&](CacheCommand& command) { return answer_if_due(index, command); });
+                [&](CacheCommand& command) { return respond_if_due(index, command); });
 }
 
 void ReplacementTest::step() {
--- a/tests/hot_restart/replacement_fixture.h
+++ b/tests/hot_restart/replacement_fixture.h
@@ -1,6 +1,6 @@
-// Processes of the edge router that replace each other under load, with two caches and four clients
-// in the test's own thread. The client's count of the outcome of each request is compared with the
-// caches' requests and the processes' metrics.
+// Fixture for tests in which processes of the edge router replace each other under load. Two caches
+// and four clients run in the test's own thread. The clients count the outcome of each request, and
+// the tests compare these counts with the requests at the caches and with the processes' metrics.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,14 +23,15 @@
     std::unique_ptr<loopback::RouterProcess> program;
     sockaddr_in admin_address{};
   };
-  /// A request without an answer.
+  /// A request that has no response yet.
   struct OpenRequest {
     std::string id;
     core::Time sent_at = 0;
   };
+  /// A client with its connection, which it opens again after a close, and its open requests.
   struct Client {
     std::unique_ptr<loopback::TestSocket> socket;
-    std::map<std::uint64_t, OpenRequest> open;
+    std::map<std::uint64_t, OpenRequest> open;  // by the request's number on the connection
     std::uint64_t next_number = 1;
     core::Time next_send_at = 0;
   };
@@ -40,33 +41,36 @@
 
   /// Starts a process and waits until it reports itself as ready.
   Process start();
-  /// Calls a process's admin server; returns the whole reply.
+  /// Sends a request to a process's admin server and returns the whole response.
   std::string call(const Process& process, const std::string& method_and_path);
   std::string metrics(const Process& process) { return call(process, "GET /control/counters"); }
-  /// The value of one metric; 0 if it is absent.
+  /// Returns the value of one metric, or 0 if it is absent.
   static std::uint64_t metric(const std::string& text, const std::string& name);
+  /// Starts to listen as the discovery server of the processes that are started later.
   void listen_as_board();
-  /// A file of the shared directory.
+  /// Returns the path of a file in the shared directory.
   std::string path_of(const std::string& suffix) const;
 
-  /// Connects to the router; negative if nobody listens.
+  /// Connects to the router. Returns a negative number if no process listens.
   int connect() const;
   void send(Client& client, const std::string& id);
   void read(Client& client);
   static std::string encode_request(unsigned number, const std::string& id);
   static std::string id_of(std::uint64_t number);
 
-  /// One step of everybody: clients send, caches answer after a while, answers are counted.
+  /// Performs one step of the test's clients, caches and discovery server: clients send requests,
+  /// caches respond after cache_latency, and the responses are counted.
   void step();
+  /// Performs steps until the condition is true. Returns false after `timeout` microseconds.
   bool run_until(const std::function<bool()>& condition, core::Time timeout = 20'000'000);
   void run_for(core::Time duration);
-  /// Stops sending and waits for the end of every request.
+  /// Stops sending, waits until no request is open, and checks that each request has been counted.
   void finish();
 
   std::string config() const;
   void step_board();
   void step_cache(std::size_t index);
-  bool answer_if_due(std::size_t index, loopback::CacheCommand& command);
+  bool respond_if_due(std::size_t index, loopback::CacheCommand& command);
 
   std::string directory;
   sockaddr_in address{};  // of the router
@@ -78,11 +82,11 @@
   std::vector<std::unique_ptr<loopback::TestSocket>> board_connections;
 
   std::array<loopback::FakeCache, 2> caches;
-  std::array<std::uint64_t, 2> answered_fetches{};  // by cache
+  std::array<std::uint64_t, 2> completed_fetches{};  // by cache
   core::Time cache_latency = 15'000;
   std::map<std::string, core::Time> fetch_due_at;  // by the fetch's id
-  std::set<std::string> large_items;               // whose answers have kLargeAnswerBytes
-  std::map<std::string, std::string> age_limits;   // items asked for with a bound on their age
+  std::set<std::string> large_items;               // items whose responses have kLargeResponseBytes
+  std::map<std::string, std::string> age_limits;   // by item requested with a limit on its age
 
   std::array<Client, 4> clients;
   std::uint64_t last_request = 0;
@@ -95,6 +99,7 @@
   std::uint64_t resent = 0;
 };
 
-constexpr std::size_t kLargeAnswerBytes = 240'000;
+/// The size of the body of the response to a request for a large item.
+constexpr std::size_t kLargeResponseBytes = 240'000;
 
 }  // namespace alderspur::hot_restart
--- a/tests/hot_restart/shared_directory_fixture.h
+++ b/tests/hot_restart/shared_directory_fixture.h
@@ -1,4 +1,5 @@
-// A shared directory of a test's own, and access to it as the processes of one router have it.
+// Fixture with a temporary shared directory, which tests access in the way that the processes of
+// one router do.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,7 +24,7 @@
   std::string path_of(const std::string& suffix) const {
     return directory + "/alderspur-127.0.0.1-4100" + suffix;
   }
-  /// The directory as one more process of the router uses it.
+  /// Returns access to the directory for one more process of the router.
   SharedDirectory process() const { return {directory, kTestKey}; }
 
   std::string directory;
--- a/tests/hot_restart/shared_directory_test.cpp
+++ b/tests/hot_restart/shared_directory_test.cpp
@@ -1,4 +1,4 @@
-// The directory that the processes of a router share: bans on the disk, slots and shares.
+// Tests the directory that the processes of a router share: stored bans, slots and shares.
 #include "hot_restart/shared_directory.h"
 
 #include <fstream>
@@ -23,8 +23,8 @@
   std::ofstream(path, std::ios::binary) << content;
 }
 
-// The newer of the two files is damaged in every way: the list before is still there, and a process
-// that has the newer one in memory restores it.
+// The newer of the two files is truncated at each byte, and each of its bytes is changed. The
+// previous list can still be read, and a process that has the newer list in memory restores it.
 TEST_F(SharedDirectoryTest, KeepsBansWhenTheNewerFileIsDamagedAnywhere) {
   auto first = process();
   ASSERT_FALSE(first.claim_slot());
@@ -50,7 +50,7 @@
   std::filesystem::remove(path_of(".bans.a"));
   std::filesystem::remove(path_of(".bans.b"));
   EXPECT_EQ(process().read_bans().list, BanList{});
-  EXPECT_FALSE(process().read_bans().error) << "absent files are no error";
+  EXPECT_FALSE(process().read_bans().error) << "absent files are not an error";
 }
 
 TEST_F(SharedDirectoryTest, ReportsErrorsWhenTheDirectoryIsMissing) {
@@ -60,7 +60,7 @@
   EXPECT_EQ(missing.read_peers().count, 0U);
 }
 
-TEST_F(SharedDirectoryTest, SeesAPeerOnlyWhileItHoldsItsLock) {
+TEST_F(SharedDirectoryTest, FindsAPeerOnlyWhileItHoldsItsLock) {
   auto old_process = process();
   ASSERT_FALSE(old_process.claim_slot());
   EXPECT_EQ(old_process.read_peers().count, 0U);
@@ -68,25 +68,26 @@
     auto new_process = process();
     ASSERT_FALSE(new_process.claim_slot());
     EXPECT_EQ(new_process.read_peers().count, 1U);
-    EXPECT_FALSE(new_process.read_peers().all_know_a_peer);
+    EXPECT_FALSE(new_process.read_peers().all_have_found_a_peer);
     ASSERT_FALSE(old_process.publish({ProcessPhase::serving, 1, 0.9, 0, 0}));
-    EXPECT_TRUE(new_process.read_peers().all_know_a_peer);
+    EXPECT_TRUE(new_process.read_peers().all_have_found_a_peer);
     EXPECT_FALSE(old_process.read_peers().has_successor);
     ASSERT_FALSE(new_process.publish({ProcessPhase::serving, 1, 0.1, 0, 0}));
     EXPECT_TRUE(old_process.read_peers().has_successor);
-    EXPECT_FALSE(new_process.read_peers().has_successor) << "the older one is no successor";
+    EXPECT_FALSE(new_process.read_peers().has_successor) << "the older process is not a successor";
   }
   EXPECT_EQ(old_process.read_peers().count, 0U);
-  // The record that the new process left behind says "serving", but nobody holds its lock.
+  // The record of the process that has ended still contains `serving`, but no process holds its
+  // lock.
   std::ofstream(path_of(".place1")) << "garbage";
   auto third_process = process();
   ASSERT_FALSE(third_process.claim_slot());
   EXPECT_EQ(old_process.read_peers().count, 1U);
 }
 
-// Three processes raise and lower their shares in random order and publish late: the shares in use
-// never add up to more than 1.
-TEST_F(SharedDirectoryTest, NeverGivesOutMoreThanTheWholeShare) {
+// Three processes raise and lower their shares in random order and publish some of the lower shares
+// late. The shares in use never add up to more than 1.
+TEST_F(SharedDirectoryTest, KeepsTheSumOfSharesAtOrBelowOne) {
   for (unsigned seed = 1; seed <= 60; ++seed) {
     std::mt19937 random(seed);
     std::vector<std::unique_ptr<SharedDirectory>> processes;
@@ -96,15 +97,15 @@
       ASSERT_FALSE(processes.back()->claim_slot());
     }
     for (int step = 0; step < 60; ++step) {
-      const std::size_t i = random() % 3;
+      const std::size_t index = random() % 3;
       const double wanted = static_cast<double>(random() % 1001) / 1000;
-      if (wanted < statuses[i].share) {
-        statuses[i].share = wanted;  // used before it is published
+      if (wanted < statuses[index].share) {
+        statuses[index].share = wanted;  // a lower share is in use before it is published
         if (random() % 4) {
-          ASSERT_FALSE(processes[i]->publish(statuses[i]));
+          ASSERT_FALSE(processes[index]->publish(statuses[index]));
         }
       } else {
-        ASSERT_FALSE(processes[i]->raise_share(statuses[i], wanted));
+        ASSERT_FALSE(processes[index]->raise_share(statuses[index], wanted));
       }
       EXPECT_LE(statuses[0].share + statuses[1].share + statuses[2].share, 1.002)
           << "seed " << seed << " step " << step;
@@ -112,8 +113,8 @@
   }
 }
 
-// tests/data/hot_restart holds what the version before the renaming of the sources wrote for four
-// changes: cache-a, cache-b and cache-c banned, then cache-a's ban lifted.
+// tests/data/hot_restart contains the files that the version before the renaming of the sources
+// wrote for four changes: bans of cache-a, cache-b and cache-c, then the end of cache-a's ban.
 struct StoredBansTest : SharedDirectoryTest {
   StoredBansTest() {
     for (const char* suffix : {".bans.a", ".bans.b"}) {
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// One process of the edge router replaces another under load.
+// Tests in which one process of the edge router replaces another under load.
 #include <fcntl.h>
 #include <sys/file.h>
 #include <sys/socket.h>
@@ -19,12 +19,13 @@
 namespace alderspur::hot_restart {
 namespace {
 
-constexpr core::Time kKillTimeout = 3'600'000;  // after SIGTERM; later the platform sends SIGKILL
+// A process must exit within this time after SIGTERM, because the platform sends SIGKILL later.
+constexpr core::Time kKillTimeout = 3'600'000;
 constexpr const char* kSuccessMetric = "edge_relay_success{tier=\"asset\"}";
 
 bool is_ok(const std::string& reply) { return reply.starts_with("HTTP/1.1 200"); }
 
-/// The number of served requests that a process logs at its end.
+/// Returns the number of served requests that a process logs when it ends.
 std::uint64_t logged_served_count(loopback::RouterProcess& program) {
   constexpr std::string_view kLabel = " served ";
   std::uint64_t count = 0;
@@ -35,9 +36,10 @@
   return count;
 }
 
-// Guards against connections left in a queue that nobody reads, requests lost with the old process,
-// and metrics that do not start at 0 or do not add up over both processes.
-TEST_F(ReplacementTest, LosesNoRequestUnderLoadAndMetricsOfBothAddUp) {
+// Guards against connections that stay in a listen queue from which no process accepts, against
+// requests that are lost with the old process, and against metrics that do not start at 0 or whose
+// sum over both processes is wrong.
+TEST_F(ReplacementTest, LosesNoRequestUnderLoadAndMetricsOfBothProcessesAddUp) {
   auto old_process = start();
   run_for(400'000);
   auto new_process = start();
@@ -63,27 +65,27 @@
   EXPECT_EQ(new_process.program->wait_for_exit(), 0);
 }
 
-TEST_F(ReplacementTest, KeepsABanOverReplacementAndRestartUntilItIsLifted) {
+TEST_F(ReplacementTest, KeepsABanAcrossReplacementAndRestartUntilItIsLifted) {
   auto old_process = start();
   run_for(300'000);
   EXPECT_TRUE(call(old_process, "PUT /control/caches/nobody/offline").starts_with("HTTP/1.1 404"));
   EXPECT_TRUE(is_ok(call(old_process, "PUT /control/caches/s-0/offline")));
   EXPECT_TRUE(is_ok(call(old_process, "PUT /control/caches/s-0/offline")));
   run_for(200'000);  // requests that are already at the cache end
-  const auto at_ban = answered_fetches[0];
+  const auto at_ban = completed_fetches[0];
   auto new_process = start();
   EXPECT_EQ(metric(metrics(new_process), "edge_relay_hosts_down"), 1U);
   old_process.program->send_signal(SIGTERM);
   ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, kKillTimeout));
   run_for(200'000);
-  new_process.program->send_signal(SIGKILL);  // no process is left that knows of the ban
+  new_process.program->send_signal(SIGKILL);  // no running process holds the ban
   new_process.program->wait_for_exit();
   const auto third = start();
   run_for(300'000);
-  EXPECT_EQ(answered_fetches[0], at_ban);
-  EXPECT_GT(answered_fetches[1], 50U);
+  EXPECT_EQ(completed_fetches[0], at_ban);
+  EXPECT_GT(completed_fetches[1], 50U);
   EXPECT_TRUE(is_ok(call(third, "PUT /control/caches/s-0/online")));
-  EXPECT_TRUE(run_until([&] { return answered_fetches[0] > at_ban; }, 5'000'000));
+  EXPECT_TRUE(run_until([&] { return completed_fetches[0] > at_ban; }, 5'000'000));
 }
 
 TEST_F(ReplacementTest, AppliesABanOfOneProcessInTheOther) {
@@ -98,15 +100,16 @@
       run_until([&] { return metric(metrics(old_process), "edge_relay_hosts_down") == 0; }));
 }
 
-// Guards against an old process that has sent its clients away although no successor is left.
-TEST_F(ReplacementTest, KeepsTheOldProcessAtWorkWhenAReadySuccessorIsKilled) {
+// Guards against an old process that closes its clients' connections although its successor has
+// been killed.
+TEST_F(ReplacementTest, OldProcessKeepsServingWhenAReadySuccessorIsKilled) {
   auto old_process = start();
   run_for(200'000);
   auto new_process = start();
   new_process.program->send_signal(SIGKILL);
   new_process.program->wait_for_exit();
   old_process.program->send_signal(SIGTERM);
-  run_for(300'000);  // clients still come, as after any SIGTERM
+  run_for(300'000);  // clients still connect, as after any SIGTERM
   const auto third = start();
   ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, 6'000'000));
   EXPECT_EQ(old_process.program->wait_for_exit(), 0);
@@ -147,9 +150,9 @@
   EXPECT_EQ(lost + failed, 0U);
 }
 
-// One of the two files of bans is truncated anywhere, as after a crash on a disk that reorders
-// writes: the process starts, and the other file still holds the ban.
-TEST_F(ReplacementTest, KeepsABanWhenAFileOfBansIsTruncatedAnywhere) {
+// One of the two ban files is truncated at each byte, as after a crash on a disk that reorders
+// writes. The process starts, and the other file still contains the ban.
+TEST_F(ReplacementTest, KeepsABanWhenABanFileIsTruncatedAnywhere) {
   is_sending = false;
   {
     auto first = start();
@@ -167,7 +170,8 @@
       std::ofstream(path, std::ios::trunc) << whole.str().substr(0, size);
       auto new_process = start();
       const auto text = metrics(new_process);
-      EXPECT_GE(metric(text, "edge_relay_hosts_down"), 1U) << suffix << " cut to " << size;
+      EXPECT_GE(metric(text, "edge_relay_hosts_down"), 1U)
+          << suffix << " truncated to " << size << " bytes";
       new_process.program->send_signal(SIGKILL);
     }
     std::ofstream(path, std::ios::trunc) << whole.str();
@@ -175,19 +179,19 @@
   EXPECT_GT(starts, 50U);
 }
 
-// Guards against answers to a slow reader that are cut off when its process is replaced.
-TEST_F(ReplacementTest, SendsASlowReaderAllItsAnswersWhole) {
-  constexpr unsigned kAnswerCount = 24;  // more than the kernel buffers for a slow reader
+// Guards against responses to a slow reader that are truncated when its process is replaced.
+TEST_F(ReplacementTest, SendsASlowReaderAllItsResponsesCompletely) {
+  constexpr unsigned kResponseCount = 24;  // more than the kernel buffers for a slow reader
   auto old_process = start();
   const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-  const int small = 8192;
-  ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  const int buffer_bytes = 8192;
+  ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
   ASSERT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
   ::fcntl(fd, F_SETFL, O_NONBLOCK);
-  for (unsigned i = 1; i <= kAnswerCount; ++i) {
-    const auto id = id_of(i - 1);
+  for (unsigned number = 1; number <= kResponseCount; ++number) {
+    const auto id = id_of(number - 1);
     large_items.insert(id);
-    const auto bytes = encode_request(i, id);
+    const auto bytes = encode_request(number, id);
     ASSERT_EQ(::send(fd, bytes.data(), bytes.size(), 0), static_cast<ssize_t>(bytes.size()));
   }
   run_for(150'000);
@@ -204,10 +208,10 @@
   });
   ::close(fd);
   EXPECT_TRUE(has_ended);
-  const auto answers = loopback::decode_responses(input);
-  EXPECT_EQ(answers.size(), kAnswerCount);
-  for (const auto& answer : answers) {
-    EXPECT_EQ(answer.body.size(), kLargeAnswerBytes) << answer.error;
+  const auto responses = loopback::decode_responses(input);
+  EXPECT_EQ(responses.size(), kResponseCount);
+  for (const auto& response : responses) {
+    EXPECT_EQ(response.body.size(), kLargeResponseBytes) << response.error;
   }
   EXPECT_TRUE(run_until([&] { return old_process.program->has_exited(); }));
   EXPECT_EQ(old_process.program->wait_for_exit(), 0);
@@ -215,11 +219,11 @@
   EXPECT_EQ(lost + failed, 0U);
 }
 
-// Guards against a shutdown that waits for a disk which never answers.
-TEST_F(ReplacementTest, ServesAndEndsWhileTheSharedDirectoryHangs) {
+// Guards against a shutdown that waits for a disk which never responds.
+TEST_F(ReplacementTest, ServesAndExitsWhileTheSharedDirectoryHangs) {
   auto process = start();
   run_for(300'000);
-  // As a process does that is stopped in the middle of a change.
+  // Holds the lock as a process does that is stopped in the middle of a change.
   const net::Fd lock(::open(path_of(".lock").c_str(), O_RDWR | O_CREAT, 0600));
   ASSERT_EQ(::flock(lock.get(), LOCK_EX), 0);
   const auto before = served;
@@ -227,9 +231,9 @@
   run_for(300'000);
   EXPECT_GT(served, before + 50);
   EXPECT_EQ(metric(metrics(process), "edge_relay_hosts_down"), 1U)
-      << "the ban is in effect all the same";
+      << "the ban is in effect even if it is not saved";
   EXPECT_TRUE(ban.starts_with("HTTP/1.1 503"))
-      << "a ban that is not on the disk is not confirmed: " << ban;
+      << "a ban that is not stored on the disk is not confirmed: " << ban;
   finish();
   process.program->send_signal(SIGTERM);
   ASSERT_TRUE(run_until([&] { return process.program->has_exited(); }, kKillTimeout));
@@ -237,8 +241,8 @@
   EXPECT_EQ(lost + failed, 0U);
 }
 
-// A cache begins to drain during the replacement: neither process sends it anything once it is
-// notified.
+// A cache begins to drain during the replacement. Each process stops sending it requests once the
+// process is notified of the drain.
 TEST_F(ReplacementTest, AppliesADrainDuringTheReplacementInBothProcesses) {
   listen_as_board();
   auto old_process = start();
@@ -248,7 +252,7 @@
     return board_connections.size() == 2 && board_connections[0]->received == "watch 1\n" &&
            board_connections[1]->received == "watch 1\n";
   }));
-  ASSERT_GT(answered_fetches[0], 0U) << "both caches are asked";
+  ASSERT_GT(completed_fetches[0], 0U) << "both caches receive requests";
   old_process.program->send_signal(SIGTERM);
   for (auto& connection : board_connections) {
     connection->write(R"({"rev":2,"pool":{"complete":false,"members":[{"id":"s-0","host_port":")" +
@@ -257,16 +261,17 @@
                       "\n");
   }
   run_for(500'000);  // requests that are already at the cache end
-  const auto before = answered_fetches[0];
+  const auto before = completed_fetches[0];
   ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, 3'700'000));
   run_for(200'000);
-  EXPECT_EQ(answered_fetches[0], before);
+  EXPECT_EQ(completed_fetches[0], before);
   finish();
   EXPECT_EQ(failed + lost, 0U);
 }
 
-// One process is notified of a purge and the other not yet: each asks for no older copy from its
-// own notification on. The new process watches from the revision of its own settings.
+// One process is notified of a purge before the other. From its own notification on, each process
+// requests only copies that are newer than the purge. The new process watches from the revision in
+// its own settings.
 TEST_F(ReplacementTest, AppliesAPurgeInEachProcessOnceItIsNotified) {
   listen_as_board();
   auto old_process = start();
@@ -287,21 +292,21 @@
   old_process.program->send_signal(SIGTERM);
   ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, kKillTimeout));
   EXPECT_TRUE(age_limits.empty());
-  Client late;
-  send(late, item);
+  Client late_client;
+  send(late_client, item);
   EXPECT_TRUE(run_until([&] {
-    read(late);
-    return late.open.empty();
+    read(late_client);
+    return late_client.open.empty();
   }));
   ASSERT_TRUE(age_limits.contains(item))
-      << "the new process asks for no copy from before the purge";
+      << "the new process requests only copies that are newer than the purge";
   EXPECT_GT(std::stoi(age_limits[item]), 0);
   EXPECT_LT(std::stoi(age_limits[item]), 20'000);
 }
 
-// Guards against two processes that each use up the descriptor limit, which holds for both
-// together.
-TEST_F(ReplacementTest, BothProcessesTogetherKeepTheDescriptorLimit) {
+// Guards against two processes that each use the whole descriptor limit, which applies to both
+// processes together.
+TEST_F(ReplacementTest, BothProcessesTogetherStayWithinTheDescriptorLimit) {
   max_sockets = 160;
   auto old_process = start();
   std::vector<std::unique_ptr<loopback::TestSocket>> idle(60);
@@ -309,30 +314,30 @@
   run_for(300'000);
   EXPECT_GT(old_process.program->open_descriptors(), 60U);
   auto new_process = start();
-  std::size_t most = 0;
+  std::size_t max_open = 0;
   idle.reserve(160);
   for (int i = 0; i < 100; ++i) {
     idle.push_back(loopback::connect_to(address));
     run_for(5'000);
     if (i <= 40) continue;
-    most = std::max(
-        most, old_process.program->open_descriptors() + new_process.program->open_descriptors());
+    max_open = std::max(max_open, old_process.program->open_descriptors() +
+                                      new_process.program->open_descriptors());
   }
-  EXPECT_LE(most, 160U);
-  EXPECT_GT(most, 80U) << "the limit is reached";
+  EXPECT_LE(max_open, 160U);
+  EXPECT_GT(max_open, 80U) << "the limit is reached";
   idle.clear();
   finish();
   EXPECT_EQ(lost + failed, 0U);
 }
 
-// Guards against an old process that leaves its address to a successor which is killed meanwhile:
-// nobody would listen there until another process is started.
+// Guards against an old process that stops listening for a successor which is then killed. No
+// process would listen on the address until another one is started.
 TEST_F(ReplacementTest, DrainingProcessListensAgainWhenItsSuccessorIsKilled) {
   auto old_process = start();
   run_for(200'000);
   auto new_process = start();
   old_process.program->send_signal(SIGTERM);
-  run_for(130'000);  // clients go to the successor, the old listener is closed
+  run_for(130'000);  // clients connect to the successor, and the old listener is closed
   new_process.program->send_signal(SIGKILL);
   new_process.program->wait_for_exit();
   int fd = -1;
@@ -340,7 +345,8 @@
     fd = connect();
     return fd >= 0;
   };
-  EXPECT_TRUE(run_until(has_connected, 2'000'000)) << "with clients it serves for 3.5 s";
+  EXPECT_TRUE(run_until(has_connected, 2'000'000))
+      << "a draining process serves its clients for 3.5 s";
   if (fd >= 0) ::close(fd);
   ASSERT_TRUE(run_until([&] { return old_process.program->has_exited(); }, kKillTimeout))
       << "SIGKILL would have come";
@@ -348,8 +354,9 @@
   EXPECT_EQ(failed, 0U);
 }
 
-// Guards against a process that keeps to its part of the limits after the other is gone.
-TEST_F(ReplacementTest, RemainingProcessHasTheWholeLimits) {
+// Guards against a process that uses only its share of the limits after the other process has
+// ended.
+TEST_F(ReplacementTest, RemainingProcessUsesTheWholeLimits) {
   max_sockets = 160;
   auto old_process = start();
   auto new_process = start();
@@ -359,19 +366,19 @@
   std::vector<std::unique_ptr<loopback::TestSocket>> idle(60);
   for (auto& socket : idle) socket = loopback::connect_to(address);
   EXPECT_TRUE(run_until([&] { return new_process.program->open_descriptors() >= 80; }, 1'000'000))
-      << "of 160, all for one process";
+      << "all 160 descriptors are for one process";
 }
 
-// Guards against connections that the kernel has completed for the old listener but that are not
-// accepted yet because all descriptors are in use: if they were closed with the listener, they
-// would be reset and their requests lost.
-TEST_F(ReplacementTest, AnswersConnectionsQueuedAtTheOldListener) {
+// Guards against the loss of connections that the kernel has completed for the old listener but
+// that are not accepted yet because all descriptors are in use. If they were closed with the
+// listener, they would be reset and their requests lost.
+TEST_F(ReplacementTest, RespondsToConnectionsQueuedAtTheOldListener) {
   max_sockets = 128;
   is_sending = false;
   cache_latency = 700'000;
   auto old_process = start();
   auto new_process = start();
-  // Some 30 are accepted by each process; the rest wait in the kernel.
+  // Each process accepts about 30 connections; the rest wait in the kernel.
   std::vector<std::unique_ptr<loopback::TestSocket>> sockets(200);
   for (std::size_t i = 0; i < sockets.size(); ++i) {
     sockets[i] = loopback::connect_to(address);
@@ -381,21 +388,23 @@
   old_process.program->send_signal(SIGTERM);
   run_for(300'000);
   cache_latency = 15'000;
-  std::size_t answered = 0;
-  const auto all_answered = [&] {
-    answered = 0;
+  std::size_t response_count = 0;
+  const auto all_have_responses = [&] {
+    response_count = 0;
     for (auto& socket : sockets) {
       socket->poll();
-      answered += loopback::decode_responses(socket->received).size();
+      response_count += loopback::decode_responses(socket->received).size();
     }
-    return answered == sockets.size();
+    return response_count == sockets.size();
   };
-  EXPECT_TRUE(run_until(all_answered, 5'000'000)) << answered << " of " << sockets.size();
+  EXPECT_TRUE(run_until(all_have_responses, 5'000'000))
+      << response_count << " responses to " << sockets.size() << " requests";
 }
 
-// Guards against metrics that are right only at rest: read under load, over both processes, they
-// lie between the client's count before the call and what the client can have received by its end.
-TEST_F(ReplacementTest, MetricsReadUnderLoadAgreeWithTheClientsCount) {
+// Guards against metrics that are correct only without load. Under load, the sum over both
+// processes lies between the clients' count before the call and the count that the clients can have
+// reached at its end.
+TEST_F(ReplacementTest, MetricsReadUnderLoadAgreeWithTheClientsCounts) {
   auto old_process = start();
   Process new_process;
   const auto open_count = [&] {
@@ -403,7 +412,7 @@
     for (const auto& client : clients) count += client.open.size();
     return count;
   };
-  std::size_t most_open = 0;
+  std::size_t max_inflight = 0;
   for (int i = 0; i < 60; ++i) {
     if (i == 30) new_process = start();
     const std::uint64_t served_before = served;
@@ -420,33 +429,34 @@
     EXPECT_GE(success, served_before) << i;
     EXPECT_LE(success, served + open_count()) << i;
     EXPECT_LE(inflight, open_before + (sent - sent_before)) << i;
-    most_open = std::max(most_open, static_cast<std::size_t>(inflight));
+    max_inflight = std::max(max_inflight, static_cast<std::size_t>(inflight));
     run_for(20'000);
   }
-  EXPECT_GT(most_open, 0U);
+  EXPECT_GT(max_inflight, 0U);
   EXPECT_GT(served, 300U);
   finish();
   EXPECT_EQ(lost + failed, 0U);
 }
 
-// Guards against two processes that each buffer for slow readers what the memory limit allows one.
-TEST_F(ReplacementTest, BothProcessesTogetherKeepTheMemoryLimit) {
+// Guards against two processes that each buffer as much for slow readers as the memory limit allows
+// for a single process.
+TEST_F(ReplacementTest, BothProcessesTogetherStayWithinTheMemoryLimit) {
   memory_mb = 128;
   is_sending = false;
-  ::setenv("ASAN_OPTIONS", "quarantine_size_mb=0", 1);  // freed memory is free at once
+  ::setenv("ASAN_OPTIONS", "quarantine_size_mb=0", 1);  // returns freed memory immediately
   auto old_process = start();
   auto new_process = start();
   const auto resident = [&] {
     return old_process.program->resident_bytes() + new_process.program->resident_bytes();
   };
   const std::size_t before = resident();
-  std::size_t most = before;
+  std::size_t max_resident = before;
   std::vector<int> readers;
   std::uint64_t item_number = 0;
   for (int i = 0; i < 24; ++i) {
     const int fd = connect();
-    const int small = 4096;
-    ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+    const int buffer_bytes = 4096;
+    ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
     readers.push_back(fd);
     for (unsigned number = 1; number <= 28; ++number) {
       const auto id = id_of(1000 + ++item_number);
@@ -455,20 +465,21 @@
       (void)!::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
     run_for(60'000);
-    most = std::max(most, resident());
+    max_resident = std::max(max_resident, resident());
   }
   const auto is_almost_filled = [&] {
-    most = std::max(most, resident());
-    return most - before > 26U << 20;
+    max_resident = std::max(max_resident, resident());
+    return max_resident - before > 26U << 20;
   };
   run_until(is_almost_filled, 10'000'000);  // a slow machine takes longer
   for (int i = 0; i < 10; ++i) {
     run_for(50'000);
-    most = std::max(most, resident());
+    max_resident = std::max(max_resident, resident());
   }
   for (const int fd : readers) ::close(fd);
-  // A quarter of the limit is for buffers: 32 MB of both together, 64 MB if each took all of it.
-  const std::size_t grown_mb = (most - before) >> 20;
+  // A quarter of the limit is for buffers: 32 MB for both processes together. It would be 64 MB if
+  // each process used the whole quarter.
+  const std::size_t grown_mb = (max_resident - before) >> 20;
   EXPECT_GT(grown_mb, 20U) << "the limit is reached";
   EXPECT_LT(grown_mb, 48U);
 }
