--- a/src/edge_router/edge_router.cpp
+++ b/src/edge_router/edge_router.cpp
@@ -6,18 +6,19 @@
 namespace alderspur::edge_router {
 namespace {
 
-/// Bounds the time that a shutdown allows for a client's request.
+/// The longest time that a shutdown allows for a client's request.
 constexpr core::Time kMaxClientWait = 3'000'000;
-/// After SIGTERM clients still connect and send requests for this time.
+/// For this time after SIGTERM, new clients are accepted and new requests are forwarded as before.
 constexpr core::Time kLameDuckTime = 700'000;
-/// The last responses are given this time before the process may be killed.
+/// The time reserved for sending the last responses before the process may be killed.
 constexpr core::Time kFinalResponseMargin = 200'000;
-/// Clients that are still connected are closed this time after the last responses.
+/// Remaining client connections are closed this time after the last responses.
 constexpr core::Time kCloseAllDelay = 100'000;
 
+/// Parses a listen address. Throws config::Error if it is malformed.
 sockaddr_in listen_address(const std::string& text) {
   const auto address = net::parse_address(text);
-  if (!address) throw config::Error("no usable listen address: '" + text + "'");
+  if (!address) throw config::Error("'" + text + "' is not a valid listen address");
   return *address;
 }
 
@@ -42,7 +43,7 @@
 std::unique_ptr<hot_restart::HotRestartCoordinator> EdgeRouter::make_hot_restart() {
   using hot_restart::HotRestartCoordinator;
   if (config_.operators_address.empty()) return nullptr;
-  HotRestartCoordinator::Callbacks hooks{
+  HotRestartCoordinator::Callbacks callbacks{
       [this] {
         return HotRestartCoordinator::Load{engine_.counters().admitted,
                                            engine_.concurrency_limit()};
@@ -51,7 +52,7 @@
       [this](const hot_restart::PeerSummary& peers, double share) { update_peers(peers, share); }};
   return std::make_unique<HotRestartCoordinator>(
       loop_, deadlines_, [this] { return engine_.now(); }, config_.shared_directory, config_.listen,
-      log_, std::move(hooks));
+      log_, std::move(callbacks));
 }
 
 // The endpoints and bans of the configuration and the shared directory must be in effect before the
@@ -64,7 +65,7 @@
 
 void EdgeRouter::start_admin() {
   admin::RouterAdminHandler::RouterState state{
-      [this] { return drain_from_ > 0; },
+      [this] { return drain_starts_at_ > 0; },
       [this](std::string_view server) {
         return upstream_pool_.is_listed(config::server_id(server));
       }};
@@ -81,16 +82,16 @@
   hot_restart_->start_serving();
 }
 
-// Other processes that act as this router share its budgets and limits. A successor takes our
-// clients once our shutdown has begun.
+// The processes of this router share its budgets and limits. A successor takes over this process's
+// clients once the shutdown of this process has begun.
 void EdgeRouter::update_peers(const hot_restart::PeerSummary& peers, double share) {
   engine_.set_budget_share({share, peers.concurrency_limit, share_of_all_, share_of_location_});
   upstream_pool_.set_process_count(peers.count + 1);
   if (!is_constructed_) return;  // the front does not exist yet
   front_.set_process_count(peers.count + 1);
-  if (!drain_from_) return;
+  if (!drain_starts_at_) return;
   if (peers.has_successor) {
-    front_.start_handoff(drain_from_ - kLameDuckTime + drain_time());
+    front_.start_handoff(drain_starts_at_ - kLameDuckTime + drain_time());
   } else {
     front_.cancel_handoff();
   }
@@ -150,8 +151,9 @@
 
 // ---- Shutdown ----
 
-// The process is killed no sooner than kLameDuckTime plus the longest time that a client waits (at
-// most kMaxClientWait) after its shutdown began.
+// Returns the time from the start of a shutdown until all requests must have finished. The platform
+// kills the process no earlier than kLameDuckTime plus the longest time that a client waits (at
+// most kMaxClientWait) after the start of the shutdown.
 core::Time EdgeRouter::drain_time() const {
   core::Time longest = 0;
   for (const core::Time limit : config_.names.request_timeouts) {
@@ -160,16 +162,17 @@
   return std::min(longest, kMaxClientWait) + kLameDuckTime - kFinalResponseMargin;
 }
 
-// The first two deadlines guard against a cache that hangs with its requests, and against clients
-// that go on sending requests when the successor has died: some would be open when SIGKILL comes.
+// The first two deadlines guard against a cache that does not respond, and against clients that
+// keep sending requests after the successor has died. Without these deadlines, requests could still
+// be open when the process is killed with SIGKILL.
 void EdgeRouter::start_shutdown() {
-  if (drain_from_) return;
-  drain_from_ = engine_.now() + kLameDuckTime;
+  if (drain_starts_at_) return;
+  drain_starts_at_ = engine_.now() + kLameDuckTime;
   if (hot_restart_) {
     hot_restart_->start_draining();
     update_peers(hot_restart_->peers(), hot_restart_->share());
   }
-  const core::Time drain_until = drain_from_ - kLameDuckTime + drain_time();
+  const core::Time drain_until = drain_starts_at_ - kLameDuckTime + drain_time();
   deadlines_.set(drain_until, [this] {
     engine_.finish_all_now();
     front_.finish_all_now();
@@ -178,16 +181,16 @@
     front_.close_all();
     is_drain_time_over_ = true;
   });
-  deadlines_.set(drain_from_, [this] {
+  deadlines_.set(drain_starts_at_, [this] {
     for (auto& component : components_) {
       if (component.stop_accepting) component.stop_accepting();
     }
   });
 }
 
-// Each client's connection is closed once it has its responses; idle ones do not delay the
-// shutdown. With an operators' address, which a successor needs, active clients are served until
-// the time to drain is over.
+// A client's connection is closed once all its responses have been sent, and idle connections do
+// not delay the shutdown. With an operators' address, which every hot restart needs, clients that
+// keep sending requests are served until the drain time is over.
 void EdgeRouter::stop_when_drained() {
   const bool is_idle = engine_.open_request_count() == 0 && front_.is_idle();
   if (!hot_restart_ || is_idle) front_.drain();
@@ -202,23 +205,24 @@
 
 // ---- Operation ----
 
-// An unreadable file must not end a running router. Only the address of the discovery server can
-// change while it runs. The other settings describe the process itself; a change of them is logged,
-// so that operators do not wait for it to take effect.
+// An unreadable file must not terminate a running router. Only the address of the discovery server
+// can change while the router runs. The other settings describe the process itself. A change of its
+// limits or classes is logged, so that operators do not wait for it to take effect.
 void EdgeRouter::reload() {
   try {
-    const auto renewed = config::read_file(config_path_);
-    if (!discovery_client_.reconfigure(renewed)) {
-      throw config::Error("no usable board address: '" + renewed.discovery_address + "'");
+    const auto new_config = config::read_file(config_path_);
+    if (!discovery_client_.reconfigure(new_config)) {
+      throw config::Error("'" + new_config.discovery_address + "' is not a valid board address");
     }
-    log_("reload", "settings read anew, board at " + renewed.discovery_address);
-    if (renewed.memory_mb != config_.memory_mb ||
-        renewed.max_descriptors != config_.max_descriptors ||
-        renewed.names.classes != config_.names.classes) {
-      log_("reload", "limits and classes have changed too: they hold from the next start");
+    log_("reload", "configuration reloaded, board at " + new_config.discovery_address);
+    if (new_config.memory_mb != config_.memory_mb ||
+        new_config.max_descriptors != config_.max_descriptors ||
+        new_config.names.classes != config_.names.classes) {
+      log_("reload", "changed limits or classes take effect only after a restart");
     }
   } catch (const std::exception& error) {
-    log_("reload", std::string("reload: ") + error.what() + "; the settings stay as they were");
+    log_("reload",
+         std::string("reload: ") + error.what() + "; the current settings remain in effect");
   }
   if (reload_callback_) reload_callback_();
 }
@@ -241,8 +245,8 @@
   if (admin_server_) admin_server_->end_turn();
   upstream_pool_.end_turn();
   discovery_client_.end_turn();
-  engine_.run();  // for clients and servers that were closed just now
-  if (drain_from_ && engine_.now() >= drain_from_) stop_when_drained();
+  engine_.run();  // processes the connections that end_turn() has closed
+  if (drain_starts_at_ && engine_.now() >= drain_starts_at_) stop_when_drained();
 }
 
 void EdgeRouter::run() {
--- a/src/edge_router/edge_router.h
+++ b/src/edge_router/edge_router.h
@@ -1,8 +1,9 @@
-// One running router: assembles the loop, the engine, the upstream pool, the discovery client and
-// the platform's front. The program edge_router is no more than this; `alderspur run` adds further
-// fronts, and the cluster between discovery client and engine.
+// One running router. EdgeRouter assembles the event loop, the engine, the upstream pool, the
+// discovery client and the front for the platform's clients. The program edge_router consists of an
+// EdgeRouter only. `alderspur run` adds further fronts, and inserts the cluster between the
+// discovery client and the engine.
 //
-// All functions are for the thread that calls run(). Times are microseconds.
+// Call all functions on the thread that calls run(). Times are in microseconds.
 #pragma once
 
 #include <functional>
@@ -22,56 +23,64 @@
 
 namespace alderspur::edge_router {
 
-/// Serves clients from its construction until run() returns.
+/// Serves clients from its construction until run() returns. Not thread-safe.
 class EdgeRouter {
  public:
-  /// Makes the receiver of endpoint updates, while the router is being constructed.
+  /// Creates the receiver of endpoint updates. Called while the router is being constructed.
   using MakeEndpointSink = std::function<std::unique_ptr<discovery::EndpointSink>(EdgeRouter&)>;
   /// Receives each log event with its text.
   using LogSink = std::function<void(const std::string& event, const std::string& text)>;
-  /// A further part of this router that takes part in its turns. Each function may be empty.
+  /// An additional component of this router, such as another front. Each function may be empty.
   struct Component {
-    std::function<void()> end_turn;
-    std::function<void()> stop_accepting;  // called some time after SIGTERM
-    std::function<bool()> is_idle;         // whether all responses have been sent
+    std::function<void()> end_turn;        // called at the end of each turn of the event loop
+    std::function<void()> stop_accepting;  // called kLameDuckTime after SIGTERM
+    std::function<bool()> is_idle;         // returns whether all responses have been sent
   };
 
-  /// Without `make_sink`, endpoint updates go straight to the pool and the engine. Throws
-  /// std::runtime_error if an address cannot be bound, and config::Error if one is malformed.
+  /// Without `make_sink`, endpoint updates go directly to the upstream pool and the engine. Throws
+  /// std::runtime_error if an address cannot be bound, and config::Error if an address is
+  /// malformed.
   EdgeRouter(config::Config config, LogSink log, const MakeEndpointSink& make_sink = {});
+  /// Adds a component. Call this before run().
   void add(Component component) { components_.push_back(std::move(component)); }
-  /// Replaces the logging of the counters, on SIGUSR1 and at the end.
+  /// Sets the function that is called instead of logging the counters, on SIGUSR1 and when run()
+  /// ends.
   void set_counters_report(std::function<void()> report) { counters_report_ = std::move(report); }
-  /// Sets the view of the cluster that operators get, as JSON. No effect without an operators'
-  /// address, as with the next two.
+  /// Sets the function that returns the operators' view of the cluster as JSON. Has no effect
+  /// without an operators' address; the same holds for the next three functions.
   void set_cluster_view(std::function<std::string()> view);
-  /// Sets the handler of operators' calls about configuration versions.
+  /// Sets the handler of operators' calls about configuration versions, and the size limit of the
+  /// body of such a call.
   void set_versions_handler(admin::RouterAdminHandler::VersionsHandler handler,
                             std::size_t max_body_bytes);
-  /// This router reports itself as not ready until `may_be_ready` returns true.
+  /// Sets a condition for readiness: the router reports itself as not ready while `may_be_ready`
+  /// returns false.
   void set_readiness_condition(std::function<bool()> may_be_ready);
-  /// Sets what tells whether a ban that is in effect here is known to the other routers too.
+  /// Sets the function that reports whether a ban in effect in this router has been replicated to
+  /// the other routers.
   void set_ban_replication_check(std::function<bool(const std::string& server)> is_replicated);
-  /// Called after SIGHUP.
+  /// Sets the function that is called after a reload on SIGHUP.
   void on_reload(std::function<void()> callback) { reload_callback_ = std::move(callback); }
-  /// Called for each ban by an operator, or the end of one, whichever process it came to.
+  /// Sets the function that is called when an operator bans a server or lifts a ban, whichever
+  /// process of the router received the call.
   void on_ban(std::function<void(const hot_restart::BanChange&)> callback) {
     ban_callback_ = std::move(callback);
   }
-  /// Sets this router's share of the budgets of all routers and of those of its location, 0 to 1;
-  /// 0: as the settings state.
+  /// Sets this router's share of the budgets of all routers and of the budgets of its location,
+  /// each from 0 to 1. With 0, the share in the settings applies.
   void set_cluster_share(double of_all, double of_location);
-  /// Applies a ban that another router has got; the server need not be listed.
+  /// Applies a ban, or the end of a ban, that was replicated from another router. The server need
+  /// not be in the endpoint list.
   void ban(const hot_restart::BanChange& change);
-  /// The servers with a ban that is on the disk.
+  /// Returns the names of the servers whose ban is stored on the disk.
   std::vector<std::string> bans() const;
   /// Sets the file from which SIGHUP reloads the configuration.
   void set_config_path(std::string path) { config_path_ = std::move(path); }
 
   /// Runs the loop until a graceful shutdown is complete.
   void run();
-  /// After run(): false if the shared directory does not respond, so that the process can only be
-  /// ended by _exit().
+  /// Stops the worker threads. Call this after run(). Returns false if the shared directory does
+  /// not respond, so that the process can be ended only by _exit().
   bool stop_workers() { return !hot_restart_ || hot_restart_->stop_worker(); }
   /// Performs one turn of the loop, for tests that drive it step by step.
   void turn();
@@ -103,8 +112,8 @@
   upstream::UpstreamPool upstream_pool_;
   std::unique_ptr<discovery::EndpointSink> sink_;
   discovery::DiscoveryClient discovery_client_;
-  // Declared before hot_restart_, which calls update_peers() and apply_ban() while the members
-  // below it are not constructed yet.
+  // These members are declared before hot_restart_, because it calls update_peers() and apply_ban()
+  // while the members below it are not constructed yet.
   bool is_constructed_ = false;
   double share_of_all_ = 0;
   double share_of_location_ = 0;
@@ -118,7 +127,7 @@
   std::function<void()> reload_callback_;
   std::function<void()> counters_report_;
   std::string config_path_;
-  core::Time drain_from_ = 0;  // 0: no shutdown has begun
+  core::Time drain_starts_at_ = 0;  // 0 until a shutdown begins
   bool is_drain_time_over_ = false;
 };
 
--- a/src/edge_router/main.cpp
+++ b/src/edge_router/main.cpp
@@ -1,5 +1,6 @@
-// edge_router, the platform's program: a router with the platform's front only. Exit codes: 0 after
-// a graceful shutdown, 1 if the router cannot start.
+// The program edge_router, which the platform starts: a router with only the front for the
+// platform's clients. Its exit code is 0 after a graceful shutdown and 1 if the router cannot
+// start.
 #include <unistd.h>
 
 #include <csignal>
@@ -16,31 +17,37 @@
 namespace config = alderspur::config;
 namespace net = alderspur::net;
 
-// The value of an environment variable; empty if it is not set.
-std::string variable(const char* name) {
+// Returns the value of an environment variable, or an empty string if it is not set.
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
 
-// Throws config::Error or std::runtime_error if the router cannot start.
+// Runs the router until it has shut down, and returns the exit code. Throws config::Error or
+// std::runtime_error if the router cannot start.
 int serve() {
-  const std::string path = variable("RELAY_CONFIG");
-  if (path.empty()) throw config::Error("RELAY_CONFIG names no configuration");
+  const std::string path = environment_variable("RELAY_CONFIG");
+  if (path.empty()) {
+    throw config::Error("RELAY_CONFIG is not set to the path of a configuration file");
+  }
   auto config = config::read_file(path);
-  if (const auto listen = variable("RELAY_LISTEN"); !listen.empty()) config.listen = listen;
-  if (const auto address = variable("RELAY_OPERATOR"); !address.empty()) {
+  if (const auto listen = environment_variable("RELAY_LISTEN"); !listen.empty()) {
+    config.listen = listen;
+  }
+  if (const auto address = environment_variable("RELAY_OPERATOR"); !address.empty()) {
     config.operators_address = address;
   }
-  config.shared_directory = variable("TMPDIR");
+  config.shared_directory = environment_variable("TMPDIR");
   alderspur::edge_router::EdgeRouter router(std::move(config),
                                             [](const std::string&, const std::string& text) {
                                               std::fprintf(stderr, "%s\n", text.c_str());
                                             });
   router.set_config_path(path);
   router.run();
-  // Ends without destructors, which would wait for the worker thread and so for the disk.
+  // Exits without running destructors, which would wait for the worker thread and thus for the
+  // disk.
   if (!router.stop_workers()) {
-    std::fputs("the shared folder hangs, ending without it\n", stderr);
+    std::fputs("the shared directory does not respond; exiting without waiting for it\n", stderr);
     ::_exit(0);
   }
   return 0;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The program as a process: start with an invalid configuration, reload and shutdown.
+// Tests the program as a process: a start with an invalid configuration, a reload and a shutdown.
 #include <csignal>
 
 #include "support/router_process.h"
@@ -13,9 +13,9 @@
 using loopback::RouterProcess;
 
 TEST(ProcessTest, ExitsWithOneLineWhenConfigurationIsInvalid) {
-  for (const std::string bad : {"{", R"({"settings":{"classes":[]}})",
-                                R"({"listen":"nowhere","settings":{"classes":[{}]}})"}) {
-    RouterProcess process(bad);
+  for (const std::string invalid_config : {"{", R"({"settings":{"classes":[]}})",
+                                           R"({"listen":"nowhere","settings":{"classes":[{}]}})"}) {
+    RouterProcess process(invalid_config);
     EXPECT_EQ(process.read_log_line().rfind("alderspur: ", 0), 0u);
     EXPECT_EQ(process.read_log_line(), "");
     EXPECT_EQ(process.wait_for_exit(), 1);
@@ -25,8 +25,8 @@
 const std::string kRequest = loopback::encode_request(1, "asset", {});
 const std::string kOtherRequest = loopback::encode_request(2, "asset", {});
 
-// Guards against a reload that ends the process, drops requests in flight, or keeps the watch of a
-// discovery server that is gone.
+// Guards against a reload that terminates the process, drops requests in flight, or keeps watching
+// the discovery server of the previous configuration.
 TEST(ProcessTest, WatchesNewDiscoveryServerAfterSighup) {
   FakeCache cache;
   sockaddr_in discovery_addresses[2];
@@ -40,7 +40,8 @@
   const auto client = loopback::connect_to(process.wait_for_address());
   client->write(kRequest);
   ASSERT_TRUE(poll_until([&] { return cache.count("fetch") == 1; }, cache, {}));
-  // Event 2 arrives, event 3 in part; then the old server is silent and keeps the connection open.
+  // Event 2 arrives completely and event 3 partially. Then the old server sends nothing more and
+  // keeps the connection open.
   old_watch.write(R"({"rev":2,"flush":{"collection":1,"ms":1}})"
                   "\n"
                   R"({"rev":3,"flu)");
@@ -62,7 +63,8 @@
   for (const int fd : listeners) ::close(fd);
 }
 
-// Guards against losing requests in flight, or those that still arrive, at a planned restart.
+// Guards against losing requests that are in flight, or that still arrive, during a planned
+// restart.
 TEST(ProcessTest, FinishesRequestsInFlightAfterSigterm) {
   FakeCache cache;
   RouterProcess process(config_with(cache));
@@ -71,10 +73,11 @@
   in_flight->write(kRequest);
   ASSERT_TRUE(poll_until([&] { return cache.count("fetch") == 1; }, cache, {}));
   process.send_signal(SIGTERM);
-  const auto late_client = loopback::connect_to(address);  // clients are notified later
+  const auto late_client =
+      loopback::connect_to(address);  // clients have not been notified of the shutdown yet
   late_client->write(kOtherRequest);
   ASSERT_TRUE(poll_until([&] { return cache.count("fetch") == 2; }, cache, {}));
-  ::usleep(900'000);  // longer than the time in which new requests are accepted
+  ::usleep(900'000);  // longer than the time for which new requests are still accepted
   for (const auto& command : cache.commands) FakeCache::respond(command, "served", "bytes");
   ASSERT_TRUE(poll_until([&] { return in_flight->is_closed && late_client->is_closed; }, cache,
                          {in_flight.get(), late_client.get()}));
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Shutdown while other events arrive, and signals at the start, with the program as a process.
+// Tests the program as a process: shutdown while other events arrive, and signals during the start.
 #include <csignal>
 
 #include "support/router_process.h"
@@ -28,17 +28,17 @@
   std::unique_ptr<loopback::TestSocket> connect_client() const {
     return loopback::connect_to(address);
   }
-  bool run_until(const std::function<bool()>& holds,
+  bool run_until(const std::function<bool()>& condition,
                  std::initializer_list<loopback::TestSocket*> sockets) {
-    return poll_until(holds, cache, sockets);
+    return poll_until(condition, cache, sockets);
   }
   FakeCache cache;
   std::unique_ptr<RouterProcess> program;
   sockaddr_in address{};
 };
 
-// Guards against resetting idle clients or waiting for them, and against forwarding requests that
-// are read once the shutdown has begun.
+// Guards against a shutdown that resets idle clients or waits for them, and against forwarding
+// requests that are read after new requests are no longer accepted.
 TEST_F(ShutdownTest, ClosesIdleClientsAndRejectsLateRequests) {
   start(config_with(cache));
   const auto busy = connect_client();
@@ -50,8 +50,9 @@
   ASSERT_TRUE(run_until([&] { return cache.count("fetch") == 1 && !idle_client->received.empty(); },
                         {idle_client.get()}));
   program->send_signal(SIGTERM);
-  program->send_signal(SIGTERM);  // a second one changes nothing
-  // That it is closed while another request is in flight shows that new ones are rejected now.
+  program->send_signal(SIGTERM);  // a second signal has no effect
+  // The idle client is closed while another request is in flight. From this point on, new requests
+  // are rejected.
   ASSERT_TRUE(run_until([&] { return idle_client->is_closed; }, {idle_client.get()}));
   EXPECT_FALSE(idle_client->was_reset);
   busy->write(request_for_new_object(2));
@@ -70,10 +71,12 @@
                         {busy.get(), partial.get()}));
   EXPECT_EQ(decode_responses(busy->received).size(), 2u);
   EXPECT_FALSE(busy->was_reset || partial->was_reset);
-  EXPECT_EQ(program->wait_for_exit(), 0) << "though its clients keep their side open";
+  EXPECT_EQ(program->wait_for_exit(), 0)
+      << "although its clients keep their side of the connection open";
 }
 
-// All input is ready in the turn of the signal: the process is suspended while it arrives.
+// The process is suspended while the input and the signals arrive, so that all of them are ready in
+// the same turn of the event loop.
 TEST_F(ShutdownTest, HandlesAllInputThatIsReadyWithTheSignal) {
   sockaddr_in discovery_address{};
   const int listener = loopback::bind_socket(discovery_address);
@@ -130,8 +133,9 @@
   ::close(listener);
 }
 
-// Guards against a hung cache that delays a response until the process is killed: 0.7 s and the
-// longest time that a client waits, 3 s at most, after the signal.
+// Guards against a cache that does not respond and delays the client's response until the process
+// is killed. The kill comes 0.7 s plus the longest time that a client waits (at most 3 s) after the
+// signal.
 TEST_F(ShutdownTest, RespondsBeforeTheKillWhenCacheHangs) {
   start(config_with(cache));
   const auto client = connect_client();
@@ -141,16 +145,18 @@
   program->send_signal(SIGTERM);
   ASSERT_TRUE(run_until([&] { return client->is_closed; }, {client.get()}));
   EXPECT_LT(net::unix_now() - signalled_at, 3'700'000)
-      << "the response and the end of the connection";
+      << "the response is sent and the connection is closed in time";
   ASSERT_EQ(decode_responses(client->received).size(), 1u);
   EXPECT_EQ(decode_responses(client->received)[0].error, "Busy");
-  EXPECT_EQ(program->wait_for_exit(), 0) << "by itself, though the client keeps its side open";
+  EXPECT_EQ(program->wait_for_exit(), 0)
+      << "the process exits by itself although the client keeps its side of the connection open";
   EXPECT_FALSE(client->was_reset);
 }
 
-// Connections that the kernel has completed and the program has not accepted.
+// Clients whose connections the kernel has completed, but which the program has not accepted, get a
+// response.
 TEST_F(ShutdownTest, RespondsToQueuedConnectionsBeforeListenerCloses) {
-  start(config_with(cache, {}, 0, 32));  // 16 slots
+  start(config_with(cache, {}, 0, 32));  // leaves 16 slots for clients
   std::vector<std::unique_ptr<loopback::TestSocket>> busy;
   std::vector<std::unique_ptr<loopback::TestSocket>> queued;
   for (unsigned i = 1; i <= 16; ++i) {
@@ -177,20 +183,20 @@
   EXPECT_EQ(program->wait_for_exit(), 0);
 }
 
-// A signal before the program is ready is handled once it is.
+// A signal that arrives before the program is ready is handled once it is ready.
 TEST(StartTest, HandlesSignalThatArrivesBeforeItListens) {
   FakeCache cache;
   for (const int number : {SIGTERM, SIGHUP}) {
     RouterProcess process({}, {}, {}, true);
-    // The pipe opens here once the program has opened it: its start has begun.
+    // Opening the pipe blocks until the program has opened it too, so the program has started.
     process.configure_with([&] { process.send_signal(number); }, config_with(cache));
-    const auto at = process.wait_for_address();
+    const auto address = process.wait_for_address();
     if (number == SIGHUP) {
-      process.configure("{");  // read again
+      process.configure("{");  // for the reload
       EXPECT_EQ(process.read_log_line().rfind("reload: ", 0), 0u);
       process.send_signal(SIGTERM);
     }
-    const auto client = loopback::connect_to(at);
+    const auto client = loopback::connect_to(address);
     client->write(request_for_new_object(1));
     ASSERT_TRUE(poll_until([&] { return cache.count("fetch") > 0; }, cache, {}));
     FakeCache::respond(cache.commands.back(), "served", "bytes");
@@ -201,12 +207,13 @@
   }
 }
 
-// Neither a discovery server that hangs nor many known events delay the start.
+// Neither a discovery server that does not respond nor a large number of known events delays the
+// start.
 TEST(StartTest, ServesWhenDiscoveryServerHangs) {
   FakeCache cache;
   sockaddr_in discovery_address{};
   const int listener =
-      loopback::bind_socket(discovery_address);  // it does not listen, then it does not accept
+      loopback::bind_socket(discovery_address);  // listens later, and never accepts
   auto config = config_with(cache, net::to_string(discovery_address));
   std::string known;
   for (int i = 2; i <= 5000; ++i) {
@@ -227,48 +234,49 @@
   ::close(listener);
 }
 
-// Fails today (KNOWN-RED.txt): the event loop's end restores the default action of SIGHUP, so that
-// a reload which arrives during the last steps of a shutdown kills the process.
+// A known failure (KNOWN-RED.txt). When the event loop ends, it restores the default action of
+// SIGHUP, so a reload that arrives during the last steps of a shutdown kills the process.
 TEST_F(ShutdownTest, ExitsWithZeroWhenSighupArrivesAfterTheEndOfTheEventLoop) {
   start(config_with(cache));
   program->send_signal(SIGTERM);
   for (int i = 0; i < 20'000 && !program->has_exited(); ++i) {
     program->send_signal(SIGHUP);
-    program->read_available_log();  // each reload logs a line: a full pipe would block the process
+    program
+        ->read_available_log();  // each reload logs a line, and a full pipe would block the process
     ::usleep(500);
   }
   EXPECT_EQ(program->wait_for_exit(), 0);
 }
 
-// Idle clients in all slots, and no discovery server: once it is back the router connects to it,
-// and a new client is served.
+// Idle clients occupy all slots while no discovery server is running. A new client is still served,
+// and the router reconnects once the discovery server is running again.
 TEST(DescriptorsTest, ReconnectsAndServesWhenIdleClientsFillAllSlots) {
   FakeCache cache;
   sockaddr_in discovery_address{};
   int listener = loopback::bind_socket(discovery_address);
   ::listen(listener, 4);
   RouterProcess process(config_with(cache, net::to_string(discovery_address), 0, 32));
-  const auto at = process.wait_for_address();
+  const auto address = process.wait_for_address();
   int fd = ::accept(listener, nullptr, nullptr);
   ::close(fd);
   ::close(listener);  // connects are refused from now on
   std::vector<std::unique_ptr<loopback::TestSocket>> idle;
   for (int i = 0; i < 60; ++i) {
-    idle.push_back(loopback::connect_to(at));
+    idle.push_back(loopback::connect_to(address));
     idle.back()->write(encode_request(1, "status", {}));
   }
-  const auto client = loopback::connect_to(at);
+  const auto client = loopback::connect_to(address);
   client->write(request_for_new_object(1));
   ASSERT_TRUE(poll_until([&] { return cache.count("fetch") == 1; }, cache, {}));
   listener = ::socket(AF_INET, SOCK_STREAM, 0);
-  const int on = 1;
-  ::setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const int enabled = 1;
+  ::setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   ASSERT_EQ(
       ::bind(listener, reinterpret_cast<sockaddr*>(&discovery_address), sizeof discovery_address),
       0);
   ::listen(listener, 4);
-  loopback::TestSocket back(::accept(listener, nullptr, nullptr));
-  ASSERT_TRUE(poll_until([&] { return back.received == "watch 1\n"; }, cache, {&back}));
+  loopback::TestSocket new_watch(::accept(listener, nullptr, nullptr));
+  ASSERT_TRUE(poll_until([&] { return new_watch.received == "watch 1\n"; }, cache, {&new_watch}));
   FakeCache::respond(cache.commands[0], "served", "bytes");
   ASSERT_TRUE(poll_until([&] { return !decode_responses(client->received).empty(); }, cache,
                          {client.get()}));
--- a/tests/support/router_process.h
+++ b/tests/support/router_process.h
@@ -1,4 +1,4 @@
-// The program edge_router as a process of its own, and its configuration.
+// Runs the program edge_router as a separate process for tests, and builds its configuration.
 #pragma once
 
 #include <poll.h>
@@ -19,36 +19,40 @@
 
 namespace loopback {
 
-/// A running edge_router with a folder for its configuration; killed when it is destroyed.
+/// A running edge_router with a temporary folder for its configuration. The destructor kills the
+/// process.
 class RouterProcess {
  public:
-  /// `shared`: the directory of a router whose processes replace each other; `operators`: the
-  /// address of operators' calls. `pipe`: the configuration comes through a pipe, and the start
-  /// waits for configure_with().
-  explicit RouterProcess(const std::string& config, const std::string& shared = {},
-                         const std::string& operators = {}, bool pipe = false) {
+  /// `shared_directory` is the directory that the processes of a hot restart share, and
+  /// `operators_address` the address for operators' calls; an empty value leaves out either. With
+  /// `is_config_piped`, the process reads its configuration from a pipe, and its start waits for
+  /// configure_with().
+  explicit RouterProcess(const std::string& config, const std::string& shared_directory = {},
+                         const std::string& operators_address = {}, bool is_config_piped = false) {
     char name[] = "/tmp/alderspur-test-XXXXXX";
     folder_ = ::mkdtemp(name);
-    if (pipe) {
+    if (is_config_piped) {
       EXPECT_EQ(::mkfifo((folder_ + "/config.json").c_str(), 0600), 0);
     } else {
       configure(config);
     }
-    int ends[2];
-    EXPECT_EQ(::pipe(ends), 0);
+    int log_pipe[2];
+    EXPECT_EQ(::pipe(log_pipe), 0);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::dup2(ends[1], 2);
+      ::dup2(log_pipe[1], 2);
       ::setenv("RELAY_CONFIG", (folder_ + "/config.json").c_str(), 1);
       ::unsetenv("RELAY_LISTEN");
       ::unsetenv("RELAY_OPERATOR");
-      if (!shared.empty()) ::setenv("TMPDIR", shared.c_str(), 1);
-      if (!operators.empty()) ::setenv("RELAY_OPERATOR", operators.c_str(), 1);
+      if (!shared_directory.empty()) ::setenv("TMPDIR", shared_directory.c_str(), 1);
+      if (!operators_address.empty()) {
+        ::setenv("RELAY_OPERATOR", operators_address.c_str(), 1);
+      }
       ::execl(test_paths::kEdgeRouter, test_paths::kEdgeRouter, nullptr);
       ::_exit(99);
     }
-    ::close(ends[1]);
-    log_ = ends[0];
+    ::close(log_pipe[1]);
+    log_ = log_pipe[0];
   }
   ~RouterProcess() {
     if (pid_ > 0) {
@@ -58,21 +62,24 @@
     ::close(log_);
     std::filesystem::remove_all(folder_);
   }
+  /// Replaces the content of the configuration file.
   void configure(const std::string& config) { std::ofstream(folder_ + "/config.json") << config; }
-  /// Through the pipe: `then` runs once the program has begun to read, before it has read anything.
-  void configure_with(const std::function<void()>& then, const std::string& config) {
+  /// Sends the configuration through the pipe. Calls `before_write` once the program has opened the
+  /// pipe, before it can read anything.
+  void configure_with(const std::function<void()>& before_write, const std::string& config) {
     const int fd = ::open((folder_ + "/config.json").c_str(), O_WRONLY);
-    then();
+    before_write();
     EXPECT_EQ(::write(fd, config.data(), config.size()), static_cast<ssize_t>(config.size()));
     ::close(fd);
   }
-  /// The next line of the log; waits for it.
+  /// Waits for the next line of the log and returns it without its line break. Returns an empty
+  /// text once the process has closed its log.
   std::string read_log_line() {
     std::string text;
-    for (char c; ::read(log_, &c, 1) == 1 && c != '\n';) text += c;
+    for (char next; ::read(log_, &next, 1) == 1 && next != '\n';) text += next;
     return text;
   }
-  /// What it has logged since the last call, without waiting.
+  /// Returns the unread part of the log without waiting.
   std::string read_available_log() {
     std::string text;
     pollfd readable{log_, POLLIN, 0};
@@ -84,12 +91,12 @@
     }
     return text;
   }
-  /// Where it listens; waits for it.
+  /// Waits for the first line of the log and returns the listen address, which is its last word.
   sockaddr_in wait_for_address() {
-    const auto said = read_log_line();
-    const auto at = net::parse_address(said.substr(said.rfind(' ') + 1));
-    EXPECT_TRUE(at) << said;
-    return at.value_or(sockaddr_in{});
+    const auto line = read_log_line();
+    const auto address = net::parse_address(line.substr(line.rfind(' ') + 1));
+    EXPECT_TRUE(address) << line;
+    return address.value_or(sockaddr_in{});
   }
   bool has_exited() {
     if (pid_ <= 0) return true;
@@ -106,20 +113,22 @@
     return count;
   }
   std::size_t resident_bytes() const {
-    std::ifstream in("/proc/" + std::to_string(pid_) + "/statm");
+    std::ifstream statm("/proc/" + std::to_string(pid_) + "/statm");
     std::size_t size = 0;
     std::size_t pages = 0;
-    in >> size >> pages;
+    statm >> size >> pages;
     return pages * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   }
   void send_signal(int number) { ::kill(pid_, number); }
-  /// Returns once it has stopped. What arrives from now on is ready at once when it continues.
+  /// Suspends the process and returns once it has stopped. All input that arrives in the meantime
+  /// is ready when the process continues.
   void suspend() {
     send_signal(SIGSTOP);
     siginfo_t info{};
     EXPECT_EQ(::waitid(P_PID, static_cast<id_t>(pid_), &info, WSTOPPED), 0);
   }
-  /// Waits for its end; the negative number of a signal that ended it.
+  /// Waits until the process has exited. Returns the exit code, or the negative number of the
+  /// signal that killed the process.
   int wait_for_exit() {
     int status = 0;
     ::waitpid(std::exchange(pid_, 0), &status, 0);
@@ -132,7 +141,8 @@
   int log_ = -1;
 };
 
-/// One cache and one class; `request_timeout` in microseconds.
+/// Returns a configuration with one cache and one class. `request_timeout` is in microseconds, and
+/// 0 means none.
 inline std::string config_with(const FakeCache& cache, const std::string& discovery_address = {},
                                std::int64_t request_timeout = 0, int max_descriptors = 1024) {
   return R"({"listen":"127.0.0.1:0","board":")" + discovery_address + R"(","limits":{"sockets":)" +
@@ -146,15 +156,16 @@
          std::to_string(request_timeout) + R"(,"points":1,"repeat":"safe"}]}})";
 }
 
-/// Polls the cache and the sockets until it holds; false after 20,000 rounds of a millisecond.
-inline bool poll_until(const std::function<bool()>& holds, FakeCache& cache,
+/// Polls the cache and the sockets until the condition is true. Returns false if it is not true
+/// after 20,000 rounds of one millisecond each.
+inline bool poll_until(const std::function<bool()>& condition, FakeCache& cache,
                        const std::vector<TestSocket*>& sockets) {
-  for (int i = 0; i < 20'000 && !holds(); ++i) {
+  for (int round = 0; round < 20'000 && !condition(); ++round) {
     cache.poll();
     for (auto* socket : sockets) socket->poll();
     ::usleep(1000);
   }
-  return holds();
+  return condition();
 }
 
 }  // namespace loopback
