--- a/src/file_watch/source.cpp
+++ b/src/file_watch/source.cpp
@@ -21,7 +21,7 @@
 
 constexpr int kMaxSymlinkDepth = 16;
 constexpr std::size_t kReadBufferBytes = 65536;
-/// In nanoseconds; a ctime advances with the kernel's tick, which is 10 ms at most.
+/// In nanoseconds. A ctime advances with the kernel's clock tick, which lasts at most 10 ms.
 constexpr std::int64_t kClockResolution = 40'000'000;
 constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
@@ -40,7 +40,7 @@
   return directory.ends_with('/') ? directory + name : directory + '/' + name;
 }
 
-/// The target of a symlink; nothing for anything else.
+/// Returns the target of a symlink, or nothing if the path is not a symlink.
 std::optional<std::string> read_symlink(const std::string& path) {
   char target[PATH_MAX];
   const ssize_t size = ::readlink(path.c_str(), target, sizeof target);
@@ -48,8 +48,8 @@
   return std::string(target, static_cast<std::size_t>(size));
 }
 
-/// Adds every directory entry that the path leads through, symlinks included, and the targets of
-/// these symlinks to the identity.
+/// Adds every directory entry on the path, including those on the targets of symlinks, to
+/// `entries`, and the hashes of these targets to `identity`.
 void trace_path(const std::string& path, int depth, std::vector<WatchedEntry>& entries,
                 std::vector<std::uint64_t>& identity) {
   std::string directory = path.starts_with('/') ? "/" : ".";
@@ -76,15 +76,15 @@
   return {path, std::strerror(code)};
 }
 
-/// Reads a regular file, `budget` bytes at most, and takes what it has read off the budget. A
-/// longer file is cut.
+/// Reads at most `budget` bytes of a regular file and subtracts the bytes read from the budget. A
+/// longer file is truncated.
 std::variant<std::string, ReadError> read_file(const std::string& path, std::size_t& budget) {
-  // Not blocking: a FIFO or a device may stand in the file's place.
+  // O_NONBLOCK, because the path may lead to a FIFO or a device.
   const net::Fd file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK | O_NOCTTY));
   if (file.get() < 0) return system_error(path);
   struct stat status {};
   if (::fstat(file.get(), &status) < 0) return system_error(path);
-  if (!S_ISREG(status.st_mode)) return ReadError{path, "it is no regular file"};
+  if (!S_ISREG(status.st_mode)) return ReadError{path, "it is not a regular file"};
   std::string text;
   char buffer[kReadBufferBytes];
   for (;;) {
@@ -110,12 +110,12 @@
 
 }  // namespace
 
-/// The files as they stand, without their content.
+/// The state of the files at one moment, without their content.
 struct Source::Inspection {
   Identity identity;
   bool is_directory = false;
-  bool is_young = false;  // a file may be written again without a difference in its ctime
-  std::string file;       // the file, or the directory's manifest
+  bool is_recent = false;  // another write of a file might not change its ctime
+  std::string file;        // path of the file, or of the directory's manifest
   std::vector<WatchedEntry> entries;
 
   void add_file(const std::string& path, std::int64_t now_nanoseconds);
@@ -133,7 +133,7 @@
   identity.push_back(static_cast<std::uint64_t>(status.st_size));
   identity.push_back(static_cast<std::uint64_t>(to_nanoseconds(status.st_mtim)));
   identity.push_back(static_cast<std::uint64_t>(to_nanoseconds(status.st_ctim)));
-  is_young |= to_nanoseconds(status.st_ctim) > now_nanoseconds - kClockResolution;
+  is_recent |= to_nanoseconds(status.st_ctim) > now_nanoseconds - kClockResolution;
 }
 
 std::string to_string(const ReadError& error) {
@@ -190,15 +190,15 @@
   result.observation = Observation::unsettled;
   if (before.identity != std::exchange(last_seen_, before.identity)) return result;
   auto read = read_contents(before);
-  // Pieces that the manifest newly lists have to be unchanged for a while as well.
+  // Pieces that the manifest did not list before have to settle as well.
   if (std::holds_alternative<std::monostate>(read)) return result;
   const Inspection after = inspect();
-  if (after.identity != before.identity) {  // changed while it was read
+  if (after.identity != before.identity) {  // the files changed while they were read
     last_seen_ = after.identity;
     return result;
   }
   last_read_ = before.identity;
-  const bool was_read_again = std::exchange(must_read_again_, before.is_young || after.is_young);
+  const bool was_read_again = std::exchange(must_read_again_, before.is_recent || after.is_recent);
   if (auto* error = std::get_if<ReadError>(&read)) {
     result.observation = Observation::unreadable;
     result.error = std::move(*error);
--- a/src/file_watch/watcher.cpp
+++ b/src/file_watch/watcher.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint32_t kWatchedEvents = IN_CREATE | IN_MOVED_TO | IN_MOVED_FROM | IN_DELETE |
                                          IN_MODIFY | IN_CLOSE_WRITE | IN_ATTRIB | IN_DELETE_SELF |
                                          IN_MOVE_SELF | IN_ONLYDIR;
-/// Events that concern the path whatever name they carry.
+/// Events that concern the path regardless of the name in the event.
 constexpr std::uint32_t kDirectoryEvents =
     IN_Q_OVERFLOW | IN_IGNORED | IN_DELETE_SELF | IN_MOVE_SELF | IN_UNMOUNT;
 constexpr int kMaxReadsPerTurn = 16;
@@ -23,15 +23,16 @@
 
 }  // namespace
 
-/// Outlives the watcher while one of its jobs runs.
+/// The part of the watcher that its jobs use. It outlives the watcher while a job runs.
 struct Watcher::Shared {
   Shared(const WatchSettings& settings, Source::PieceNames piece_names)
       : source(settings.path, settings.max_bytes, std::move(piece_names)),
         inotify(::inotify_init1(IN_NONBLOCK | IN_CLOEXEC)) {}
 
-  Source source;  // used by the worker's thread only, once started
+  Source source;  // used only by the worker thread after start()
   net::Fd inotify;
-  Watcher* owner = nullptr;  // used by the loop's thread only; null once the watcher is destroyed
+  // Used only by the event loop's thread. Null once the watcher is destroyed.
+  Watcher* owner = nullptr;
 };
 
 Watcher::Watcher(net::Loop& loop, core::Deadlines& deadlines, net::Wakeup& wakeup, Worker& worker,
@@ -105,7 +106,8 @@
   return watched;
 }
 
-// One poll at a time: the next content is evaluated against what this one has put into effect.
+// Only one poll runs at a time, because the evaluation of its content may depend on the result that
+// the previous poll has applied.
 void Watcher::start_poll() {
   if (std::exchange(is_polling_, true)) {
     must_poll_again_ = true;
@@ -157,29 +159,29 @@
 }
 
 bool Watcher::concerns_path(int descriptor, std::uint32_t mask, const char* name) const {
-  const auto it = watched_.by_descriptor.find(descriptor);
-  if (it == watched_.by_descriptor.end()) return (mask & IN_Q_OVERFLOW) != 0;
+  const auto watched = watched_.by_descriptor.find(descriptor);
+  if (watched == watched_.by_descriptor.end()) return (mask & IN_Q_OVERFLOW) != 0;
   if (mask & kDirectoryEvents) return true;
-  const auto& names = it->second;
+  const auto& names = watched->second;
   return names.contains("") || names.contains(name);
 }
 
 void Watcher::on_inotify_ready() {
   alignas(inotify_event) char buffer[kEventBufferBytes];
-  bool is_concerned = false;
-  for (int i = 0; i < kMaxReadsPerTurn; ++i) {
+  bool must_poll = false;
+  for (int read_count = 0; read_count < kMaxReadsPerTurn; ++read_count) {
     const ssize_t size = ::read(shared_->inotify.get(), buffer, sizeof buffer);
     if (size <= 0) break;
-    for (ssize_t at = 0; at < size;) {
+    for (ssize_t offset = 0; offset < size;) {
       inotify_event event;
-      std::memcpy(&event, buffer + at, sizeof event);
-      const char* name = event.len ? buffer + at + sizeof event : "";
+      std::memcpy(&event, buffer + offset, sizeof event);
+      const char* name = event.len ? buffer + offset + sizeof event : "";
       ++counters_.events;
-      is_concerned |= concerns_path(event.wd, event.mask, name);
-      at += static_cast<ssize_t>(sizeof event + event.len);
+      must_poll |= concerns_path(event.wd, event.mask, name);
+      offset += static_cast<ssize_t>(sizeof event + event.len);
     }
   }
-  if (is_concerned) poll_now();
+  if (must_poll) poll_now();
 }
 
 }  // namespace alderspur::file_watch
--- a/src/file_watch/watcher.h
+++ b/src/file_watch/watcher.h
@@ -1,12 +1,12 @@
-// Watches a path and evaluates its content whenever that has changed.
+// Watches a path and evaluates its content each time the content has changed.
 //
-// inotify reports changes to the event loop: of the entries of every directory that the path leads
-// through, symlinks included, so that a replaced parent directory is noticed as well. A slow poll
-// runs beside it, for file systems without events and for when watches have run out. The loop's
-// thread takes events, sets deadlines and applies results; every call on the watched files is made
-// by the worker.
+// inotify reports changes of the entries in every directory on the path, including the targets of
+// symlinks, so that a replaced parent directory is detected as well. The path is also polled at a
+// longer interval, for file systems without inotify events and for the case that no more watches
+// can be added. The event loop's thread receives events, sets deadlines and applies results. The
+// worker thread makes every system call on the watched files.
 //
-// The path is polled at once after an event, and again after `settle_time`: content that is the
+// The path is polled immediately after an event and again after `settle_time`. Content that is the
 // same in both polls has settled.
 #pragma once
 
@@ -27,54 +27,56 @@
 
 namespace alderspur::file_watch {
 
-/// What to watch and how often. Times in microseconds.
+/// The path to watch and the polling intervals. Times are in microseconds.
 struct WatchSettings {
   std::string path;
-  core::Time settle_time = 30'000;
-  core::Time poll_interval = 500'000;
-  std::size_t max_bytes = 16 << 20;  // of all files together
+  core::Time settle_time = 30'000;  // between the polls that determine whether content has settled
+  core::Time poll_interval = 500'000;  // between polls without events
+  std::size_t max_bytes = 16 << 20;    // limit for all files together
 };
 
-/// Puts the result of an evaluation into effect, on the loop's thread. May be empty.
+/// Applies the result of an evaluation, on the event loop's thread. May be empty.
 using Apply = std::function<void()>;
-/// Evaluates content that has changed or cannot be read, on the worker's thread.
+/// Evaluates content that has changed or cannot be read, on the worker thread.
 using Evaluate = std::function<Apply(PollResult&&)>;
 
-/// Totals since the start.
+/// Counters since the watcher was created.
 struct WatchCounters {
-  std::uint64_t events = 0;  // of inotify
+  std::uint64_t events = 0;  // inotify events
   std::uint64_t polls = 0;
   std::uint64_t changed = 0;         // polls that returned new content
   std::uint64_t unreadable = 0;      // polls that could not read a file
-  std::uint64_t unsettled = 0;       // polls that found a change under way
-  std::uint64_t watch_failures = 0;  // polls after which inotify does not cover all directories
+  std::uint64_t unsettled = 0;       // polls that found files which had not settled
+  std::uint64_t watch_failures = 0;  // polls after which inotify did not cover all directories
 };
 
-/// Belongs to the loop's thread. The worker may outlive it.
+/// Watches one path. Call all functions on the event loop's thread. The worker may outlive the
+/// watcher.
 class Watcher {
  public:
   Watcher(net::Loop& loop, core::Deadlines& deadlines, net::Wakeup& wakeup, Worker& worker,
           const WatchSettings& settings, Source::PieceNames piece_names, Evaluate evaluate);
   ~Watcher();
 
-  /// Polls on the calling thread until the path has settled. Nothing if it has not settled within
-  /// the timeout, in microseconds. To be called before start().
+  /// Polls on the calling thread until the path has settled. Returns nothing if it has not settled
+  /// within `timeout` microseconds. Call this before start().
   std::optional<PollResult> poll_until_settled(core::Time timeout);
 
-  /// Begins to watch.
+  /// Starts to watch the path, beginning with a poll.
   void start();
 
-  /// Polls as if an event had come.
+  /// Polls as if an inotify event had been received. If a poll is running, another one follows it.
   void poll_now();
 
   const WatchCounters& counters() const { return counters_; }
 
  private:
   struct Shared;
-  /// Which names concern the path, by inotify's watch descriptor; "" stands for every name.
+  /// The names of the directory entries that concern the path, by inotify watch descriptor. The
+  /// empty name stands for every entry.
   struct WatchedNames {
     std::map<int, std::set<std::string>> by_descriptor;
-    bool is_complete = true;  // false: inotify does not cover all directories
+    bool is_complete = true;  // whether inotify covers all directories
   };
 
   static WatchedNames add_watches(int inotify, const std::vector<WatchedEntry>& entries);
@@ -91,13 +93,13 @@
   Worker& worker_;
   const WatchSettings settings_;
   const Evaluate evaluate_;
-  std::shared_ptr<Shared> shared_;  // with the job that is running
+  std::shared_ptr<Shared> shared_;  // shared with the running job
   std::unique_ptr<net::IoWatcher> inotify_watcher_;
   WatchedNames watched_;
   std::optional<core::Deadlines::Key> next_poll_;
   core::Time next_poll_at_ = 0;
-  bool is_polling_ = false;       // the worker has a poll to do
-  bool must_poll_again_ = false;  // an event came meanwhile
+  bool is_polling_ = false;       // a poll is queued or running at the worker
+  bool must_poll_again_ = false;  // an event was received during the poll
   WatchCounters counters_;
 };
 
--- a/src/file_watch/worker.cpp
+++ b/src/file_watch/worker.cpp
@@ -17,8 +17,8 @@
 }  // namespace
 
 Worker::Worker() {
-  // The thread inherits a mask that blocks all signals: the event loop handles them, and here they
-  // would interrupt reads.
+  // The thread inherits a mask that blocks all signals. The event loop handles signals; on this
+  // thread they would interrupt reads.
   sigset_t all_signals;
   sigset_t previous_mask;
   sigfillset(&all_signals);
@@ -61,8 +61,8 @@
 }
 
 void Worker::run() {
-  // The event loop's thread goes first where cores are few. On Linux each thread has a niceness of
-  // its own.
+  // Gives priority to the event loop's thread when few cores are available. On Linux, each thread
+  // has its own niceness.
   ::setpriority(PRIO_PROCESS, static_cast<id_t>(::syscall(SYS_gettid)), kThreadNiceness);
   std::unique_lock lock(mutex_);
   for (;;) {
@@ -75,9 +75,9 @@
     try {
       job();
     } catch (const std::exception&) {
-      // Out of memory, as a rule. The owner of the job tries again with its next poll.
+      // The usual cause is a lack of memory. The owner of the job tries again with its next poll.
     }
-    job = nullptr;  // destroys what the job holds before the worker counts as idle
+    job = nullptr;  // destroys the job's captured state before the worker counts as idle
     lock.lock();
     is_busy_ = false;
     changed_.notify_all();
--- a/src/file_watch/worker.h
+++ b/src/file_watch/worker.h
@@ -1,4 +1,4 @@
-// A thread for work that may block: reading, parsing and syncing files.
+// Provides a thread for work that may block, such as reading, parsing and syncing files.
 #pragma once
 
 #include <chrono>
@@ -12,28 +12,31 @@
 namespace alderspur::file_watch {
 
 /// Runs jobs one after another, in the order in which they were submitted. All methods may be
-/// called from any thread but the worker's own.
+/// called from any thread except the worker's own.
 class Worker {
  public:
+  /// The largest number of jobs that wait to run.
   static constexpr std::size_t kMaxWaitingJobs = 64;
 
+  /// Starts the thread.
   Worker();
 
-  /// Waits for the running job and drops those that have not begun.
+  /// Waits for the running job and discards the jobs that have not started.
   ~Worker();
 
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  /// Never blocks. False if the worker is stopping or kMaxWaitingJobs jobs are waiting already.
-  /// Jobs should not throw: an exception ends the job and is otherwise ignored.
+  /// Adds a job to the queue without blocking. Returns false if the worker is stopping or
+  /// kMaxWaitingJobs jobs are already waiting. Jobs should not throw; an exception ends the job and
+  /// is otherwise ignored.
   bool submit(std::function<void()> job);
 
-  /// Blocks until every submitted job has run.
+  /// Blocks until every submitted job has run, or until the worker is stopping.
   void drain();
 
-  /// Accepts no more jobs and drops those that have not begun. False if the running job has not
-  /// ended within the timeout; the destructor then still waits for it.
+  /// Rejects further jobs and discards the jobs that have not started. Returns false if the running
+  /// job has not ended within the timeout. The destructor still waits for that job.
   bool stop(std::chrono::milliseconds timeout);
 
  private:
--- a/src/store/endpoint_state.cpp
+++ b/src/store/endpoint_state.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 constexpr std::uint32_t kFormat = 1;
-// 100,000 servers make some 100,000 tables and 200,000 strings; the verifier counts tables only.
+// 100,000 servers need about 100,000 tables and 200,000 strings. The verifier counts only tables.
 constexpr std::size_t kMaxVerifiedDepth = 16;
 constexpr std::size_t kMaxVerifiedTables = 2'000'000;
-// A first estimate of the buffer's size, which grows where needed.
+// An estimate for the initial size of the buffer, which grows if needed.
 constexpr std::size_t kBytesPerServer = 96;
-constexpr std::size_t kBytesOfHead = 64;
+constexpr std::size_t kBytesOfStateFields = 64;
 constexpr std::uint8_t kMaxRole = static_cast<std::uint8_t>(Role::origin);
 constexpr std::uint8_t kMaxState = static_cast<std::uint8_t>(endpoints::ServerState::draining);
 
-/// Creates a vector of what `encode_one` makes of each element.
+/// Creates a vector of the offsets that `encode_one` returns for the elements.
 template <class Encoded, class Element, class EncodeOne>
 flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<Encoded>>> encode_each(
     flatbuffers::FlatBufferBuilder& builder, const std::vector<Element>& elements,
@@ -36,9 +36,10 @@
 }
 
 bool is_usable(const endpoints::ListedServer& server, const endpoints::Snapshot& list) {
-  const auto place_count = server.role == Role::cache ? list.points.size() : list.hubs.size();
+  const auto location_count = server.role == Role::cache ? list.points.size() : list.hubs.size();
   return !server.name.empty() && core::is_plain_word(server.name) &&
-         server.location_index < place_count && std::isfinite(server.weight) && server.weight > 0;
+         server.location_index < location_count && std::isfinite(server.weight) &&
+         server.weight > 0;
 }
 
 std::optional<endpoints::ListedServer> decode_server(const fb::Server& stored,
@@ -57,7 +58,8 @@
   return server;
 }
 
-/// Returns null if the list is inconsistent in itself or does not match its digest.
+/// Returns null if the list refers to a location that it does not contain, has an invalid server,
+/// or does not match its digest.
 endpoints::SnapshotPtr decode_list(const fb::State& state) {
   auto list = std::make_shared<endpoints::Snapshot>();
   list->generation = state.generation();
@@ -106,11 +108,12 @@
 std::string to_string(const DecodeError& error) {
   switch (error.reason) {
     case DecodeError::Reason::not_a_state_buffer:
-      return "it is not the buffer of a state";
+      return "the content is not an endpoint state buffer";
     case DecodeError::Reason::unknown_format:
-      return "it has format " + std::to_string(error.format) + ", not " + std::to_string(kFormat);
+      return "the state has format " + std::to_string(error.format) + ", but only format " +
+             std::to_string(kFormat) + " is supported";
     case DecodeError::Reason::inconsistent_list:
-      return "its list does not hold together";
+      return "the endpoint list in the state is inconsistent";
   }
   return {};
 }
@@ -119,10 +122,11 @@
   return std::visit([](const auto& specific) { return describe(specific); }, error);
 }
 
-// The order in which the parts are created fixes the bytes of the file.
+// The order in which the parts are created determines the bytes of the file.
 std::string encode(const EndpointState& state) {
   const endpoints::Snapshot& list = *state.list;
-  flatbuffers::FlatBufferBuilder builder(kBytesOfHead + list.servers.size() * kBytesPerServer);
+  flatbuffers::FlatBufferBuilder builder(kBytesOfStateFields +
+                                         list.servers.size() * kBytesPerServer);
   const auto hubs = encode_each<flatbuffers::String>(
       builder, list.hubs, [&](const std::string& hub) { return builder.CreateString(hub); });
   const auto points =
--- a/src/store/state_file.cpp
+++ b/src/store/state_file.cpp
@@ -4,7 +4,8 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-// Only one function of the library is used: inlined, it need not be loaded at program start.
+// Only one function of the library is used. Inlining it avoids loading the shared library at
+// program start.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -61,7 +62,7 @@
   return true;
 }
 
-/// Reads until `buffer` is full; false at an early end of file or an error.
+/// Reads until `buffer` is full. Returns false on an early end of file or an error.
 bool read_all(int fd, std::string& buffer) {
   std::size_t filled = 0;
   while (filled < buffer.size()) {
@@ -77,8 +78,8 @@
   if (hook) hook(step);
 }
 
-/// Writes header and payload to a new file at `path` and syncs it. A file that an interrupted
-/// write left there is overwritten.
+/// Writes header and payload to a new file at `path` and syncs it. Overwrites a file that an
+/// interrupted write has left there.
 std::optional<FileError> write_synced(const std::string& path, std::string_view header,
                                       std::string_view payload, const WriteStepHook& hook) {
   FileDescriptor file(
@@ -94,8 +95,8 @@
     return errno_error(FileFault::write_failed, path);
   }
   report(hook, WriteStep::written);
-  // The sync comes before the rename: otherwise a crash could leave an empty file under the final
-  // name.
+  // The file is synced before it is renamed. Otherwise a crash could leave an empty file under the
+  // final name.
   if (::fsync(file.get()) < 0 || !file.close()) {
     return errno_error(FileFault::sync_failed, path);
   }
@@ -147,9 +148,9 @@
     case FileFault::lock_failed:
       return failed("cannot lock");
     case FileFault::not_a_state_file:
-      return error.path + " is no state file";
+      return error.path + " is not a state file";
     case FileFault::checksum_mismatch:
-      return error.path + " is damaged: its checksum does not hold";
+      return error.path + " is damaged: its checksum does not match its content";
   }
   return error.path;
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint state on disk: written whole or not at all, and damaged files are refused.
+// Tests the endpoint state on disk: it is written atomically, and damaged files are rejected.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -49,8 +49,8 @@
   }
   ~EndpointStateTest() override { std::filesystem::remove_all(directory); }
 
-  /// Whether a file with this content is refused with an error.
-  bool is_refused(const std::string& content) const {
+  /// Reports whether a file with this content is rejected with an error.
+  bool is_rejected(const std::string& content) const {
     std::ofstream(path, std::ios::binary) << content;
     const auto loaded = load_endpoint_state(path);
     return !loaded.state && !loaded.is_absent && loaded.error && !to_string(*loaded.error).empty();
@@ -75,8 +75,8 @@
   EXPECT_TRUE(endpoints::difference(saved.list.get(), *loaded.state->list).is_empty());
 }
 
-// SIGKILL at each step of the write: either the old content is there or the new one, and the next
-// write succeeds.
+// The process is killed with SIGKILL at each step of the write. The file then contains either the
+// old or the new state, and the next write succeeds.
 TEST_F(EndpointStateTest, KeepsOldOrNewContentWhenKilledAtAnyStep) {
   ASSERT_FALSE(save_endpoint_state(path, state_with(1, 50)));
   std::uint64_t previous = 1;
@@ -103,20 +103,20 @@
   EXPECT_EQ(load_endpoint_state(path).state->list->generation, 100U);
 }
 
-TEST_F(EndpointStateTest, RefusesADamagedFileWithAnError) {
+TEST_F(EndpointStateTest, RejectsADamagedFileWithAnError) {
   ASSERT_FALSE(save_endpoint_state(path, state_with(1, 20)));
   const auto intact = read_file(path);
   for (std::size_t size = 0; size < intact.size(); size += 7) {
-    EXPECT_TRUE(is_refused(intact.substr(0, size))) << size;
+    EXPECT_TRUE(is_rejected(intact.substr(0, size))) << size;
   }
   for (std::size_t i = 0; i < intact.size(); ++i) {
     auto flipped = intact;
     flipped[i] = static_cast<char>(flipped[i] ^ 0x20);
-    EXPECT_TRUE(is_refused(flipped)) << i;
+    EXPECT_TRUE(is_rejected(flipped)) << i;
   }
-  EXPECT_TRUE(is_refused(intact + "x"));
-  // Wrong content under a matching checksum is stopped by the verifier and the bounds of a list:
-  // neither crash nor overrun.
+  EXPECT_TRUE(is_rejected(intact + "x"));
+  // The verifier and the checks of a list's bounds reject invalid content whose checksum matches.
+  // The decoder must neither crash nor read beyond the payload.
   const auto payload = intact.substr(kHeaderBytes);
   for (std::size_t i = 0; i < payload.size(); i += 3) {
     auto wrong = payload;
@@ -128,7 +128,7 @@
   EXPECT_TRUE(save_endpoint_state(directory + "/absent/x", state_with(1, 1)));
 }
 
-// tests/data/store holds a state written by the version before the renaming of the sources.
+// tests/data/store contains a state that the version before the renaming of the sources wrote.
 std::string stored_state_path() {
   return std::string(test_paths::kTestData) + "/store/membership.state";
 }
@@ -169,7 +169,7 @@
   EXPECT_EQ(list.find({11068878732441099195U}), list.find(endpoints::server_id("cache-a")));
 }
 
-TEST(StoredEndpointState, KeepsWhatWasRememberedBeforeTheRename) {
+TEST(StoredEndpointState, KeepsRememberedServersFromBeforeTheRename) {
   const auto loaded = load_endpoint_state(stored_state_path());
   ASSERT_TRUE(loaded.state) << to_string(*loaded.error);
   const auto& remembered = loaded.state->remembered;
