--- a/src/diagnostics/diagnostics.cpp
+++ b/src/diagnostics/diagnostics.cpp
@@ -13,11 +13,11 @@
 constexpr std::size_t kMaxTextBytes = 400;
 constexpr std::size_t kMaxMatchedBytes = 64;  // longer words get no suggestion
 constexpr std::size_t kMinAcceptedDistance = 2;
-constexpr std::size_t kBytesPerEdit = 3;  // in longer words, one edit for so many bytes
+constexpr std::size_t kBytesPerEdit = 3;  // longer words may differ by one edit per 3 bytes
 
 bool is_control(unsigned char byte) { return byte < ' ' || byte == 127; }
 
-/// The Levenshtein distance, by one row of the usual table.
+/// Returns the Levenshtein distance. Keeps only one row of the table of the dynamic program.
 std::size_t edit_distance(std::string_view from, std::string_view to) {
   std::vector<std::size_t> row(to.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
@@ -45,7 +45,7 @@
     ++omitted_count_;
     return;
   }
-  // Messages quote files: control characters must not reach a terminal or a log.
+  // Findings quote the checked files, whose control characters must not reach a terminal or a log.
   std::replace_if(finding.text.begin(), finding.text.end(), is_control, '?');
   if (finding.text.size() > kMaxTextBytes) {
     finding.text.resize(kMaxTextBytes);
@@ -66,7 +66,7 @@
 }
 
 void Findings::append(const Findings& other) {
-  // Counts the errors that the other list has omitted, too.
+  // add() does not count the errors that the other list omitted.
   const std::size_t errors = error_count_ + other.error_count_;
   for (const auto& finding : other.list_) add(finding);
   omitted_count_ += other.omitted_count_;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -35,8 +35,9 @@
 
 bool is_control(unsigned char byte) { return byte < ' ' || byte == 127; }
 
-/// Escapes control characters: a line feed in a value would otherwise begin a forged record.
-std::string escaped(std::string_view text, Form form) {
+/// Escapes quotes, backslashes and control characters. Otherwise, a line feed in a value could be
+/// used to forge a record.
+std::string escaped(std::string_view text, Format format) {
   std::string result;
   for (const char c : text) {
     const auto byte = static_cast<unsigned char>(c);
@@ -46,7 +47,7 @@
     } else if (c == '\n') {
       result += "\\n";
     } else if (is_control(byte)) {
-      result += form == Form::json ? fmt::format("\\u{:04x}", byte) : "?";
+      result += format == Format::json ? fmt::format("\\u{:04x}", byte) : "?";
     } else {
       result += c;
     }
@@ -54,28 +55,28 @@
   return result;
 }
 
-/// Whether a value of logfmt needs no quotes.
+/// Reports whether a value can be written without quotes in logfmt.
 bool is_plain(const std::string& text) {
   if (text.empty() || text.find_first_of(" =\"\\") != std::string::npos) return false;
   return std::none_of(text.begin(), text.end(), is_control);
 }
 
-std::string format_text(const std::string& text, Form form) {
+std::string format_text(const std::string& text, Format format) {
   std::string safe = redacted(text);
-  if (form == Form::logfmt && is_plain(safe)) return safe;
-  return '"' + escaped(safe, form) + '"';
+  if (format == Format::logfmt && is_plain(safe)) return safe;
+  return '"' + escaped(safe, format) + '"';
 }
 
-std::string format_number(double number, Form form) {
+std::string format_number(double number, Format format) {
   if (std::isfinite(number)) return fmt::format("{:g}", number);
-  return form == Form::json ? "null" : "nan";
+  return format == Format::json ? "null" : "nan";
 }
 
-std::string format_value(const Value& value, Form form) {
+std::string format_value(const Value& value, Format format) {
   if (const auto* integer = std::get_if<std::int64_t>(&value)) return fmt::format("{}", *integer);
   if (const auto* flag = std::get_if<bool>(&value)) return *flag ? "true" : "false";
-  if (const auto* number = std::get_if<double>(&value)) return format_number(*number, form);
-  return format_text(std::get<std::string>(value), form);
+  if (const auto* number = std::get_if<double>(&value)) return format_number(*number, format);
+  return format_text(std::get<std::string>(value), format);
 }
 
 spdlog::level::level_enum spdlog_level(Level level) {
@@ -127,7 +128,7 @@
   return result;
 }
 
-/// Standard error, written through spdlog and flushed with each record.
+/// Writes records to standard error through spdlog and flushes after each record.
 class Log::StandardError {
  public:
   StandardError() : logger_("alderspur", std::make_shared<spdlog::sinks::stderr_sink_mt>()) {
@@ -199,14 +200,14 @@
 std::string Log::format_record(core::Time now, std::string_view subsystem, Level level,
                                std::string_view event, const std::vector<Field>& fields,
                                std::uint64_t suppressed) const {
-  const bool is_json = settings_.form == Form::json;
+  const bool is_json = settings_.format == Format::json;
   std::string line =
       is_json ? fmt::format(R"({{"time":"{}","level":"{}","subsystem":"{}","event":"{}")",
                             format_time(now), to_string(level), subsystem, event)
               : fmt::format("time={} level={} subsystem={} event={}", format_time(now),
                             to_string(level), subsystem, event);
   const auto append = [&](std::string_view name, const Value& value) {
-    const std::string text = format_value(value, settings_.form);
+    const std::string text = format_value(value, settings_.format);
     line += is_json ? fmt::format(R"(,"{}":{})", name, text) : fmt::format(" {}={}", name, text);
   };
   for (const auto& field : fields) append(field.name, field.value);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,10 +1,11 @@
-// Structured logs: one record an event, with stable names for subsystem, event and fields, on
-// spdlog.
+// Structured logging on top of spdlog: each event is written as one record with stable names for
+// its subsystem, event and fields.
 //
-// A record is one line of logfmt or JSON: time, level, subsystem, event, then the fields in the
-// order given. Records are rate limited by subsystem and event; the next record that is written, or
-// flush(), reports in the field `held_back` how many were suppressed. Callers never pass secrets;
-// as a second line of defence, values that look like signatures, tokens or passwords are redacted.
+// A record is one line of logfmt or JSON. It contains the time, the level, the subsystem and the
+// event, followed by the fields in the order given. Records are rate limited per subsystem and
+// event. The number of suppressed records is reported in the field `held_back` of the next record
+// that is written, or by flush(). Callers must not pass secrets; as a second line of defence,
+// values that look like signatures, tokens or passwords are redacted.
 #pragma once
 
 #include <cstdint>
@@ -22,18 +23,19 @@
 
 namespace alderspur::log {
 
-/// In rising order of severity.
+/// The severity of a record, in rising order.
 enum class Level { debug, info, warning, error };
 
-/// The level as it is written in a record.
+/// Returns the name of the level as it is written in a record.
 const char* to_string(Level level);
 
-/// How a record is written.
-enum class Form { logfmt, json };
+/// The output format of records.
+enum class Format { logfmt, json };
 
+/// The value of a field.
 using Value = std::variant<std::int64_t, double, bool, std::string>;
 
-/// A name with its value. The name is not copied: it must outlive the call that records it.
+/// A named value of a record. The name is not copied; it must outlive the call to Log::record().
 struct Field {
   std::string_view name;
   Value value;
@@ -50,43 +52,43 @@
       : name(field_name), value(static_cast<std::int64_t>(number)) {}
 };
 
-/// What is written and how.
+/// Selects which records are written, and in which format.
 struct Settings {
-  Form form = Form::logfmt;
+  Format format = Format::logfmt;
   Level level = Level::info;
-  std::map<std::string, Level, std::less<>> levels;  // by subsystem; overrides `level`
-  int per_second = 20;                               // records of one subsystem and event
+  std::map<std::string, Level, std::less<>> levels;  // per subsystem; overrides `level`
+  int per_second = 20;                               // limit per subsystem and event
 };
 
-/// Writes records. Any thread may call any method.
+/// Writes records. All methods are thread-safe.
 class Log {
  public:
-  /// Takes a complete line, without its line feed.
+  /// Receives a complete line without its line feed.
   using Sink = std::function<void(const std::string&)>;
 
-  /// Without a sink records go to standard error; without a clock they carry the system's time. The
-  /// clock returns Unix time in microseconds.
+  /// Without a sink, records are written to standard error; without a clock, they contain the
+  /// system time. The clock returns Unix time in microseconds.
   explicit Log(Settings settings, Sink sink = {}, std::function<core::Time()> clock = {});
 
-  /// Flushes.
+  /// Calls flush().
   ~Log();
 
   /// Writes one record, unless its level is disabled or its rate limit is reached.
   void record(std::string_view subsystem, Level level, std::string_view event,
               const std::vector<Field>& fields = {});
 
-  /// Reports the records that were suppressed and not yet reported.
+  /// Reports the number of suppressed records that has not been reported yet.
   void flush();
 
-  /// Whether records of this subsystem and level are written.
+  /// Reports whether records of this subsystem and level are written.
   bool enabled(std::string_view subsystem, Level level) const;
 
  private:
-  /// The rate limit of one subsystem and event.
+  /// The state of the rate limit of one subsystem and event.
   struct RateLimit {
-    core::Time second = 0;  // the second in which `written` were written
-    int written = 0;
-    std::uint64_t suppressed = 0;  // since the last record that was written
+    core::Time second = 0;         // Unix time in seconds to which `written` applies
+    int written = 0;               // records written in that second
+    std::uint64_t suppressed = 0;  // records since the last one that was written
   };
   class StandardError;
 
@@ -98,14 +100,15 @@
   const Settings settings_;
   Sink sink_;
   std::function<core::Time()> clock_;
-  std::unique_ptr<StandardError> standard_error_;  // if there is no sink
+  std::unique_ptr<StandardError> standard_error_;  // null if there is a sink
   std::mutex mutex_;
-  // By "subsystem event", guarded by mutex_. Bounded, since these names are literals.
+  // Keyed by "subsystem event" and guarded by mutex_. The size is bounded because callers pass
+  // literals as these names.
   std::map<std::string, RateLimit, std::less<>> rate_limits_;
 };
 
-/// The value with whatever follows "sig=", "secret=", "Bearer " and the like replaced by "***", and
-/// cut to a bounded length.
+/// Returns the value with the text after "sig=", "secret=", "Bearer " and similar prefixes replaced
+/// by "***", and truncated to a bounded length.
 std::string redacted(std::string_view value);
 
 }  // namespace alderspur::log
--- a/src/settings/cluster_section.cpp
+++ b/src/settings/cluster_section.cpp
@@ -16,14 +16,16 @@
                      [](char c) { return c > ' ' && c <= '~' && c != '"'; });
 }
 
-/// Empty if the key is absent.
+/// Reads a name; empty if the key is absent.
 std::string read_name(toml::Table& table, const char* key, bool is_required,
                       diagnostics::Findings& findings) {
   const auto name = table.text(key, is_required);
   if (!name) return {};
   if (!is_printable_word(*name)) {
-    findings.error("S002", table.location(key),
-                   std::string(key) + " is not a word of 1 to 64 printing characters");
+    findings.error(
+        "S002", table.location(key),
+        std::string(key) +
+            " must consist of 1 to 64 printable characters other than spaces and quotes");
   }
   return *name;
 }
@@ -36,7 +38,8 @@
   if (const auto address = table.text("advertise")) {
     cluster.advertise = *address;
     if (!net::parse_address(*address)) {
-      findings.error("S002", table.location("advertise"), "'" + *address + "' is no address");
+      findings.error("S002", table.location("advertise"),
+                     "'" + *address + "' is not a valid address");
     }
   }
 }
@@ -45,12 +48,13 @@
   cluster.seeds = table.text_list("seeds");
   for (const auto& seed : cluster.seeds) {
     if (net::parse_address(seed)) continue;
-    findings.error("S002", table.location("seeds"), "'" + seed + "' is no address of a seed",
-                   std::string("write numbers and a port, such as ") + kExampleAddress);
+    findings.error("S002", table.location("seeds"),
+                   "'" + seed + "' is not a valid address of a seed",
+                   std::string("use a numeric address and a port, such as ") + kExampleAddress);
   }
 }
 
-/// Changes the interval of pings; all other times of the protocol keep their proportion to it.
+/// Sets the probe interval and scales the other times of the protocol in proportion.
 void scale_times(cluster::MembershipSettings& settings, core::Time probe_interval) {
   const double factor =
       static_cast<double>(probe_interval) / static_cast<double>(settings.probe_interval);
@@ -68,12 +72,14 @@
   const std::size_t count = cluster.voters.size();
   const std::set<std::string> names(cluster.voters.begin(), cluster.voters.end());
   if (count % 2 == 0 || count > kMaxVoters || names.size() != count) {
-    findings.error("S002", table.location("voters"), "voters are 1, 3, 5 or 7 different members",
-                   "name the same ones in the settings of every router");
+    findings.error("S002", table.location("voters"),
+                   "voters must be 1, 3, 5 or 7 different members",
+                   "list the same voters in the settings of every router");
   }
   if (cluster.agrees_on_versions && cluster.state_directory.empty()) {
     findings.error("S002", table.location("voters"),
-                   "agreement needs a folder of its own on a disk", "set `state` in [cluster]");
+                   "agreement requires a state directory of its own on a disk",
+                   "set `state` in [cluster]");
   }
   table.finish();
 }
@@ -104,8 +110,9 @@
   }
   if (table.has("agreement")) read_agreement(table.table("agreement"), cluster, findings);
   if (membership.forget_after < kMinForgetSuspicions * membership.max_suspicion_timeout) {
-    findings.error("S002", table.location("forget"), "forget is shorter than five suspicions",
-                   "old news could outlive it");
+    findings.error("S002", table.location("forget"),
+                   "forget is shorter than five suspicion timeouts",
+                   "obsolete membership updates could arrive after that time");
   }
   table.finish();
   if (!is_enabled) return std::nullopt;
--- a/src/settings/log_section.cpp
+++ b/src/settings/log_section.cpp
@@ -7,6 +7,7 @@
 namespace alderspur::settings {
 namespace {
 
+/// A level and the word that selects it in the settings.
 struct LevelWord {
   std::string_view word;
   log::Level level;
@@ -44,12 +45,13 @@
   const auto level = parse_level(word);
   if (!level) {
     findings.error("F003", table.location(subsystem),
-                   subsystem + ": '" + std::string(word).append("' is no level"));
+                   subsystem + ": '" + std::string(word).append("' is not a valid level"));
   }
   const auto& known = subsystems();
   if (std::find(known.begin(), known.end(), subsystem) == known.end()) {
     const std::string nearest = diagnostics::closest_match(subsystem, known);
-    findings.error("F004", table.location(subsystem), "no subsystem is called " + subsystem,
+    findings.error("F004", table.location(subsystem),
+                   "the subsystem " + subsystem + " does not exist",
                    nearest.empty() ? "router, membership, signed, xds, routes, cluster"
                                    : "did you mean " + nearest + "?");
   }
@@ -61,7 +63,7 @@
 log::Settings read_log(toml::Table table, diagnostics::Findings& findings) {
   log::Settings settings;
   if (const auto form = table.keyword("form", {"logfmt", "json"})) {
-    settings.form = *form == "json" ? log::Form::json : log::Form::logfmt;
+    settings.format = *form == "json" ? log::Format::json : log::Format::logfmt;
   }
   if (const auto level = table.keyword("level", level_words())) {
     settings.level = parse_level(*level).value_or(kDefaultLevel);
--- a/src/settings/membership_section.cpp
+++ b/src/settings/membership_section.cpp
@@ -8,6 +8,7 @@
 constexpr std::int64_t kMaxListBytes = 16 << 20;
 constexpr std::int64_t kMaxServers = 100'000;
 
+/// An authority and the word that selects it in the settings.
 struct AuthorityWord {
   std::string_view word;
   endpoints::Authority authority;
@@ -83,12 +84,12 @@
   }
   if (damping.reuse_threshold >= damping.suppress_threshold) {
     findings.error("S002", table.location("reuse"), "reuse must be lower than suppress",
-                   "a server held out at " + std::to_string(damping.suppress_threshold) +
-                       " would be let back at once");
+                   "otherwise a server suppressed at " +
+                       std::to_string(damping.suppress_threshold) + " would be reinstated at once");
   }
   if (damping.max_suppress_time < damping.half_life) {
     findings.error("S002", table.location("longest"), "longest is shorter than half_life",
-                   "no penalty could reach suppress");
+                   "otherwise no penalty could reach `suppress`");
   }
   table.finish();
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -10,7 +10,7 @@
 namespace alderspur::settings {
 namespace {
 
-/// Of a request whose class has none.
+/// The time limit of requests whose class has none.
 constexpr core::Time kDefaultTimeLimit = 2'500'000;
 
 void read_router(toml::Table table, bool is_present, const std::string& file,
@@ -27,8 +27,8 @@
     check_listen_address(table, "operator", *address, "127.0.0.1:8470", findings);
   }
   if (!is_present) {
-    findings.error("S002", {file, 0, 0}, "there is no [router] section",
-                   "name the platform's JSON in its config");
+    findings.error("S002", {file, 0, 0}, "the section [router] is missing",
+                   "add it, and set `config` to the path of the platform's JSON");
   }
   table.finish();
 }
@@ -50,17 +50,17 @@
   if (found == classes.end()) {
     const std::string nearest =
         diagnostics::closest_match(route.class_name, {classes.begin(), classes.end()});
-    findings.error("S002", route.location, "no class is called " + route.class_name,
-                   nearest.empty() ? "the platform's JSON names the classes"
+    findings.error("S002", route.location, "the class " + route.class_name + " does not exist",
+                   nearest.empty() ? "the classes are defined in the platform's JSON"
                                    : "did you mean " + nearest + "?");
     return;
   }
   const auto class_id = static_cast<std::uint32_t>(found - classes.begin());
   if (config.settings.classes[class_id].never_cached) {
-    findings.error(
-        "S002", route.location,
-        "class " + route.class_name + " runs at the origin and cannot be fetched by links",
-        "name a class of kept objects");
+    findings.error("S002", route.location,
+                   "class " + route.class_name +
+                       " runs at the origin and cannot be requested with signed links",
+                   "use a class whose responses are cached");
     return;
   }
   const core::Time class_timeout = config.names.request_timeouts[class_id];
@@ -79,8 +79,9 @@
 void check_listen_address(const toml::Table& table, const char* key, const std::string& address,
                           const std::string& example, diagnostics::Findings& findings) {
   if (net::parse_address(address)) return;
-  findings.error("S002", table.location(key), "'" + address + "' is no address to listen on",
-                 "write numbers and a port, such as " + example);
+  findings.error("S002", table.location(key),
+                 "'" + address + "' is not a valid address to listen on",
+                 "use a numeric address and a port, such as " + example);
 }
 
 Settings read(std::string_view text, const std::string& file, const std::string& folder,
@@ -92,8 +93,8 @@
   read_router(root.table("router"), root.has("router"), file, folder, settings, findings);
   settings.log = read_log(root.table("log"), findings);
   read_routes(root.table("routes"), root.has("routes"), folder, settings);
-  // All sections are asked for, also absent ones, so that a misspelt section finds its nearest
-  // name.
+  // Absent sections are read as well. Their names thereby become known keys, which finish()
+  // suggests for a misspelt section.
   auto membership = root.table("membership");
   auto signed_url = root.table("signed");
   auto xds = root.table("xds");
@@ -106,7 +107,8 @@
   if (root.has("cluster")) settings.cluster = read_cluster(std::move(cluster), folder, findings);
   if (!settings.routes_file.empty() && !settings.signed_routes.empty()) {
     findings.error("S002", settings.signed_routes[0].location,
-                   "routes stand here and in [routes] file", "keep those of the file");
+                   "routes are defined both here and in the file of [routes]",
+                   "keep only those of the file");
   }
   root.finish();
   return settings;
--- a/src/settings/signed_url_section.cpp
+++ b/src/settings/signed_url_section.cpp
@@ -19,11 +19,13 @@
   if (!id || !secret) return;
   if (secret->size() < kMinSecretLength) {
     findings.error("S002", table.location("secret"),
-                   "the secret of key " + *id + " has under 16 characters", "use 32 random ones");
+                   "the secret of key " + *id + " has fewer than 16 characters",
+                   "use 32 random characters");
   }
   for (const auto& other : keys) {
     if (other.id == *id) {
-      findings.error("S002", table.location("id"), "two keys are called " + *id, "rename one");
+      findings.error("S002", table.location("id"), "the key id " + *id + " is used twice",
+                     "rename one of the keys");
     }
   }
   keys.push_back({*id, *secret, until.value_or(0)});
@@ -37,7 +39,7 @@
   table.finish();
   if (!prefix || !class_name) return;
   if (!prefix->starts_with('/') || !prefix->ends_with('/')) {
-    findings.error("S002", table.location("prefix"), "a prefix begins and ends with a slash",
+    findings.error("S002", table.location("prefix"), "a prefix must begin and end with a slash",
                    "'/" + *prefix + "/'");
   }
   routes.push_back({*prefix, *class_name, time_limit.value_or(0), table.location("class")});
@@ -61,10 +63,12 @@
   table.finish();
   if (!front.enabled) return;
   if (front.keys.empty()) {
-    findings.error("S002", table.location(), "the signed front is on but has no [[signed.key]]");
+    findings.error("S002", table.location(),
+                   "the signed-URL front is enabled but has no [[signed.key]]");
   }
   if (settings.signed_routes.empty() && settings.routes_file.empty()) {
-    findings.error("S002", table.location(), "the signed front is on but has no [[signed.route]]");
+    findings.error("S002", table.location(),
+                   "the signed-URL front is enabled but has no [[signed.route]]");
   }
   settings.signed_url = std::move(front);
 }
--- a/src/toml/document.cpp
+++ b/src/toml/document.cpp
@@ -2,9 +2,9 @@
 
 #include <stdexcept>
 
-// toml++ 3.3 answers some malformed keys with an assertion, which would end the program, and with
-// NDEBUG with undefined behaviour. Here the assertion throws instead. tests/endpoints/list_test.cpp
-// covers such keys.
+// On some malformed keys, toml++ 3.3 fails an assertion, which would abort the process, or has
+// undefined behaviour if NDEBUG is defined. Here, the assertion throws an exception instead.
+// tests/endpoints/list_test.cpp covers such keys.
 #undef NDEBUG
 namespace alderspur::toml {
 [[noreturn]] void throw_malformed() { throw std::logic_error("malformed key or value"); }
@@ -23,7 +23,7 @@
 namespace {
 
 constexpr const char* kRewriteFile =
-    "the file is not whole TOML: write it anew and rename it into place";
+    "the file is incomplete or malformed; write a new file and rename it into place";
 
 const ::toml::table& as_table(const void* node) { return *static_cast<const ::toml::table*>(node); }
 
@@ -34,7 +34,7 @@
 }
 
 std::string bounds_text(const std::string& min, const std::string& max) {
-  return "it may be " + min + " to " + max;
+  return "the allowed range is " + min + " to " + max;
 }
 
 std::string format_bytes(std::int64_t bytes) { return std::to_string(bytes) + " B"; }
@@ -77,7 +77,7 @@
   const auto* value = as_node(find_required(key, is_required));
   if (!value) return std::nullopt;
   if (const auto* text = value->as_string()) return text->get();
-  report(key, "a text in quotes is wanted here");
+  report(key, "expected a string in quotes");
   return std::nullopt;
 }
 
@@ -88,7 +88,7 @@
   const bool is_valid = array && std::all_of(array->begin(), array->end(),
                                              [](const auto& item) { return item.is_string(); });
   if (!is_valid) {
-    report(key, "a list of texts in quotes is wanted here");
+    report(key, "expected an array of strings in quotes");
     return {};
   }
   std::vector<std::string> texts;
@@ -102,7 +102,7 @@
   if (!value) return std::nullopt;
   const auto* integer = value->as_integer();
   if (!integer) {
-    report(key, "a whole number is wanted here");
+    report(key, "expected an integer");
     return std::nullopt;
   }
   if (integer->get() < min || integer->get() > max) {
@@ -118,7 +118,7 @@
   if (!value) return std::nullopt;
   const auto number = value->is_number() ? value->value<double>() : std::nullopt;
   if (!number) {
-    report(key, "a number is wanted here");
+    report(key, "expected a number");
     return std::nullopt;
   }
   if (!std::isfinite(*number)) {
@@ -137,7 +137,7 @@
   const auto* value = as_node(find(key));
   if (!value) return std::nullopt;
   if (const auto* flag = value->as_boolean()) return flag->get();
-  report(key, "true or false is wanted here");
+  report(key, "expected true or false");
   return std::nullopt;
 }
 
@@ -162,13 +162,13 @@
 std::optional<std::int64_t> Table::duration(std::string_view key, std::int64_t min,
                                             std::int64_t max) {
   return quantity(key, min, max,
-                  {parse_duration, format_duration, "a duration with its unit is wanted here",
+                  {parse_duration, format_duration, "expected a duration with its unit",
                    R"(such as "250 ms" or "2 s")"});
 }
 
 std::optional<std::int64_t> Table::size(std::string_view key, std::int64_t min, std::int64_t max) {
   return quantity(key, min, max,
-                  {parse_size, format_bytes, "a size with its unit is wanted here",
+                  {parse_size, format_bytes, "expected a size with its unit",
                    R"(such as "64 MB" or "512 KiB")"});
 }
 
@@ -184,7 +184,7 @@
     all_allowed += candidate;
   }
   const std::string match = diagnostics::closest_match(*word, allowed);
-  report(key, "'" + *word + "' is none of " + all_allowed,
+  report(key, "'" + *word + "' is not one of " + all_allowed,
          match.empty() ? "" : "did you mean '" + match + "'?");
   return std::nullopt;
 }
@@ -193,7 +193,7 @@
   const auto* value = as_node(find(key));
   if (!value) return {};
   if (!value->is_table()) {
-    report(key, "a table is wanted here", "[" + std::string(key) + "]");
+    report(key, "expected a table", "[" + std::string(key) + "]");
     return {};
   }
   return {value->as_table(), origin_, findings_};
@@ -204,7 +204,7 @@
   if (!value) return {};
   const auto* array = value->as_array();
   if (!array) {
-    report(key, "a list of tables is wanted here", "[[" + std::string(key) + "]]");
+    report(key, "expected an array of tables", "[[" + std::string(key) + "]]");
     return {};
   }
   std::vector<Table> tables;
@@ -214,7 +214,7 @@
       tables.push_back(Table(element.as_table(), origin_, findings_));
     } else if (findings_) {
       findings_->error("F003", locate(element.source(), *origin_),
-                       std::string(key) + ": not a table");
+                       std::string(key) + ": the element is not a table");
     }
   }
   return tables;
@@ -227,7 +227,7 @@
     if (const auto* text = value.as_string()) {
       entries.push_back({std::string(key.str()), text->get()});
     } else if (findings_) {
-      findings_->error("F003", locate(value.source(), *origin_), "a text in quotes is wanted here");
+      findings_->error("F003", locate(value.source(), *origin_), "expected a string in quotes");
     }
   }
   return entries;
@@ -266,7 +266,7 @@
     const std::string_view preceding = text.substr(0, nul);
     const auto line = 1 + std::count(preceding.begin(), preceding.end(), '\n');
     findings_.error(code, {origin_.file, static_cast<std::uint32_t>(line) + origin_.line, 0},
-                    "a NUL byte stands in the file", "it is binary, or was half written");
+                    "the file contains a NUL byte", "it is binary or was written only in part");
     return;
   }
   try {
@@ -276,7 +276,7 @@
     findings_.error(code, locate(error.source(), origin_), std::string(error.description()),
                     kRewriteFile);
   } catch (const std::exception& error) {
-    findings_.error(code, {origin_.file, 0, 0}, std::string("no TOML: ") + error.what(),
+    findings_.error(code, {origin_.file, 0, 0}, std::string("not valid TOML: ") + error.what(),
                     kRewriteFile);
   }
 }
--- a/src/toml/quantity.cpp
+++ b/src/toml/quantity.cpp
@@ -11,6 +11,7 @@
 constexpr std::int64_t kSecond = 1'000'000;
 constexpr std::int64_t kHour = 3'600'000'000;
 
+/// A unit and its factor to microseconds or bytes.
 struct Unit {
   std::string_view name;
   double factor;
--- a/src/toml/quantity.h
+++ b/src/toml/quantity.h
@@ -1,4 +1,4 @@
-// Numbers with a unit, as they are written in TOML files.
+// Parses and formats numbers with a unit, as they are written in TOML files.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,19 @@
 
 namespace alderspur::toml {
 
-/// "2.5 s" in microseconds; units are us, ms, s, min and h. Nothing without a number and one of
-/// these units.
+/// Parses a duration such as "2.5 s" and returns it in microseconds. The units are us, ms, s, min
+/// and h. Returns nullopt if the number or the unit is missing or invalid.
 std::optional<double> parse_duration(std::string_view text);
 
-/// "64 MB" in bytes; units are B, KB, MB, GB, KiB, MiB and GiB. Nothing without a number and one of
-/// these units.
+/// Parses a size such as "64 MB" and returns it in bytes. The units are B, KB, MB, GB, KiB, MiB and
+/// GiB. Returns nullopt if the number or the unit is missing or invalid.
 std::optional<double> parse_size(std::string_view text);
 
-/// The inverse of parse_duration, in the largest unit that reads well.
+/// Formats a duration for parse_duration(): in hours if it is a whole number of hours, otherwise in
+/// the largest of s, ms and us that does not exceed it.
 std::string format_duration(std::int64_t microseconds);
 
-/// The number with six significant digits at most.
+/// Formats a number with at most six significant digits.
 std::string format_number(double number);
 
 }  // namespace alderspur::toml
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,5 @@
-// Settings and logs: what is wrong is said with its place, and no secret leaves.
+// Tests of the settings, whose errors are reported with their location, and of the log. Neither may
+// disclose secrets.
 #include "settings/settings.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +40,7 @@
 cluster = "boxes"
 )";
 
-config::Config with_classes() {
+config::Config config_with_classes() {
   config::Config c;
   c.names.classes = {"asset", "plan-accept"};
   c.names.request_timeouts = {2'500'000, 3'000'000};
@@ -51,27 +52,28 @@
 TEST(SettingsTest, ReadsEverySectionWithItsUnits) {
   diagnostics::Findings f;
   auto s = settings::read(kGood, "a.toml", "/etc/a", f);
-  settings::resolve(s, with_classes(), f);
+  settings::resolve(s, config_with_classes(), f);
   for (const auto& x : f.list()) ADD_FAILURE() << diagnostics::to_string(x);
   EXPECT_EQ(s.config_file, "/etc/a/config.json");
   EXPECT_EQ(s.membership->list, "/etc/a/servers.toml");
-  EXPECT_EQ(s.membership->state_directory, "/var/lib/x") << "absolute";
+  EXPECT_EQ(s.membership->state_directory, "/var/lib/x") << "an absolute path is not changed";
   EXPECT_EQ(s.membership->unchanged_time, 50'000);
   EXPECT_EQ(s.membership->endpoint_set.damping.half_life, 20'000'000);
   EXPECT_EQ(s.membership->endpoint_set.authority, endpoints::Authority::both);
   EXPECT_EQ(s.signed_url->clock_skew_seconds, 2);
   EXPECT_EQ(s.signed_url->routes.at(0).time_limit, 1'500'000);
   EXPECT_EQ(s.xds->cluster, "boxes");
-  EXPECT_EQ(s.log.form, log::Form::json);
+  EXPECT_EQ(s.log.format, log::Format::json);
   diagnostics::Findings g;
-  const auto least = settings::read("[router]\nconfig = \"c.json\"\n", "a.toml", "", g);
+  const auto minimal = settings::read("[router]\nconfig = \"c.json\"\n", "a.toml", "", g);
   EXPECT_TRUE(g.is_ok());
-  EXPECT_FALSE(least.membership || least.signed_url || least.xds) << "absent sections are off";
+  EXPECT_FALSE(minimal.membership || minimal.signed_url || minimal.xds)
+      << "absent sections leave their subsystems disabled";
 }
 
 TEST(SettingsTest, ReportsLineAndNearestKeyWhenInvalid) {
   struct Case {
-    std::string what, with, code, says;
+    std::string original, replacement, code, expected_text;
     std::uint32_t line;
   };
   const Case cases[] = {
@@ -81,7 +83,7 @@
       {"\"50 ms\"", "\"50 msec\"", "F003", "with its unit", 13},
       {"[xds]", "[xdss]", "F004", "did you mean xds?", 26},
       {"\"both\"", "\"bothh\"", "F003", "did you mean 'both'?", 10},
-      {"\"127.0.0.1:8480\"", "\"localhost\"", "S002", "no address", 17},
+      {"\"127.0.0.1:8480\"", "\"localhost\"", "S002", "not a valid address", 17},
       {"\"a secret of some length\"", "\"short\"", "S002", "16 characters", 21},
       {"class = \"asset\"", "class = \"aset\"", "S002", "did you mean asset?", 24},
       {"class = \"asset\"", "class = \"plan-accept\"", "S002", "runs at the origin", 24},
@@ -92,71 +94,74 @@
       {"[router]\n", "[router\n", "S001", "", 1},
       {"list = \"servers.toml\"\n", "", "F002", "list", 9},
   };
-  for (const auto& c : cases) {
+  for (const auto& test : cases) {
     auto text = kGood;
-    const auto at = text.find(c.what);
-    ASSERT_NE(at, std::string::npos) << c.what;
-    text.replace(at, c.what.size(), c.with);
+    const auto at = text.find(test.original);
+    ASSERT_NE(at, std::string::npos) << test.original;
+    text.replace(at, test.original.size(), test.replacement);
     diagnostics::Findings f;
     auto s = settings::read(text, "a.toml", "", f);
-    settings::resolve(s, with_classes(), f);
-    const auto it =
-        std::find_if(f.list().begin(), f.list().end(), [&](auto& x) { return x.code == c.code; });
-    ASSERT_NE(it, f.list().end()) << c.with
+    settings::resolve(s, config_with_classes(), f);
+    const auto it = std::find_if(f.list().begin(), f.list().end(),
+                                 [&](auto& x) { return x.code == test.code; });
+    ASSERT_NE(it, f.list().end()) << test.replacement
                                   << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
-    const auto said = diagnostics::to_string(*it);
-    EXPECT_NE(said.find(c.says), std::string::npos) << said;
-    EXPECT_EQ(it->location.line, c.line) << said;
-    EXPECT_EQ(said.find("of some length"), std::string::npos) << "a message holds no secret";
+    const auto message = diagnostics::to_string(*it);
+    EXPECT_NE(message.find(test.expected_text), std::string::npos) << message;
+    EXPECT_EQ(it->location.line, test.line) << message;
+    EXPECT_EQ(message.find("of some length"), std::string::npos)
+        << "a message must not contain a secret";
   }
 }
 
-struct Lines {
-  std::vector<std::string> out;
+/// Collects the lines of a log that uses a fixed clock.
+struct RecordedLog {
+  std::vector<std::string> lines;
   core::Time now = 1'764'576'000'000'000;
   log::Log log(log::Settings settings) {
     return log::Log(
-        std::move(settings), [this](const std::string& l) { out.push_back(l); },
+        std::move(settings), [this](const std::string& line) { lines.push_back(line); },
         [this] { return now; });
   }
 };
 
 TEST(LogTest, WritesStableFieldsInBothFormats) {
-  Lines l;
-  auto text = l.log({});
+  RecordedLog recorded;
+  auto text = recorded.log({});
   text.record(
       "membership", log::Level::info, "list_taken",
       {{"generation", 7}, {"share", 0.5}, {"ok", true}, {"change", "2 added\nlevel=error"}});
-  EXPECT_EQ(l.out.at(0),
+  EXPECT_EQ(recorded.lines.at(0),
             "time=2025-12-01T08:00:00.000000Z level=info subsystem=membership event=list_taken "
             "generation=7 "
             "share=0.5 ok=true change=\"2 added\\nlevel=error\"");
   log::Settings s;
-  s.form = log::Form::json;
-  auto json = l.log(s);
+  s.format = log::Format::json;
+  auto json = recorded.log(s);
   json.record("membership", log::Level::error, "list_refused",
               {{"reason", "a \"b\"\x01"}, {"n", 3}});
-  EXPECT_EQ(l.out.at(1),
+  EXPECT_EQ(recorded.lines.at(1),
             R"({"time":"2025-12-01T08:00:00.000000Z","level":"error","subsystem":"membership",)"
             R"("event":"list_refused","reason":"a \"b\"\u0001","n":3})");
 }
 
 TEST(LogTest, LimitsLinesPerKindAndSecondAndCountsTheRest) {
-  Lines l;
+  RecordedLog recorded;
   log::Settings s;
   s.per_second = 3;
   s.levels = {{"membership", log::Level::debug}};
-  auto log = l.log(s);
+  auto log = recorded.log(s);
   for (int i = 0; i < 10; ++i) log.record("membership", log::Level::debug, "server", {{"i", i}});
   log.record("membership", log::Level::info, "other");
   log.record("signed", log::Level::debug, "hidden");
-  EXPECT_EQ(l.out.size(), 4u);
-  l.now += 1'000'000;
+  EXPECT_EQ(recorded.lines.size(), 4u);
+  recorded.now += 1'000'000;
   log.record("membership", log::Level::debug, "server", {{"i", 10}});
-  EXPECT_NE(l.out.back().find("i=10 held_back=7"), std::string::npos) << l.out.back();
+  EXPECT_NE(recorded.lines.back().find("i=10 held_back=7"), std::string::npos)
+      << recorded.lines.back();
   for (int i = 0; i < 5; ++i) log.record("membership", log::Level::debug, "server");
   log.flush();
-  EXPECT_NE(l.out.back().find("held_back=3"), std::string::npos);
+  EXPECT_NE(recorded.lines.back().find("held_back=3"), std::string::npos);
 }
 
 TEST(LogTest, RedactsSecrets) {
