--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -26,13 +26,14 @@
 /// The result of checking one file.
 struct CheckResult {
   diagnostics::Findings findings;
-  std::string summary;                       // of a good file
-  Renderer render = diagnostics::to_string;  // with the source line, for files of the language
+  std::string summary;                       // printed if the file has no errors
+  Renderer render = diagnostics::to_string;  // programs: also prints the source line
 };
 
 bool is_settings(const std::string& text) { return text.find("[router]") != std::string::npos; }
 
-/// Null where the program of routes has errors, which are added as findings of the settings file.
+/// Compiles the program of routes. Returns null if it has errors, which are added as findings on
+/// the settings file.
 control::CompiledRoutesPtr check_routes(const settings::Settings& settings, const std::string& file,
                                         const config::Config& config,
                                         diagnostics::Findings& findings) {
@@ -45,17 +46,19 @@
   return result.routes;
 }
 
+/// Reports each pool that selects no server of the list.
 void check_pools(const routing::Table& table, const endpoints::Snapshot& list,
                  diagnostics::Findings& findings) {
   for (const auto& pool : table.pools()) {
     if (!routing::select_servers(pool, list).empty()) continue;
     findings.error("A043", pool.declared_at,
                    "pool " + pool.name + " selects no server in service of " + list.source,
-                   "change what it selects, or list a server for it");
+                   "change its selection, or add a server for it to the list");
   }
 }
 
-/// Checks what the settings name: the configuration, the routes and the list of servers.
+/// Checks the files that the settings refer to: the configuration, the routes and the endpoint
+/// list.
 void check_named_files(settings::Settings& settings, const std::string& file,
                        diagnostics::Findings& findings) {
   const auto config = config::read_file(settings.config_file);
@@ -158,13 +161,14 @@
   if (findings.is_ok()) std::printf("%s: good: %s\n", path.c_str(), result.summary.c_str());
 }
 
-/// The list that counts as active; null where none is given.
+/// Returns the list that is treated as the active one; null if `path` is empty.
 endpoints::SnapshotPtr read_active_list(const std::string& path) {
   if (path.empty()) return nullptr;
   diagnostics::Findings findings;
   auto list = read_endpoint_list(path, findings);
   if (!list) {
-    throw config::Error(path + " is no good list: " + to_string(findings.list().at(0)));
+    throw config::Error(path +
+                        " is not a valid endpoint list: " + to_string(findings.list().at(0)));
   }
   return list;
 }
--- a/src/cli/cluster_members.cpp
+++ b/src/cli/cluster_members.cpp
@@ -1,4 +1,4 @@
-// `alderspur cluster members`: prints the members of a cluster as one router sees them.
+// `alderspur cluster members`: prints the members of a cluster as listed by one router.
 #include <rapidjson/document.h>
 
 #include <cstdio>
@@ -34,19 +34,20 @@
 
 int cluster_members(const std::string& address, bool json) {
   if (!net::parse_address(address)) {
-    std::fprintf(stderr, "alderspur: '%s' is no address\n", address.c_str());
+    std::fprintf(stderr, "alderspur: '%s' is not a valid address\n", address.c_str());
     return kUsage;
   }
   const OperatorReply reply = call_operators(address, "GET", "/control/cluster");
   if (reply.status == 0) {
-    std::fprintf(stderr, "alderspur: nobody answers at %s\n", address.c_str());
+    std::fprintf(stderr, "alderspur: no router replied at %s\n", address.c_str());
     return kFinding;
   }
   rapidjson::Document view;
   view.Parse<rapidjson::kParseIterativeFlag>(reply.body.c_str());
   if (reply.status != kHttpOk || view.HasParseError() || !view.IsObject() ||
       !view.HasMember("members")) {
-    std::fprintf(stderr, "alderspur: %s has no cluster: %s", address.c_str(), reply.body.c_str());
+    std::fprintf(stderr, "alderspur: the router at %s did not return cluster members: %s",
+                 address.c_str(), reply.body.c_str());
     return kFinding;
   }
   if (json) {
--- a/src/cli/cluster_versions.cpp
+++ b/src/cli/cluster_versions.cpp
@@ -1,5 +1,5 @@
-// `alderspur cluster propose`, `voters`, `rollout`, `versions` and `diff`: the commands on
-// versions.
+// `alderspur cluster propose`, `voters`, `rollout`, `versions` and `diff`: propose, list and
+// compare versions.
 #include <rapidjson/document.h>
 #include <unistd.h>
 
@@ -28,16 +28,16 @@
 }
 
 int fail_without_reply(const std::string& address) {
-  return fail("nobody answers at " + address, kFinding);
+  return fail("no router replied at " + address, kFinding);
 }
 
-/// For a reply without the requested content.
+/// Prints an error for a reply that does not contain the requested content.
 int fail_with(const OperatorReply& reply, const std::string& address) {
   return reply.status == 0 ? fail_without_reply(address) : fail(reply.body, kFinding);
 }
 
-/// Prints the result of a proposal once it is known. `reply`: to the proposal; it begins with the
-/// proposal's nonce.
+/// Polls the router until a proposal has been decided, and prints the result. `reply` is the reply
+/// to the proposal; its first line is the nonce of the proposal.
 int follow_proposal(const std::string& address, const OperatorReply& reply) {
   if (reply.status != kHttpAccepted) return fail_with(reply, address);
   const std::string nonce = reply.body.substr(0, reply.body.find('\n'));
@@ -50,16 +50,19 @@
     }
     ::usleep(kPollInterval);
   }
-  return fail("no word on it; ask for the versions", kFinding);
+  return fail(
+      "the result is not available yet; list the versions to see whether the proposal was accepted",
+      kFinding);
 }
 
-/// Reads the files of "NAME=FILE"; nothing, after an error message, if one of them cannot be read.
+/// Reads documents of the form "NAME=FILE". If a file cannot be read, prints an error message and
+/// returns nullopt.
 std::optional<consensus::Content> read_documents(const std::vector<std::string>& documents) {
   consensus::Content content;
   for (const auto& document : documents) {
     const auto equals = document.find('=');
     try {
-      if (equals == std::string::npos) throw config::Error("it names no file");
+      if (equals == std::string::npos) throw config::Error("the document has no file name");
       content[document.substr(0, equals)] = config::read_text(document.substr(equals + 1));
     } catch (const config::Error&) {
       fail("cannot read '" + document + "'; write NAME=FILE, such as servers=servers.toml", kUsage);
@@ -138,7 +141,7 @@
   rapidjson::Document view;
   view.Parse<rapidjson::kParseIterativeFlag>(reply.body.c_str());
   if (view.HasParseError() || !view.IsObject()) {
-    return fail("an answer that cannot be read", kFinding);
+    return fail("the router's reply is not valid JSON", kFinding);
   }
   print_versions(view);
   return std::string_view(view["acting"]["state"].GetString()) == "leased" ? kYes : kFinding;
--- a/src/cli/diff.cpp
+++ b/src/cli/diff.cpp
@@ -1,5 +1,5 @@
-// `alderspur diff`: what changes between two lists of servers, or between two programs of the
-// configuration language, by meaning.
+// `alderspur diff`: prints the semantic differences between two endpoint lists or two programs of
+// the configuration language.
 #include <algorithm>
 #include <cstdio>
 #include <string>
@@ -91,7 +91,7 @@
   }
 }
 
-/// Changes of the same risk stay in their order.
+/// Sorts changes by falling risk. The order of changes with the same risk is preserved.
 void sort_by_risk(std::vector<config_language::Change>& changes) {
   std::stable_sort(changes.begin(), changes.end(),
                    [](const auto& left, const auto& right) { return left.risk > right.risk; });
--- a/src/cli/endpoint_list.h
+++ b/src/cli/endpoint_list.h
@@ -1,4 +1,4 @@
-// Reads lists of servers for the commands on them.
+// Reads endpoint lists for the subcommands.
 #pragma once
 
 #include <string>
@@ -8,11 +8,12 @@
 
 namespace alderspur::cli {
 
-/// The file that holds a list: of a directory, its manifest.
+/// Returns the path of the manifest if `path` is a directory, otherwise `path`.
 std::string endpoint_list_file(const std::string& path);
 
-/// Reads a list from a file or from a directory with a manifest, as the running router would. Null,
-/// with findings, where it has errors. Throws config::Error where a file cannot be read.
+/// Reads a list from a file or from a directory with a manifest, as the running router does.
+/// Returns null and adds findings if the list has errors. Throws config::Error if a file cannot be
+/// read.
 endpoints::SnapshotPtr read_endpoint_list(const std::string& path, diagnostics::Findings& findings);
 
 }  // namespace alderspur::cli
--- a/src/cli/explain.cpp
+++ b/src/cli/explain.cpp
@@ -1,4 +1,4 @@
-// `alderspur explain`: which route, pool and policy hold for a request.
+// `alderspur explain`: prints which route, pool and policy apply to a request.
 #include <algorithm>
 #include <cstdio>
 #include <optional>
@@ -14,7 +14,8 @@
 namespace alderspur::cli {
 namespace {
 
-/// A request of the command line. The question that is put to the table holds views of it.
+/// A request from the command line. It must outlive the routing::RequestAttributes, which hold
+/// views of its strings.
 struct RequestText {
   std::string method;
   std::string host;
@@ -22,17 +23,18 @@
   std::string query;  // "&name=value&...", or empty
 };
 
-/// Nothing where the text is not of the form "GET host/path?query".
+/// Parses a request of the form "GET host/path?query"; returns nullopt if the text has another
+/// form.
 std::optional<RequestText> parse_request(const std::string& text) {
   const auto space = text.find(' ');
   const auto slash = text.find('/', space);
   if (space == std::string::npos || slash == std::string::npos) return std::nullopt;
-  const auto mark = std::min(text.find('?', slash), text.size());
+  const auto query_mark = std::min(text.find('?', slash), text.size());
   RequestText request;
   request.method = text.substr(0, space);
   request.host = text.substr(space + 1, slash - space - 1);
-  request.path = text.substr(slash, mark - slash);
-  if (mark < text.size()) request.query = "&" + text.substr(mark + 1) + "&";
+  request.path = text.substr(slash, query_mark - slash);
+  if (query_mark < text.size()) request.query = "&" + text.substr(query_mark + 1) + "&";
   return request;
 }
 
@@ -54,32 +56,32 @@
   return query.substr(value, query.find('&', value) - value);
 }
 
-/// The name of a declaration with its place.
-std::string name_with_place(const config_language::CheckedProgram& checked, const char* kind,
-                            const std::string& name) {
+/// Returns the name of a declaration with its file and line.
+std::string name_with_location(const config_language::CheckedProgram& checked, const char* kind,
+                               const std::string& name) {
   const auto* declaration = checked.meaning.find(kind, name);
-  const auto place = checked.program.sources.location(declaration->span);
-  return name + " (" + place.file + ":" + std::to_string(place.line) + ")";
+  const auto location = checked.program.sources.location(declaration->span);
+  return name + " (" + location.file + ":" + std::to_string(location.line) + ")";
 }
 
 void print_match(const std::string& request, const config_language::CheckedProgram& checked,
                  const routing::Table& table, const routing::Match& match) {
   std::printf("%s: route %s, class %s", request.c_str(),
-              name_with_place(checked, "route", match.route->name).c_str(),
-              name_with_place(checked, "class", match.route->class_name).c_str());
+              name_with_location(checked, "route", match.route->name).c_str(),
+              name_with_location(checked, "class", match.route->class_name).c_str());
   if (match.destination.pool) {
     const auto& pool = table.pools()[*match.destination.pool];
-    std::printf(", pool %s", name_with_place(checked, "pool", pool.name).c_str());
+    std::printf(", pool %s", name_with_location(checked, "pool", pool.name).c_str());
   }
   if (match.destination.policy) {
     const auto& policy = table.policies()[*match.destination.policy];
-    std::printf(", policy %s", name_with_place(checked, "policy", policy.name).c_str());
+    std::printf(", policy %s", name_with_location(checked, "policy", policy.name).c_str());
   }
   for (const auto& [name, value] : match.captures) {
     std::printf(", %s=%.*s", std::string(name).c_str(), static_cast<int>(value.size()),
                 value.data());
   }
-  if (!match.route->splits.empty()) std::printf("; splits send others elsewhere");
+  if (!match.route->splits.empty()) std::printf("; splits may route some requests differently");
   std::printf("\n");
 }
 
@@ -95,12 +97,12 @@
   return table.match(attributes);
 }
 
-/// Explains one request, given as its text; the exit code.
+/// Explains one request, given as its text, and returns the exit code.
 int explain_request(const std::string& text, const ExplainOptions& options,
                     const config_language::CheckedProgram& checked, const routing::Table& table) {
   const auto request = parse_request(text);
   if (!request) {
-    std::fprintf(stderr, "'%s' is no request: write \"GET host/path\"\n", text.c_str());
+    std::fprintf(stderr, "'%s' is not a valid request: write \"GET host/path\"\n", text.c_str());
     return kUsage;
   }
   const auto match = find_match(*request, options, table);
--- a/src/cli/file_replacement.h
+++ b/src/cli/file_replacement.h
@@ -1,5 +1,5 @@
-// Replaces a file that a command has rewritten. The new content is written beside it and renamed
-// over it, so that a reader sees the old content or the new one.
+// Replaces the content of a file atomically. The new content is written to a temporary file in the
+// same directory, which is then renamed. A reader sees either the old content or the new content.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,22 @@
 
 namespace alderspur::cli {
 
-/// Which permissions the file has afterwards.
+/// The permissions of the file after it has been replaced.
 enum class ReplacedPermissions : std::uint8_t {
   of_new_file,  // those of a file that this process creates
-  as_before,    // those of the file that is replaced, where they can be set
+  as_before,    // those of the replaced file, if they can be set
 };
 
-/// Why a file could not be replaced. Its old content is still there.
+/// The reason why a file could not be replaced. The file keeps its old content.
 struct ReplaceError {
   enum class Step : std::uint8_t { write, rename };
 
   Step step = Step::write;
   std::string temporary_path;
-  std::error_code rename_error;  // of Step::rename
+  std::error_code rename_error;  // set for Step::rename only
 };
 
-/// Nothing where the file has been replaced.
+/// Replaces the content of the file. Returns nullopt on success.
 std::optional<ReplaceError> replace_file(const std::string& path, const std::string& content,
                                          ReplacedPermissions permissions);
 
--- a/src/cli/format.cpp
+++ b/src/cli/format.cpp
@@ -1,4 +1,4 @@
-// `alderspur fmt`: brings files of the configuration language into their canonical form.
+// `alderspur fmt`: formats files of the configuration language in their canonical form.
 #include "config_language/format.h"
 
 #include <cstdio>
@@ -14,21 +14,21 @@
 namespace alderspur::cli {
 namespace {
 
-/// Writes the formatted text in place; false, after an error message, where that fails.
+/// Writes the formatted text in place. If this fails, prints an error message and returns false.
 bool write_formatted(const std::string& path, const std::string& formatted) {
   if (!replace_file(path, formatted, ReplacedPermissions::as_before)) return true;
-  std::fprintf(stderr, "%s: cannot be written\n", path.c_str());
+  std::fprintf(stderr, "%s: the file cannot be written\n", path.c_str());
   return false;
 }
 
-/// Prints, checks and writes one file as the options say; the exit code.
+/// Prints, checks or writes one file as the options request, and returns the exit code.
 int report_formatted(const std::string& path, const std::string& text, const std::string& formatted,
                      const FormatOptions& options) {
   const bool is_canonical = formatted == text;
   int exit_code = kYes;
   if (!options.write && !options.check) std::fputs(formatted.c_str(), stdout);
   if (options.check && !is_canonical) {
-    std::printf("%s: not in its form\n", path.c_str());
+    std::printf("%s: not in canonical form\n", path.c_str());
     exit_code = kFinding;
   }
   if (options.write && !is_canonical && !write_formatted(path, formatted)) exit_code = kFinding;
@@ -46,7 +46,8 @@
   config_language::Sources sources;
   diagnostics::Findings findings;
   const auto tree = config_language::parse(sources, sources.add(path, text), findings);
-  // What did not parse is not in the tree: writing the tree would remove it from the file.
+  // The tree does not contain text that could not be parsed; writing the tree would delete this
+  // text from the file.
   if (!findings.is_ok()) {
     print_findings(sources, findings);
     return kFinding;
--- a/src/cli/operator_client.h
+++ b/src/cli/operator_client.h
@@ -1,24 +1,24 @@
-// One HTTP call to the operators' address of a running router, for the subcommands that ask it.
-// Blocks the calling thread, for 3 s at most in each step.
+// A blocking HTTP client that sends one request to the operators' address of a running router. Each
+// socket operation blocks the calling thread for at most 3 s.
 #pragma once
 
 #include <string>
 
 namespace alderspur::cli {
 
-/// The status of a reply that has the requested content.
+/// The HTTP status of a reply that contains the requested content.
 constexpr int kHttpOk = 200;
-/// The status of a reply to a proposal that is not decided yet.
+/// The HTTP status of a reply to a proposal that has not been decided yet.
 constexpr int kHttpAccepted = 202;
 
 /// A router's reply.
 struct OperatorReply {
-  int status = 0;  // the HTTP status; 0: no router replied
+  int status = 0;  // HTTP status; 0: no valid reply was received
   std::string body;
 };
 
-/// Sends one request and waits for the whole reply. `address`: host and port as numbers; `target`:
-/// path and query.
+/// Sends one request and waits for the complete reply. `address` is a numeric address and a port;
+/// `target` is the path and the query.
 OperatorReply call_operators(const std::string& address, const std::string& method,
                              const std::string& target, const std::string& body = {});
 
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -1,5 +1,5 @@
-// `alderspur run`: reads the settings, builds the router with all parts that they switch on, and
-// runs it on this thread until its graceful shutdown is over.
+// `alderspur run`: reads the settings, creates the router with all subsystems that they enable, and
+// runs it on this thread until its graceful shutdown is complete.
 #include <unistd.h>
 
 #include <csignal>
@@ -27,20 +27,21 @@
 namespace alderspur::cli {
 namespace {
 
-/// Proxies that may be connected to the discovery service at the same time.
+/// Maximum number of proxies that are connected to the discovery service at the same time.
 constexpr std::size_t kMaxProxies = 32;
 
-/// One router with all parts that its settings switch on, from construction to the end of the
-/// process. The members are constructed in the order of their declaration and destroyed in the
-/// reverse order: each uses only those above it.
+/// A router with all subsystems that its settings enable. The members are constructed in the order
+/// of their declaration and destroyed in the reverse order; each member uses only those declared
+/// before it.
 class RunningRouter {
  public:
-  /// Throws std::exception where a part cannot start, with the reason in one line.
+  /// Throws std::exception if a subsystem cannot start, with the reason in one line.
   RunningRouter(const settings::Settings& settings, config::Config config, log::Log& log);
   RunningRouter(const RunningRouter&) = delete;
   RunningRouter& operator=(const RunningRouter&) = delete;
 
-  /// Returns once the router has been asked to stop and its graceful shutdown is over.
+  /// Runs the router. Returns after a stop has been requested and the graceful shutdown is
+  /// complete.
   void run();
 
  private:
@@ -182,14 +183,15 @@
   if (routes_) routes_->reload();
 }
 
-/// Of the active endpoint list; 0 where there is none.
+/// Returns the generation of the active endpoint list; 0 if there is none.
 std::uint64_t RunningRouter::endpoint_list_generation() const {
   if (!endpoint_controller_) return 0;
   const auto list = endpoint_controller_->endpoints().current_list();
   return list ? list->generation : 0;
 }
 
-/// False where a worker is blocked by its disk: only _exit() can then end the process.
+/// Stops the worker threads. Returns false if one of them is blocked by its disk; only _exit() can
+/// then end the process.
 bool RunningRouter::stop_workers() {
   if (!router_.stop_workers()) return false;
   if (consensus_ && !consensus_->stop_workers()) return false;
@@ -204,7 +206,7 @@
 void RunningRouter::shut_down() {
   if (!stop_workers()) {
     log_.record("router", log::Level::warning, "shared_folder",
-                {{"reason", "hangs, ending without it"}});
+                {{"reason", "a worker is blocked by its disk; exiting without stopping it"}});
     log_.flush();
     ::_exit(kYes);
   }
@@ -212,14 +214,14 @@
   log_endpoint_summary();
 }
 
-/// The settings and the configuration that they name, with what overrides the latter.
+/// The settings and the configuration file that they refer to, with the overrides applied.
 struct LoadedSettings {
   settings::Settings settings;
   config::Config config;
 };
 
-/// Nothing where there are findings that forbid a start. Throws config::Error for the
-/// configuration.
+/// Loads the settings and the configuration. Returns nullopt if the findings contain errors. Throws
+/// config::Error if a file cannot be read or the configuration is invalid.
 std::optional<LoadedSettings> load_settings(const std::string& file,
                                             diagnostics::Findings& findings) {
   LoadedSettings loaded;
@@ -238,7 +240,7 @@
   return loaded;
 }
 
-/// The exit code of the router, started and run to its end.
+/// Runs the router until it stops and returns the exit code.
 int run_router(LoadedSettings loaded) {
   log::Log log(loaded.settings.log);
   try {
--- a/src/cli/seal.cpp
+++ b/src/cli/seal.cpp
@@ -1,4 +1,4 @@
-// `alderspur seal`: writes digests into a list of servers, or into a directory's manifest.
+// `alderspur seal`: writes digests into an endpoint list, or into a directory's manifest.
 #include <algorithm>
 #include <cstdio>
 #include <filesystem>
@@ -16,19 +16,21 @@
 namespace alderspur::cli {
 namespace {
 
-/// The name in a line `file = "NAME"`; nothing where the line is none.
+/// Returns NAME if the line has the form `file = "NAME"`, otherwise nullopt.
 std::optional<std::string> piece_name(const std::string& line) {
   const auto quote = line.find('"');
   if (!line.starts_with("file") || quote == std::string::npos) return std::nullopt;
   return line.substr(quote + 1, line.find('"', quote + 1) - quote - 1);
 }
 
+/// Returns the line `digest = "..."` for the content of a file.
 std::string digest_line(const std::string& file) {
   const auto digest = endpoints::compute_digest(config::read_text(file));
   return "digest = \"" + endpoints::format_digest(digest) + "\"\n";
 }
 
-/// Writes the digest of each piece into the digest line that follows its `file = "..."`.
+/// Returns the manifest with the digest of each piece in the digest line that follows its
+/// `file = "..."` line.
 std::string sealed_manifest(const std::string& folder, const std::string& manifest) {
   std::string sealed;
   std::string piece;
@@ -47,7 +49,7 @@
   return sealed;
 }
 
-/// Throws config::Error or std::filesystem::filesystem_error.
+/// Replaces a file. Throws config::Error or std::filesystem::filesystem_error on failure.
 void replace_or_throw(const std::string& path, const std::string& content) {
   const auto error = replace_file(path, content, ReplacedPermissions::of_new_file);
   if (!error) return;
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -1,4 +1,4 @@
-// `alderspur state`: prints what a state directory holds.
+// `alderspur state`: prints the contents of a state directory.
 #include <cstdio>
 #include <string>
 
@@ -15,7 +15,7 @@
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
 
 void print_state(const store::EndpointState& state, core::Time age_seconds) {
-  std::printf("generation %llu of %s, %zu servers, read %lld s ago; remembered of %zu\n",
+  std::printf("generation %llu of %s, %zu servers, read %lld s ago; remembered state of %zu\n",
               static_cast<unsigned long long>(state.list->generation), state.list->source.c_str(),
               state.list->servers.size(), static_cast<long long>(age_seconds),
               state.remembered.size());
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,5 @@
-// The commands of the program alderspur: exit codes, messages and the files that they change.
+// Tests of the commands of the program alderspur: their exit codes, messages and the files that
+// they change.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -29,13 +30,13 @@
            "\"\nrole = \"cache\"\npoint = \"edge\"\naddress = \"127.0.0.1:" + std::to_string(port) +
            "\"\nweight = " + weight + "\nstate = \"" + state + "\"\ncell = 0\n";
   }
-  static std::string head(int generation, int servers) {
+  static std::string list_header(int generation, int servers) {
     return "format = 1\ngeneration = " + std::to_string(generation) +
            "\nservers = " + std::to_string(servers) +
            "\n[[hub]]\nname = \"hub\"\n[[point]]\nname = \"edge\"\nhub = \"hub\"\n";
   }
   static std::string list(int generation, const std::string& state, const std::string& weight) {
-    return head(generation, 2) + server("s-1", 1, state, weight) +
+    return list_header(generation, 2) + server("s-1", 1, state, weight) +
            server("s-2", 2, "in_service", "4.0");
   }
   void write(const std::string& name, const std::string& text) const {
@@ -47,7 +48,8 @@
     out << in.rdbuf();
     return out.str();
   }
-  // Runs it in the test's folder; its exit code, with both streams in `output`.
+  // Runs the program in the test's folder and returns its exit code. Standard output and standard
+  // error are stored in `output`.
   int run(const std::string& arguments) {
     const std::string command =
         "cd " + folder + " && " + test_paths::kProgram + " " + arguments + " 2>&1";
@@ -60,7 +62,9 @@
     const int status = ::pclose(out);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  bool has_printed(const std::string& what) const { return output.find(what) != std::string::npos; }
+  bool has_printed(const std::string& expected) const {
+    return output.find(expected) != std::string::npos;
+  }
   std::string folder;
   std::string output;
 };
@@ -86,7 +90,7 @@
 }
 
 TEST_F(CommandLineTest, ChecksAndDescribesChangeAgainstCurrentList) {
-  EXPECT_EQ(run("check --against b.toml a.toml"), 1) << "the generation goes back";
+  EXPECT_EQ(run("check --against b.toml a.toml"), 1) << "the generation decreases";
   EXPECT_TRUE(has_printed("L020")) << output;
   EXPECT_EQ(run("check --against a.toml b.toml"), 0) << output;
   EXPECT_TRUE(has_printed("1 with a new weight")) << output;
@@ -94,7 +98,7 @@
   EXPECT_TRUE(has_printed("generation 1 to 2: 1 with a new weight")) << output;
   EXPECT_EQ(run("diff --json a.toml b.toml"), 1);
   EXPECT_TRUE(has_printed(R"("weighted":["s-1"])")) << output;
-  write("order.toml", "# another order, the same list\n" + head(3, 2) +
+  write("order.toml", "# another order, the same list\n" + list_header(3, 2) +
                           server("s-2", 2, "in_service", "4.0") +
                           server("s-1", 1, "in_service", "4.0"));
   EXPECT_EQ(run("diff a.toml order.toml"), 0) << output;
@@ -116,7 +120,7 @@
   write("d/one.toml", server("s-1", 1, "in_service", "4.0"));
   write("d/two.toml", server("s-2", 2, "in_service", "4.0"));
   write("d/manifest.toml",
-        head(1, 2) +
+        list_header(1, 2) +
             "[[piece]]\nfile = \"one.toml\"\ndigest = \"xxh3:0000000000000000\"\n"
             "[[piece]]\nfile = \"two.toml\"\ndigest = \"xxh3:0000000000000000\"\n");
   EXPECT_EQ(run("check d"), 1);
@@ -133,9 +137,10 @@
       "class a {\n  repeat = safe\n  deadline = 1 s\n}\n\nroute r {\n  path = \"/r/{o}\"\n  class "
       "= a\n}\n";
   write("good.alder", good);
-  write("ugly.alder", "class a{repeat=safe;deadline=1000ms}\n\nroute r{path=\"/r/{o}\";class=a}");
+  write("unformatted.alder",
+        "class a{repeat=safe;deadline=1000ms}\n\nroute r{path=\"/r/{o}\";class=a}");
   write("bad.alder", "class a {\n  repeat = sage\n  deadline = 1000\n}\n");
-  EXPECT_EQ(run("check good.alder ugly.alder"), 0) << output;
+  EXPECT_EQ(run("check good.alder unformatted.alder"), 0) << output;
   EXPECT_EQ(run("check bad.alder"), 1);
   EXPECT_TRUE(
       has_printed("bad.alder:2:12: error A019: 'sage' is no value of repeat (did you mean safe?)\n"
@@ -143,11 +148,11 @@
       << output;
   EXPECT_TRUE(has_printed("1000 ms or 1000 s")) << output;
   EXPECT_EQ(run("fmt --check good.alder"), 0) << output;
-  EXPECT_EQ(run("fmt --check ugly.alder"), 1);
-  EXPECT_EQ(run("diff good.alder ugly.alder"), 0) << output;
-  EXPECT_EQ(run("fmt --write ugly.alder"), 0);
-  EXPECT_EQ(run("fmt --check ugly.alder"), 0);
-  EXPECT_EQ(run("diff good.alder ugly.alder"), 0) << output;
+  EXPECT_EQ(run("fmt --check unformatted.alder"), 1);
+  EXPECT_EQ(run("diff good.alder unformatted.alder"), 0) << output;
+  EXPECT_EQ(run("fmt --write unformatted.alder"), 0);
+  EXPECT_EQ(run("fmt --check unformatted.alder"), 0);
+  EXPECT_EQ(run("diff good.alder unformatted.alder"), 0) << output;
   write("broken.alder", "class a {\n");
   EXPECT_EQ(run("fmt --write broken.alder"), 1);
   EXPECT_EQ(text("broken.alder"), "class a {\n") << "an invalid file is not changed";
@@ -177,7 +182,7 @@
   write("l.toml", "format = 1\n");
   EXPECT_EQ(run("run --settings alderspur.toml"), 1);
   EXPECT_TRUE(has_printed("the key generation is missing")) << output;
-  EXPECT_EQ(run("check alderspur.toml"), 1) << "check reads the list that the settings name";
+  EXPECT_EQ(run("check alderspur.toml"), 1) << "check reads the list that the settings refer to";
   write("l.toml", list(1, "in_service", "4.0"));
   EXPECT_EQ(run("check alderspur.toml"), 0) << output;
   write("alderspur.toml", good + "[routes]\nfile = \"main.alder\"\n");
