--- a/src/edge_router/edge_router.h
+++ b/src/edge_router/edge_router.h
@@ -33,7 +33,7 @@
   /// An additional component of this router, such as another front. Each function may be empty.
   struct Component {
     std::function<void()> end_turn;        // called at the end of each turn of the event loop
-    std::function<void()> stop_accepting;  // called kLameDuckTime after SIGTERM
+    std::function<void()> stop_accepting;  // called at the end of the lame-duck time
     std::function<bool()> is_idle;         // returns whether all responses have been sent
   };
 
--- a/src/hot_restart/coordinator.cpp
+++ b/src/hot_restart/coordinator.cpp
@@ -49,7 +49,8 @@
 // on the worker thread.
 HotRestartCoordinator::PollResult HotRestartCoordinator::register_process(
     SharedDirectory& directory) {
-  using std::chrono::microseconds, std::chrono::steady_clock;
+  using std::chrono::microseconds;
+  using std::chrono::steady_clock;
   PollResult result;
   result.error = directory.claim_slot();
   result.peers = directory.read_peers();
--- a/src/hot_restart/coordinator.h
+++ b/src/hot_restart/coordinator.h
@@ -71,8 +71,8 @@
 
   /// Publishes that this process accepts clients from now on.
   void start_serving();
-  /// Reports whether the effect of start_serving() has been published. Without a directory, the
-  /// result is always true.
+  /// Reports whether it has been published that this process serves, see start_serving(). Always
+  /// true without a directory.
   bool is_published() const { return is_published_; }
   /// Publishes that a graceful shutdown has begun, and polls immediately for a successor.
   void start_draining();
--- a/src/hot_restart/shared_directory.cpp
+++ b/src/hot_restart/shared_directory.cpp
@@ -65,7 +65,9 @@
 }
 
 std::optional<SharedDirectoryError> SharedDirectory::claim_slot() {
-  using std::chrono::duration_cast, std::chrono::microseconds, std::chrono::steady_clock;
+  using std::chrono::duration_cast;
+  using std::chrono::microseconds;
+  using std::chrono::steady_clock;
   claimed_at_ = duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
   for (int slot = 0; slot < kSlotCount; ++slot) {
     net::Fd file = open_or_create(slot_path(slot));
--- a/tests/event_races_test.cpp
+++ b/tests/event_races_test.cpp
@@ -335,8 +335,8 @@
   ASSERT_TRUE(run_until([&] { return idle->received.starts_with("HTTP/1.1 404"); }));
   run_briefly();
   auto new_client = connect_client(http_front->address());
-  new_client->write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n");  // the kernel has connected it; it
-                                                                  // is not accepted yet
+  // The kernel has completed this connection, but the front has not accepted it yet.
+  new_client->write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n");
   http_front->drain();
   EXPECT_FALSE(http_front->is_drained()) << "the new client gets a response";
   ASSERT_TRUE(run_until([&] { return idle->is_closed && new_client->is_closed; }));
@@ -565,8 +565,9 @@
   }));
   for (auto& cache : caches) {
     for (auto& command : cache.commands) {
-      if (command.connection != endless.connection)
+      if (command.connection != endless.connection) {
         FakeCache::respond(command, "served", "complete");
+      }
     }
   }
   ASSERT_TRUE(run_until([&] { return decode_responses(client->received).size() == 2; }));
