--- a/src/config_language/check.cpp
+++ b/src/config_language/check.cpp
@@ -25,7 +25,7 @@
   }
   Meaning meaning(reader.take_declarations());
 
-  // Names that seem unknown may have been declared in what did not parse.
+  // A name that seems unknown may be declared in a part of the program that did not parse.
   const bool is_complete = std::none_of(program.trees.begin(), program.trees.end(),
                                         [](const Tree& tree) { return tree.is_incomplete; });
   NameCheck names(meaning, reporter);
@@ -33,7 +33,8 @@
   names.check_references(is_complete);
   check_declarations(meaning, reporter);
   check_routes(meaning, reporter);
-  if (findings.is_ok()) {  // what is in error may be what uses a name
+  // A name that seems unused may be used in a part of the program that has an error.
+  if (findings.is_ok()) {
     names.check_unused();
     constants.check_unused();
   }
--- a/src/config_language/check.h
+++ b/src/config_language/check.h
@@ -1,4 +1,4 @@
-// Checks a program and returns what it means.
+// Checks a loaded program and returns its meaning: the declarations with resolved values.
 //
 // Codes: A006 a statement of another form, A012 a number without a unit, A013 a value of another
 // type, A014 out of bounds, A015 an unknown field, A016 an unknown declaration, A017 a duplicate
@@ -17,8 +17,8 @@
 
 namespace alderspur::config_language {
 
-/// Errors and warnings are added to the findings; with errors among them, the meaning is
-/// incomplete.
+/// Checks the program and appends errors and warnings to `findings`. The returned meaning is
+/// incomplete if an error was reported.
 Meaning check(const Program& program, diagnostics::Findings& findings);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/checked_program.h
+++ b/src/config_language/checked_program.h
@@ -1,4 +1,4 @@
-// A program of the configuration language with its meaning: loaded with its includes, and checked.
+// Loads a program of the configuration language with its includes and checks it.
 #pragma once
 
 #include <string>
@@ -8,17 +8,17 @@
 
 namespace alderspur::config_language {
 
-/// The program of a file and its meaning.
+/// A program and its meaning.
 struct CheckedProgram {
   Program program;
   Meaning meaning;
 };
 
-/// Whether the path ends in .alder.
+/// Reports whether the path ends in .alder.
 bool is_program_path(const std::string& path);
 
-/// Reads the file and what it includes, and checks all of it. Blocks on the disk. Errors are added
-/// to `findings`; with errors among them the meaning is incomplete.
+/// Reads the file and its includes and checks the program. Blocks on the disk. Appends errors and
+/// warnings to `findings`; the meaning is incomplete if an error was reported.
 CheckedProgram load_and_check(const std::string& path, diagnostics::Findings& findings);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/constants.h
+++ b/src/config_language/constants.h
@@ -1,4 +1,4 @@
-// The constants of a program: let name = value.
+// Collects and resolves the constants of a program, which are written `let name = value`.
 #pragma once
 
 #include <map>
@@ -13,23 +13,23 @@
 
 namespace alderspur::config_language {
 
-/// Holds references to the statements that declare constants.
+/// The constants of one program. Keeps pointers to the declaring statements, which must outlive it.
 class Constants {
  public:
   explicit Constants(Reporter& reporter) : reporter_(reporter) {}
 
-  /// Reports a statement of another form, and a second constant with the same name.
+  /// Adds a constant. Reports a malformed statement and a duplicate name.
   void declare(const Statement& statement);
 
-  /// The value with constants replaced; a list within a list is flattened. Nothing if a constant
-  /// is unknown or defined by itself, which is reported.
+  /// Returns the value with constants replaced and nested lists flattened. Reports an error and
+  /// returns nullopt if a constant is unknown or its definition refers to itself.
   std::optional<Value> resolve(const Value& value);
 
-  /// Reports constants that resolve() has never met.
+  /// Reports constants that no call of resolve() has used.
   void check_unused();
 
  private:
-  /// `enclosing` are the constants whose values contain this one.
+  /// `enclosing` lists the constants whose values contain this value, to detect cycles.
   std::optional<Value> resolve(const Value& value, const std::vector<std::string_view>& enclosing);
   std::optional<Value> resolve_list(const Value& list,
                                     const std::vector<std::string_view>& enclosing);
--- a/src/config_language/declaration_check.cpp
+++ b/src/config_language/declaration_check.cpp
@@ -6,7 +6,7 @@
 namespace alderspur::config_language {
 namespace {
 
-/// Two numbers of a declaration of which the first is the larger one.
+/// Two numeric settings of a declaration, the first of which exceeds the second.
 struct ExceedingPair {
   const Setting* larger = nullptr;
   const Setting* smaller = nullptr;
@@ -14,7 +14,8 @@
   explicit operator bool() const { return larger != nullptr; }
 };
 
-/// Empty if one of the fields is absent or the first does not exceed the second.
+/// Returns both settings if the first exceeds the second. Returns an empty pair if it does not or
+/// if one of them is absent.
 ExceedingPair find_exceeding(const Declaration& declaration, const char* first,
                              const char* second) {
   const Setting* larger = declaration.find(first);
@@ -80,7 +81,7 @@
                  "use parent, origin or point");
 }
 
-/// The declaration that a field names; null if there is none.
+/// Returns the declaration of this kind that the settings refer to, or null if there is none.
 const Declaration* find_referenced(const Meaning& meaning, const char* kind,
                                    const Settings& settings) {
   const auto it = settings.find(kind);
--- a/src/config_language/declaration_check.h
+++ b/src/config_language/declaration_check.h
@@ -1,4 +1,5 @@
-// Checks that the fields of a declaration fit together, and a route's class with its policies.
+// Checks that the fields of each declaration are consistent, and that a route's class
+// is consistent with its policies.
 #pragma once
 
 #include "config_language/meaning.h"
@@ -6,7 +7,7 @@
 
 namespace alderspur::config_language {
 
-/// Reports the codes A030 to A036.
+/// Checks all declarations and reports findings with the codes A030 to A036.
 void check_declarations(const Meaning& meaning, Reporter& reporter);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/declaration_reader.cpp
+++ b/src/config_language/declaration_reader.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kPercent = 100;
 
-/// The locations that a `when` statement names; nothing if it has another form.
+/// Returns the locations that a `when` statement names, or nullopt if the statement is malformed.
 std::optional<std::vector<std::string>> when_locations(const Statement& statement) {
   const auto& arguments = statement.arguments;
   const bool is_well_formed = arguments.size() > 1 && arguments[0].kind == Kind::word &&
@@ -73,10 +73,11 @@
 
 void DeclarationReader::check_required_fields(const Statement& statement,
                                               const Declaration& declaration) {
-  if (statement.is_incomplete) return;  // the field may be in what did not parse
+  // The missing field may be in a part of the block that did not parse.
+  if (statement.is_incomplete) return;
   for (const auto& field : declaration.kind->fields) {
     if (!field.is_required) continue;
-    // One that is given without a valid value was reported already.
+    // A field that is present with an invalid value has been reported already.
     const bool is_given =
         std::any_of(statement.body.begin(), statement.body.end(),
                     [&field](const auto& entry) { return entry.key == field.key; });
--- a/src/config_language/declaration_reader.h
+++ b/src/config_language/declaration_reader.h
@@ -1,4 +1,4 @@
-// Reads the declarations of a program from its statements, those in `when` blocks included.
+// Reads the declarations of a program from its statements, including those in `when` blocks.
 #pragma once
 
 #include <optional>
@@ -13,15 +13,16 @@
 
 namespace alderspur::config_language {
 
+/// Collects declarations. Keeps references to both constructor arguments, which must outlive it.
 class DeclarationReader {
  public:
   DeclarationReader(Reporter& reporter, Constants& constants)
       : reporter_(reporter), fields_(reporter, constants) {}
 
-  /// Reads a statement of the program that is neither an include nor a constant.
+  /// Reads a top-level statement that is neither an include nor a constant. Reports its errors.
   void read(const Statement& statement);
 
-  /// All that were read. To be called once.
+  /// Moves out all declarations read so far. Must be called only once.
   std::vector<Declaration> take_declarations();
 
  private:
--- a/src/config_language/differ.cpp
+++ b/src/config_language/differ.cpp
@@ -9,14 +9,15 @@
 namespace alderspur::config_language {
 namespace {
 
-/// Fields whose change may send requests elsewhere, or repeat what must not be repeated.
+/// Fields whose change may send requests to other destinations or repeat requests that are not
+/// safe to repeat.
 constexpr std::string_view kHighRiskFields[] = {
     "class", "pool", "path", "host", "method", "repeat", "uncached", "role", "dedup-window"};
-/// Fields that reject requests when they fall too far.
+/// Fields for which too low a value makes the router reject requests.
 constexpr std::string_view kLimitFields[] = {"max-in-flight",    "max-rate", "deadline",
                                              "attempt-deadline", "queue",    "burst"};
 constexpr std::string_view kLowRiskFields[] = {"worth", "renew", "join"};
-/// Lists in the order of preference; the order of others means nothing.
+/// Lists that are in order of preference. The order of all other lists has no meaning.
 constexpr std::string_view kOrderedFields[] = {"fallback", "fill"};
 constexpr std::string_view kDestinationFields[] = {"pool", "policy", "class"};
 
@@ -37,7 +38,8 @@
   return text;
 }
 
-/// ": requests for PATH and pool POOL" of a route; empty for other declarations.
+/// Returns ": requests for PATH and pool POOL" for a route, and an empty text for other
+/// declarations.
 std::string describe_requests(const Declaration& declaration) {
   const Setting* path = declaration.find("path");
   const Setting* pool = declaration.find("pool");
@@ -51,10 +53,10 @@
   return texts;
 }
 
-/// Identifies a declaration in both programs.
+/// Identifies the same declaration in both programs.
 struct Key {
   std::string kind;
-  std::string name;  // with the locations: a name may be declared once for each
+  std::string name;  // includes the locations, since a name may be declared once for each
 
   auto operator<=>(const Key&) const = default;
 };
@@ -105,7 +107,7 @@
     changes_.push_back({risk, key.kind, key.name, field, key.kind + " " + key.name + ": " + text});
   }
 
-  /// `prefix` names the split that the settings belong to; empty for those of the declaration.
+  /// `prefix` names the split that the settings belong to. It is empty for the declaration's own.
   void compare_settings(const Key& key, const std::string& prefix, const Settings& before,
                         const Settings& after) {
     for (const auto& [name, old_setting] : before) {
--- a/src/config_language/field_reader.cpp
+++ b/src/config_language/field_reader.cpp
@@ -11,7 +11,7 @@
 namespace alderspur::config_language {
 namespace {
 
-/// The usual factors between the unit that was written and the one that was meant.
+/// The factors by which a value is wrong when s and ms are confused.
 constexpr double kUnitMistakes[] = {1e-3, 1e3};
 
 bool is_in_bounds(const Field& field, double number) {
@@ -32,7 +32,7 @@
   return text;
 }
 
-/// The number with a unit that it may have been meant with.
+/// Returns the number with a unit that was probably intended.
 std::string suggest_unit(const Field& field, const std::string& number) {
   switch (field.measure) {
     case Measure::duration:
--- a/src/config_language/field_reader.h
+++ b/src/config_language/field_reader.h
@@ -1,4 +1,4 @@
-// Reads the fields of declarations: their values are checked against the schema and converted to
+// Reads the fields of declarations: checks their values against the schema and converts them to
 // base units.
 #pragma once
 
@@ -13,24 +13,25 @@
 
 namespace alderspur::config_language {
 
+/// Keeps references to both constructor arguments, which must outlive it.
 class FieldReader {
  public:
   FieldReader(Reporter& reporter, Constants& constants)
       : reporter_(reporter), constants_(constants) {}
 
-  /// Adds the field of a statement to the settings, unless an error was reported.
+  /// Reads the field of a statement and adds it to `settings`, or reports an error.
   void read(const Statement& statement, const DeclarationKind& kind, Settings& settings);
 
  private:
-  /// Reports an error if it is false.
+  /// Returns whether the statement has the form that the field requires; reports an error if not.
   bool check_form(const Statement& statement, const Field& field);
   std::optional<Setting> read_setting(const Statement& statement, const Field& field);
 
-  // These report an error if they return false or nothing.
+  // The following functions report an error if they return false or nullopt.
   bool read_item(const Field& field, const Value& value, Setting& setting);
   bool check_keyword(const Field& field, const Value& value);
   std::optional<double> read_number(const Field& field, const Value& value);
-  /// What the number is multiplied by to get the base unit.
+  /// Returns the factor that converts the number to the base unit.
   std::optional<double> unit_factor(const Field& field, const Value& value);
 
   Reporter& reporter_;
--- a/src/config_language/files.cpp
+++ b/src/config_language/files.cpp
@@ -14,7 +14,7 @@
   std::error_code ignored;
   const auto status = std::filesystem::status(path, ignored);
   if (!std::filesystem::exists(status)) return ReadError::not_found;
-  // Reading a FIFO could block for ever, and a device may have no end.
+  // Reading a FIFO could block forever, and a device may supply endless data.
   if (!std::filesystem::is_regular_file(status)) return ReadError::not_a_regular_file;
   std::ifstream file(path, std::ios::binary);
   std::string text(kMaxTextBytes + 1, '\0');
--- a/src/config_language/files.h
+++ b/src/config_language/files.h
@@ -1,4 +1,4 @@
-// The Loader for files on disk.
+// Implements Loader for files on disk.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace alderspur::config_language {
 
-/// Reads regular files only, up to one byte over kMaxTextBytes, which the parser then rejects.
-/// Patterns are those of glob(3). Blocks on the disk.
+/// Reads regular files only. Reads at most kMaxTextBytes + 1 bytes of a file; the parser rejects a
+/// text of that length. Matches patterns as glob(3) does. Blocks on the disk.
 class FileLoader : public Loader {
  public:
   ReadResult read(const std::string& path) override;
--- a/src/config_language/format.cpp
+++ b/src/config_language/format.cpp
@@ -105,13 +105,13 @@
     text_.append(indentation, ' ') += '}';
   }
 
-  /// On a line of its own; "" is an empty line.
+  /// Writes a comment on its own line. An empty comment stands for an empty line.
   void write_comment(const std::string& comment, std::size_t indentation) {
     if (!comment.empty()) text_.append(indentation, ' ') += comment;
     text_ += '\n';
   }
 
-  /// `used_bytes` of the line are written already.
+  /// Writes a value. `used_bytes` is the number of bytes already written on the line.
   void write_value(const Value& value, std::size_t indentation, std::size_t used_bytes) {
     const std::string line = to_string(value);
     const bool fits = !contains_comments(value) && used_bytes + line.size() <= kMaxLineBytes;
--- a/src/config_language/format.h
+++ b/src/config_language/format.h
@@ -1,5 +1,5 @@
-// The canonical form of a syntax tree: two spaces a level, one entry a line, comments where they
-// were. Formatting keeps the meaning, and formatting twice changes nothing. No I/O.
+// Formats a syntax tree canonically: two spaces per level, one entry per line, comments in their
+// places. Formatting keeps the meaning and is idempotent. No I/O.
 #pragma once
 
 #include <string>
@@ -8,12 +8,13 @@
 
 namespace alderspur::config_language {
 
+/// Returns the text of the tree in canonical form.
 std::string format(const Tree& tree);
 
-/// The value on one line, without comments.
+/// Returns the value on one line, without comments.
 std::string to_string(const Value& value);
 
-/// Whether the trees are equal but for spans, comments and empty lines.
+/// Reports whether the trees are equal, ignoring spans, comments and empty lines.
 bool is_equivalent(const Tree& left, const Tree& right);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/lexer.cpp
+++ b/src/config_language/lexer.cpp
@@ -23,7 +23,7 @@
 bool is_control(char c) { return static_cast<unsigned char>(c) < ' '; }
 bool is_blank(char c) { return kBlanks.find(c) != std::string_view::npos; }
 
-/// The character that an escape stands for; 0 if there is no such escape.
+/// Returns the character that an escape stands for, or 0 if the escape is unknown.
 char unescape(char escape) {
   switch (escape) {
     case '"':
@@ -54,12 +54,12 @@
  private:
   bool is_at_end() const { return position_ >= text_.size(); }
 
-  /// 0 behind the end.
+  /// Returns the character at an offset from the current position, or 0 past the end of the text.
   char peek(std::size_t offset = 0) const {
     return position_ + offset < text_.size() ? text_[position_ + offset] : '\0';
   }
 
-  /// From `begin` up to the current position.
+  /// Returns a token that reaches from `begin` to the current position.
   Token make_token(Kind kind, std::size_t begin) const {
     Token token;
     token.kind = kind;
@@ -167,7 +167,8 @@
     return token;
   }
 
-  /// Appends to a string's content; false if an error was reported.
+  /// Reads an escape and appends its character to `content`. Returns false if an error was
+  /// reported.
   bool read_escape(std::string& content) {
     const char escape = peek(1);
     const char character = unescape(escape);
@@ -181,7 +182,7 @@
     return true;
   }
 
-  /// Appends to a string's content; false if an error was reported.
+  /// Reads a character and appends it to `content`. Returns false if an error was reported.
   bool read_character(std::string& content) {
     const std::size_t length = utf8_length(text_, position_);
     if (length == 0 || is_control(peek())) {
@@ -211,7 +212,8 @@
     return token;
   }
 
-  /// A unit, which may stand behind blanks. Without one the position stays behind the number.
+  /// Reads an optional unit, which blanks may precede. Without a unit, the position stays directly
+  /// after the number.
   std::string_view read_unit() {
     const std::size_t number_end = position_;
     while (peek() == ' ' || peek() == '\t') ++position_;
--- a/src/config_language/lexer.h
+++ b/src/config_language/lexer.h
@@ -1,6 +1,6 @@
 // Splits a text into tokens.
 //
-// Codes: A001 an unexpected character, A002 a string without an end, A003 an unknown escape, A004
+// Codes: A001 an unexpected character, A002 an unterminated string, A003 an unknown escape, A004
 // an invalid number, A005 an unknown unit, A009 invalid UTF-8 or a control character.
 #pragma once
 
@@ -13,6 +13,7 @@
 
 namespace alderspur::config_language {
 
+/// A token and its place in the text.
 struct Token {
   enum class Kind {
     word,
@@ -22,18 +23,19 @@
     punctuation,
     line_end,
     comment,
-    end,      // of the file; the last token
-    invalid,  // was reported by the lexer
+    end,      // end of the file; always the last token
+    invalid,  // malformed; the lexer has reported it
   };
 
   Kind kind = Kind::end;
   Span span;
-  std::string text;  // a string's content, a constant's name, a number without its unit, else all
+  // A string's content, a constant's name, a number without its unit, or else the whole token.
+  std::string text;
   double number = 0;
   std::string unit;
 };
 
-/// Errors are added to the findings.
+/// Splits a file into tokens and appends errors to `findings`.
 std::vector<Token> tokenize(const Sources& sources, std::uint32_t file,
                             diagnostics::Findings& findings);
 
--- a/src/config_language/load.cpp
+++ b/src/config_language/load.cpp
@@ -29,12 +29,12 @@
  public:
   ProgramReader(Program& program, Loader& loader, diagnostics::Findings& findings)
       : program_(program), loader_(loader), findings_(findings) {
-    // Statements point into the trees, which therefore must never move.
+    // Program::statements points into the trees, so the vector must never reallocate.
     program_.trees.reserve(kMaxFiles);
   }
 
-  /// Reads a file and what it includes; passes over one that was read already. An error that
-  /// concerns the file itself is left to the caller, who knows what named it.
+  /// Reads a file and its includes, unless the file has been read before. Returns an error if the
+  /// file itself cannot be read; the caller reports it at the place that names the file.
   std::optional<ReadError> read_file(const std::string& path) {
     if (!read_paths_.insert(path).second) return std::nullopt;
     auto result = loader_.read(path);
@@ -55,7 +55,7 @@
   }
 
  private:
-  /// A file that is being read, and its include that is being followed.
+  /// A file that is being read and the location of its include that is being processed.
   struct IncludeStep {
     std::string path;
     Span include;
--- a/src/config_language/meaning.h
+++ b/src/config_language/meaning.h
@@ -1,5 +1,5 @@
-// What a program means: its declarations, with constants replaced and every value in its base unit.
-// Differences and routing work from this form.
+// The meaning of a program: its declarations, with constants replaced and each value in its base
+// unit. The differ and routing use this form.
 #pragma once
 
 #include <compare>
@@ -19,31 +19,33 @@
 struct Setting {
   Span span;
   Measure measure = Measure::none;
-  std::optional<double> number;    // of a single number, in the base unit of the measure
-  std::vector<std::string> texts;  // otherwise: the items of a list, or one
+  std::optional<double> number;    // a single number, in the base unit of the measure
+  std::vector<std::string> texts;  // for other values: the items of a list, or one item
   std::string written;             // as in the program, with constants replaced
 };
 
-/// By field; fields with an argument by both: "header x-tier".
+/// Settings by field name, followed by the field's argument if it has one: "header x-tier".
 using Settings = std::map<std::string, Setting>;
 
-/// A fraction of a route's requests, from 0 to 1, with settings of its own.
+/// A fraction (0 to 1) of a route's requests that has its own settings.
 struct Split {
   Span span;
   double fraction = 0;
   Settings settings;
 };
 
+/// One declaration of a program.
 struct Declaration {
   const DeclarationKind* kind = nullptr;
   std::string name;
   Span span;
-  std::vector<std::string> locations;  // it holds only there; empty: everywhere
+  std::vector<std::string> locations;  // where it applies; empty means everywhere
   Settings settings;
   std::vector<Split> splits;
 
-  /// Null if the field is absent.
+  /// Returns the setting of a field, or null if the field is absent.
   const Setting* find(const std::string& key) const;
+  /// Returns the number of a field, or `default_value` if there is none.
   double number(const std::string& key, double default_value) const;
 };
 
@@ -53,10 +55,10 @@
   Meaning() = default;
   explicit Meaning(std::vector<Declaration> declarations);
 
-  /// In the order of the program.
+  /// Returns the declarations in the order of the program.
   const std::vector<Declaration>& declarations() const { return declarations_; }
 
-  /// The first of this kind and name; null if there is none.
+  /// Returns the first declaration with this kind and name, or null if there is none.
   const Declaration* find(std::string_view kind, std::string_view name) const;
 
  private:
--- a/src/config_language/name_check.cpp
+++ b/src/config_language/name_check.cpp
@@ -7,7 +7,8 @@
 namespace alderspur::config_language {
 namespace {
 
-/// Whether two declarations never hold at the same location. Without locations one holds at all.
+/// Reports whether two declarations have no location in common. A declaration without locations
+/// applies everywhere.
 bool are_disjoint(const std::vector<std::string>& left, const std::vector<std::string>& right) {
   if (left.empty() || right.empty()) return false;
   return std::find_first_of(left.begin(), left.end(), right.begin(), right.end()) == left.end();
--- a/src/config_language/name_check.h
+++ b/src/config_language/name_check.h
@@ -1,5 +1,5 @@
-// Checks the names of declarations: each is declared once, exists where it is referred to, and is
-// used.
+// Checks the names of declarations: each name is declared once, each reference names an existing
+// declaration, and each declaration is used.
 #pragma once
 
 #include <compare>
@@ -12,16 +12,16 @@
 
 namespace alderspur::config_language {
 
-/// Holds references to both of its parameters.
+/// Keeps references to both constructor arguments, which must outlive it.
 class NameCheck {
  public:
   NameCheck(const Meaning& meaning, Reporter& reporter) : meaning_(meaning), reporter_(reporter) {}
 
-  /// A name may be declared again for other locations.
+  /// Reports duplicate names. A name may be declared again for other locations.
   void check_duplicates();
 
-  /// Reports unknown names, but only if the program is complete: else they may have been declared
-  /// in what did not parse.
+  /// Records which names are used. Reports unknown names only if the program is complete, since
+  /// they may be declared in a part that did not parse.
   void check_references(bool is_complete);
 
   /// Reports declarations to which check_references() has found no reference.
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -24,7 +24,7 @@
   }
 }
 
-/// The kind of a value that is a single token; nothing for other tokens.
+/// Returns the kind of a value that consists of one token, or nullopt for other tokens.
 std::optional<Value::Kind> value_kind(Kind kind) {
   switch (kind) {
     case Kind::word:
@@ -47,7 +47,8 @@
   bool is_incomplete = false;
 };
 
-/// Comments and empty lines before a statement. "" stands for an empty line between comments.
+/// Comments and empty lines before a statement. An empty text in `comments` stands for an empty
+/// line.
 struct Margin {
   std::vector<std::string> comments;
   bool begins_with_empty_line = false;
@@ -81,7 +82,7 @@
     return is(Kind::punctuation) && current().text[0] == punctuation;
   }
 
-  /// Never goes beyond the last token, which is the end of the file.
+  /// Returns the current token and advances, but never past the last token (the end of the file).
   const Token& take() {
     const Token& token = current();
     if (!is(Kind::end)) ++position_;
@@ -103,7 +104,7 @@
            "at most " + std::to_string(kMaxNestingDepth));
   }
 
-  /// Takes comments and empty lines up to the next other token.
+  /// Consumes line ends, comments and semicolons up to the next token of another kind.
   Margin parse_margin() {
     Margin margin;
     int line_ends = 0;
@@ -118,7 +119,7 @@
     return margin;
   }
 
-  /// Up to the end of the file or the brace that closes the block.
+  /// Parses statements up to the end of the file or the closing brace of the block.
   Statements parse_statements(std::size_t depth) {
     Statements statements;
     for (;;) {
@@ -129,7 +130,7 @@
         statements.closing_comments = std::move(comments);
         return statements;
       }
-      if (is('}')) {  // closes nothing
+      if (is('}')) {  // no block is open
         report_expected("a word that begins an entry");
         take();
         statements.is_incomplete = true;
@@ -147,7 +148,7 @@
     }
   }
 
-  /// Nothing if an error was reported.
+  /// Parses a statement. Returns nullopt if an error was reported.
   std::optional<Statement> parse_statement(std::size_t depth) {
     if (!is(Kind::word)) {
       report_expected("a word that begins an entry");
@@ -176,7 +177,7 @@
     return std::nullopt;
   }
 
-  /// Adds its block to a statement; false if the statement cannot be used.
+  /// Parses the block of a statement. Returns false if the statement must be discarded.
   bool parse_block(Statement& statement, std::size_t depth) {
     const Span opening_brace = current().span;
     if (depth + 1 > kMaxNestingDepth) {
@@ -193,13 +194,13 @@
     if (is('}')) {
       take();
     } else {
-      // The statement is used all the same, so that errors within its block are reported, too.
+      // Keep the statement, so that errors within its block are reported too.
       report("A006", opening_brace, "this block has no end", "close it with }");
     }
     return true;
   }
 
-  /// Nothing if an error was reported.
+  /// Parses a value. Returns nullopt if an error was reported.
   std::optional<Value> parse_value(std::size_t depth) {
     if (is('[')) return parse_list(depth);
     const Token& token = current();
@@ -218,7 +219,7 @@
     return value;
   }
 
-  /// Nothing if an error was reported.
+  /// Parses a list. Returns nullopt if an error was reported.
   std::optional<Value> parse_list(std::size_t depth) {
     const Span opening_bracket = current().span;
     if (depth + 1 > kMaxNestingDepth) {
@@ -243,7 +244,7 @@
       auto item = parse_value(depth + 1);
       if (!item) return std::nullopt;
       item->leading_comments = std::move(comments);
-      // A comment behind an item goes before it.
+      // A comment after an item is moved before it.
       for (auto& comment : parse_list_comments()) {
         item->leading_comments.push_back(std::move(comment));
       }
@@ -265,12 +266,12 @@
     return comments;
   }
 
-  /// Goes to the end of a statement with an error, over the blocks and lists that open in it.
+  /// Skips to the end of a statement with an error, including blocks and lists that open in it.
   void skip_statement() {
     int depth = 0;
     for (; !is(Kind::end); take()) {
       if (is('{') || is('[')) ++depth;
-      if (depth == 0 && is('}')) return;  // closes the block around
+      if (depth == 0 && is('}')) return;  // closes the enclosing block
       if (is('}') || is(']')) depth = std::max(0, depth - 1);
       if (depth == 0 && (is(Kind::line_end) || is(';'))) return;
     }
--- a/src/config_language/parser.h
+++ b/src/config_language/parser.h
@@ -13,10 +13,11 @@
 
 namespace alderspur::config_language {
 
-constexpr std::size_t kMaxNestingDepth = 16;  // of blocks and lists
+constexpr std::size_t kMaxNestingDepth = 16;  // nesting of blocks and lists
 constexpr std::size_t kMaxTextBytes = 1 << 20;
 
-/// Errors are added to the findings; a text over kMaxTextBytes gives an empty tree.
+/// Parses a file and appends errors to `findings`. Returns an empty tree if the text is longer than
+/// kMaxTextBytes.
 Tree parse(const Sources& sources, std::uint32_t file, diagnostics::Findings& findings);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/path.cpp
+++ b/src/config_language/path.cpp
@@ -29,7 +29,7 @@
   return std::nullopt;
 }
 
-/// Checks a segment that is to follow the path.
+/// Checks a segment that will be appended to the path.
 std::optional<PathError> check_segment(const Path& path, const Segment& segment, bool is_last) {
   using Kind = PathError::Kind;
   switch (segment.kind) {
--- a/src/config_language/path.h
+++ b/src/config_language/path.h
@@ -1,4 +1,4 @@
-// The path of a route, segment by segment.
+// Parses the path pattern of a route into segments.
 #pragma once
 
 #include <optional>
@@ -8,11 +8,12 @@
 
 namespace alderspur::config_language {
 
+/// One segment of a path pattern.
 struct Segment {
   enum class Kind {
     literal,
-    capture,  // {name}: any text but none
-    rest,     // *: whatever follows; the last segment
+    capture,  // {name}: any text that is not empty
+    rest,     // *: the remaining path; only as the last segment
   };
 
   Kind kind = Kind::literal;
@@ -21,9 +22,10 @@
   bool operator==(const Segment&) const = default;
 };
 
+/// A path pattern as its segments in order.
 using Path = std::vector<Segment>;
 
-/// Why a text is no path.
+/// The reason why a text is not a valid path pattern.
 struct PathError {
   enum class Kind {
     no_leading_slash,
@@ -40,7 +42,7 @@
 
 std::string to_string(const PathError& error);
 
-/// A path, or why there is none.
+/// A path, or the error that was found.
 struct ParsedPath {
   Path path;
   std::optional<PathError> error;
@@ -48,7 +50,7 @@
   bool is_valid() const { return !error; }
 };
 
-/// From "/asset/{object}/{part}" or "/static/*".
+/// Parses a pattern such as "/asset/{object}/{part}" or "/static/*".
 ParsedPath parse_path(std::string_view text);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/reporter.h
+++ b/src/config_language/reporter.h
@@ -1,4 +1,4 @@
-// Reports findings by spans of a program.
+// Reports findings at spans of a program.
 #pragma once
 
 #include <string>
@@ -10,15 +10,16 @@
 
 namespace alderspur::config_language {
 
-/// Holds references to both of its parameters.
+/// Keeps references to both constructor arguments, which must outlive it.
 class Reporter {
  public:
   Reporter(const Sources& sources, diagnostics::Findings& findings);
 
+  /// Adds an error or a warning at the start of the span to the findings.
   void error(const char* code, const Span& span, std::string text, std::string suggestion = {});
   void warn(const char* code, const Span& span, std::string text, std::string suggestion = {});
 
-  /// "FILE:LINE"
+  /// Returns the start of the span as "FILE:LINE".
   std::string describe_location(const Span& span) const;
 
  private:
@@ -26,7 +27,8 @@
   diagnostics::Findings& findings_;
 };
 
-/// "did you mean MATCH?" with the candidate that is most similar; empty if none is.
+/// Returns "did you mean MATCH?" with the most similar candidate, or an empty text if no candidate
+/// is similar.
 std::string suggest(std::string_view word, const std::vector<std::string_view>& candidates);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/route_check.cpp
+++ b/src/config_language/route_check.cpp
@@ -12,11 +12,11 @@
 namespace alderspur::config_language {
 namespace {
 
-constexpr double kMaxSplitSum = 1 + 1e-9;  // with room for rounding
+constexpr double kMaxSplitSum = 1 + 1e-9;  // 100% with a tolerance for rounding
 
 using Texts = std::set<std::string>;
 
-/// Which requests a route takes, its path aside.
+/// The requests that a route matches, apart from its path.
 struct Selection {
   const Declaration* route = nullptr;
   Texts hosts;
@@ -28,9 +28,9 @@
   return std::includes(all.begin(), all.end(), some.begin(), some.end());
 }
 
-/// Whether a route takes every request that a later one with an equal path would. Of the two the
-/// one with more conditions comes first, then the earlier; one for certain hosts comes before one
-/// for any.
+/// Reports whether a route matches every request that a later route with an equal path matches.
+/// Routing prefers the route with more conditions, then the earlier one, and prefers a route for
+/// certain hosts to a route for any host.
 bool hides(const Selection& earlier, const Selection& later) {
   const bool same_host_rank = earlier.hosts.empty() == later.hosts.empty();
   const bool same_method_rank = earlier.methods.empty() == later.methods.empty();
@@ -38,7 +38,8 @@
          includes(earlier.methods, later.methods) && earlier.conditions == later.conditions;
 }
 
-/// Equal for paths that match the same requests, whatever their captures are called.
+/// Returns a key that is equal for paths that match the same requests. Names of captures are
+/// ignored.
 std::string path_key(const Path& path) {
   std::string key;
   for (const auto& segment : path) {
--- a/src/config_language/schema.cpp
+++ b/src/config_language/schema.cpp
@@ -38,7 +38,7 @@
   return number(key, Type::count, Measure::none, min, max);
 }
 
-/// A plain number that need not be whole.
+/// Returns a field for a number without a unit that may have a fraction.
 Field real(std::string_view key, double min, double max) {
   Field field = count(key, min, max);
   field.accepts_fractions = true;
@@ -89,7 +89,7 @@
   return field;
 }
 
-/// Adds the limits that pools, policies and routes share.
+/// Appends the limit fields that pools, policies and routes have in common.
 std::vector<Field> with_limits(std::vector<Field> fields) {
   fields.push_back(count("max-in-flight", 1, kMaxCount));
   fields.push_back(rate("max-rate"));
--- a/src/config_language/schema.h
+++ b/src/config_language/schema.h
@@ -1,8 +1,8 @@
-// What may stand in a program: the kinds of declarations, their fields, and for each field its
-// type, its unit, its bounds and what it may name. docs/language.md lists the same.
+// Defines what a program may contain: the kinds of declarations, their fields, and for each field
+// its type, unit, bounds and the declarations it may refer to. docs/language.md lists the same.
 //
-// Bounds are as narrow as use allows, since they are how a value in seconds is found that was meant
-// in milliseconds.
+// Bounds are as narrow as practical use allows, so that they catch mistakes such as a value in
+// seconds that was meant in milliseconds.
 #pragma once
 
 #include <string_view>
@@ -12,6 +12,7 @@
 
 namespace alderspur::config_language {
 
+/// A field that a declaration may have.
 struct Field {
   enum class Type {
     quantity,   // a number with a unit
@@ -25,27 +26,29 @@
   std::string_view key;
   Type type = Type::count;
   Measure measure = Measure::none;
-  double min = 0;  // of numbers, inclusive, in the base unit of the measure
+  double min = 0;  // bounds of a number, inclusive, in the base unit of the measure
   double max = 0;
   std::vector<std::string_view> keywords;
   std::string_view referenced_kind;
   bool is_required = false;
-  bool accepts_fractions = false;  // of a count
+  bool accepts_fractions = false;  // for a count
   bool accepts_list = false;       // one value or a list of them
   bool has_argument = false;       // header "x-tier" = "gold"
 };
 
+/// A kind of declaration and its fields.
 struct DeclarationKind {
   std::string_view name;
   std::vector<Field> fields;
 };
 
+/// Returns all kinds of declarations.
 const std::vector<DeclarationKind>& declaration_kinds();
 
-/// Null if there is no such kind.
+/// Returns the kind with this name, or null if there is none.
 const DeclarationKind* find_declaration_kind(std::string_view name);
 
-/// Null if there is no such field.
+/// Returns the field with this key, or null if there is none.
 const Field* find_field(const DeclarationKind& kind, std::string_view key);
 
 }  // namespace alderspur::config_language
--- a/src/config_language/source.cpp
+++ b/src/config_language/source.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaxRenderedBytes = 200;
 
-/// The line without control characters, and a caret below the column.
+/// Returns the line with control characters replaced by '?', and a caret below the column.
 std::string render_line(std::string_view line, std::size_t column) {
   std::string text;
   std::string caret;
--- a/src/config_language/utf8.cpp
+++ b/src/config_language/utf8.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 std::size_t utf8_length(std::string_view text, std::size_t at) {
-  // 0 behind the end, which is no continuation byte.
+  // Returns 0 past the end; 0 is not a continuation byte.
   const auto byte = [&](std::size_t offset) {
     return at + offset < text.size() ? static_cast<unsigned char>(text[at + offset]) : 0U;
   };
--- a/src/config_language/utf8.h
+++ b/src/config_language/utf8.h
@@ -1,4 +1,4 @@
-// Well-formed UTF-8.
+// Checks for well-formed UTF-8.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace alderspur::config_language {
 
-/// The number of bytes of the character that begins at `at`; 0 if there is no well-formed one.
+/// Returns the length in bytes of the character at `at`, or 0 if it is not well-formed.
 /// Overlong forms and surrogates are not well-formed.
 std::size_t utf8_length(std::string_view text, std::size_t at);
 
