--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -241,8 +241,8 @@
   program->send_signal(SIGTERM);
   for (int i = 0; i < 20'000 && !program->has_exited(); ++i) {
     program->send_signal(SIGHUP);
-    program
-        ->read_available_log();  // each reload logs a line, and a full pipe would block the process
+    // Each reload logs a line, and a full pipe would block the process.
+    program->read_available_log();
     ::usleep(500);
   }
   EXPECT_EQ(program->wait_for_exit(), 0);
