--- a/src/simulator_adapter/actions.cpp
+++ b/src/simulator_adapter/actions.cpp
@@ -6,7 +6,7 @@
 namespace alderspur::simulator_adapter {
 namespace {
 
-/// Actions of a reply, by their code on the wire.
+/// Action codes of a reply, as they are sent on the wire.
 enum class ActionCode : std::uint8_t {
   reject = 3,
   send_with_fill = 4,
@@ -18,7 +18,7 @@
   cancel = 12
 };
 
-// Flags of a fill.
+// Bits of the flags byte of a fill.
 constexpr unsigned kMayJoinBit = 1;
 constexpr unsigned kCachedOnlyBit = 2;
 constexpr unsigned kRefreshBit = 8;
--- a/src/simulator_adapter/actions.h
+++ b/src/simulator_adapter/actions.h
@@ -1,4 +1,5 @@
-// The actions of the simulator's replies: encoding of the router's actions. No I/O and no state.
+// Encodes the router's actions for the simulator's replies. The functions perform no I/O and keep
+// no state.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 namespace alderspur::simulator_adapter {
 
-/// Appends an action of the instance with this number.
+/// Appends `action`, which was returned by the router instance with the number `instance`.
 void write_action(WireWriter& writer, std::uint32_t instance, const alderspur::Action& action);
 
 }  // namespace alderspur::simulator_adapter
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -9,14 +9,14 @@
 namespace alderspur::simulator_adapter {
 namespace {
 
-// Modes of an endpoint update: a list that is not complete, and the last mode of those with a
-// complete one. A larger number reports that the list could not be had.
+// Modes of an endpoint update. Mode 0 carries a partial list, modes 1 to 2 carry a complete list,
+// and a larger mode reports that the list could not be obtained.
 constexpr std::uint8_t kPartialUpdate = 0;
 constexpr std::uint8_t kLastCompleteUpdate = 2;
 
 }  // namespace
 
-/// A router with the names of its settings.
+/// A router and the names that its settings define.
 struct Host::Instance {
   alderspur::Router router;
   config::Names names;
@@ -31,11 +31,12 @@
   Batch(Host& host, const BatchHeader& header, std::string_view body)
       : host_(host), header_(header), reader_(body) {}
 
-  /// Processes all records. Throws WireError on a malformed one.
-  std::string reply();
+  /// Processes all records and returns the encoded reply. Throws WireError if a record is
+  /// malformed.
+  std::string process();
 
  private:
-  // Reads one record and passes its event to the instance that it concerns.
+  // Reads one record and passes its event to the instance that the record names.
   void read_record();
   alderspur::Event read_event(RecordCode code, const config::Names& names);
   void start_instance(std::uint32_t id);
@@ -45,18 +46,19 @@
   const BatchHeader& header_;
   WireReader reader_;
   std::vector<alderspur::Action> actions_;
-  /// By instance: the actions of one that is stopped later in the batch are discarded.
+  /// Encoded actions by instance number. They are kept apart because the actions of an instance
+  /// that is stopped or restarted later in the batch are discarded.
   std::map<std::uint32_t, WireWriter> replies_;
 };
 
-std::string Host::Batch::reply() {
-  for (std::uint32_t i = 0; i < header_.records; ++i) read_record();
-  if (!reader_.is_at_end()) throw WireError("a batch is longer than its records");
+std::string Host::Batch::process() {
+  for (std::uint32_t i = 0; i < header_.record_count; ++i) read_record();
+  if (!reader_.is_at_end()) throw WireError("batch has bytes after its last record");
   std::string actions;
   for (const auto& [instance, writer] : replies_) actions += writer.bytes();
   WireWriter head;
   head.u32(static_cast<std::uint32_t>(actions.size()));
-  head.u32(header_.number);
+  head.u32(header_.sequence_number);
   return head.bytes() + actions;
 }
 
@@ -84,7 +86,8 @@
   }
   const auto found = host_.instances_.find(id);
   const bool is_known = found != host_.instances_.end();
-  // Records of unknown instances are read as well, to find the next record.
+  // The record of an unknown instance is decoded as well, because only decoding finds where the
+  // next record starts.
   static const config::Names no_names;
   const alderspur::Event event = read_event(code, is_known ? found->second.names : no_names);
   if (!is_known) return;
@@ -134,7 +137,8 @@
   if (update.has_failed) return update;
   const auto found = host_.endpoint_lists_.find(list);
   if (found == host_.endpoint_lists_.end()) {
-    throw WireError("a membership names a list that was not sent");
+    throw WireError("endpoint update refers to endpoint list " + std::to_string(list) +
+                    ", which was not sent");
   }
   for (const ListedServer& listed : found->second) {
     alderspur::Server server = listed.server;
@@ -145,8 +149,8 @@
   return update;
 }
 
-std::string Host::answer(const BatchHeader& header, std::string_view body) {
-  return Batch(*this, header, body).reply();
+std::string Host::process_batch(const BatchHeader& header, std::string_view body) {
+  return Batch(*this, header, body).process();
 }
 
 }  // namespace alderspur::simulator_adapter
--- a/src/simulator_adapter/host.h
+++ b/src/simulator_adapter/host.h
@@ -1,6 +1,6 @@
-// Hosts the router instances that the simulator's batches speak of: records in, actions out. The
-// layout of records and actions is in records.h and actions.h. No I/O; one thread; times are
-// microseconds.
+// Runs the router instances of a simulation. The host decodes each batch of records, passes the
+// events to the instances and encodes their actions. records.h and actions.h define the layout of
+// records and actions. The host performs no I/O and is not thread-safe. Times are in microseconds.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,17 @@
 
 namespace alderspur::simulator_adapter {
 
-/// Instances share nothing but the numbered endpoint lists.
+/// Owns the router instances, by instance number. The instances share only the endpoint lists,
+/// which are numbered as well.
 class Host {
  public:
   Host();
   ~Host();
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
-  /// Processes the records of one batch and returns the complete reply. Throws WireError on a
-  /// malformed frame.
-  std::string answer(const BatchHeader& header, std::string_view body);
+  /// Processes the records of one batch and returns the complete reply. `body` holds the records
+  /// that follow the header. Throws WireError if the batch is malformed.
+  std::string process_batch(const BatchHeader& header, std::string_view body);
 
  private:
   struct Instance;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// simulator_adapter: reads batches from standard input and writes one reply for each to standard
-// output. Exit codes: 0 at the end of input, 1 on an error.
+// simulator_adapter reads batches from standard input and writes one reply to standard output for
+// each of them. It exits with code 0 at the end of input and with code 1 on an error.
 #include <algorithm>
 #include <cstddef>
 #include <cstdio>
@@ -13,8 +13,9 @@
 
 namespace simulator_adapter = alderspur::simulator_adapter;
 
-// Reads exactly `size` bytes; false: the input ends before. Reads in steps, so that a wrong length
-// does not allocate memory for bytes that never arrive.
+// Reads exactly `size` bytes from standard input. Returns false if the input ends before that.
+// Reads in steps, so that a wrong length in a header does not allocate memory for bytes that never
+// arrive.
 bool read_exactly(std::string& bytes, std::size_t size) {
   constexpr std::size_t kStepBytes = 1 << 20;
   bytes.clear();
@@ -29,6 +30,7 @@
   return true;
 }
 
+// Processes batches until the input ends. Returns the exit code; throws WireError on an error.
 int serve() {
   simulator_adapter::Host host;
   std::string head;
@@ -36,16 +38,16 @@
   for (;;) {
     if (!read_exactly(head, simulator_adapter::kBatchHeaderBytes)) {
       if (head.empty() && !std::ferror(stdin)) return 0;
-      throw simulator_adapter::WireError("input ends inside a batch header");
+      throw simulator_adapter::WireError("standard input ended inside a batch header");
     }
     const auto header = simulator_adapter::read_header(head);
     if (!read_exactly(body, header.length)) {
-      throw simulator_adapter::WireError("input ends inside a batch");
+      throw simulator_adapter::WireError("standard input ended inside the records of a batch");
     }
-    const std::string reply = host.answer(header, body);
+    const std::string reply = host.process_batch(header, body);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() ||
         std::fflush(stdout) != 0) {
-      throw simulator_adapter::WireError("cannot write the reply");
+      throw simulator_adapter::WireError("cannot write the reply to standard output");
     }
   }
 }
--- a/src/simulator_adapter/records.cpp
+++ b/src/simulator_adapter/records.cpp
@@ -10,9 +10,10 @@
 namespace alderspur::simulator_adapter {
 namespace {
 
-/// In the flags of a request.
+/// Bit of a request's flags that marks a write.
 constexpr std::uint16_t kWriteBit = 4;
-/// Clocks and start times are bounded, so that sums of them cannot overflow.
+/// Upper bounds of clocks and start times, in microseconds. They keep sums of both from
+/// overflowing.
 constexpr auto kMaxClock =
     static_cast<std::uint64_t>(std::numeric_limits<alderspur::Time>::max() / 4);
 constexpr std::uint64_t kMaxStartTime = 1ULL << 60;
@@ -35,7 +36,7 @@
       return alderspur::AttemptResult::reset;
     case 14:
       return alderspur::AttemptResult::connect_failed;
-    default:  // 13, and codes of a later version: it may have run
+    default:  // 13, or a code of a later version; the attempt may have been executed
       return alderspur::AttemptResult::error;
   }
 }
@@ -77,9 +78,9 @@
   BatchHeader header;
   header.length = reader.u32();
   header.clock = reader.u64();
-  header.records = reader.u32();
-  header.number = reader.u32();
-  if (header.clock > kMaxClock) throw WireError("the clock is out of range");
+  header.record_count = reader.u32();
+  header.sequence_number = reader.u32();
+  if (header.clock > kMaxClock) throw WireError("clock of the batch is out of range");
   return header;
 }
 
@@ -115,7 +116,7 @@
   request.part = reader.integer_f32();
   request.size_kb = reader.f32();
   request.time_budget = reader.u32();
-  reader.u16();  // the client's location
+  reader.u16();  // the client's location, which is not used
   request.class_id = {reader.u16()};
   request.is_write = (reader.u16() & kWriteBit) != 0;
   request.group = {reader.integer_f32()};
@@ -128,7 +129,7 @@
   started.id = {reader.u64()};
   started.attempt = {reader.u8()};
   reader.server_id();
-  reader.u32();  // since when
+  reader.u32();  // the time at which the response started, which is not used
   return started;
 }
 
--- a/src/simulator_adapter/wire_error.h
+++ b/src/simulator_adapter/wire_error.h
@@ -1,11 +1,12 @@
-// The error of the simulator's wire protocol.
+// Defines the error type of the simulator's wire protocol.
 #pragma once
 
 #include <stdexcept>
 
 namespace alderspur::simulator_adapter {
 
-/// A malformed frame, or input or output that ends early; what() describes it.
+/// Reports a malformed batch, invalid settings, input that ends early, or a reply that cannot be
+/// written. what() describes the failure.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/simulator_adapter/wire_reader.cpp
+++ b/src/simulator_adapter/wire_reader.cpp
@@ -1,18 +1,23 @@
 #include "simulator_adapter/wire_reader.h"
 
 #include <bit>
+#include <string>
 
 namespace alderspur::simulator_adapter {
 namespace {
 
-/// Larger integers that are encoded as floats read as 0.
+/// An integer that is encoded as a float and is not below this bound is read as 0.
 constexpr float kMaxIntegerF32 = 1e9F;
+/// A server id holds the IPv4 address in its lower 32 bits and the port above them.
 constexpr int kPortShift = 32;
 
 }  // namespace
 
 std::string_view WireReader::bytes(std::size_t size) {
-  if (bytes_.size() < size) throw WireError("a record ends early");
+  if (bytes_.size() < size) {
+    throw WireError("truncated record: expected " + std::to_string(size) + " more bytes, found " +
+                    std::to_string(bytes_.size()));
+  }
   const auto front = bytes_.substr(0, size);
   bytes_.remove_prefix(size);
   return front;
--- a/src/simulator_adapter/wire_reader.h
+++ b/src/simulator_adapter/wire_reader.h
@@ -1,5 +1,5 @@
-// Reads the simulator's wire format: little-endian numbers without padding. No I/O; not
-// thread-safe.
+// Reads the simulator's wire format, which consists of little-endian numbers without padding. The
+// reader performs no I/O and is not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,24 @@
 
 namespace alderspur::simulator_adapter {
 
-/// Takes values from the front of the bytes, which must outlive it. Every function throws WireError
-/// if the bytes end early.
+/// Consumes values from the front of a byte string, which must outlive the reader. Every function
+/// that consumes bytes throws WireError if fewer bytes are left than the value needs.
 class WireReader {
  public:
   explicit WireReader(std::string_view bytes) : bytes_(bytes) {}
 
+  /// Consumes `size` bytes and returns a slice of the underlying byte string.
   std::string_view bytes(std::size_t size);
   std::uint8_t u8() { return number<std::uint8_t>(); }
   std::uint16_t u16() { return number<std::uint16_t>(); }
   std::uint32_t u32() { return number<std::uint32_t>(); }
   std::uint64_t u64() { return number<std::uint64_t>(); }
   float f32();
-  /// An integer that is encoded as a float; 0 if it is out of range.
+  /// Consumes an integer that is encoded as a float. Returns 0 if the value is out of range.
   std::uint32_t integer_f32();
+  /// Consumes a server id, which is encoded as an IPv4 address (u32) and a port (u16).
   alderspur::ServerId server_id();
-  /// The values of a load report, with their count in front.
+  /// Consumes the values of a load report, which are preceded by their count (u8).
   std::vector<float> gauges();
   bool is_at_end() const { return bytes_.empty(); }
 
--- a/src/simulator_adapter/wire_writer.cpp
+++ b/src/simulator_adapter/wire_writer.cpp
@@ -6,8 +6,10 @@
 namespace alderspur::simulator_adapter {
 namespace {
 
+/// Longest duration that can be encoded, in microseconds.
 constexpr alderspur::Time kMaxEncodedTime = std::numeric_limits<std::int32_t>::max();
 constexpr std::uint64_t kAddressMask = 0xffffffff;
+/// A server id holds the IPv4 address in its lower 32 bits and the port above them.
 constexpr int kPortShift = 32;
 
 }  // namespace
