--- a/src/signed_url/credential.cpp
+++ b/src/signed_url/credential.cpp
@@ -9,9 +9,11 @@
 
 constexpr std::string_view kBearerScheme = "bearer ";
 constexpr std::string_view kPrefixField = "pfx=";
+/// The bit that distinguishes a lower-case ASCII letter from its upper-case form.
 constexpr char kLowerCaseBit = 32;
 
-/// The link or the token in the target; empty where there is none.
+/// Returns the token in the query of the target, or else the whole target if it is a signed link.
+/// Returns an empty text if the target holds neither.
 std::string_view find_in_target(std::string_view target) {
   const auto query = split_target(target).query;
   if (query.starts_with(kPrefixField)) return query;
@@ -21,7 +23,8 @@
   return is_link ? target : std::string_view();
 }
 
-/// Only the first letter of the scheme may be in upper case.
+/// Reports whether the header value uses the scheme "Bearer". Only the first letter of the scheme
+/// may be in upper case or lower case; the others must be in lower case.
 bool has_bearer_scheme(std::string_view authorization) {
   return authorization.size() > kBearerScheme.size() &&
          (authorization[0] | kLowerCaseBit) == kBearerScheme[0] &&
--- a/src/signed_url/credential.h
+++ b/src/signed_url/credential.h
@@ -1,4 +1,5 @@
-// Finds the link or token that a request presents. No shared state: may be called from any thread.
+// Finds the signed link or the token that a request presents. The functions share no state and may
+// be called from any thread.
 #pragma once
 
 #include <optional>
@@ -9,28 +10,30 @@
 
 namespace alderspur::signed_url {
 
-/// The target of a request, divided at its first "?".
+/// The target of a request, divided at its first "?". Both members are slices of the target.
 struct RequestTarget {
   std::string_view path;
-  std::string_view query;  // without "?"
+  std::string_view query;  // without the "?"; empty if the target has none
 };
 
+/// Divides the target of a request into its path and its query.
 RequestTarget split_target(std::string_view target);
 
-/// The signed text that a request presents.
+/// The signed text that a request presents. It must not outlive the request.
 struct Credential {
-  /// The link or token with its signature. Empty, and so malformed, where a cookie or a bearer
-  /// token cannot be decoded.
+  /// Returns the link or the token with its signature. Returns an empty text, which verification
+  /// rejects as malformed, if a cookie or a bearer token cannot be decoded.
   std::string_view text() const {
     return in_target.empty() ? std::string_view{decoded} : in_target;
   }
 
   std::string_view in_target;  // a slice of the request's target
-  std::string decoded;         // of a cookie or a bearer token
+  std::string decoded;         // the decoded cookie or bearer token
 };
 
-/// In this order: a token in the query, the link itself, a bearer token, the cookie with that name.
-/// Nothing where the request has none of them.
+/// Returns the first credential that the request presents. A token in the query takes precedence
+/// over the signed link itself, then over a bearer token, and then over the cookie `cookie_name`.
+/// Returns nullopt if the request has none of them.
 std::optional<Credential> find_credential(const http::Request& request,
                                           const std::string& cookie_name);
 
--- a/src/signed_url/http_front.cpp
+++ b/src/signed_url/http_front.cpp
@@ -11,22 +11,24 @@
 namespace alderspur::signed_url {
 namespace {
 
-/// The first request of a client that has just connected may still be on its way.
+/// For this long after a client connects, its connection does not count as idle, because its first
+/// request may still be in transit. All durations here are in microseconds.
 constexpr core::Time kFirstRequestGrace = 150'000;
 constexpr core::Time kIdleTimeout = 15'000'000;
 constexpr core::Time kHeadTimeout = 10'000'000;
 constexpr core::Time kWriteTimeout = 30'000'000;
-/// Of pipelined requests that wait; a client that sends more is closed.
+/// Limit on the bytes of queued pipelined requests. A connection that exceeds it is closed.
 constexpr std::size_t kMaxInputBytes = 64 << 10;
-/// One client may be connected for each so many descriptors of the process.
+/// One client may be connected per this many file descriptors that the process may open.
 constexpr std::size_t kDescriptorsPerClient = 8;
 constexpr core::Time kMicrosecondsPerSecond = 1'000'000;
-/// Sets the ids of this front's requests apart from other uses of the configured seed.
+/// Makes the random request ids of this front independent of other uses of the configured seed.
 constexpr std::uint64_t kSeedSalt = 0x7369676e6564ULL;
 constexpr std::size_t kObjectDigits = 16;
 constexpr int kHexadecimal = 16;
 
-/// The client is told the status only: which check failed would help to forge tokens.
+/// Returns the HTTP status for the result of a verification. The response does not reveal which
+/// check failed, because that would help to forge tokens.
 int status_of(TokenStatus status) {
   switch (status) {
     case TokenStatus::accepted:
@@ -38,18 +40,20 @@
   }
 }
 
+/// Returns the HTTP status for a response of the engine.
 int status_of(const core::Response& response) {
   if (response.status == core::FinalStatus::served) return response.not_modified ? 304 : 200;
   if (response.timed_out) return 504;
   return response.status == core::FinalStatus::rejected ? 503 : 502;
 }
 
-/// The object and the part that a path names.
+/// The object and the part that the path of a request identifies.
 struct ResourceId {
   std::uint64_t object = 0;
   std::uint32_t part = 0;
 };
 
+/// Parses 16 hexadecimal digits and a decimal part number. Returns nullopt if either is invalid.
 std::optional<ResourceId> parse_resource_id(const RouteMatch& match) {
   if (match.object.size() != kObjectDigits) return std::nullopt;
   const auto object = core::parse_number<std::uint64_t>(match.object, kHexadecimal);
@@ -58,12 +62,13 @@
   return ResourceId{*object, *part};
 }
 
-/// The claims of a token as numbers; 0 where it has none.
+/// The claims of a token as numbers. A claim that the token does not contain is 0.
 struct ResourceClaims {
   std::uint32_t group = 0;
   double size_kb = 0;
 };
 
+/// Returns nullopt if a claim is present but is not a number.
 std::optional<ResourceClaims> parse_claims(const Claims& claims) {
   const auto group = core::parse_number<std::uint32_t>(claims.group);
   const auto size_kb = core::parse_number<double>(claims.size_kb);
@@ -72,6 +77,7 @@
   return ResourceClaims{group.value_or(0), size_kb.value_or(0)};
 }
 
+/// Returns the response to a request that exceeds the limits of its route.
 core::Response over_limit(core::Time retry_after) {
   core::Response response;
   response.status = core::FinalStatus::rejected;
@@ -81,30 +87,32 @@
 
 }  // namespace
 
+/// A connected client, with its open request if there is one.
 struct HttpFront::Client {
   enum class State {
     open,
     closing,    // its last response is being written; further input is discarded
-    closed,     // to be destroyed at the end of the turn
-    lingering,  // as closed, but its connection is passed on to a lingering close
+    closed,     // the client is destroyed at the end of the turn
+    lingering,  // as closed, but its connection is handed over for a lingering close
   };
 
   bool is_gone() const { return state == State::closed || state == State::lingering; }
   bool has_open_request() const { return request_handle != 0; }
-  /// The next request in the read buffer may be handled.
+  /// Reports whether the next request in the read buffer may be handled.
   bool accepts_request() const { return state == State::open && !has_open_request(); }
 
   std::unique_ptr<net::Connection> connection;
   State state = State::open;
-  /// Of the request that is open; 0: none. Responses leave in the order of the requests.
+  /// Handle of the open request; 0 if there is none. Because only one request is open at a time,
+  /// responses are sent in the order of the requests.
   core::RequestHandle request_handle = 0;
-  std::unique_ptr<LimitReservation> reservation;  // of the request that is open
+  std::unique_ptr<LimitReservation> reservation;  // held by the open request
   bool is_head_request = false;
   bool keep_alive = true;
   core::Time accepted_at = 0;
   core::Deadlines::Key timeout{};
-  std::size_t index = 0;   // in clients_
-  bool is_active = false;  // listed in active_clients_
+  std::size_t index = 0;   // position in clients_
+  bool is_active = false;  // whether active_clients_ lists this client
 };
 
 HttpFront::HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
@@ -141,7 +149,7 @@
   net::Connection::Handler handler;
   handler.on_data = [this, raw](std::string_view bytes) { return on_data(*raw, bytes); };
   handler.on_written = [this, raw] { mark_active(*raw); };
-  // The end of a client's input counts as a close, as with other proxies.
+  // As in other proxies, the end of a client's input is treated as a close of the connection.
   handler.on_close = [this, raw](net::CloseReason) { close(*raw, CloseMode::at_once); };
   raw->connection =
       std::make_unique<net::Connection>(loop_, std::move(fd), false, std::move(handler));
@@ -157,7 +165,7 @@
                                   [this, &client] { close(client, CloseMode::lingering); });
 }
 
-// The end of a turn visits active clients only, so that idle connections cost nothing.
+// end_turn() visits active clients only, so that idle connections cost nothing.
 void HttpFront::mark_active(Client& client) {
   if (std::exchange(client.is_active, true)) return;
   active_clients_.push_back(&client);
@@ -198,8 +206,8 @@
 }
 
 void HttpFront::end_turn() {
-  // By index: flush() may make further clients active.
-  // NOLINTNEXTLINE(modernize-loop-convert): the vector grows during the walk.
+  // The loop uses an index because flush() may append further active clients.
+  // NOLINTNEXTLINE(modernize-loop-convert): the vector may grow during the loop.
   for (std::size_t i = 0; i < active_clients_.size(); ++i) flush(*active_clients_[i]);
   for (Client* client : std::exchange(active_clients_, {})) {
     client->is_active = false;
@@ -214,15 +222,15 @@
   mark_active(client);
   if (client.state == Client::State::closing) return static_cast<std::ptrdiff_t>(size);
   if (!client.accepts_request()) {
-    // Reading does not pause while a request is open: the front would not notice that the client
-    // has left.
+    // Reading continues while a request is open. Otherwise the front would not detect that the
+    // client has disconnected.
     if (size > kMaxInputBytes) close(client, CloseMode::lingering);
     return 0;
   }
   const auto request = http::next_request(bytes);
   if (!request) return 0;
   dispatch(client, *request);
-  // Behind a rejected request nothing can be read.
+  // After an invalid request the start of the next one is unknown, so the rest is discarded.
   return static_cast<std::ptrdiff_t>(request->error_status ? size : size - bytes.size());
 }
 
@@ -245,8 +253,8 @@
   return match_settings_route(target.path);
 }
 
-// "/asset/7f3a9c21e0b4d655/0": the prefix of the route, the object, the part. The last route whose
-// prefix matches holds.
+// A path such as "/asset/7f3a9c21e0b4d655/0" consists of the prefix of a route, the object and the
+// part. If several prefixes match, the last route in the settings applies.
 std::optional<RouteMatch> HttpFront::match_settings_route(std::string_view path) const {
   const auto& routes = settings_.routes;
   const auto route = std::find_if(routes.rbegin(), routes.rend(), [path](const Route& candidate) {
@@ -367,7 +375,7 @@
          !connection.has_input_waiting() && engine_.now() > client.accepted_at + kFirstRequestGrace;
 }
 
-// A request that has arrived in part only is not owed a response.
+// A request that has been received only in part does not need a response.
 bool HttpFront::is_drained() const {
   if (!clients_by_request_.empty()) return false;
   return std::all_of(clients_.begin(), clients_.end(), [this](const auto& client) {
--- a/src/signed_url/http_front.h
+++ b/src/signed_url/http_front.h
@@ -1,10 +1,11 @@
-// The signed-URL front: serves HTTP clients whose requests carry a signed link, a cookie or a
-// bearer token, through the same engine as all other fronts.
+// The signed-URL front serves HTTP clients whose requests carry a signed link, a cookie or a bearer
+// token. It passes the requests to the same engine as all other fronts.
 //
-// One request of a connection is open at a time; further ones wait in its read buffer. A request is
-// verified once, when it arrives: it runs to its response even if its token expires meanwhile.
-// Bounds: an eighth of the process's descriptors for clients, timeouts for the request's head, an
-// idle connection and a slow reader. Runs on the loop's thread; times are microseconds.
+// Each connection has at most one open request; further requests are queued in its read buffer. A
+// request is verified once, on arrival, and is served even if its token expires before the
+// response. Clients may use an eighth of the process's file descriptors. Timeouts limit how long a
+// client may take to send the head of a request, to send the next request, and to read a response.
+// The front runs on the thread of the event loop. Times are in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -29,11 +30,14 @@
 
 namespace alderspur::signed_url {
 
+/// An HTTP server that verifies the credential of each request and forwards the request to the
+/// engine. Not thread-safe.
 class HttpFront : public core::Front {
  public:
-  /// Listens at once. Throws where the address cannot be bound. Everything passed by reference must
-  /// outlive the front. `unix_clock` is the time against which tokens are verified. With a
-  /// `route_selector` the routes of the settings are not used; null: they are.
+  /// Starts to listen. Throws if the address cannot be bound. Everything passed by reference or
+  /// pointer must outlive the front. `unix_clock` returns the Unix time in microseconds, against
+  /// which tokens are verified. A `route_selector` replaces the routes of the settings, which apply
+  /// if it is null.
   HttpFront(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
             const config::Config& config, const Settings& settings,
             std::function<core::Time()> unix_clock, RouteSelector* route_selector = nullptr);
@@ -41,19 +45,24 @@
   HttpFront(const HttpFront&) = delete;
   HttpFront& operator=(const HttpFront&) = delete;
 
+  /// Sends the engine's response to the client of this request. Does nothing if the client has
+  /// disconnected.
   void respond(core::RequestHandle request, const core::Response& response) override;
 
-  /// To be called at the end of each turn of the loop: answers further requests that have arrived
-  /// and destroys closed connections.
+  /// Handles requests that are queued in read buffers and destroys closed connections. The caller
+  /// calls it at the end of each turn of the loop.
   void end_turn();
 
-  /// Begins a graceful shutdown: accepts only the connections that the kernel has completed, closes
-  /// idle ones, and the others with their next response.
+  /// Begins a graceful shutdown. The front accepts only the connections that the kernel has already
+  /// established, closes idle connections, and closes every other connection after its next
+  /// response.
   void drain();
 
-  /// No response is owed, and no client has just connected.
+  /// Reports whether no response is pending and no client has connected so recently that its first
+  /// request may still be in transit.
   bool is_drained() const;
 
+  /// Returns the address on which the front listens.
   sockaddr_in address() const { return listener_.address(); }
 
  private:
@@ -90,8 +99,8 @@
   std::uint64_t random_state_;
   bool is_draining_ = false;
   std::size_t max_clients_;
-  std::vector<std::unique_ptr<Client>> clients_;  // in no order; each knows its index
-  std::vector<Client*> active_clients_;           // of this turn, each once
+  std::vector<std::unique_ptr<Client>> clients_;  // unordered; each stores its index
+  std::vector<Client*> active_clients_;           // to be visited by end_turn(), each once
   std::unordered_map<core::RequestHandle, Client*> clients_by_request_;
   net::Listener listener_;
 };
--- a/src/signed_url/route_selector.h
+++ b/src/signed_url/route_selector.h
@@ -1,5 +1,5 @@
-// The interface by which the signed-URL front learns what a request is for, where a table of routes
-// is active. Called on the loop's thread only; times are microseconds.
+// The interface through which the signed-URL front matches requests against a route table, if one
+// is active. It is called on the thread of the event loop only. Times are in microseconds.
 #pragma once
 
 #include <cstdint>
@@ -12,42 +12,44 @@
 
 namespace alderspur::signed_url {
 
-/// What a request has reserved within the limits of its route. It exists from the match on, and
-/// keeps the table of routes under which the request began.
+/// The capacity that a request has reserved within the limits of its route. It is created when the
+/// route is matched, and it keeps the route table that was active at that time alive.
 class LimitReservation {
  public:
   virtual ~LimitReservation() = default;
 
-  /// To be called once, when the request has its response or its client has left.
+  /// Returns the reserved capacity. The front calls it once, when the response has been received or
+  /// the client has disconnected.
   virtual void release(core::Time now) = 0;
 };
 
-/// What a request is for.
+/// The route of a request, and the object and the part that its path identifies.
 struct RouteMatch {
-  std::uint32_t class_id = 0;
-  std::string_view object;  // a slice of the request's path
-  std::string_view part;    // a slice of the request's path, or a constant
+  std::uint32_t class_id = 0;  // the request class of the route
+  std::string_view object;     // a slice of the request's path
+  std::string_view part;       // a slice of the request's path, or a constant
   core::Time time_limit = 0;
-  std::unique_ptr<LimitReservation> reservation;  // null: no limits apply
+  std::unique_ptr<LimitReservation> reservation;  // null if no limits apply
 };
 
-/// Whether a request is within the limits of its route.
+/// The result of admitting a request to its route.
 struct Admission {
   bool is_admitted = true;
-  core::Time retry_after = 0;  // of a rejected request, over 0
+  core::Time retry_after = 0;  // positive if the request is rejected
 };
 
+/// Matches requests against a route table and enforces the limits of the routes.
 class RouteSelector {
  public:
   virtual ~RouteSelector() = default;
 
-  /// The route of a request; nothing where none matches. `path` and `query` are those of its
-  /// target.
+  /// Returns the route of a request, or nullopt if none matches. `path` and `query` are the two
+  /// parts of the request's target.
   virtual std::optional<RouteMatch> match(const http::Request& request, std::string_view path,
                                           std::string_view query) = 0;
 
-  /// Reserves capacity for a request that match() returned. To be called once its signature has
-  /// been verified, so that forged requests use up no capacity.
+  /// Reserves capacity for a request whose route match() returned. The front calls it after it has
+  /// verified the signature, so that forged requests do not use up capacity.
   virtual Admission admit(RouteMatch& match, core::Time now) = 0;
 };
 
--- a/src/signed_url/token.cpp
+++ b/src/signed_url/token.cpp
@@ -13,7 +13,8 @@
 
 constexpr std::string_view kSignatureField = "&sig=";
 constexpr std::size_t kMaxEncodedBytes = 4096;
-/// Times are below this many Unix seconds, so that the clock skew can be added without overflow.
+/// Upper bound of times in a token, in Unix seconds, so that the clock skew can be added without
+/// overflow.
 constexpr std::int64_t kMaxUnixSeconds = std::int64_t{1} << 40;
 
 // ---- Base64url ----
@@ -53,7 +54,7 @@
 
 // ---- Fields of the signed text ----
 
-/// The fields that are read. Without data: the field is absent.
+/// The fields of a signed text that the verifier uses. The data() of an absent field is null.
 struct TokenFields {
   std::string_view prefix;
   std::string_view group;
@@ -63,7 +64,7 @@
   std::string_view expires_at;
 };
 
-/// The member that holds the field; null for a field that is not read.
+/// Returns the member that holds the field `name`, or null if the verifier does not use that field.
 std::string_view* find_field(TokenFields& fields, std::string_view name) {
   struct FieldName {
     std::string_view name;
@@ -79,8 +80,8 @@
   return nullptr;
 }
 
-/// Nothing where a part is no "name=value", or a field is repeated: programs differ in which of
-/// the values they use.
+/// Parses a query. Returns nullopt if a part is not of the form "name=value" or if a used field is
+/// repeated, because programs differ in which of the repeated values they use.
 std::optional<TokenFields> parse_fields(std::string_view query) {
   TokenFields fields;
   while (!query.empty()) {
@@ -96,18 +97,20 @@
   return fields;
 }
 
+/// Returns nullopt if the text is not a number or is out of range.
 std::optional<std::int64_t> parse_unix_seconds(std::string_view text) {
   const auto seconds = core::parse_number<std::int64_t>(text);
   if (!seconds || *seconds < 0 || *seconds >= kMaxUnixSeconds) return std::nullopt;
   return seconds;
 }
 
-/// In Unix seconds.
+/// The time during which a signed text is valid, in Unix seconds.
 struct ValidityPeriod {
   std::int64_t not_before = 0;
-  std::int64_t expires_at = 0;
+  std::int64_t expires_at = 0;  // exclusive
 };
 
+/// Returns nullopt if the expiry time is absent or a time is invalid. The start time is optional.
 std::optional<ValidityPeriod> parse_validity(const TokenFields& fields) {
   const auto expires_at = parse_unix_seconds(fields.expires_at);
   if (!expires_at) return std::nullopt;
@@ -117,14 +120,15 @@
   return ValidityPeriod{*not_before, *expires_at};
 }
 
-/// At the prefix or below it: "/asset/7f" does not include "/asset/7f3a".
+/// Reports whether the path equals the prefix or is below it. Only whole path segments match, so
+/// the prefix "/asset/7f" does not include "/asset/7f3a".
 bool is_below(std::string_view path, std::string_view prefix) {
   if (!prefix.starts_with('/') || !path.starts_with(prefix)) return false;
   return prefix.ends_with('/') || path.size() == prefix.size() || path[prefix.size()] == '/';
 }
 
-/// In constant time: how long the comparison takes must not reveal how much of a forged signature
-/// is correct.
+/// Compares signatures in constant time, because the duration of the comparison must not reveal how
+/// much of a forged signature is correct.
 bool is_same_signature(std::string_view expected, std::string_view given) {
   return !expected.empty() && expected.size() == given.size() &&
          CRYPTO_memcmp(expected.data(), given.data(), given.size()) == 0;
@@ -194,7 +198,7 @@
     return {TokenStatus::bad_signature, {}};
   }
 
-  // A token without a prefix is valid for no path.
+  // A token without a prefix is not valid for any path.
   const bool is_for_path =
       is_link ? text.substr(0, query_mark) == path : is_below(path, fields->prefix);
   if (!is_for_path) return {TokenStatus::wrong_path, {}};
--- a/tests/signed_test.cpp
+++ b/tests/signed_test.cpp
@@ -1,5 +1,5 @@
-// The signed front over loopback: links and tokens, and one response each despite expiry, clock
-// skew and a cache that stops.
+// Tests of the signed-URL front over loopback connections. They cover links and tokens, and check
+// that each request receives exactly one response despite expiry, clock skew or a cache that stops.
 #include <algorithm>
 #include <sstream>
 
@@ -32,13 +32,14 @@
   }
   static std::size_t count_responses(const loopback::TestSocket& socket) {
     std::size_t count = 0;
-    for (auto at = socket.received.find("HTTP/1.1 "); at != std::string::npos;
-         at = socket.received.find("HTTP/1.1 ", at + 1)) {
+    for (auto position = socket.received.find("HTTP/1.1 "); position != std::string::npos;
+         position = socket.received.find("HTTP/1.1 ", position + 1)) {
       ++count;
     }
     return count;
   }
-  // Sends one request on its own connection and responds for the cache; the status.
+  // Sends one request on a new connection, responds in place of the cache, and returns the status
+  // of the response that the client receives.
   int status(const std::string& request, const std::string& body = "bytes") {
     auto client = connect_client(http_front->address());
     const auto before = fetch_count();
@@ -66,24 +67,27 @@
   EXPECT_NE(last_response_.find("\r\n\r\nbytes"), std::string::npos);
   EXPECT_NE(last_response_.find("ETag: \"t1\""), std::string::npos);
   EXPECT_EQ(fetch_command()->fields["name"], "7f3a9c21e0b4d655");
-  EXPECT_EQ(status(get(link(now() + 60, 0, 0))), 200) << "the key before the rotation";
-  auto other = link(now() + 60);
-  other.replace(other.find("d655/0"), 6, "d655/1");
-  EXPECT_EQ(status(get(other)), 403);
+  EXPECT_EQ(status(get(link(now() + 60, 0, 0))), 200) << "the previous key is still valid";
+  auto link_to_other_part = link(now() + 60);
+  link_to_other_part.replace(link_to_other_part.find("d655/0"), 6, "d655/1");
+  EXPECT_EQ(status(get(link_to_other_part)), 403);
   EXPECT_EQ(status(get(sign(std::string(kPath) + "?exp=99999999999&kid=none"))), 403);
-  EXPECT_EQ(status(get(sign(std::string(kPath) + "?kid=new"))), 403) << "without an expiry";
+  EXPECT_EQ(status(get(sign(std::string(kPath) + "?kid=new"))), 403)
+      << "a link without an expiry time";
   EXPECT_EQ(status(get(sign(std::string(kPath) + "?exp=1&exp=99999999999&kid=new"))), 403);
   EXPECT_EQ(status(get(kPath)), 401);
-  EXPECT_EQ(fetch_count(), 2u) << "nothing is forwarded for a rejected link";
+  EXPECT_EQ(fetch_count(), 2u) << "a request with a rejected link is not forwarded";
 }
 
 TEST_F(SignedUrlTest, AllowsClockSkewInBothDirections) {
-  EXPECT_EQ(status(get(link(now() - 20))), 200) << "this clock runs ahead";
-  EXPECT_EQ(status(get(link(now() + 60, now() + 20))), 200) << "this clock runs behind";
+  EXPECT_EQ(status(get(link(now() - 20))), 200) << "the clock of the front is ahead of the signer";
+  EXPECT_EQ(status(get(link(now() + 60, now() + 20))), 200)
+      << "the clock of the front is behind the signer";
   EXPECT_EQ(status(get(link(now() - 600))), 403);
   EXPECT_EQ(status(get(link(now() + 900, now() + 600))), 403);
   clock_offset_seconds = -120;
-  EXPECT_EQ(status(get(link(now() - 110))), 200) << "the clock that counts is the front's";
+  EXPECT_EQ(status(get(link(now() - 110))), 200)
+      << "validity is checked against the clock of the front";
 }
 
 TEST_F(SignedUrlTest, AcceptsTokenFromLinkCookieAndBearerForItsPrefix) {
@@ -100,7 +104,7 @@
       200);
   EXPECT_EQ(status(get(kPath, "Cookie: alderspur=nonsense!\r\n")), 403);
   EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/asset/7f3a"))), 403)
-      << "prefixes end at a slash";
+      << "a prefix matches whole path segments only";
   EXPECT_EQ(status(get(std::string(kPath) + "?" + token("/video/"))), 403);
 }
 
@@ -108,7 +112,7 @@
   auto client = connect_client(http_front->address());
   client->write(get(link(now() - 20)));  // within the allowed skew
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
-  clock_offset_seconds = 3600;  // now it has long expired
+  clock_offset_seconds = 3600;  // the link expires while the request is open
   run_briefly();
   EXPECT_EQ(count_responses(*client), 0u);
   FakeCache::respond(*fetch_command(), "served", "complete");
@@ -126,9 +130,9 @@
   client->write(get(link(now() + 60)));
   ASSERT_TRUE(run_until([&] { return fetch_count() == 1; }));
   const auto first = *fetch_command();
-  first.connection->write(first.id + " served sum=t1 5\r\nby");  // ends in the middle
+  first.connection->write(first.id + " served sum=t1 5\r\nby");  // an incomplete response
   run_briefly();
-  EXPECT_EQ(count_responses(*client), 0u) << "nothing of a partial response is forwarded";
+  EXPECT_EQ(count_responses(*client), 0u) << "no part of an incomplete response is forwarded";
   cache_of(first).stop();
   FakeCache& other = &cache_of(first) == &caches[0] ? caches[1] : caches[0];
   ASSERT_TRUE(run_until([&] { return other.count("fetch") == 1; }));
@@ -174,12 +178,12 @@
   EXPECT_EQ(status(get("/asset/../deploy/signed.json")), 404);
   EXPECT_EQ(status(get(link(now() + 60), "X: " + std::string(9000, 'x') + "\r\n")), 431);
   EXPECT_EQ(status("HEAD " + link(now() + 60) + " HTTP/1.1\r\nHost: x\r\n\r\n"), 200);
-  EXPECT_TRUE(last_response_.ends_with("\r\n\r\n")) << "no body after HEAD";
+  EXPECT_TRUE(last_response_.ends_with("\r\n\r\n")) << "a response to HEAD has no body";
   EXPECT_NE(last_response_.find("Content-Length: 5"), std::string::npos);
 }
 
-// Guards against a client whose end is not noticed behind its queued requests, as long as these are
-// not read.
+// Guards against a front that does not detect a disconnected client. This happened if the front
+// stopped reading while the client's queued requests were pending.
 TEST_F(SignedUrlTest, ClosesConnectionWhenTooManyRequestsAreQueued) {
   for (const bool exceeds_limit : {false, true}) {
     auto client = connect_client(http_front->address());
@@ -188,12 +192,14 @@
     client->write(get(link(now() + 60)));
     ASSERT_TRUE(run_until([&] { return fetch_count() == before + 1; }));
     const std::string request = get("/none");
-    std::string all;
-    while (all.size() < (exceeds_limit ? 100'000u : 50'000u)) all += request;
-    ASSERT_TRUE(write_all(*client, all));
+    std::string queued_requests;
+    while (queued_requests.size() < (exceeds_limit ? 100'000u : 50'000u)) {
+      queued_requests += request;
+    }
+    ASSERT_TRUE(write_all(*client, queued_requests));
     if (!exceeds_limit) {
       run_briefly();
-      EXPECT_FALSE(client->is_closed) << "so many may wait";
+      EXPECT_FALSE(client->is_closed) << "requests below the limit are queued";
     }
     polled_sockets.clear();
     if (!exceeds_limit) client->reset();
