--- a/src/xds/eds.cpp
+++ b/src/xds/eds.cpp
@@ -14,19 +14,19 @@
 
 constexpr std::string_view kResourceType =
     "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-/// Weights are integers, in tenths. With finer ones a server that warms up would make a new version
-/// of the resource with every poll.
+/// Weights are sent as integers, in tenths of the effective weight. A finer resolution would
+/// produce a new version of the resource with every poll while a server is in slow start.
 constexpr double kWeightUnitsPerServer = 10;
 
 // ---- Requests ----
 
-/// The member as text, of a well-formed request; empty where it is absent.
+/// Returns the text of a member of a well-formed request, or an empty text if it is absent.
 std::string_view text_member(const rapidjson::Document& document, const char* name) {
   if (!document.HasMember(name)) return {};
   return {document[name].GetString(), document[name].GetStringLength()};
 }
 
-/// Whether each member that is read is of its type, or absent.
+/// Reports whether each member that the service uses is absent or has the expected type.
 bool is_well_formed(const rapidjson::Document& document) {
   for (const char* name : {"type_url", "version_info"}) {
     if (document.HasMember(name) && !document[name].IsString()) return false;
@@ -37,8 +37,9 @@
          std::all_of(names.Begin(), names.End(), [](const auto& name) { return name.IsString(); });
 }
 
-/// A request without names asks for all resources.
-bool asks_for_cluster(const rapidjson::Document& document, const std::string& cluster_name) {
+/// Reports whether the request includes the cluster. A request without names includes all
+/// resources.
+bool is_cluster_requested(const rapidjson::Document& document, const std::string& cluster_name) {
   if (!document.HasMember("resource_names")) return true;
   const auto& names = document["resource_names"];
   if (names.Empty()) return true;
@@ -49,15 +50,18 @@
 
 // ---- Resources ----
 
+/// Returns the xDS health status of an endpoint.
 const char* health_status(const alderspur::EndpointStatus& endpoint) {
   if (endpoint.server.status == alderspur::ServerStatus::draining) return "DRAINING";
   return endpoint.is_usable ? "HEALTHY" : "UNHEALTHY";
 }
 
+/// Converts a weight to the integer that is sent, which is at least 1.
 unsigned integer_weight(double effective_weight) {
   return static_cast<unsigned>(std::max(1.0, std::round(effective_weight * kWeightUnitsPerServer)));
 }
 
+/// Writes the address "host:port", whose last colon is at the index `colon`.
 void write_address(json::Writer& writer, const std::string& address, std::size_t colon) {
   writer.Key("endpoint");
   writer.StartObject();
@@ -73,6 +77,7 @@
   writer.EndObject();
 }
 
+/// Writes an endpoint, unless the server is gone or its address is unknown.
 void write_endpoint(json::Writer& writer, const alderspur::EndpointStatus& endpoint,
                     const AddressLookup& address_of) {
   const auto address = address_of(endpoint.server.id);
@@ -87,7 +92,7 @@
   writer.EndObject();
 }
 
-/// The cluster load assignment, with all endpoints in one locality.
+/// Encodes the ClusterLoadAssignment, with all endpoints in one locality.
 std::string encode_assignment(const std::string& cluster_name,
                               const std::vector<alderspur::EndpointStatus>& endpoints,
                               const AddressLookup& address_of) {
@@ -109,7 +114,8 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-/// The DiscoveryResponse. `resource` is JSON; empty: none.
+/// Encodes the DiscoveryResponse. `resource` is a JSON object; the response holds no resource if it
+/// is empty.
 std::string encode_response(std::string_view version, const std::string& resource) {
   rapidjson::StringBuffer buffer;
   json::Writer writer(buffer);
@@ -139,7 +145,7 @@
   if (!type.empty() && type != kResourceType) return {400, {}};
 
   std::string resource;
-  if (asks_for_cluster(document, cluster_name)) {
+  if (is_cluster_requested(document, cluster_name)) {
     resource = encode_assignment(cluster_name, endpoints, address_of);
   }
   const auto version = std::to_string(core::stable_hash(resource));
--- a/src/xds/eds.h
+++ b/src/xds/eds.h
@@ -1,5 +1,6 @@
-// The endpoint discovery service of xDS (v3, REST with JSON): answers discovery requests with
-// cluster load assignments. No sockets, no shared state.
+// Implements the endpoint discovery service (EDS) of xDS version 3 in its REST form with JSON. It
+// answers discovery requests with cluster load assignments. The functions use no sockets and share
+// no state; xds/server.h serves them over HTTP.
 #pragma once
 
 #include <functional>
@@ -13,16 +14,17 @@
 
 /// The response to a discovery request.
 struct DiscoveryReply {
-  int status = 200;  // of HTTP
+  int status = 200;  // HTTP status
   std::string body;  // a DiscoveryResponse as JSON; empty unless the status is 200
 };
 
-/// "host:port" of a server; empty where it is not known.
+/// Returns the address of a server as "host:port", or an empty text if it is unknown.
 using AddressLookup = std::function<std::string(alderspur::ServerId)>;
 
-/// Answers one DiscoveryRequest, given as JSON. The resource is the cluster `cluster_name` with all
-/// endpoints whose address is known, except those that are gone. Status 304 where the caller has
-/// this version, 400 where the request is malformed or of another resource type.
+/// Answers one DiscoveryRequest, which is given as JSON. The resource is the cluster `cluster_name`
+/// with all endpoints whose address is known and whose status is not `gone`. The status is 304 if
+/// the request names the current version, and 400 if the request is malformed or is for another
+/// resource type.
 DiscoveryReply answer_discovery_request(std::string_view request, const std::string& cluster_name,
                                         const std::vector<alderspur::EndpointStatus>& endpoints,
                                         const AddressLookup& address_of);
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -7,22 +7,23 @@
 
 constexpr std::size_t kMaxHeadBytes = 8 << 10;
 constexpr std::size_t kMaxBodyBytes = 64 << 10;
-/// Several times the interval at which proxies poll.
+/// In microseconds. It is several times the interval at which proxies poll.
 constexpr core::Time kIdleTimeout = 60'000'000;
 constexpr std::string_view kEndpointsPath = "/v3/discovery:endpoints";
 
 }  // namespace
 
+/// The connection of one client.
 struct Server::Client {
   enum class State {
     open,
     closing,  // the last response is being written; further input is discarded
-    closed,   // to be destroyed at the end of the turn
+    closed,   // the client is destroyed at the end of the turn
   };
 
   bool is_closed() const { return state == State::closed; }
 
-  std::unique_ptr<net::Connection> connection;  // null once it lingers
+  std::unique_ptr<net::Connection> connection;  // null once handed over for a lingering close
   core::Deadlines::Key timeout{};
   State state = State::open;
 };
@@ -100,7 +101,8 @@
   client.connection->close();
 }
 
-// A close while the peer still sends would reset the connection, and drop the response.
+// An immediate close while the peer is still sending would reset the connection, and the peer could
+// lose the response.
 void Server::close_lingering(Client& client) {
   client.state = Client::State::closed;
   deadlines_.cancel(client.timeout);
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -1,7 +1,8 @@
-// Serves endpoint discovery over HTTP to other proxies, which then follow this router's view of its
-// endpoints. Proxies poll; a connection without a request for a minute is closed.
+// Serves endpoint discovery over HTTP, so that other proxies can use this router's view of the
+// health and weights of its endpoints. Proxies poll the server. A connection that sends no request
+// for a minute is closed.
 //
-// Runs on the loop's thread.
+// The server runs on the thread of the event loop.
 #pragma once
 
 #include <cstddef>
@@ -19,23 +20,26 @@
 
 namespace alderspur::xds {
 
+/// An HTTP/1.1 server for discovery requests. Not thread-safe.
 class Server {
  public:
-  /// Listens at once. Throws where the address cannot be bound. Everything passed by reference must
-  /// outlive the server. `max_clients`: connections that may be open at the same time.
+  /// Starts to listen. Throws if the address cannot be bound. Everything passed by reference must
+  /// outlive the server. `max_clients` limits the number of connections that are open at the same
+  /// time.
   Server(net::Loop& loop, core::Deadlines& deadlines, core::Engine& engine,
          upstream::UpstreamPool& upstream_pool, const Settings& settings, std::size_t max_clients);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// To be called at the end of each turn of the loop: answers further requests that have arrived
-  /// and destroys closed connections.
+  /// Answers requests that are queued in read buffers and destroys closed connections. The caller
+  /// calls it at the end of each turn of the loop.
   void end_turn();
 
-  /// Accepts no further connections; those that are open are served.
+  /// Stops accepting connections. Open connections are still served.
   void stop_listening() { listener_.stop(); }
 
+  /// Returns the address on which the server listens.
   sockaddr_in address() const { return listener_.address(); }
 
  private:
--- a/src/xds/settings.h
+++ b/src/xds/settings.h
@@ -1,14 +1,15 @@
-// Settings of the xDS discovery server. Plain values; src/settings reads them from a file.
+// Settings of the xDS discovery server, as plain values. src/settings reads them from a file.
 #pragma once
 
 #include <string>
 
 namespace alderspur::xds {
 
+/// Configuration of the discovery server.
 struct Settings {
   bool enabled = false;
   std::string listen;   // "host:port"
-  std::string cluster;  // the name of the cluster under which the endpoints are listed
+  std::string cluster;  // name of the cluster that lists the endpoints
 };
 
 }  // namespace alderspur::xds
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -1,5 +1,5 @@
-// The discovery server over loopback: a proxy polls for the endpoints and follows the router's
-// decisions.
+// Tests of the discovery server over loopback connections. A proxy polls for the endpoints and
+// receives the router's view of their health.
 #include <rapidjson/document.h>
 
 #include <algorithm>
@@ -25,7 +25,7 @@
            " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: " +
            std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  // Waits for the next complete response; its status, with the JSON in `body`.
+  // Waits for the next complete response, stores its JSON in `body` and returns its status.
   int next_status() {
     std::size_t head = 0;
     std::size_t length = 0;
@@ -33,8 +33,8 @@
       server->end_turn();
       head = proxy->received.find("\r\n\r\n");
       if (head == std::string::npos) return false;
-      const auto at = proxy->received.find("Content-Length: ");
-      length = at < head ? std::stoul(proxy->received.substr(at + 16)) : 0;
+      const auto field = proxy->received.find("Content-Length: ");
+      length = field < head ? std::stoul(proxy->received.substr(field + 16)) : 0;
       return proxy->received.size() >= head + 4 + length;
     }));
     const int status = std::stoi(proxy->received.substr(9, 3));
@@ -67,16 +67,18 @@
   ASSERT_EQ(next_status(), 200);
   EXPECT_EQ(health(caches[0].address()), "HEALTHY");
   EXPECT_EQ(health(caches[1].address()), "HEALTHY");
-  EXPECT_EQ(health(origin.address()), "absent") << "endpoints are the caches of the location";
+  EXPECT_EQ(health(origin.address()), "absent")
+      << "the endpoints are the caches of the location only";
   const std::string version = body["version_info"].GetString();
   const std::string repeated_request = R"({"version_info":")" + version + R"("})";
-  proxy->write(post(repeated_request) + post(repeated_request));  // pipelined; nothing has changed
+  // The requests are pipelined, and the endpoints have not changed.
+  proxy->write(post(repeated_request) + post(repeated_request));
   EXPECT_EQ(next_status(), 304);
   EXPECT_EQ(next_status(), 304);
 
   caches[0].stop();
-  for (std::uint64_t object = 1; object <= 6;
-       ++object) {  // their connects fail, and the policy ejects it
+  // The connection attempts of these requests fail, and the policy ejects the cache.
+  for (std::uint64_t object = 1; object <= 6; ++object) {
     core::RequestView request;
     const std::string id = "id" + std::to_string(object);
     request.id = request.object_text = id;
@@ -99,7 +101,7 @@
   EXPECT_EQ(health(caches[1].address()), "DRAINING");
 }
 
-// Guards against a malformed list of names that counts as an empty one, which asks for everything.
+// Guards against treating a malformed list of names as an empty list, which requests all resources.
 TEST_F(XdsServerTest, RejectsRequestsWithMalformedMembers) {
   for (const char* request :
        {R"({"resource_names":7})", R"({"resource_names":{"edge-boxes":1}})",
@@ -108,7 +110,7 @@
     EXPECT_EQ(next_status(), 400) << request;
   }
   proxy->write(post("{}"));
-  EXPECT_EQ(next_status(), 200) << "what is absent is no mistake";
+  EXPECT_EQ(next_status(), 200) << "an absent member is valid";
 }
 
 TEST_F(XdsServerTest, RespondsWithStatusWhenRequestIsInvalid) {
