--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -190,7 +190,7 @@
     }
     writer.EndArray();
     if (options.json) std::printf("%s\n", buffer.GetString());
-    return is_good ? kYes : kFinding;
+    return is_good ? kSuccess : kFinding;
   });
 }
 
--- a/src/cli/cluster_members.cpp
+++ b/src/cli/cluster_members.cpp
@@ -52,10 +52,10 @@
   }
   if (json) {
     std::fputs(reply.body.c_str(), stdout);
-    return kYes;
+    return kSuccess;
   }
   print_view(view);
-  return std::string_view(view["whole"].GetString()) == "whole" ? kYes : kFinding;
+  return std::string_view(view["whole"].GetString()) == "whole" ? kSuccess : kFinding;
 }
 
 }  // namespace alderspur::cli
--- a/src/cli/cluster_versions.cpp
+++ b/src/cli/cluster_versions.cpp
@@ -46,7 +46,7 @@
     const OperatorReply result = call_operators(address, "GET", target);
     if (result.status == kHttpOk) {
       std::fputs(result.body.c_str(), stdout);
-      return result.body.starts_with("yes") ? kYes : kFinding;
+      return result.body.starts_with("yes") ? kSuccess : kFinding;
     }
     ::usleep(kPollInterval);
   }
@@ -136,7 +136,7 @@
   if (reply.status != kHttpOk) return fail_with(reply, address);
   if (json) {
     std::fputs(reply.body.c_str(), stdout);
-    return kYes;
+    return kSuccess;
   }
   rapidjson::Document view;
   view.Parse<rapidjson::kParseIterativeFlag>(reply.body.c_str());
@@ -144,7 +144,7 @@
     return fail("the router's reply is not valid JSON", kFinding);
   }
   print_versions(view);
-  return std::string_view(view["acting"]["state"].GetString()) == "leased" ? kYes : kFinding;
+  return std::string_view(view["acting"]["state"].GetString()) == "leased" ? kSuccess : kFinding;
 }
 
 int cluster_diff(const std::string& address, const std::string& from, const std::string& to) {
@@ -158,7 +158,7 @@
   }
   const auto changes = consensus::describe_changes(contents[0], contents[1]);
   for (const auto& change : changes) std::puts(change.c_str());
-  return changes.empty() ? kYes : kFinding;
+  return changes.empty() ? kSuccess : kFinding;
 }
 
 }  // namespace alderspur::cli
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -9,7 +9,7 @@
 namespace alderspur::cli {
 
 /// Exit codes of the subcommands.
-constexpr int kYes = 0;      // success, or the answer to the command is yes
+constexpr int kSuccess = 0;  // success, or the answer to the command is yes
 constexpr int kFinding = 1;  // findings, a rejected proposal, or a failed start
 constexpr int kUsage = 2;    // invalid arguments or input
 
--- a/src/cli/diff.cpp
+++ b/src/cli/diff.cpp
@@ -16,7 +16,7 @@
 namespace alderspur::cli {
 namespace {
 
-int exit_code(bool is_same) { return is_same ? kYes : kFinding; }
+int exit_code(bool is_same) { return is_same ? kSuccess : kFinding; }
 
 // ---- Lists of servers ----
 
--- a/src/cli/explain.cpp
+++ b/src/cli/explain.cpp
@@ -111,7 +111,7 @@
     return kFinding;
   }
   print_match(text, checked, table, *match);
-  return kYes;
+  return kSuccess;
 }
 
 }  // namespace
@@ -122,7 +122,7 @@
   print_findings(checked.program.sources, findings);
   if (!findings.is_ok()) return kUsage;
   const routing::Table table(checked.meaning, checked.program.sources);
-  int exit_code = kYes;
+  int exit_code = kSuccess;
   for (const auto& text : options.requests) {
     const int code = explain_request(text, options, checked, table);
     if (code == kUsage) return kUsage;
--- a/src/cli/format.cpp
+++ b/src/cli/format.cpp
@@ -25,7 +25,7 @@
 int report_formatted(const std::string& path, const std::string& text, const std::string& formatted,
                      const FormatOptions& options) {
   const bool is_canonical = formatted == text;
-  int exit_code = kYes;
+  int exit_code = kSuccess;
   if (!options.write && !options.check) std::fputs(formatted.c_str(), stdout);
   if (options.check && !is_canonical) {
     std::printf("%s: not in canonical form\n", path.c_str());
@@ -58,9 +58,9 @@
 }  // namespace
 
 int format_files(const FormatOptions& options) {
-  int exit_code = kYes;
+  int exit_code = kSuccess;
   for (const auto& path : options.files) {
-    if (format_file(path, options) != kYes) exit_code = kFinding;
+    if (format_file(path, options) != kSuccess) exit_code = kFinding;
   }
   return exit_code;
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -15,7 +15,7 @@
 
 /// The arguments of the selected subcommand, and its exit code.
 struct Arguments {
-  int exit_code = kYes;
+  int exit_code = kSuccess;
   std::string settings;
   CheckOptions check;
   FormatOptions format;
@@ -230,7 +230,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? kYes : kUsage;
+    return app.exit(error) == 0 ? kSuccess : kUsage;
   }
   return arguments.exit_code;
 }
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -208,7 +208,7 @@
     log_.record("router", log::Level::warning, "shared_folder",
                 {{"reason", "a worker is blocked by its disk; exiting without stopping it"}});
     log_.flush();
-    ::_exit(kYes);
+    ::_exit(kSuccess);
   }
   if (endpoint_controller_) endpoint_controller_->finish();
   log_endpoint_summary();
@@ -250,7 +250,7 @@
     log.record("router", log::Level::error, "cannot_start", {{"reason", error.what()}});
     return kFinding;
   }
-  return kYes;
+  return kSuccess;
 }
 
 }  // namespace
--- a/src/cli/seal.cpp
+++ b/src/cli/seal.cpp
@@ -69,7 +69,7 @@
     if (std::filesystem::is_directory(path)) content = sealed_manifest(path, content);
     replace_or_throw(file, endpoints::with_digest(content));
     diagnostics::Findings findings;
-    if (read_endpoint_list(path, findings)) return kYes;
+    if (read_endpoint_list(path, findings)) return kSuccess;
     print_findings(stdout, findings);
     return kFinding;
   });
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -48,7 +48,7 @@
     } else {
       print_state(*restored.state, age_seconds);
     }
-    return kYes;
+    return kSuccess;
   });
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -41,19 +41,19 @@
 )";
 
 config::Config config_with_classes() {
-  config::Config c;
-  c.names.classes = {"asset", "plan-accept"};
-  c.names.request_timeouts = {2'500'000, 3'000'000};
-  c.settings.classes.resize(2);
-  c.settings.classes[1].never_cached = true;
-  return c;
+  config::Config config;
+  config.names.classes = {"asset", "plan-accept"};
+  config.names.request_timeouts = {2'500'000, 3'000'000};
+  config.settings.classes.resize(2);
+  config.settings.classes[1].never_cached = true;
+  return config;
 }
 
 TEST(SettingsTest, ReadsEverySectionWithItsUnits) {
-  diagnostics::Findings f;
-  auto s = settings::read(kGood, "a.toml", "/etc/a", f);
-  settings::resolve(s, config_with_classes(), f);
-  for (const auto& x : f.list()) ADD_FAILURE() << diagnostics::to_string(x);
+  diagnostics::Findings findings;
+  auto s = settings::read(kGood, "a.toml", "/etc/a", findings);
+  settings::resolve(s, config_with_classes(), findings);
+  for (const auto& finding : findings.list()) ADD_FAILURE() << diagnostics::to_string(finding);
   EXPECT_EQ(s.config_file, "/etc/a/config.json");
   EXPECT_EQ(s.membership->list, "/etc/a/servers.toml");
   EXPECT_EQ(s.membership->state_directory, "/var/lib/x") << "an absolute path is not changed";
@@ -64,9 +64,10 @@
   EXPECT_EQ(s.signed_url->routes.at(0).time_limit, 1'500'000);
   EXPECT_EQ(s.xds->cluster, "boxes");
   EXPECT_EQ(s.log.format, log::Format::json);
-  diagnostics::Findings g;
-  const auto minimal = settings::read("[router]\nconfig = \"c.json\"\n", "a.toml", "", g);
-  EXPECT_TRUE(g.is_ok());
+  diagnostics::Findings minimal_findings;
+  const auto minimal =
+      settings::read("[router]\nconfig = \"c.json\"\n", "a.toml", "", minimal_findings);
+  EXPECT_TRUE(minimal_findings.is_ok());
   EXPECT_FALSE(minimal.membership || minimal.signed_url || minimal.xds)
       << "absent sections leave their subsystems disabled";
 }
@@ -99,13 +100,14 @@
     const auto at = text.find(test.original);
     ASSERT_NE(at, std::string::npos) << test.original;
     text.replace(at, test.original.size(), test.replacement);
-    diagnostics::Findings f;
-    auto s = settings::read(text, "a.toml", "", f);
-    settings::resolve(s, config_with_classes(), f);
-    const auto it = std::find_if(f.list().begin(), f.list().end(),
-                                 [&](auto& x) { return x.code == test.code; });
-    ASSERT_NE(it, f.list().end()) << test.replacement
-                                  << (f.list().empty() ? "" : diagnostics::to_string(f.list()[0]));
+    diagnostics::Findings findings;
+    auto s = settings::read(text, "a.toml", "", findings);
+    settings::resolve(s, config_with_classes(), findings);
+    const auto it = std::find_if(findings.list().begin(), findings.list().end(),
+                                 [&](auto& finding) { return finding.code == test.code; });
+    ASSERT_NE(it, findings.list().end())
+        << test.replacement
+        << (findings.list().empty() ? "" : diagnostics::to_string(findings.list()[0]));
     const auto message = diagnostics::to_string(*it);
     EXPECT_NE(message.find(test.expected_text), std::string::npos) << message;
     EXPECT_EQ(it->location.line, test.line) << message;
