--- a/src/json/writer.h
+++ b/src/json/writer.h
@@ -1,5 +1,5 @@
-// Writes JSON objects, one member a call, for the views of operators and the output of commands.
-// Not thread-safe.
+// Writes JSON objects, one member per call, for the operators' pages and the output of commands. A
+// writer is not thread-safe.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -10,9 +10,10 @@
 
 namespace alderspur::json {
 
+/// Appends compact JSON to a string buffer, which must outlive the writer.
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-/// Writes the member `key` with a string.
+/// Writes the member `key` with a string, which is escaped as JSON requires.
 inline void write_text(Writer& writer, const char* key, std::string_view value) {
   writer.Key(key);
   writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
--- a/src/msgpack_codec/measure.h
+++ b/src/msgpack_codec/measure.h
@@ -1,8 +1,10 @@
-// Finds the end of a MessagePack item without unpacking it. No I/O, no allocation.
+// Finds the end of a MessagePack item without unpacking it. The function performs no I/O and
+// allocates no memory.
 //
-// The library allocates by the counts that it reads in headers, and takes an incomplete item apart
-// anew with each read. Measuring first guards against both: an item that cannot fit into the limit
-// is refused at the header that claims too much, before any memory is spent on it.
+// The MessagePack library allocates memory according to the counts in the headers, and it parses an
+// incomplete item from the start after each read. Measuring an item first avoids both. An item that
+// cannot fit into the limit is rejected at the header whose count is too large, before any memory
+// is allocated for it.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +12,20 @@
 
 namespace alderspur::msgpack_codec {
 
+/// The result of looking for the end of an item.
 enum class MeasureStatus {
-  complete,    // a whole item stands at the front
-  incomplete,  // more bytes may complete it
-  invalid,     // no MessagePack, or larger than the limit
+  complete,    // the bytes start with a complete item
+  incomplete,  // more bytes are needed to complete the item
+  invalid,     // the bytes are not MessagePack, or the item exceeds the limit
 };
 
+/// The status of an item and, if it is complete, its size.
 struct Measurement {
   MeasureStatus status = MeasureStatus::invalid;
-  std::size_t size = 0;  // of the item in bytes, where it is complete
+  std::size_t size = 0;  // size of the item in bytes; 0 unless it is complete
 };
 
-/// Measures the item at the front of `bytes`; `limit` bounds its size in bytes.
+/// Measures the item at the start of `bytes`. An item that is larger than `limit` bytes is invalid.
 Measurement measure_item(std::string_view bytes, std::size_t limit);
 
 }  // namespace alderspur::msgpack_codec
--- a/src/msgpack_codec/reader.cpp
+++ b/src/msgpack_codec/reader.cpp
@@ -5,6 +5,7 @@
 namespace alderspur::msgpack_codec {
 namespace {
 
+// Reports whether the character is printable ASCII and not a double quote.
 bool is_printable(char character) {
   return character >= ' ' && character <= '~' && character != '"';
 }
--- a/src/msgpack_codec/reader.h
+++ b/src/msgpack_codec/reader.h
@@ -1,7 +1,8 @@
-// Reads the elements of a MessagePack array in order, as the messages and stored records of
-// cluster, consensus and replication use them. No I/O; not thread-safe.
+// Reads the elements of a MessagePack array in order. The messages and stored records of cluster,
+// consensus and replication are such arrays. The classes perform no I/O and are not thread-safe.
 //
-// Further elements at the end of an array are ignored, so that a later version may add some.
+// Additional elements at the end of an array are ignored, so that a later version can append
+// fields.
 #pragma once
 
 #include <msgpack.h>
@@ -19,52 +20,58 @@
 
 namespace alderspur::msgpack_codec {
 
-constexpr std::size_t kMaxNameBytes = 64;  // of a text without a limit of its own, such as a name
+/// Size limit of a text, such as a name, for which the caller sets no other limit.
+constexpr std::size_t kMaxNameBytes = 64;
 
-/// Why an array cannot be read.
+/// The reason why an array cannot be read.
 enum class ReadError : std::uint8_t {
   none,
-  not_an_array,      // or one with too few elements
-  missing_element,   // read beyond the end
-  wrong_type,        // of an element
+  not_an_array,      // not an array, or an array with too few elements
+  missing_element,   // a read past the last element
+  wrong_type,        // an element of another type than expected
   out_of_range,      // a number, or the number of elements of a nested array
   too_long,          // a text or a byte string
   unprintable_text,  // control characters, quotes or bytes beyond ASCII
-  rejected,          // by the caller: of the right form, but meaningless
+  rejected,          // well-formed, but the caller rejected a value
 };
 
-/// The first error sticks: after it every read yields an empty value, so that a caller can read
-/// all fields and check ok() once.
+/// Reads the elements of one array. The first error is kept. After it every read returns an empty
+/// value, so that a caller can read all fields and check ok() once. The unpacked array must outlive
+/// the reader.
 class Reader {
  public:
-  /// Fails at once if the object is not an array of at least `min_size` elements.
+  /// Sets the error not_an_array if the object is not an array of at least `min_size` elements.
   Reader(const msgpack_object& array, std::size_t min_size);
 
+  /// Reports whether no error has occurred.
   bool ok() const { return error_ == ReadError::none; }
+  /// Returns the first error, or `none`.
   ReadError error() const { return error_; }
-  /// Marks what is read as unusable; an earlier error stays.
+  /// Sets the error unless an earlier one is set.
   void fail(ReadError error = ReadError::rejected);
-  /// Fails as `nested` did, if it did.
+  /// Takes over the error of the reader of a nested array, if it has one.
   void fail_with(const Reader& nested) { fail(nested.error()); }
 
-  /// The next element as it is; an empty object (of type nil) beyond the end.
+  /// Returns the next element without checking its type. Past the end it returns an empty object of
+  /// type nil and sets the error missing_element.
   const msgpack_object& next();
-  /// Whether an element is left: a field that a later version has added.
+  /// Reports whether an element is left, such as a field that only later versions write.
   bool has_more() const { return ok() && elements_left_ > 0; }
 
-  /// An integer from 0 to `max`.
+  /// Reads an integer from 0 to `max`.
   std::uint64_t number(std::uint64_t max = std::numeric_limits<std::uint64_t>::max());
-  /// The number 0 or 1.
+  /// Reads a flag, which is encoded as the number 0 or 1.
   bool flag() { return number(1) == 1; }
-  /// A finite number that is not negative.
+  /// Reads a floating-point number, which must be finite and not negative.
   double real();
-  /// Points into the bytes that were unpacked.
+  /// Reads a byte string of at most `max_size` bytes. The result points into the packed bytes.
   std::string_view bytes(std::size_t max_size);
-  /// Printable ASCII without quotes, since such texts appear in logs and replies.
+  /// Reads a text of at most `max_size` bytes. It must be printable ASCII without double quotes,
+  /// because such texts are written to logs and replies.
   std::string text(std::size_t max_size = kMaxNameBytes);
 
-  /// The next element, an array of at least `min_size` elements, as `read(Reader&)` reads it. Fails
-  /// as the reader of that array has.
+  /// Reads the next element, which must be an array of at least `min_size` elements, and returns
+  /// what `read(Reader&)` returns for it. Takes over the error of the reader of that array.
   template <class Read>
   auto record(std::size_t min_size, Read read) {
     Reader fields(next(), min_size);
@@ -72,9 +79,9 @@
     fail_with(fields);
     return value;
   }
-  /// The next element, an array of at most `max_count` arrays of at least `min_size` elements each,
-  /// as `read(Reader&)` reads each of them. Fails at the first that does; the list is incomplete
-  /// then.
+  /// Reads the next element, which must be an array of at most `max_count` arrays of at least
+  /// `min_size` elements each. Returns what `read(Reader&)` returns for each of these arrays. Stops
+  /// at the first array that cannot be read and takes over its error; the list is then incomplete.
   template <class Read>
   auto records(std::size_t max_count, std::size_t min_size, Read read) {
     std::vector<std::invoke_result_t<Read, Reader&>> values;
@@ -86,18 +93,24 @@
     }
     return values;
   }
-  /// The next element, an array of at most `max_count` texts of at most kMaxNameBytes.
+  /// Reads the next element, which must be an array of at most `max_count` texts of at most
+  /// kMaxNameBytes bytes each.
   std::vector<std::string> texts(std::size_t max_count);
 
-  /// Enters the next element, an array, and returns its size; its elements are read by element().
+  /// Selects the next element, which must be an array of at most `max_size` elements, and returns
+  /// its size. element() then gives access to its elements. Returns 0 on an error.
   std::uint32_t array(std::size_t max_size);
-  /// Element `index` of the array entered last, an array itself, with a reader of its own.
+  /// Returns a reader of element `index` of the array that array() selected last. The element must
+  /// be an array of at least `min_size` elements, and `index` must be below the size of the
+  /// selected array.
   Reader element(std::uint32_t index, std::size_t min_size) const {
     return {nested_[index], min_size};
   }
 
  private:
   Reader() = default;
+  /// Sets the error `otherwise` if the condition does not hold. Returns false in that case or if an
+  /// earlier error is set.
   bool expect(bool holds, ReadError otherwise);
 
   const msgpack_object* next_element_ = nullptr;
@@ -106,9 +119,9 @@
   ReadError error_ = ReadError::none;
 };
 
-/// Unpacks `bytes`, one array of at least `min_size` elements, and returns what `read(Reader&)`
-/// reads from it. Nothing if the bytes are no such array or the reader has failed. The result must
-/// not refer to the unpacked elements.
+/// Unpacks `bytes`, which must be one array of at least `min_size` elements, and returns what
+/// `read(Reader&)` returns for it. Returns nullopt if the bytes are not such an array or the reader
+/// has an error. The result must not refer to the unpacked elements, which are destroyed on return.
 template <class Read>
 std::optional<std::invoke_result_t<Read, Reader&>> decode_array(std::string_view bytes,
                                                                 std::size_t min_size, Read read) {
--- a/src/msgpack_codec/writer.h
+++ b/src/msgpack_codec/writer.h
@@ -1,4 +1,5 @@
-// Writes MessagePack items one after the other into a buffer. No I/O.
+// Writes MessagePack items one after the other into a buffer. The writer performs no I/O and is not
+// thread-safe.
 #pragma once
 
 #include <msgpack.h>
@@ -10,8 +11,8 @@
 
 namespace alderspur::msgpack_codec {
 
-/// Appends items; every call but str() returns the writer, so that calls can be chained. Numbers
-/// take the shortest form that holds them.
+/// Appends items to a buffer that it owns. Every function except str() returns the writer, so that
+/// calls can be chained. Integers are encoded in the shortest form that can represent them.
 class Writer {
  public:
   Writer() {
@@ -22,12 +23,12 @@
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
 
-  /// The header of an array: its `size` elements are to be written next.
+  /// Appends the header of an array. The caller then writes its `size` elements.
   Writer& array(std::size_t size) {
     msgpack_pack_array(&packer_, size);
     return *this;
   }
-  /// The header of a map: `size` keys, each with its value, are to be written next.
+  /// Appends the header of a map. The caller then writes `size` keys, each followed by its value.
   Writer& map(std::size_t size) {
     msgpack_pack_map(&packer_, size);
     return *this;
@@ -40,7 +41,7 @@
     msgpack_pack_double(&packer_, value);
     return *this;
   }
-  /// A flag as the cluster's messages hold it: the number 0 or 1.
+  /// Appends a flag as the number 0 or 1, which is its form in the messages of the cluster.
   Writer& flag(bool value) { return number(value ? 1 : 0); }
   Writer& boolean_true() {
     msgpack_pack_true(&packer_);
@@ -50,7 +51,8 @@
     msgpack_pack_nil(&packer_);
     return *this;
   }
-  /// The header of a byte string whose `size` bytes are sent behind what is written here.
+  /// Appends the header of a byte string. The caller sends its `size` bytes after the contents of
+  /// this buffer.
   Writer& bytes_header(std::size_t size) {
     msgpack_pack_bin(&packer_, size);
     return *this;
@@ -65,7 +67,7 @@
     return *this;
   }
 
-  /// A copy of all that has been written.
+  /// Returns a copy of everything that has been written.
   std::string str() const {
     return buffer_.data == nullptr ? std::string() : std::string(buffer_.data, buffer_.size);
   }
