--- a/tests/cluster/rig_test.cpp
+++ b/tests/cluster/rig_test.cpp
@@ -334,7 +334,7 @@
   cluster.start(0);
   ASSERT_TRUE(cluster.until([&] { return !cluster.runs(0); }));
   EXPECT_EQ(cluster.exit_code(0), 1);
-  EXPECT_NE(cluster.log(0).find("under 32 characters"), std::string::npos);
+  EXPECT_NE(cluster.log(0).find("fewer than 32 characters"), std::string::npos);
   rig::Setup named;
   named.member = "two words";
   cluster.configure(1, named);
